--- a/standins/workers.py
+++ b/standins/workers.py
@@ -4,15 +4,20 @@
 """
 
 import base64
+import contextlib
 import json
 import socket
 import threading
+from collections import deque
 from typing import Any
 
 from standins.script import Script
 from standins.shared import Shared
 
 
+KEPT_NOTICES = 4000  # by the protocol: the last that a new link may ask for
+
+
 class Workers:
     def __init__(self, cores: float, taken: Script) -> None:
         """`taken`: the neighbour's part of the cores."""
@@ -22,6 +27,7 @@
         self.runs: dict[str, dict[str, Any]] = {}  # emptied as runs end
         self.ran: dict[str, int] = {}  # runs by the key of the body
         self.number, self.work, self.sock = 0, 0.0, None
+        self.notices: deque[dict[str, Any]] = deque(maxlen=KEPT_NOTICES)
         self.listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self.accept, daemon=True).start()
 
@@ -39,7 +45,7 @@
             message = json.loads(line)
             kind = message["type"]
             if kind == "bind":
-                self.say({"type": "bound", "state": "hot", "took": 60_000})
+                self.bind(message["n"])
             elif kind == "poll":
                 count = self.shared.inside()
                 left = self.cores * (1.0 - self.taken.at(self.shared.at - self.shared.began))
@@ -52,7 +58,29 @@
                 run = self.runs[message["job"]]
                 self.shared.add(message["job"], run["half"])
 
+    def bind(self, last_read: int) -> None:
+        """Answers a new link with the notices after `last_read`.
+
+        One that has read none although some were told is a server that started anew: its notices are numbered
+        from 1, and the runs of the server before it are over. Numbers that went on would make the new server
+        miss notices that it can never get, and send its commands again. (A server whose link breaks before it
+        has read its first notice would be taken for a new one; no link to a pool is broken here.)
+        """
+        with self.lock:
+            if last_read == 0 and self.number:
+                self.number = 0
+                self.notices.clear()
+                for job in list(self.runs):
+                    del self.runs[job]
+                    self.shared.drop(job)
+            self.send({"type": "bound", "state": "hot", "took": 60_000})
+            for notice in self.notices:
+                if notice["n"] > last_read:
+                    self.send(notice)
+
     def spawn(self, job: str, body: bytes) -> None:
+        if job in self.runs:
+            return  # by the protocol nothing happens
         key, work, calls = body.decode().split()[:3]
         self.ran[key] = self.ran.get(key, 0) + 1
         self.work += float(work)
@@ -61,21 +89,30 @@
         self.shared.add(job, half)
 
     def reached(self, job: str) -> None:
-        run = self.runs[job]
+        run = self.runs.get(job)
+        if run is None:
+            return  # ended with its server just as it was done
         if run["calls"]:
             run["calls"] -= 1
             self.notice("blocked", job, data=base64.b64encode(run["key"].encode()).decode())
             return
-        del self.runs[job]
+        self.runs.pop(job, None)
         made = base64.b64encode(b"done " + run["key"].encode()).decode()
         self.notice("finished", job, state="complete", took=run["work"], data=made)
 
     def notice(self, kind: str, job: str, **fields: Any) -> None:
-        self.number += 1
-        self.say({"type": kind, "n": self.number, "job": job, **fields})
+        with self.lock:
+            self.number += 1
+            self.notices.append({"type": kind, "n": self.number, "job": job, **fields})
+            self.send(self.notices[-1])
 
     def say(self, message: dict[str, Any]) -> None:
         with self.lock:
+            self.send(message)
+
+    def send(self, message: dict[str, Any]) -> None:
+        """Under the lock. What a broken link takes with it is told on the next one."""
+        with contextlib.suppress(OSError):
             self.sock.sendall(json.dumps(message).encode() + b"\n")
 
 
