--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 from benchmarks.fleet import Agent, free_ports
-from standins.net import Net
-from vetchford.fleet import processes
-from vetchford.fleet.cli import ask
-from vetchford.fleet.membership import DEAD
-from vetchford.fleet.store import Store
+from testkit.simulation.network import Net
+from vetchford.fleet import supervisor
+from vetchford.fleet.commands.machine import ask
+from vetchford.fleet.failure_detector import DEAD
+from vetchford.fleet.history_store import Store
 
 INSTANCES = 200
 STATUS = 0.3  # s at the median, by the aim
@@ -46,7 +46,7 @@
     entries = []
     for at, port in enumerate(free_ports(INSTANCES)):
         address = f"127.0.0.1:{port}"
-        command = json.dumps([sys.executable, "-S", "-m", "standins.instance", address, "good"])
+        command = json.dumps([sys.executable, "-S", "-m", "testkit.fakes.instance", address, "good"])
         entries.append(f'n{at:03}: {{command: {command}, listen: "{address}"}}')
     text = ["version: 1", "agent: {", f'socket: "{folder}/s"', f'store: "{folder}/store"',
             f'logs: "{folder}/logs"', "instances: {", *entries, "}", "}"]  # fmt: skip
@@ -68,11 +68,11 @@
         serving = sum(one["state"] == "serving" for one in status["instances"])
         out = {"start_200_s": round(up, 1), "change": ended["state"], "serving": serving}
         out |= {"status_median_s": round(sorted(times)[20], 4), "status_worst_s": round(max(times), 4)}
-        return out | {"agent_memory_mb": processes.memory_kb(agent.process.pid) // 1024}
+        return out | {"agent_memory_mb": supervisor.memory_kb(agent.process.pid) // 1024}
     finally:
         agent.kill()
         token = next(body["token"] for kind, _, body in Store(f"{folder}/store").all() if kind == "agent")
-        for several in processes.find(token).values():
+        for several in supervisor.find(token).values():
             for process, _ in several:
                 process.signal(9)
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,13 +21,13 @@
 from typing import Any
 
 from benchmarks.pools import LIMIT, settings
-from standins import workers
-from standins.load import Flow, Load
-from standins.script import Apart
-from vetchford.fleet import processes
+from testkit.fakes import worker_pool
+from testkit.fakes.load_generator import Flow, Load
+from testkit.fakes.schedule import Apart
+from vetchford.fleet import supervisor
 from vetchford.fleet.agent import ready
-from vetchford.fleet.cli import ask
-from vetchford.fleet.store import Store
+from vetchford.fleet.commands.machine import ask
+from vetchford.fleet.history_store import Store
 
 COUNT, BATCH, FLOOR, FROZEN = 20, 4, 12, (5, 13)
 ROOT = pathlib.Path(__file__).parent.parent
@@ -98,7 +98,7 @@
     kills, chance = (5 if quick else 30), random.Random(11)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        pools = Apart(workers.serve_many, COUNT, 2.0)
+        pools = Apart(worker_pool.serve_many, COUNT, 2.0)
         ports = free_ports(COUNT)
         written(folder, ports, pools.ports)
         agent = Agent(folder)
@@ -110,7 +110,7 @@
             agent.kill()
             store = Store(str(folder / "store"))
             token = next(body["token"] for kind, _, body in store.all() if kind == "agent")
-            for several in processes.find(token).values():
+            for several in supervisor.find(token).values():
                 for process, _ in several:
                     process.signal(signal.SIGKILL)
 
@@ -179,7 +179,7 @@
     status = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
     token = next(body["token"] for kind, _, body in Store(f"{agent.folder}/store").all() if kind == "agent")
     table = {
-        name: [process.pid for process, _ in several] for name, several in processes.find(token).items()
+        name: [process.pid for process, _ in several] for name, several in supervisor.find(token).items()
     }
     wrong = {word for load in loads for word in load.wrong}
     times = []
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -30,21 +30,22 @@
 from typing import Any
 
 from benchmarks.pools import LIMIT, settings
-from standins import cluster, workers
-from standins.load import Flow, Load
-from standins.net import Net
-from standins.planted import MISTAKES, caught
-from standins.rig import Rig, Script, wrong
-from standins.script import Apart
-from vetchford.fleet.calls import UnreachableError
-from vetchford.fleet.membership import DEAD
+from testkit.fakes import worker_pool
+from testkit.fakes.load_generator import Flow, Load
+from testkit.fakes.schedule import Apart
+from testkit.faults.mutations import MISTAKES, caught
+from testkit.faults.process_cluster import Rig, Script, wrong
+from testkit.simulation import agents
+from testkit.simulation.network import Net
+from vetchford.fleet.agent_client import UnreachableError
+from vetchford.fleet.failure_detector import DEAD
 
 AGENTS, EACH, FLOOR = 5, 4, 12
 
 
 def schedule(seed: int) -> tuple[int, list[str], str, dict[str, int]]:
     try:
-        world = cluster.play(seed)
+        world = agents.play(seed)
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
     span = world.span("r1")
@@ -74,7 +75,7 @@
 
 def of_processes(seed: int, seconds: float, faults: int) -> dict[str, Any]:
     """One roll of twenty real servers under load while links, agents and stores break."""
-    pools = Apart(workers.serve_many, AGENTS * EACH, 2.0)
+    pools = Apart(worker_pool.serve_many, AGENTS * EACH, 2.0)
     told = settings()
     told["familyInfo"]["below"] = "silent"
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from standins import ledger, workers
-from standins.load import Flow, Load, Tally
-from standins.script import Apart
+from testkit.fakes import records_service, worker_pool
+from testkit.fakes.load_generator import Flow, Load, Tally
+from testkit.fakes.schedule import Apart
 
 DUE, LIMIT = 1800.0, 4400.0  # ms, as the brief has them
 CORES, SLOTS, CALL = 2, 8, 40.0  # cores, the ledger's slots, ms of a call at full speed
@@ -109,8 +109,8 @@
 
     def __init__(self, case: Case, pools: bool, folder: pathlib.Path) -> None:
         self.case, self.name = case, f"{case.name}-{'on' if pools else 'off'}"
-        self.pool = Apart(workers.serve, CORES, case.taken)
-        self.ledger = Apart(ledger.serve, SLOTS, CALL, case.speed)
+        self.pool = Apart(worker_pool.serve, CORES, case.taken)
+        self.ledger = Apart(records_service.serve, SLOTS, CALL, case.speed)
         self.members = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.members.bind(("127.0.0.1", 0))
         config = folder / f"{self.name}.json"
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -13,7 +13,7 @@
 import time
 from typing import Any
 
-from vetchford.subsets.decide import SLACK, View
+from vetchford.subsetting.subsets import SLACK, View
 
 TENANTS, SHARD = 1000, 5
 EACH = 100  # keys a server: at 20 chance alone fills a quarter of them, and each join pushes others on
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -25,10 +25,10 @@
 from typing import Any
 
 from benchmarks.pools import DUE, LIMIT, settings
-from standins import gossip, turning
-from standins.load import Flow, Load
-from standins.rig import Script
-from standins.several import Several, most_at_once
+from testkit.fakes.load_generator import Flow, Load
+from testkit.faults.process_cluster import Script
+from testkit.faults.server_cluster import Several, most_at_once
+from testkit.simulation import gossip, leases
 
 COUNT, SLOTS, CALL = 8, 16, 40.0  # servers a side; the ledger's slots, ms of a call
 FLOWS = [
@@ -173,9 +173,9 @@
 
 def turns(count: int) -> dict[str, Any]:
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as crew:
-        played = crew.map(turning.played, range(1, count + 1))
+        played = crew.map(leases.played, range(1, count + 1))
         found = dict(
-            zip(sorted(turning.MISTAKES), crew.map(turning.caught, sorted(turning.MISTAKES)), strict=True)
+            zip(sorted(leases.MISTAKES), crew.map(leases.caught, sorted(leases.MISTAKES)), strict=True)
         )
     return {
         "schedules": count,
--- /dev/null
+++ b/testkit/fakes/__init__.py
@@ -0,0 +1,1 @@
+"""Fake peers on loopback: balancers, worker pool, records service, instances."""
--- a/standins/instance.py
+++ b/testkit/fakes/instance.py
@@ -1,4 +1,6 @@
-"""An instance that keeps the drain contract or breaks it: `python -m standins.instance ADDRESS BEHAVIOUR`.
+"""An instance that keeps the drain contract or breaks it.
+
+Usage: python -m testkit.fakes.instance ADDRESS BEHAVIOUR
 
 BEHAVIOUR: good; hang (never ends on SIGTERM); deaf (never ready); crash (ends at once); early (after 1 s).
 """
--- a/standins/ledger.py
+++ b/testkit/fakes/records_service.py
@@ -4,8 +4,8 @@
 import threading
 from typing import Any
 
-from standins.script import Script
-from standins.shared import Shared
+from testkit.fakes.schedule import Script
+from testkit.fakes.shared_capacity import Shared
 
 
 class Ledger:
--- a/standins/serving.py
+++ b/testkit/fakes/server_process.py
@@ -9,7 +9,7 @@
 import sys
 import threading
 
-from standins.peers import PATIENCE, TOLD, Balancer, PoolPeer, RecordsPeer, reports_here
+from testkit.fakes.peers import PATIENCE, TOLD, Balancer, PoolPeer, RecordsPeer, reports_here
 
 
 class Running:
--- a/standins/workers.py
+++ b/testkit/fakes/worker_pool.py
@@ -11,9 +11,8 @@
 from collections import deque
 from typing import Any
 
-from standins.script import Script
-from standins.shared import Shared
-
+from testkit.fakes.schedule import Script
+from testkit.fakes.shared_capacity import Shared
 
 KEPT_NOTICES = 4000  # by the protocol: the last that a new link may ask for
 
--- /dev/null
+++ b/testkit/faults/__init__.py
@@ -0,0 +1,1 @@
+"""Fault injection: relays, process clusters, sync points, mutations."""
--- a/standins/gates.py
+++ b/testkit/faults/checkpoints.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from standins.peers import PATIENCE
+from testkit.fakes.peers import PATIENCE
 
 SHORT = 0.3  # s that the other side gets where a guard holds it; where none does it needs a ms
 
--- a/standins/planted.py
+++ b/testkit/faults/mutations.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from standins import cluster
-from vetchford.fleet import across, book, spans
+from testkit.simulation import agents
+from vetchford.fleet import consensus, coordinator, fleet_rollout
 
 
 @contextlib.contextmanager
@@ -32,15 +32,15 @@
         return on_word
 
     return put(
-        (book.Book, "take", unfenced(book.Book.take, 0)),
-        (book.Book, "on_promise", unfenced(book.Book.on_promise, 1)),
-        (across.Across, "current", lambda self, sender, term: True),
+        (consensus.Book, "take", unfenced(consensus.Book.take, 0)),
+        (consensus.Book, "on_promise", unfenced(consensus.Book.on_promise, 1)),
+        (coordinator.Across, "current", lambda self, sender, term: True),
     )
 
 
 def floor_by_the_old_view() -> contextlib.AbstractContextManager[None]:
     """What was seen once is taken for seen."""
-    return put((spans, "FRESH", 1e12))
+    return put((fleet_rollout, "FRESH", 1e12))
 
 
 def floor_without_what_is_out() -> contextlib.AbstractContextManager[None]:
@@ -49,18 +49,18 @@
     def proven(self, now, body, span):
         return sum(one["state"] == "serving" for one in self.all_seen(now).values())
 
-    return put((spans.Driver, "proven", proven))
+    return put((fleet_rollout.Driver, "proven", proven))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
     """A store that lost its promises goes on under its old identity."""
-    begin = cluster.Machine.begin
+    begin = agents.Machine.begin
 
     def begin_as_before(self):
         self.disk["store"] = f"{self.name}.1"
         begin(self)
 
-    return put((cluster.Machine, "outlived", lambda self: None), (cluster.Machine, "begin", begin_as_before))
+    return put((agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before))
 
 
 # How each is planted, and the schedules in which it must show.
@@ -80,7 +80,7 @@
     for count, seed in enumerate(seeds or usual, 1):
         with plant() if planted else contextlib.nullcontext():
             try:
-                world = cluster.play(seed, **given)
+                world = agents.play(seed, **given)
             except AssertionError:
                 return count
         if world.wrong():
--- a/standins/rig.py
+++ b/testkit/faults/process_cluster.py
@@ -18,12 +18,12 @@
 import time
 from typing import Any
 
-from standins.links import Links
-from vetchford.fleet import processes
-from vetchford.fleet.calls import UnreachableError, ask
-from vetchford.fleet.store import Store
+from testkit.faults.relay import Links
+from vetchford.fleet import supervisor
+from vetchford.fleet.agent_client import UnreachableError, ask
+from vetchford.fleet.history_store import Store
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 LATE = 4.0  # s after which a fault must be known to who drives: a report's age and a check's
 
 
@@ -55,7 +55,7 @@
         programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
         self.links = Links(programs if relays else {}, seed)
         self.running: dict[str, subprocess.Popen] = {}
-        self.clocks: dict[str, str] = {}  # of agents begun from now on: offset and rate, see actors/clock.py
+        self.clocks: dict[str, str] = {}  # of agents begun from now on: offset and rate, see runtime/clock.py
         self.history: list[dict[str, Any]] = []
         self.addresses: dict[str, str] = {}
         for name in self.names:
@@ -67,16 +67,16 @@
                 self.addresses[f"n{at}@{name}"] = address
                 command = json.dumps(
                     commands(name, f"n{at}", address) if commands
-                    else [sys.executable, "-S", "-m", "standins.instance", address, "good"]
+                    else [sys.executable, "-S", "-m", "testkit.fakes.instance", address, "good"]
                 )  # fmt: skip
                 entries.append(
                     f'n{at}: {{command: {command}, listen: "{address}", stop_ms: {stop}, group: "pay"}}'
                 )
             roll = json.dumps(
                 commands(name, "{name}", "{listen}") if commands
-                else [sys.executable, "-S", "-m", "standins.instance", "{listen}", "good"]
+                else [sys.executable, "-S", "-m", "testkit.fakes.instance", "{listen}", "good"]
             )  # fmt: skip
-            crash = json.dumps([sys.executable, "-S", "-m", "standins.instance", "{listen}", "crash"])
+            crash = json.dumps([sys.executable, "-S", "-m", "testkit.fakes.instance", "{listen}", "crash"])
             seen_at = {
                 other: self.links.address(name, other) if relays else f"127.0.0.1:{programs[other][1]}"
                 for other in self.names
@@ -251,7 +251,7 @@
         store = Store(str(self.folder / name / "store"))
         token = next((body["token"] for kind, _, body in store.all() if kind == "agent"), "")
         store.close()
-        return processes.find(token) if token else {}
+        return supervisor.find(token) if token else {}
 
     def end(self) -> None:
         for process in self.running.values():
--- a/standins/several.py
+++ b/testkit/faults/server_cluster.py
@@ -12,10 +12,10 @@
 import time
 from typing import Any
 
-from standins import ledger, workers
-from standins.links import Links
-from standins.rig import ROOT, free_ports
-from standins.script import Apart
+from testkit.fakes import records_service, worker_pool
+from testkit.fakes.schedule import Apart
+from testkit.faults.process_cluster import ROOT, free_ports
+from testkit.faults.relay import Links
 
 
 def most_at_once(several: "Several") -> int:
@@ -64,8 +64,8 @@
         programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
         self.links = Links(programs if together else {}, seed)
         self.programs = programs
-        self.pools = Apart(workers.serve_many, count, cores)
-        self.ledger = Apart(ledger.serve, slots, call, speed)
+        self.pools = Apart(worker_pool.serve_many, count, cores)
+        self.ledger = Apart(records_service.serve, slots, call, speed)
         self.running: dict[str, subprocess.Popen] = {}
         for at, name in enumerate(self.names):
             self.write(at, name)
--- /dev/null
+++ b/testkit/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Programs in virtual time on simulated networks."""
--- a/standins/cluster.py
+++ b/testkit/simulation/agents.py
@@ -9,10 +9,10 @@
 import heapq
 import random
 
-from vetchford.fleet import book as books
-from vetchford.fleet import spans
-from vetchford.fleet.across import Across
-from vetchford.fleet.decide import Change, Fleet, RefusedError, Terms
+from vetchford.fleet import consensus as books
+from vetchford.fleet import fleet_rollout
+from vetchford.fleet.coordinator import Across
+from vetchford.fleet.rollout import Change, Fleet, RefusedError, Terms
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
 SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
@@ -58,7 +58,7 @@
             self.name,
             world.seed,
             self.disk["store"],
-            spans.founding(world.names),
+            fleet_rollout.founding(world.names),
             world.now,
             self.lives,
         )
@@ -403,7 +403,7 @@
 
     def ended(self, id):
         span = self.span(id)
-        return span is not None and span["state"] in spans.ENDED
+        return span is not None and span["state"] in fleet_rollout.ENDED
 
     def up(self, seconds=60.0):
         """All instances of a new world serving."""
--- a/standins/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from standins.world import Port, World
-from vetchford.signals.decide import OLD, PERIOD, Figure, Signals
-from vetchford.subsets.decide import View
+from testkit.simulation.world import Port, World
+from vetchford.gossip.load_gossip import OLD, PERIOD, Figure, Signals
+from vetchford.subsetting.subsets import View
 
 FIGURES = (
     Figure("pace", 64.0),
--- a/standins/turning.py
+++ b/testkit/simulation/leases.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from standins.world import Port, World
-from vetchford.turns import decide
-from vetchford.turns.decide import Keeper, Taker
+from testkit.simulation.world import Port, World
+from vetchford.leases import leases
+from vetchford.leases.leases import Keeper, Taker
 
 KEEPERS = ("s0", "s1", "s2")
 
@@ -188,7 +188,7 @@
     def on_yours(self, now: float, sender: str, word: Any, wish: Any) -> None:
         super().on_yours(now, sender, word, wish)
         if wish is not None and wish.fence == word["fence"]:
-            wish.until = now + decide.PERMIT * decide.SLOPE
+            wish.until = now + leases.PERMIT * leases.SLOPE
 
 
 class NeverLooks(Taker):
--- a/standins/net.py
+++ b/testkit/simulation/network.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from vetchford.fleet.membership import MOST_NEWS, Membership
+from vetchford.fleet.failure_detector import MOST_NEWS, Membership
 
 
 class Net:
--- a/tests/test_rules.py
+++ b/tests/admission/test_controller.py
@@ -1,6 +1,6 @@
 from helpers import Recorder, node, send, stage
 
-from vetchford import rules
+from vetchford.admission import controller
 
 
 def test_a_call_that_fails_after_its_task_was_given_up_gives_no_second_answer():
@@ -17,7 +17,7 @@
 
 def test_a_repeat_of_a_finished_fingerprinted_task_is_shared_never_run_or_turned_away():
     host = Recorder()
-    server = node(host, stages=[stage(effect=rules.FINGERPRINTED)])
+    server = node(host, stages=[stage(effect=controller.FINGERPRINTED)])
     send(server, 0.0, 0)
     server.ended(300.0, 0, "completed", 300.0)
     send(server, 400.0, 1, original=0)
@@ -123,7 +123,7 @@
         for step in range(40):
             for q in range(4):
                 send(server, step * 300.0, 4 * step + q, work=work)
-            for q in [q for q, task in server.tasks.items() if task.state == rules.RUNNING]:
+            for q in [q for q, task in server.tasks.items() if task.state == controller.RUNNING]:
                 server.ended(step * 300.0 + 290.0, q, "completed", 290.0)
             swept(server, step * 300 + 300, busy=busy, start=step * 300)
         assert server.limit.limit == expected if busy > 0.5 else server.limit.limit > expected
@@ -138,7 +138,7 @@
 
 
 def test_what_the_fleet_tells_shuts_calls_gates_by_their_time_ends_walks_and_stretches_pauses():
-    # At rest the numbers change nothing: tests/test_unchanged.py has the digests.
+    # At rest the numbers change nothing: tests/admission/test_recorded_decisions.py has the digests.
     host = Recorder()
     server = node(host, stages=[stage(due=1000.0, limit=2000.0), stage(skip_utility=0.5)], share=4.0)
     server.calls.base.add(0.0, 40.0)
--- a/tests/test_model.py
+++ b/tests/admission/test_model.py
@@ -10,8 +10,8 @@
 import pytest
 from helpers import Recorder, node, send, stage
 
-from vetchford import rules
-from vetchford.pools.decide import PoolSet, Terms
+from vetchford.admission import controller
+from vetchford.bulkheads.bulkheads import PoolSet, Terms
 
 GRACE, SLACK, CORES, MEMORY, MULTIPLE, ENTRY = 2000.0, 60.0, 2, 3000, 8.0, 50.0
 
@@ -109,8 +109,8 @@
 
 def day(seed, draw_out, edge=False, pooled=False):
     chance = random.Random(seed)
-    stages = [stage(late_utility=0.2, skip_utility=0.3), stage(utility=3.0, effect=rules.FINGERPRINTED),
-              stage(utility=2.0, effect=rules.SIDE_EFFECTING, due=900.0, limit=2200.0)]
+    stages = [stage(late_utility=0.2, skip_utility=0.3), stage(utility=3.0, effect=controller.FINGERPRINTED),
+              stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0)]
     host, callers = Model(), 2000 if edge else 3
     host.slice = 1 if edge else 4  # edge: a slice far under one call, thousands of callers, waits told
     server = node(host, stages=stages, cores=1 if edge else CORES, cold=seed % 2 == 0, memory=MEMORY,
@@ -132,7 +132,7 @@
             queued = chance.choice((0.0, 5.0, 40.0, 2500.0))
             subject += 1
             first = None
-            alike = [t for t in host.tasks.values() if t["effect"] == rules.FINGERPRINTED
+            alike = [t for t in host.tasks.values() if t["effect"] == controller.FINGERPRINTED
                      and t["state"] != "sharing" and t.get("entry", 0.0) > now - queued
                      and (t["state"] == "held" or t["ran"])]
             if kind == 1 and alike and chance.random() < 0.3:
@@ -159,7 +159,7 @@
                 task["answered"] = task["answered"] or "finished"
                 code = chance.choice(("completed", "completed", "errored"))
                 server.ended(now, q, code, chance.uniform(20, 900))
-            elif task["state"] == "running" and luck < 0.04 and task["effect"] != rules.SIDE_EFFECTING:
+            elif task["state"] == "running" and luck < 0.04 and task["effect"] != controller.SIDE_EFFECTING:
                 task["state"], task["made"] = "parked", 0  # a new need, not a repeat of the last call
                 server.stalled_on_call(now, q)
             elif task["state"] == "calling" and luck < 0.06:
--- a/tests/test_unchanged.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import Recorder, node, send, stage
 
-from vetchford import rules
+from vetchford.admission import controller
 
 RECORDED = {
     (0, False): "dbfe273e2d47e6ed2f978cda",
@@ -34,8 +34,8 @@
 def digest_of_a_history(seed, crowded):
     """One digest over each act, its arguments and its moment."""
     chance, host, acts = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
-    stages = [stage(skip_utility=0.3), stage(utility=3.0, effect=rules.FINGERPRINTED),
-              stage(utility=2.0, effect=rules.SIDE_EFFECTING, due=900.0, limit=2200.0, late_utility=0.2)]
+    stages = [stage(skip_utility=0.3), stage(utility=3.0, effect=controller.FINGERPRINTED),
+              stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0, late_utility=0.2)]
     server = node(host, stages=stages, share=2.0 if crowded else None, memory=20_000.0 if crowded else 1e6,
                   quotas=(0.01, 0.02), say="credit", cold=seed % 2 == 0, callers=4)
     count, told = 0, 0
@@ -57,14 +57,14 @@
             luck = chance.random()
             if server.tasks.get(q) is not task:
                 continue
-            if task.state == rules.RUNNING and luck < 0.05:
+            if task.state == controller.RUNNING and luck < 0.05:
                 server.ended(now, q, chance.choice(("completed", "errored")), chance.uniform(5.0, 400.0))
-            elif task.state == rules.RUNNING and luck < 0.08:
+            elif task.state == controller.RUNNING and luck < 0.08:
                 server.stalled_on_call(now, q)
-            elif task.state == rules.CALLING and luck < 0.05:
+            elif task.state == controller.CALLING and luck < 0.05:
                 server.call_returned(now, q, chance.choice(("completed", "saturated", "overdue", "errored")),
                                      chance.uniform(5.0, 300.0))
-            elif task.state == rules.SHARING and luck < 0.05:
+            elif task.state == controller.SHARING and luck < 0.05:
                 server.ended(now, q, "completed", 0.0)
             elif not task.answered and luck > 0.9995:
                 server.gone(now, q)
--- a/tests/test_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vetchford.benchlink.link import Link, MalformedError
+from vetchford.bench_adapter.simulator_link import Link, MalformedError
 
 TOLD = {
     "familyInfo": {"cores": 2, "ramKb": 9000.0, "blowup": 8.0, "keyKb": 5.0, "say": "weight", "halt": "drop",
--- a/tests/pools/test_adapt.py
+++ b/tests/bulkheads/test_adaptive_limit.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vetchford.pools.adapt import AdaptiveLimit
+from vetchford.bulkheads.adaptive_limit import AdaptiveLimit
 
 
 class Seen(list):
--- a/tests/pools/test_pools_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from vetchford.pools.decide import CREDIT, SPARE, PoolSet, Terms
+from vetchford.bulkheads.bulkheads import CREDIT, SPARE, PoolSet, Terms
 
 PARTS = ((0.25, 0.25, 0.5), (0.125, 0.375, 0.5), (0.5, 0.5), (0.25, 0.75), (0.125, 0.125, 0.25, 0.5))
 
--- a/tests/pools/test_pooled_node.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -5,9 +5,9 @@
 import pytest
 from helpers import Recorder, node, send, stage
 
-from vetchford import rules
-from vetchford.pools import building
-from vetchford.pools.decide import PoolSet, Terms
+from vetchford.admission import controller
+from vetchford.bulkheads import builder
+from vetchford.bulkheads.bulkheads import PoolSet, Terms
 
 CHECK, QUOTE, CHARGE = range(3)
 
@@ -32,7 +32,7 @@
     stages = stages or [
         stage(),
         stage(utility=2.0, skip_utility=0.5),
-        stage(utility=3.0, effect=rules.FINGERPRINTED),
+        stage(utility=3.0, effect=controller.FINGERPRINTED),
     ]
     return node(host, stages=stages, pools=PoolSet(seen or Seen(), terms, pool_of), **given)
 
@@ -141,7 +141,7 @@
     for q in range(100):
         send(server, now, q, kind=CHARGE, caller=q, size=10)
         for one in started(host):
-            if server.tasks[one].state == rules.RUNNING:
+            if server.tasks[one].state == controller.RUNNING:
                 server.stalled_on_call(now, one)
         now += 1.0
     assert any(answer == "reject" for answer in host.answers.values())  # full
@@ -155,7 +155,7 @@
     for q in range(8):
         send(server, 0.0, q, kind=CHARGE)
     for q in (0, 1, 2, 3):
-        if server.tasks[q].state == rules.RUNNING:
+        if server.tasks[q].state == controller.RUNNING:
             server.stalled_on_call(10.0, q)
     assert len(server.waiting) <= 3 and server.running < 2
     before = server.running
@@ -230,7 +230,7 @@
         server.woke(float(at), 1.0, 2.0)
     for q in list(server.tasks):
         task = server.tasks[q]
-        if task.state in (rules.RUNNING, rules.PARKED, rules.CALLING):
+        if task.state in (controller.RUNNING, controller.PARKED, controller.CALLING):
             server.ended(2100.0, q, "recalled", 2000.0)
     server.woke(40_000.0, 0.0, 0.0)
     pools = server.pools
@@ -241,7 +241,7 @@
 
 
 def test_stages_that_no_pool_names_share_the_rest_and_unknown_parts_shut_nobody_out():
-    made = building.build(
+    made = builder.build(
         Seen(),
         {
             "gate": {
@@ -259,13 +259,13 @@
     )
     assert [made.terms[p].name for p in made.pool_of] == ["gate", "rest", "rest"]
     assert made.slots.shares[1] > 0.05 and made.terms[0].call_budget == math.inf
-    assert building.build(Seen(), "none", ["check"], [0], [1.0]) is None
+    assert builder.build(Seen(), "none", ["check"], [0], [1.0]) is None
 
 
 def test_derived_pools_find_the_light_stage_by_its_runs_and_keep_to_it():
     host, seen = Recorder(), Seen()
-    stages = [stage(), stage(utility=2.0), stage(utility=3.0, effect=rules.FINGERPRINTED)]
-    made = building.derived(seen, [0, 0, 1], [1.0, 2.0, 3.0])
+    stages = [stage(), stage(utility=2.0), stage(utility=3.0, effect=controller.FINGERPRINTED)]
+    made = builder.derived(seen, [0, 0, 1], [1.0, 2.0, 3.0])
     server = node(host, stages=stages, pools=made)
     assert [kind.pool for kind in stages] == [2, 2, 1]  # nothing measured yet
     now = 0.0
--- a/tests/pools/test_pooled_server.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -80,8 +80,8 @@
 
 def test_a_server_without_our_files_imports_no_part_of_them():
     code = (
-        "import sys, vetchford.cli, vetchford.lifecycle.server\n"
-        "print([name for name in sys.modules if name.startswith(('vetchford.pools', 'vetchford.declared', "
-        "'lark', 'msgspec'))])"
+        "import sys, vetchford.cli, vetchford.server.server_process\n"
+        "parts = ('vetchford.bulkheads', 'vetchford.configuration', 'lark', 'msgspec')\n"
+        "print([name for name in sys.modules if name.startswith(parts)])"
     )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
--- a/tests/declared/test_declared.py
+++ b/tests/configuration/test_reader.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from vetchford.declared import reading
-from vetchford.declared.problems import MOST_TOLD, DeclaredError
+from vetchford.configuration import reader
+from vetchford.configuration.errors import MOST_TOLD, DeclaredError
 
 GOOD = 'version: 1\npools: gate: {stages: ["check"], share: 20%, reserve: 1}\n'
 
 
 def read(*texts, stages=None):
-    return reading.read_texts([(f"f{at}.vet", text) for at, text in enumerate(texts)], stages)
+    return reader.read_texts([(f"f{at}.vet", text) for at, text in enumerate(texts)], stages)
 
 
 def wrong(*texts, stages=None):
@@ -160,7 +160,7 @@
     (tmp_path / "a.vet").write_bytes(b"version: \xff")
     (tmp_path / "b.vet").write_text("version: : 1")
     with pytest.raises(DeclaredError) as caught:
-        reading.read([str(tmp_path / name) for name in ("a.vet", "b.vet", "none.vet")])
+        reader.read([str(tmp_path / name) for name in ("a.vet", "b.vet", "none.vet")])
     assert len(caught.value.problems) == 3
 
 
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_spoilt_files_are_read_or_refused_and_never_anything_else(seed):
-    chance, good = random.Random(seed), (reading.schema(), GOOD, Path("deploy/pools.vet").read_text())
+    chance, good = random.Random(seed), (reader.schema(), GOOD, Path("deploy/pools.vet").read_text())
     pieces = [
         "{",
         "}",
--- a/tests/neighbours/test_measure.py
+++ b/tests/coordination/test_load_sampler.py
@@ -1,6 +1,6 @@
 """What one server tells of itself."""
 
-from vetchford.neighbours.measure import WINDOW, Measure
+from vetchford.coordination.load_sampler import WINDOW, Measure
 
 
 def figures(measure, now, begun=(), usual=40.0, counts=None):
--- a/tests/neighbours/test_servers.py
+++ b/tests/coordination/test_server_cluster.py
@@ -9,8 +9,8 @@
 import pytest
 
 from benchmarks.pools import settings
-from standins.load import Flow, Load
-from standins.several import Several, most_at_once
+from testkit.fakes.load_generator import Flow, Load
+from testkit.faults.server_cluster import Several, most_at_once
 
 
 @pytest.fixture(scope="module")
@@ -129,8 +129,8 @@
 
 
 def test_a_file_that_names_no_such_keeper_or_server_is_refused_in_one_line_with_its_place(tmp_path):
-    from vetchford.declared.apart import read
-    from vetchford.startup import MalformedError
+    from vetchford.admission.factory import MalformedError
+    from vetchford.configuration.isolated_reader import read
 
     base = {
         "fleet": "pay",
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from vetchford.fleet import processes
-from vetchford.fleet.store import Store, StoreError
+from vetchford.fleet import supervisor
+from vetchford.fleet.history_store import Store, StoreError
 
 ROOT = Path(__file__).parent.parent.parent
 PATIENCE = 30.0  # s
@@ -32,7 +32,7 @@
         entries = []
         for at, behaviour in enumerate(behaviours):
             address = f"127.0.0.1:{free_port()}"
-            command = json.dumps([sys.executable, "-S", "-m", "standins.instance", address, behaviour])
+            command = json.dumps([sys.executable, "-S", "-m", "testkit.fakes.instance", address, behaviour])
             entries.append(
                 f'n{at}: {{command: {command}, listen: "{address}", stop_ms: {stop}, '
                 f"ready_ms: {ready}{more}}}"
@@ -47,8 +47,8 @@
         {chr(10).join(entries)}
     }}
     versions: {{
-        v2: [{json.dumps(sys.executable)}, "-S", "-m", "standins.instance", "{{listen}}", "good"]
-        bad: [{json.dumps(sys.executable)}, "-S", "-m", "standins.instance", "{{listen}}", "crash"]
+        v2: [{json.dumps(sys.executable)}, "-S", "-m", "testkit.fakes.instance", "{{listen}}", "good"]
+        bad: [{json.dumps(sys.executable)}, "-S", "-m", "testkit.fakes.instance", "{{listen}}", "crash"]
     }}
 }}
 """)
@@ -106,7 +106,7 @@
         )
         if self.agent.poll() is None:
             self.kill()
-        for several in processes.find(token).values() if token else ():
+        for several in supervisor.find(token).values() if token else ():
             for process, _ in several:
                 process.signal(signal.SIGKILL)
                 process.ended()
@@ -144,7 +144,7 @@
         token = next(
             body["token"] for kind, _, body in Store(str(tmp_path / "store")).all() if kind == "agent"
         )
-        found = processes.find(token)
+        found = supervisor.find(token)
         assert {name: [process.pid for process, _ in several] for name, several in found.items()} == {
             name: [one["pid"]] for name, one in status.items()
         }
@@ -205,8 +205,8 @@
 def test_a_store_that_is_torn_or_of_another_version_is_said_and_its_history_is_bounded(tmp_path, monkeypatch):
     path = str(tmp_path / "store")
     store = Store(path)
-    monkeypatch.setattr("vetchford.fleet.store.HISTORY", 20)
-    monkeypatch.setattr("vetchford.fleet.store.PRUNE", 10)
+    monkeypatch.setattr("vetchford.fleet.history_store.HISTORY", 20)
+    monkeypatch.setattr("vetchford.fleet.history_store.PRUNE", 10)
     for n in range(100):
         store.put("instance", "n1", {"wanted": bool(n % 2)})
     assert len(store.history(1000)) <= 30 and store.all() == [("instance", "n1", {"wanted": True})]
@@ -253,12 +253,12 @@
 
 def test_a_long_log_is_turned_over_and_its_writer_goes_on(tmp_path):
     path = str(tmp_path / "n1.log")
-    assert not processes.turn_over(path, 100)  # not there yet
+    assert not supervisor.turn_over(path, 100)  # not there yet
     with open(path, "ab", buffering=0) as writer:
         writer.write(b"a" * 100)
-        assert not processes.turn_over(path, 100)
+        assert not supervisor.turn_over(path, 100)
         writer.write(b"b")
-        assert processes.turn_over(path, 100)
+        assert supervisor.turn_over(path, 100)
         writer.write(b"c")
     assert Path(path).read_bytes() == b"c" and Path(path + ".1").read_bytes() == b"a" * 100 + b"b"
 
--- a/tests/crossings/test_crossed_agent.py
+++ b/tests/fleet/test_agent_races.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from standins.gates import Gate, beside, until
-from standins.peers import PATIENCE
-from vetchford.actors.counts import Counts
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import Gate, beside, until
 from vetchford.fleet import agent as agent_file
-from vetchford.fleet import decide, processes
+from vetchford.fleet import rollout, supervisor
 from vetchford.fleet.agent import Agent
-from vetchford.fleet.decide import Change, Fleet, Terms
+from vetchford.fleet.rollout import Change, Fleet, Terms
+from vetchford.runtime.metrics import Counts
 
 # -- the ready check
 
@@ -101,7 +101,7 @@
     other = subprocess.Popen([sys.executable, "-S", "-c", "input()"], stdin=subprocess.PIPE,
                              start_new_session=True)  # fmt: skip
     try:
-        adopted = processes.Process(other.pid, "another's start", pidfd, None)
+        adopted = supervisor.Process(other.pid, "another's start", pidfd, None)
         Agent.kill(SimpleNamespace(ours={"n0": adopted}), "n0")
         other.terminate()
         assert other.wait(PATIENCE) == -signal.SIGTERM  # else SIGKILL was there first
@@ -143,13 +143,13 @@
     for name in names:
         fleet.checked(1.0, name, True)
     fleet.woke(2.0)
-    assert fleet.changes["up"].state == decide.FINISHED
+    assert fleet.changes["up"].state == rollout.FINISHED
     return world, fleet
 
 
 def out_and_up(fleet, now, name):
     """It ends as it was told to, and its next process serves."""
-    assert fleet.instances[name].state == decide.DRAINING
+    assert fleet.instances[name].state == rollout.DRAINING
     fleet.exited(now, name, 0)
     fleet.checked(now + 1.0, name, True)
 
@@ -163,7 +163,7 @@
     assert "a" in world.did("kill")
     fleet.exited(2500.0, "a", -9)
     fleet.woke(2600.0)
-    assert world.did("spawn").count("a") == 2 and fleet.instances["a"].state == decide.STARTING
+    assert world.did("spawn").count("a") == 2 and fleet.instances["a"].state == rollout.STARTING
 
 
 def rolled_back(fleet, now):
@@ -178,7 +178,7 @@
 def test_a_way_back_that_is_paused_goes_on_back_once_resumed_also_by_the_next_agent():
     world, fleet = up()
     rolled_back(fleet, 100.0)
-    assert fleet.changes["r"].state == decide.BACK
+    assert fleet.changes["r"].state == rollout.BACK
     fleet.pause(150.0, "r")
     again = Fleet(world)  # the agent is started anew in between
     for name in fleet.instances:
@@ -190,12 +190,12 @@
     again.resume(200.0, "r")
     for now in range(210, 900, 10):
         for name, one in again.instances.items():
-            if one.state == decide.DRAINING:
+            if one.state == rollout.DRAINING:
                 again.exited(now, name, 0)
-            elif one.state == decide.STARTING:
+            elif one.state == rollout.STARTING:
                 again.checked(now, name, True)
         again.woke(float(now))
-    assert (again.changes["r"].state, again.changes["r"].why) == (decide.BROKEN, "gone back")
+    assert (again.changes["r"].state, again.changes["r"].why) == (rollout.BROKEN, "gone back")
     assert {name: one.runs for name, one in again.instances.items()} == dict.fromkeys("abc", "v1")
 
 
@@ -204,15 +204,15 @@
     record, failed = world.record, []
 
     def fails_once(kind, name, body):
-        if kind == "change" and body["state"] == decide.BACK and not failed:
+        if kind == "change" and body["state"] == rollout.BACK and not failed:
             failed.append(name)
             raise OSError("full")
         record(kind, name, body)
 
     world.record = fails_once
     rolled_back(fleet, 100.0)
-    assert failed == ["r"] and fleet.changes["r"].state == decide.PAUSED
-    assert fleet.changes["r"].steps == {"a": decide.DONE, "b": decide.LOST, "c": decide.PENDING}
+    assert failed == ["r"] and fleet.changes["r"].state == rollout.PAUSED
+    assert fleet.changes["r"].steps == {"a": rollout.DONE, "b": rollout.LOST, "c": rollout.PENDING}
     assert fleet.changes["r"].steps == world.kept["change", "r"]["steps"]
 
 
@@ -222,12 +222,12 @@
     world.full = True
     with pytest.raises(OSError):
         fleet.abort(20.0, "r")
-    assert fleet.changes["r"].state not in decide.ENDED
+    assert fleet.changes["r"].state not in rollout.ENDED
     world.full = False
-    assert fleet.abort(30.0, "r").state == decide.ABORTED
+    assert fleet.abort(30.0, "r").state == rollout.ABORTED
     fleet.exited(100.0, "a", 0)
     fleet.woke(1100.0)
-    assert fleet.instances["a"].state == decide.STARTING
+    assert fleet.instances["a"].state == rollout.STARTING
 
 
 def test_a_pause_that_the_store_cannot_take_holds_and_is_logged():
@@ -238,9 +238,9 @@
     world.full = True
     with pytest.raises(OSError):
         fleet.pause(20.0, "r")
-    assert fleet.changes["r"].state == decide.PAUSED and noted == [("change_moved", decide.PAUSED)]
+    assert fleet.changes["r"].state == rollout.PAUSED and noted == [("change_moved", rollout.PAUSED)]
     fleet.exited(30.0, "a", 0)
-    assert fleet.instances["a"].state == decide.STOPPED  # nothing more is begun
+    assert fleet.instances["a"].state == rollout.STOPPED  # nothing more is begun
 
 
 def test_a_store_that_fails_in_the_middle_of_an_abort_keeps_no_instance_down():
@@ -261,4 +261,4 @@
     fleet.abort(40.0, "r")
     world.record = record
     fleet.woke(2000.0)
-    assert {name: fleet.instances[name].state for name in "ab"} == dict.fromkeys("ab", decide.STARTING)
+    assert {name: fleet.instances[name].state for name in "ab"} == dict.fromkeys("ab", rollout.STARTING)
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from standins.rig import ROOT, Rig, Script, free_ports, wrong
-from vetchford.fleet.calls import UnreachableError, ask
+from testkit.faults.process_cluster import ROOT, Rig, Script, free_ports, wrong
+from vetchford.fleet.agent_client import UnreachableError, ask
 
 
 @pytest.fixture
--- a/tests/fleet/test_across.py
+++ b/tests/fleet/test_coordinator.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from standins.cluster import World, play
-from standins.planted import MISTAKES, caught
-from vetchford.fleet import book, orders
+from testkit.faults.mutations import MISTAKES, caught
+from testkit.simulation.agents import World, play
+from vetchford.fleet import consensus, rollout_controls
 
 FLOOR = 14
 
@@ -48,7 +48,7 @@
 
 
 def drives(world, among=None):
-    return [name for name in among or world.names if world.machines[name].across.book.role == book.DRIVES]
+    return [name for name in among or world.names if world.machines[name].across.book.role == consensus.DRIVES]
 
 
 def split(world, side):
@@ -222,7 +222,7 @@
 
 def test_orders_come_out_the_same_in_any_order_and_any_number_of_times():
     chance = random.Random(5)
-    sides = [orders.Orders(name) for name in "abc"]
+    sides = [rollout_controls.Orders(name) for name in "abc"]
     for n in range(200):
         one, other = chance.sample(sides, 2)
         draw = chance.random()
@@ -261,7 +261,7 @@
     world.run(world.now + 15_000.0)
     back = world.machines[gone].across
     assert (
-        back.book.role == book.FOLLOWS and gone not in back.book.body["members"]
+        back.book.role == consensus.FOLLOWS and gone not in back.book.body["members"]
     )  # it was told, and asks nobody
     world.request(driver, "admit", name=gone, by="ops")
     world.run(world.now + 8000.0)
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_failure_detector.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from standins.net import Net
-from vetchford.fleet import membership
-from vetchford.fleet.membership import ALIVE, DEAD, SUSPECT, may_go_on
+from testkit.simulation.network import Net
+from vetchford.fleet import failure_detector
+from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, may_go_on
 
 
 @pytest.mark.parametrize("count", [2, 8, 40, 200])
@@ -12,7 +12,7 @@
     net = Net(count, seed=count)
     net.run(5_000.0)
     net.dead.add("a001")
-    bound = 5_000.0 + 2_000.0 * count**0.5 + membership.SUSPECTED * 1000.0 * 9 + 20_000.0
+    bound = 5_000.0 + 2_000.0 * count**0.5 + failure_detector.SUSPECTED * 1000.0 * 9 + 20_000.0
     while net.views("a001") != {DEAD}:
         net.run(net.now + 500.0)
         assert net.now < bound, net.views("a001")
@@ -42,7 +42,7 @@
     net.side["a007"] = 1
     net.run(18_000.0)
     assert sum(state == DEAD for state in (net.agents["a007"].state(name) for name in net.agents)) <= 1
-    assert net.agents["a007"].aware == membership.MOST_AWARE
+    assert net.agents["a007"].aware == failure_detector.MOST_AWARE
     net.run(60_000.0)
     assert net.views("a007") == {DEAD}
 
@@ -58,7 +58,7 @@
 
 def test_a_listed_view_takes_in_nobody_else_and_one_that_was_stopped_buries_nobody():
     net = Net(5, 9)
-    one = membership.Membership(net.agents["a000"].host, "a000", net.agents, 9, listed=True)
+    one = failure_detector.Membership(net.agents["a000"].host, "a000", net.agents, 9, listed=True)
     assert {member.state for member in one.members.values()} == {SUSPECT}  # nobody was heard yet
     one.take(1.0, ("stranger", ALIVE, 3))
     one.heard(1.0, "other", "ping", 1, "", [])
@@ -99,7 +99,7 @@
     net = Net(5, 2)
     net.run(2_000.0)
     net.dead.add("a004")
-    net.run(60_000.0 + membership.FORGOTTEN)
+    net.run(60_000.0 + failure_detector.FORGOTTEN)
     for name, agent in net.agents.items():
         if name != "a004":
             assert "a004" not in agent.members and len(agent.probes) <= 2 and len(agent.news) <= 1
--- a/tests/fleet/test_fleet_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from vetchford.fleet import decide
-from vetchford.fleet.decide import Change, Fleet, RefusedError, Terms
+from vetchford.fleet import rollout
+from vetchford.fleet.rollout import Change, Fleet, RefusedError, Terms
 
 STOP, READY = 400.0, 1500.0
 
@@ -105,7 +105,7 @@
                 if (
                     random_exits
                     and not asked
-                    and fleet.changes["up"].state in decide.ENDED
+                    and fleet.changes["up"].state in rollout.ENDED
                     and chance.random() < 0.0005
                 ):
                     process["ends"] = world.now
@@ -119,7 +119,7 @@
                 if good:
                     world.serving.add(name)
                 fleet.checked(world.now, name, good)
-            if world.now >= 3000.0 and not asked and fleet.changes["up"].state in decide.ENDED:
+            if world.now >= 3000.0 and not asked and fleet.changes["up"].state in rollout.ENDED:
                 asked, world.floor, world.scope = True, floor, set(names)
                 change = Change("roll", "roll", names, "v2", batch, floor, 100.0, 300.0, on_failure)
                 fleet.ask(world.now, change)
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_a_roll_ends_with_every_instance_on_the_new_version_and_the_floor_held(seed):
     world, fleet, _ = play(seed, crashes=False, length=25_000.0)
-    assert fleet.changes["roll"].state == decide.FINISHED
+    assert fleet.changes["roll"].state == rollout.FINISHED
     assert {process["version"] for process in world.up.values()} == {"v2"} and len(world.up) == 8
     assert set(world.kills) <= set(fleet.changes["roll"].killed) | set(fleet.changes["up"].killed)
 
@@ -150,10 +150,10 @@
 def test_an_agent_killed_anywhere_goes_on_and_never_starts_a_second_process(seed):
     world, fleet, died = play(seed, crashes=True, length=60_000.0, random_exits=False)
     assert died >= 2
-    assert fleet.changes["roll"].state in decide.ENDED
+    assert fleet.changes["roll"].state in rollout.ENDED
     for name, instance in fleet.instances.items():
-        assert (instance.state in decide.ALIVE) == (name in world.up)
-        if name in world.up and instance.state == decide.SERVING:
+        assert (instance.state in rollout.ALIVE) == (name in world.up)
+        if name in world.up and instance.state == rollout.SERVING:
             assert world.up[name]["version"] == "v2"
 
 
@@ -161,7 +161,7 @@
 def test_a_version_that_never_gets_ready_is_rolled_back_and_the_floor_held(seed):
     world, fleet, _ = play(seed, False, 40_000.0, on_failure="back", random_exits=False, bad=("v2",))
     change = fleet.changes["roll"]
-    assert change.state == decide.BROKEN and change.why == "gone back"
+    assert change.state == rollout.BROKEN and change.why == "gone back"
     assert {process["version"] for process in world.up.values()} == {"v1"} and len(world.up) == 8
     assert sum(name in world.up and world.up[name]["version"] == "v2" for name in world.up) == 0
 
@@ -169,10 +169,10 @@
 def test_a_version_that_never_gets_ready_pauses_the_change_after_its_first_batch_and_resumes():
     world, fleet, _ = play(3, False, 12_000.0, on_failure="pause", random_exits=False, bad=("v2",))
     change = fleet.changes["roll"]
-    assert change.state == decide.PAUSED and list(change.steps.values()).count(decide.PENDING) >= 6
+    assert change.state == rollout.PAUSED and list(change.steps.values()).count(rollout.PENDING) >= 6
     world.bad = ()
     fleet.resume(world.now, "roll")
-    assert change.state == decide.RUNNING and decide.LOST not in change.steps.values()
+    assert change.state == rollout.RUNNING and rollout.LOST not in change.steps.values()
 
 
 def settled(names="abc", group="g"):
@@ -186,7 +186,7 @@
     for name in names:
         fleet.checked(1.0, name, True)
     fleet.woke(10.0)
-    assert fleet.changes["up"].state == decide.FINISHED
+    assert fleet.changes["up"].state == rollout.FINISHED
     return world, fleet
 
 
@@ -218,9 +218,9 @@
     assert not world.kills
     world.now = 100.0 + STOP
     fleet.woke(100.0 + STOP)
-    assert world.kills == ["a"] and fleet.instances["a"].state == decide.STOPPING
+    assert world.kills == ["a"] and fleet.instances["a"].state == rollout.STOPPING
     fleet.exited(510.0, "a", -9)
-    assert fleet.changes["stop"].state == decide.FINISHED and fleet.changes["stop"].killed == ["a"]
+    assert fleet.changes["stop"].state == rollout.FINISHED and fleet.changes["stop"].killed == ["a"]
     assert fleet.instances["a"].killed == 1
 
 
@@ -235,7 +235,7 @@
         now += 500.0
         fleet.woke(now)
     gaps = [b - a for a, b in zip(starts, starts[1:], strict=False)]
-    assert fleet.instances["a"].state == decide.FAILED and len(starts) == decide.LOOP + 1
+    assert fleet.instances["a"].state == rollout.FAILED and len(starts) == rollout.LOOP + 1
     assert gaps == sorted(gaps) and gaps[-1] >= 8 * gaps[0]
 
 
@@ -245,7 +245,7 @@
     world.full = True
     world.up.pop("a")
     fleet.exited(300.0, "a", 0)
-    assert fleet.changes["r"].state == decide.PAUSED and "the store failed" in fleet.changes["r"].why
+    assert fleet.changes["r"].state == rollout.PAUSED and "the store failed" in fleet.changes["r"].why
     assert set(world.up) == {"b", "c"}
     world.full = False
     fleet.resume(400.0, "r")
@@ -274,5 +274,5 @@
     world.up.pop("a")
     fleet.exited(200.0, "a", 0)
     fleet.woke(300.0)
-    assert set(world.up) == {"a", "b", "c"} and fleet.changes["r"].state == decide.ABORTED
-    assert not [name for name in "bc" if fleet.instances[name].state != decide.SERVING]
+    assert set(world.up) == {"a", "b", "c"} and fleet.changes["r"].state == rollout.ABORTED
+    assert not [name for name in "bc" if fleet.instances[name].state != rollout.SERVING]
--- a/tests/signals/test_signals.py
+++ b/tests/gossip/test_gossip.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from standins import gossip
-from vetchford.signals.conclude import ALONE, FIGURES, MOST_STRETCH, Conclusions
-from vetchford.signals.decide import MOST_KNOWN, MOST_ROWS, OLD, Figure, Signals
+from testkit.simulation import gossip
+from vetchford.gossip.fleet_signals import ALONE, FIGURES, MOST_STRETCH, Conclusions
+from vetchford.gossip.load_gossip import MOST_KNOWN, MOST_ROWS, OLD, Figure, Signals
 
 
 class Host:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,10 +1,26 @@
 """A recording host and a node built from few figures; the stand-ins are those of the benchmarks."""
 
-from standins.peers import TOLD, Balancer
-from standins.serving import Running
-from vetchford import rules
+from pathlib import Path
 
-__all__ = ["TOLD", "Balancer", "Recorder", "Running", "node", "send", "stage"]
+import vetchford
+from testkit.fakes.peers import TOLD, Balancer
+from testkit.fakes.server_process import Running
+from vetchford.admission import controller
+
+__all__ = ["GOOD", "ROOT", "TOLD", "Balancer", "Recorder", "Running", "node", "send", "stage"]
+
+ROOT = Path(vetchford.__file__).parent.parent
+GOOD = {
+    "name": "n1",
+    "listen": "127.0.0.1:0",
+    "pool": "127.0.0.1:1",
+    "records": "127.0.0.1:1",
+    "members": "127.0.0.1:1",
+    "seed": "8c1f30d27a5be964",
+    "stop_ms": 3200,
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
+    "settings": TOLD,
+}
 
 
 class Recorder:
@@ -35,20 +51,20 @@
 
 
 def stage(**given):
-    figures = dict(due=1800.0, limit=4400.0, utility=1.0, late_utility=0.0, effect=rules.RESTARTABLE,
+    figures = dict(due=1800.0, limit=4400.0, utility=1.0, late_utility=0.0, effect=controller.RESTARTABLE,
                    window=13000.0, skip_utility=0.0)
-    return rules.Stage(**{**figures, **given})
+    return controller.Stage(**{**figures, **given})
 
 
 def node(host, stages=None, cores=2, cold=False, memory=100_000.0, share=None, calls=True, quotas=(),
          say="silent", can_stop=False, callers=2, pools=None):
-    return rules.Node(
-        host=host, stages=stages or [stage(), stage(utility=3.0, effect=rules.FINGERPRINTED)], cores=cores,
+    return controller.Node(
+        host=host, stages=stages or [stage(), stage(utility=3.0, effect=controller.FINGERPRINTED)], cores=cores,
         survives=8.0, cold_from=0.24, ramp=18000.0 if cold else 0.0,
-        counters=rules.ByteCounters(memory, 8.0, 50.0),
-        calls=rules.CallBound(share, 5000.0, 200.0, cores) if calls else None,
-        tenants=rules.TenantShare(list(quotas), 1, 0.05),
-        advice=rules.Advice(host, 7, say, 1000.0, callers, cores, 30_000.0),
+        counters=controller.ByteCounters(memory, 8.0, 50.0),
+        calls=controller.CallBound(share, 5000.0, 200.0, cores) if calls else None,
+        tenants=controller.TenantShare(list(quotas), 1, 0.05),
+        advice=controller.Advice(host, 7, say, 1000.0, callers, cores, 30_000.0),
         by_work=False, can_stop=can_stop, grace=2000.0, worst_weight=0.3, pools=pools,
     )
 
--- a/tests/turns/test_turns.py
+++ b/tests/leases/test_leases.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from standins.turning import KEEPERS, MISTAKES, Turning, caught
-from vetchford.turns.decide import LEASE, PERMIT, SLOPE, Keeper, Taker
+from testkit.simulation.leases import KEEPERS, MISTAKES, Turning, caught
+from vetchford.leases.leases import LEASE, PERMIT, SLOPE, Keeper, Taker
 
 
 class Post:
--- a/tests/test_wire.py
+++ b/tests/protocol/test_codecs.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from vetchford.wire import jsonrpc, poollines, recordlines
-from vetchford.wire.inbox import Inbox, UnfollowableError
-from vetchford.wire.sockets import send_now, send_parts
+from vetchford.protocol import json_rpc, records_lines, worker_pool_lines
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.runtime.sockets import send_now, send_parts
 
 
 def in_place(take, size, stream, chance):
@@ -35,8 +35,8 @@
 def plain_bodies(stream):
     found = []
     while True:
-        if b"\r\n\r\n" not in stream[: jsonrpc.MOST_HEAD + 4]:
-            return found, len(stream) < jsonrpc.MOST_HEAD + 4
+        if b"\r\n\r\n" not in stream[: json_rpc.MOST_HEAD + 4]:
+            return found, len(stream) < json_rpc.MOST_HEAD + 4
         head, _, rest = stream.partition(b"\r\n\r\n")
         lengths = []
         for line in head.split(b"\r\n"):
@@ -45,7 +45,7 @@
             name, value = line.split(b":", 1)
             if name.strip().lower() == b"content-length":
                 lengths.append(value.strip())
-        if len(lengths) != 1 or not lengths[0].isdigit() or int(lengths[0]) > jsonrpc.MOST_BODY:
+        if len(lengths) != 1 or not lengths[0].isdigit() or int(lengths[0]) > json_rpc.MOST_BODY:
             return found, False
         length = int(lengths[0])
         if len(rest) < length:
@@ -56,25 +56,25 @@
 
 def plain_lines(stream):
     found = []
-    while b"\n" in stream[: poollines.MOST_LINE + 1]:
+    while b"\n" in stream[: worker_pool_lines.MOST_LINE + 1]:
         line, _, stream = stream.partition(b"\n")
         found.append(line)
-    return found, len(stream) < poollines.MOST_LINE + 1
+    return found, len(stream) < worker_pool_lines.MOST_LINE + 1
 
 
 def plain_replies(stream):
     found = []
-    while b"\r\n" in stream[: recordlines.MOST_LINE + 2]:
+    while b"\r\n" in stream[: records_lines.MOST_LINE + 2]:
         line, _, rest = stream.partition(b"\r\n")
         words = line.split(b" ")
         if any(not word.isalnum() for word in words) or len(words) not in (2, 3):
             return found, False
-        code = recordlines.CODES.get(words[1].decode("ascii", "replace"))
+        code = records_lines.CODES.get(words[1].decode("ascii", "replace"))
         if code is None or (len(words) == 3) is not (words[1] == b"DONE"):
             return found, False
         body = b""
         if len(words) == 3:
-            if not words[2].isdigit() or len(words[2]) > 9 or int(words[2]) > recordlines.MOST_REPLY:
+            if not words[2].isdigit() or len(words[2]) > 9 or int(words[2]) > records_lines.MOST_REPLY:
                 return found, False
             length = int(words[2])
             if len(rest) < length + 2:
@@ -84,7 +84,7 @@
                 return found, False
         found.append((words[0].decode("ascii", "replace"), code, body))
         stream = rest
-    return found, len(stream) < recordlines.MOST_LINE + 2
+    return found, len(stream) < records_lines.MOST_LINE + 2
 
 
 def some_bytes(chance, most):
@@ -129,11 +129,11 @@
 @pytest.mark.parametrize(
     ("take", "size", "plain", "message"),
     [
-        (jsonrpc.next_body, 2 * (jsonrpc.MOST_HEAD + jsonrpc.MOST_BODY), plain_bodies, rpc_message),
-        (poollines.next_line, 2 * poollines.MOST_LINE, plain_lines, pool_message),
+        (json_rpc.next_body, 2 * (json_rpc.MOST_HEAD + json_rpc.MOST_BODY), plain_bodies, rpc_message),
+        (worker_pool_lines.next_line, 2 * worker_pool_lines.MOST_LINE, plain_lines, pool_message),
         (
-            recordlines.next_reply,
-            recordlines.MOST_REPLY + 2 * recordlines.MOST_LINE,
+            records_lines.next_reply,
+            records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE,
             plain_replies,
             record_message,
         ),
@@ -165,10 +165,10 @@
         b'{"type":"bound","state":"hot","took":3}',
     )
     takers = (
-        poollines.finished_fields,
-        poollines.blocked_fields,
-        poollines.polled_fields,
-        poollines.bound_fields,
+        worker_pool_lines.finished_fields,
+        worker_pool_lines.blocked_fields,
+        worker_pool_lines.polled_fields,
+        worker_pool_lines.bound_fields,
     )
     good = bad = 0
     for seed in range(4000):
@@ -182,12 +182,12 @@
             )
         try:
             if pick == 4:
-                _, rpc_id, params = jsonrpc.decode(bytes(text))
-                jsonrpc.request_fields(params, rpc_id, 1.0)
+                _, rpc_id, params = json_rpc.decode(bytes(text))
+                json_rpc.request_fields(params, rpc_id, 1.0)
             else:
-                takers[pick](poollines.decode(bytes(text))[1])
+                takers[pick](worker_pool_lines.decode(bytes(text))[1])
             good += 1
-        except (jsonrpc.BadMessageError, poollines.BadLineError):
+        except (json_rpc.BadMessageError, worker_pool_lines.BadLineError):
             bad += 1
     assert good > 500 and bad > 500
 
@@ -196,12 +196,12 @@
     # One infinite run time would spoil every mean of the module for good.
     for wrong in ("1e999", "-1", "true", "null", '"5"'):
         line = b'{"type":"finished","n":1,"job":"a","state":"error","took":%b}' % wrong.encode()
-        with pytest.raises(poollines.BadLineError):
-            poollines.finished_fields(poollines.decode(line)[1])
+        with pytest.raises(worker_pool_lines.BadLineError):
+            worker_pool_lines.finished_fields(worker_pool_lines.decode(line)[1])
 
 
 def test_what_is_written_reads_as_the_page_has_it():
-    assert b"".join(jsonrpc.finished(7, "QkFTRTY0")).split(b"\r\n\r\n")[1] == (
+    assert b"".join(json_rpc.finished(7, "QkFTRTY0")).split(b"\r\n\r\n")[1] == (
         b'{"jsonrpc":"2.0","id":7,"result":{"content":"QkFTRTY0"}}'
     )
     for terminal, pause, data in (
@@ -209,16 +209,16 @@
         (True, 0.0, {"giveup": 1}),
         (False, 12.2, {"later": 13}),
     ):
-        head, body = b"".join(jsonrpc.rejected(7, terminal, pause)).split(b"\r\n\r\n")
+        head, body = b"".join(json_rpc.rejected(7, terminal, pause)).split(b"\r\n\r\n")
         error = json.loads(body)["error"]
         assert (error["code"], error.get("data")) == (-32050, data)
         assert head == b"Content-Length: %d" % len(body)
-    assert b"".join(poollines.spawn("9b", "read", "aa==")) == (
+    assert b"".join(worker_pool_lines.spawn("9b", "read", "aa==")) == (
         b'{"type":"spawn","job":"9b","kind":"read","data":"aa=="}\n'
     )
-    supply = json.loads(b"".join(poollines.supply("9b", b"\0yes")))
+    supply = json.loads(b"".join(worker_pool_lines.supply("9b", b"\0yes")))
     assert supply == {"type": "supply", "job": "9b", "data": base64.b64encode(b"\0yes").decode()}
-    assert b"".join(recordlines.op("9b", 250, b"\r\n")) == b"OP 9b 250 2\r\n\r\n\r\n"
+    assert b"".join(records_lines.op("9b", 250, b"\r\n")) == b"OP 9b 250 2\r\n\r\n\r\n"
 
 
 def test_a_gathered_write_that_is_cut_short_goes_on_where_it_ended():
--- a/tests/crossings/test_crossed_hand_overs.py
+++ b/tests/runtime/test_actor_races.py
@@ -5,13 +5,13 @@
 
 from helpers import TOLD, Recorder
 
-from standins.gates import Gate, beside, until
-from standins.peers import PATIENCE
-from vetchford import rules, startup
-from vetchford.actors import actor
-from vetchford.actors.actor import Crew
-from vetchford.actors.counts import Counts
-from vetchford.lifecycle.renewals import Renewals
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import Gate, beside, until
+from vetchford.admission import controller, factory
+from vetchford.runtime import actor
+from vetchford.runtime.actor import Crew
+from vetchford.runtime.metrics import Counts
+from vetchford.server.reload import Renewals
 
 
 def test_a_job_that_finds_no_thread_is_done_all_the_same(monkeypatch):
@@ -58,13 +58,13 @@
 
     def play(*tolds):
         hosts = [Recorder() for _ in tolds]
-        nodes = [startup.build(host, 7, its, False) for host, its in zip(hosts, tolds, strict=True)]
+        nodes = [factory.build(host, 7, its, False) for host, its in zip(hosts, tolds, strict=True)]
         for step in range(400):
             now = 10.0 * step
             for node in nodes:
                 limit = now + node.stages[step % 2].limit
                 node.arrived(now, step, step % 2, -1, step % 3, limit, 20.0, 20_480, False, 0.0, None)
-                runs = [q for q, task in node.tasks.items() if task.state == rules.RUNNING]
+                runs = [q for q, task in node.tasks.items() if task.state == controller.RUNNING]
                 for q in runs[: step % 3 == 0]:
                     node.ended(now, q, "completed", takes[node.cores])
                 if step % 5 == 0:
--- a/tests/test_module.py
+++ b/tests/server/test_admission_actor.py
@@ -8,11 +8,11 @@
 import pytest
 from helpers import TOLD, Recorder
 
-from vetchford import module as under_test
-from vetchford.actors import timers
-from vetchford.actors.counts import Counts
-from vetchford.module import ModuleActor
-from vetchford.wire.pool import Pool
+from vetchford.runtime import timers
+from vetchford.runtime.metrics import Counts
+from vetchford.server import admission_actor as under_test
+from vetchford.server.admission_actor import ModuleActor
+from vetchford.server.worker_pool import Pool
 
 WINDOW, LIMIT, SLACK = 13_000.0, 4_400.0, 100.0
 CLASSES = [
--- a/tests/crossings/test_crossed_doors.py
+++ b/tests/server/test_listener_races.py
@@ -8,13 +8,14 @@
 import pytest
 from helpers import Balancer
 
-from standins.gates import SHORT, Gate, Heard, Wrapped, beside, until
-from standins.peers import PATIENCE
-from vetchford.actors.actor import Crew
-from vetchford.actors.counts import Counts
-from vetchford.wire import balancers, jsonrpc
-from vetchford.wire.balancers import Doors
-from vetchford.wire.lobby import Lobby
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import SHORT, Gate, Heard, Wrapped, beside, until
+from vetchford.protocol import json_rpc
+from vetchford.runtime.actor import Crew
+from vetchford.runtime.metrics import Counts
+from vetchford.server import client_connections
+from vetchford.server.client_connections import Doors
+from vetchford.server.idle_poller import Lobby
 
 
 class Entrance:
@@ -30,7 +31,7 @@
         return self.module.take("request")[:2]
 
     def finish(self, connection, rpc_id):
-        connection.answer(rpc_id, jsonrpc.finished(rpc_id, "b2s="))
+        connection.answer(rpc_id, json_rpc.finished(rpc_id, "b2s="))
 
 
 @pytest.fixture
@@ -111,7 +112,7 @@
 
 def test_the_last_look_sees_what_stands_unread(entrance, monkeypatch):
     """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
-    monkeypatch.setattr(balancers, "DRAINED_IN", 0.0)
+    monkeypatch.setattr(client_connections, "DRAINED_IN", 0.0)
     doors = entrance.doors
     caller = Balancer(entrance.port)
     caller.ask(1)
@@ -126,7 +127,7 @@
 
 def test_a_message_begun_before_closing_is_waited_for(entrance, monkeypatch):
     """Half a request was read; the door closes, the time after `closing` passes; then comes the rest."""
-    monkeypatch.setattr(balancers, "DRAINED_IN", 0.0)
+    monkeypatch.setattr(client_connections, "DRAINED_IN", 0.0)
     doors = entrance.doors
     doors.begin()
     caller = Balancer(entrance.port)
@@ -146,16 +147,16 @@
 
 def test_one_that_speaks_as_it_is_let_go_is_read_on(entrance, monkeypatch):
     """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
-    monkeypatch.setattr(balancers, "FIRST_IN", 0.05)
+    monkeypatch.setattr(client_connections, "FIRST_IN", 0.05)
     doors, gate = entrance.doors, Gate()
-    read_last, over = balancers.Connection.read_last, threading.Event()
+    read_last, over = client_connections.Connection.read_last, threading.Event()
 
     def held(connection):
         gate.come()
         read_last(connection)
         over.set()
 
-    monkeypatch.setattr(balancers.Connection, "read_last", held)
+    monkeypatch.setattr(client_connections.Connection, "read_last", held)
     doors.begin()
     caller = Balancer(entrance.port)
     gate.wait()
--- a/tests/crossings/test_crossed_calls.py
+++ b/tests/server/test_records_client_races.py
@@ -3,10 +3,10 @@
 import threading
 import time
 
-from standins.gates import SHORT, Gate, Heard, HeldLock, beside, until
-from standins.peers import PATIENCE, RecordsPeer
-from vetchford.actors.counts import Counts
-from vetchford.wire.records import Records
+from testkit.fakes.peers import PATIENCE, RecordsPeer
+from testkit.faults.checkpoints import SHORT, Gate, Heard, HeldLock, beside, until
+from vetchford.runtime.metrics import Counts
+from vetchford.server.records_client import Records
 
 
 def host_and_port(address):
--- a/tests/crossings/test_crossed_list.py
+++ b/tests/server/test_registry_races.py
@@ -3,10 +3,10 @@
 import errno
 import socket
 
-from standins.gates import Gate, Wrapped
-from standins.peers import PATIENCE
-from vetchford.actors.counts import Counts
-from vetchford.wire.members import Members
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import Gate, Wrapped
+from vetchford.runtime.metrics import Counts
+from vetchford.server.registry_reporter import Members
 
 
 def test_a_verdict_that_changes_while_a_report_is_under_way_is_reported_next():
--- a/tests/crossings/test_crossed_drain.py
+++ b/tests/server/test_shutdown_races.py
@@ -6,10 +6,10 @@
 import pytest
 from helpers import TOLD, Recorder
 
-from vetchford import module as module_file
-from vetchford.actors import timers
-from vetchford.actors.counts import Counts
-from vetchford.module import ModuleActor
+from vetchford.runtime import timers
+from vetchford.runtime.metrics import Counts
+from vetchford.server import admission_actor as module_file
+from vetchford.server.admission_actor import ModuleActor
 
 
 class Clocked:
--- a/tests/crossings/test_crossed_signals.py
+++ b/tests/server/test_signal_races.py
@@ -11,8 +11,8 @@
 import pytest
 from helpers import TOLD, Running
 
-from standins.gates import beside
-from standins.peers import PATIENCE
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import beside
 
 MARK = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
--- a/tests/test_start.py
+++ b/tests/server/test_startup.py
@@ -10,34 +10,19 @@
 import sys
 import threading
 import time
-from pathlib import Path
 from types import SimpleNamespace
 
 import pytest
-from helpers import TOLD, Recorder
+from helpers import GOOD, ROOT, TOLD, Recorder
 
 import vetchford
-from vetchford.actors import logs
-from vetchford.actors.actor import Crew, begin_thread
-from vetchford.actors.counts import Counts
-from vetchford.lifecycle import configuration
-from vetchford.memory.fingerprints import Fingerprints
-from vetchford.module import ModuleActor
-from vetchford.startup import MalformedError
-from vetchford.wire import balancers
-
-ROOT = Path(vetchford.__file__).parent.parent
-GOOD = {
-    "name": "n1",
-    "listen": "127.0.0.1:0",
-    "pool": "127.0.0.1:1",
-    "records": "127.0.0.1:1",
-    "members": "127.0.0.1:1",
-    "seed": "8c1f30d27a5be964",
-    "stop_ms": 3200,
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
-    "settings": TOLD,
-}
+from vetchford.admission.factory import MalformedError
+from vetchford.runtime import log_setup
+from vetchford.runtime.actor import Crew, begin_thread
+from vetchford.runtime.metrics import Counts
+from vetchford.server import client_connections, platform_config
+from vetchford.server.admission_actor import ModuleActor
+from vetchford.server.idempotency_cache import Fingerprints
 
 
 def command(*given, **environment):
@@ -80,17 +65,17 @@
         inner = inner[step]
     inner[path[-1]] = value
     with pytest.raises(MalformedError, match="settings" if key.startswith("settings") else key):
-        configuration.check(told)
+        platform_config.check(told)
 
 
 def test_a_good_configuration_is_understood_and_the_environment_goes_before_it(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD))
-    told = configuration.load(
+    told = platform_config.load(
         {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
     )
     assert (told["name"], told["listen"]) == ("n9", "127.0.0.1:9")
-    assert configuration.understood(told)["stages"][1]["limit_ms"] == 60_000.0
+    assert platform_config.understood(told)["stages"][1]["limit_ms"] == 60_000.0
 
 
 @pytest.mark.parametrize("cold", [False, True])
@@ -196,31 +181,31 @@
 
 def test_what_a_peer_can_provoke_is_logged_ever_more_rarely_and_a_stuck_log_stops_nobody():
     read, write = socket.socketpair()
-    writer = logs.begin("info", "json", write.makefile("w"))
+    writer = log_setup.begin("info", "json", write.makefile("w"))
     counts = Counts()
     for _ in range(1000):
         counts.note("balancer_bad_message", code=1)
     assert counts.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
     for _ in range(20_000):
         counts.log_summary(text="x" * 200)
-    assert writer.lines.qsize() <= logs.MOST_WAITING and writer.dropped > 0
+    assert writer.lines.qsize() <= log_setup.MOST_WAITING and writer.dropped > 0
     read.close()
     write.close()
-    logs.begin("error", "text", io.StringIO())
+    log_setup.begin("error", "text", io.StringIO())
 
 
 def test_the_log_s_end_is_waited_for_no_longer_than_it_was_told():
     read, write = socket.socketpair()
-    writer = logs.begin("info", "json", write.makefile("w"))
+    writer = log_setup.begin("info", "json", write.makefile("w"))
     waited = []
     writer.thread = SimpleNamespace(join=waited.append)
     writer.close()
     writer.end_by(time.time() - 1.0)
     writer.close()
-    assert waited == [logs.FLUSH, 0.0]
+    assert waited == [log_setup.FLUSH, 0.0]
     read.close()
     write.close()
-    logs.begin("error", "text", io.StringIO())
+    log_setup.begin("error", "text", io.StringIO())
 
 
 def test_where_there_is_no_thread_the_next_try_takes_the_connection(monkeypatch):
@@ -242,7 +227,7 @@
     with pytest.raises(AssertionError):
         Counts().must(False, "one_answer")
     release = (
-        "from vetchford.actors.counts import Counts\nc = Counts()\nc.must(False, 'one_answer')\n"
+        "from vetchford.runtime.metrics import Counts\nc = Counts()\nc.must(False, 'one_answer')\n"
         "print(c.by_name)"
     )
     ran = subprocess.run([sys.executable, "-O", "-c", release], capture_output=True, text=True, cwd=ROOT)
@@ -283,9 +268,9 @@
 
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
-    doors = balancers.Doors(("127.0.0.1", 0), 10, {}, {}, Recorder(), Counts())
+    doors = client_connections.Doors(("127.0.0.1", 0), 10, {}, {}, Recorder(), Counts())
     ours, theirs = socket.socketpair()
-    connection = balancers.Connection(ours, doors, Counts())
+    connection = client_connections.Connection(ours, doors, Counts())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
         doors.connections = set(range(held))
         assert not connection.overstays(connection.used + stays)
@@ -308,12 +293,12 @@
     for records in (None, ""):
         told["records"] = records
         with pytest.raises(MalformedError, match="'records'"):
-            configuration.check(told)  # its runs may call
+            platform_config.check(told)  # its runs may call
     told["settings"]["familyInfo"]["below"] = "silent"
-    configuration.check(told)
+    platform_config.check(told)
     del told["records"]
-    configuration.check(told)
-    assert configuration.records(told) is None and configuration.understood(told)["records"] is None
+    platform_config.check(told)
+    assert platform_config.records(told) is None and platform_config.understood(told)["records"] is None
     told["records"] = "nowhere"
     with pytest.raises(MalformedError, match="'records'"):
-        configuration.check(told)
+        platform_config.check(told)
--- a/tests/subsets/test_subsets.py
+++ b/tests/subsetting/test_subsets.py
@@ -7,7 +7,7 @@
 import pytest
 import xxhash
 
-from vetchford.subsets.decide import SLACK, View
+from vetchford.subsetting.subsets import SLACK, View
 
 
 def names(count):
--- /dev/null
+++ b/tests/test_imports.py
@@ -0,0 +1,128 @@
+"""What a plain server imports, and that its `run` is one process that starts nothing."""
+
+import ast
+import json
+import re
+import subprocess
+import sys
+import tomllib
+
+import pytest
+from helpers import GOOD, ROOT
+
+# Parts that a server does without, and the libraries that are theirs alone. structlog brings asyncio and
+# with it subprocess, which nothing of ours uses, and would bring rich if it were there: hence blessed.
+APART = (
+    "vetchford.fleet",
+    "vetchford.transport",
+    "vetchford.subsetting",
+    "vetchford.leases",
+    "vetchford.gossip",
+    "vetchford.coordination",
+    "vetchford.configuration",
+    "vetchford.bulkheads",
+    "vetchford.bench_adapter",
+    "testkit",
+    "lark",
+    "msgspec",
+    "xxhash",
+    "rich.console",
+    "blessed",
+    "sqlite3",
+    "multiprocessing",
+)
+
+
+def imported(program, *given):
+    ran = subprocess.run(
+        [sys.executable, "-O", "-X", "importtime", *program, *given],
+        cwd=ROOT, capture_output=True, text=True, timeout=60,
+    )  # fmt: skip
+    return ran, {
+        line.rpartition("|")[2].strip() for line in ran.stderr.splitlines() if "import time:" in line
+    }
+
+
+def test_a_plain_server_imports_none_of_the_parts_that_it_does_not_use(tmp_path):
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(GOOD))
+    # As `serve` does, up to the sockets: all its modules are imported by then.
+    program = (
+        "import json, sys, threading\n"
+        "from vetchford import cli\nfrom vetchford.server import server_process\n"
+        "import signal\nheld = iter([signal.SIGTERM])\n"
+        "signal.sigwait = lambda which: next(held, None) or threading.Event().wait()\n"
+        f"sys.exit(cli.main(['--config', {str(file)!r}, 'serve']))"
+    )
+    ran, names = imported(["-c", program])
+    assert ran.returncode == 0, ran.stderr[-2000:]
+    assert "vetchford.server.client_connections" in names and "vetchford.server.admission_actor" in names
+    wrong = {name for name in names for part in APART if name == part or name.startswith(part + ".")}
+    assert not wrong
+
+
+def test_run_is_one_process_by_exec_and_nothing_in_a_server_starts_another():
+    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert re.fullmatch(r"exec \.venv/bin/python -O -m vetchford serve", told["run"])
+    files = [ROOT / name for name in told["node"]] + [ROOT / name for name in told["policy"]]
+    code = "".join(
+        path.read_text()
+        for file in files
+        for path in (sorted(file.rglob("*.py")) if file.is_dir() else [file])
+    )
+    assert not re.search(r"os\.fork|os\.exec|os\.spawn|subprocess|AF_UNIX|sendfile|splice|io_uring", code)
+
+
+# A package or module and what it may import of ours beside itself; arrows run one way, from programs down to
+# plain data.
+PEER_ACTORS = {"protocol", "runtime"}
+ALLOWED_IMPORTS = {
+    "admission": set(),
+    "bench_adapter": {"admission", "server.index_allocator"},
+    "bulkheads": {"admission.factory", "runtime"},
+    "configuration": {"admission.factory"},
+    "coordination": {"fleet", "gossip", "leases", "runtime", "subsetting", "transport"},
+    "fleet": {"runtime", "transport"},
+    "gossip": set(),
+    "leases": set(),
+    "protocol": set(),
+    "runtime": set(),
+    "server": {"admission", "bulkheads", "configuration", "coordination", "protocol", "runtime"},
+    "server.client_connections": {*PEER_ACTORS, "server.idle_poller"},
+    "server.idempotency_cache": set(),
+    "server.idle_poller": PEER_ACTORS,
+    "server.index_allocator": set(),
+    "server.records_client": PEER_ACTORS,
+    "server.registry_reporter": PEER_ACTORS,
+    "server.request_table": {"server.index_allocator"},
+    "server.worker_pool": PEER_ACTORS,
+    "subsetting": set(),
+    "transport": {"runtime"},
+}
+
+
+def modules_imported(path):
+    """Full names below `vetchford`, of packages or of modules in them."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            names = [f"{node.module}.{alias.name}" for alias in node.names]
+        elif isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        else:
+            continue
+        yield from (name.removeprefix("vetchford.") for name in names if name.startswith("vetchford."))
+
+
+def test_every_package_has_its_rule():
+    packages = {path.parent.name for path in (ROOT / "vetchford").glob("*/__init__.py")}
+    assert packages == {name for name in ALLOWED_IMPORTS if "." not in name}
+
+
+@pytest.mark.parametrize("part", sorted(ALLOWED_IMPORTS))
+def test_imports_run_one_way(part):
+    place = ROOT / "vetchford" / part.replace(".", "/")
+    paths = sorted(place.rglob("*.py")) if place.is_dir() else [place.with_suffix(".py")]
+    for path in paths:
+        for name in modules_imported(path):
+            allowed = any(f"{name}.".startswith(f"{other}.") for other in {*ALLOWED_IMPORTS[part], part})
+            assert allowed, f"{path.name} of {part} imports {name}"
--- a/tests/test_workers.py
+++ b/tests/testkit/test_fake_worker_pool.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from standins.peers import PATIENCE
-from standins.script import Script
-from standins.workers import Workers
+from testkit.fakes.peers import PATIENCE
+from testkit.fakes.schedule import Script
+from testkit.fakes.worker_pool import Workers
 
 
 class Link:
--- a/tests/peers/test_peers.py
+++ b/tests/transport/test_transport.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from vetchford.peers import frames
-from vetchford.peers.decide import (
+from vetchford.transport import framing
+from vetchford.transport.framing import Envelope, FrameError
+from vetchford.transport.session import (
     BACK_OFF_MOST,
     GIVEN_UP,
     GREETING,
@@ -19,7 +20,6 @@
     Peers,
     Window,
 )  # fmt: skip
-from vetchford.peers.frames import Envelope, FrameError
 
 
 class Side:
@@ -228,9 +228,9 @@
 
 
 def test_frames_come_back_whole_however_they_are_cut():
-    stream, chance = frames.Stream(), random.Random(2)
+    stream, chance = framing.Stream(), random.Random(2)
     said = [Envelope("pay", "a", 1, 2, n, "news", {"x": ["y" * n, None, 1.5]}) for n in range(60)]
-    data = b"".join(map(frames.packed, said))
+    data = b"".join(map(framing.packed, said))
     heard, at = [], 0
     while at < len(data):
         step = chance.randint(1, 200)
@@ -240,8 +240,8 @@
 
 
 def test_what_is_no_frame_of_ours_is_refused_by_one_word():
-    good = frames.packed(Envelope("pay", "a", 1, 2, 3, "news", None))
-    assert frames.datagram(good).sequence == 3
+    good = framing.packed(Envelope("pay", "a", 1, 2, 3, "news", None))
+    assert framing.datagram(good).sequence == 3
     wrong = {
         b"": "no_frame",
         b"GET / HTTP/1.1\r\n\r\n": "no_frame",
@@ -252,15 +252,15 @@
     }
     for data, word in wrong.items():
         with pytest.raises(FrameError, match=word):
-            frames.datagram(data)
+            framing.datagram(data)
     chance = random.Random(3)
     for _ in range(2000):
         spoilt = bytearray(good)
         spoilt[chance.randrange(len(good))] ^= 1 << chance.randrange(8)
         try:
-            assert frames.datagram(bytes(spoilt)).sequence == 3  # the reserved byte says nothing yet
+            assert framing.datagram(bytes(spoilt)).sequence == 3  # the reserved byte says nothing yet
         except FrameError as problem:
-            assert str(problem) in frames.WRONG
+            assert str(problem) in framing.WRONG
 
 
 def test_without_streams_nobody_is_called_and_an_old_life_hears_of_the_later_one_rarely():
--- a/tests/crossings/test_crossed_peers.py
+++ b/tests/transport/test_transport_races.py
@@ -8,16 +8,16 @@
 import pytest
 import xxhash
 
-from standins.gates import SHORT, Gate, Wrapped, until
-from standins.peers import PATIENCE
-from vetchford.actors.actor import Actor
-from vetchford.actors.counts import Counts
-from vetchford.neighbours.actor import Neighbours
-from vetchford.peers import frames
-from vetchford.peers.decide import CALLING, OFF
-from vetchford.peers.frames import HEAD, MAGIC, VERSION, Envelope
-from vetchford.peers.talk import Talk
-from vetchford.signals.conclude import PROBE
+from testkit.fakes.peers import PATIENCE
+from testkit.faults.checkpoints import SHORT, Gate, Wrapped, until
+from vetchford.coordination.fleet_member import Neighbours
+from vetchford.gossip.fleet_signals import PROBE
+from vetchford.runtime.actor import Actor
+from vetchford.runtime.metrics import Counts
+from vetchford.transport import framing
+from vetchford.transport.connections import Talk
+from vetchford.transport.framing import HEAD, MAGIC, VERSION, Envelope
+from vetchford.transport.session import CALLING, OFF
 
 
 class Side:
@@ -97,7 +97,7 @@
 
 def spoilt_words(envelope):
     """The same with a name that is no UTF-8, and a checksum that fits it."""
-    body = frames.encoder.encode(envelope).replace(b"news", b"\xff\xfe\xfd\xfc")
+    body = framing.encoder.encode(envelope).replace(b"news", b"\xff\xfe\xfd\xfc")
     return HEAD.pack(MAGIC, VERSION, 0, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
@@ -105,8 +105,8 @@
     "bad",
     [
         spoilt_words(said(1)),
-        frames.packed(said(1, "life", [math.inf, 1])),
-        frames.packed(said(1, "life", {"life": 1})),
+        framing.packed(said(1, "life", [math.inf, 1])),
+        framing.packed(said(1, "life", {"life": 1})),
     ],
     ids=["no UTF-8", "an infinite life", "no list"],
 )
@@ -114,7 +114,7 @@
     side.begin()
     side.throw(bad)
     until(lambda: any("malformed" in name for name in side.counts.by_name), "it is refused and counted")
-    side.throw(frames.packed(said(2)))
+    side.throw(framing.packed(said(2)))
     assert side.brought.get(timeout=PATIENCE) == ("b", "word")
 
 
--- a/vetchford/__main__.py
+++ b/vetchford/__main__.py
@@ -4,7 +4,7 @@
 
 if "serve" in sys.argv[1:] and sys.argv[1] != "fleet":
     # Before all else is loaded: a SIGHUP in the first tenths of a second would end the program.
-    from vetchford.lifecycle.signals import leave_until_held
+    from vetchford.server.signals import leave_until_held
 
     leave_until_held()
 
--- /dev/null
+++ b/vetchford/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Admission decisions of one server, without I/O."""
--- a/vetchford/rules.py
+++ b/vetchford/admission/controller.py
@@ -1,15 +1,15 @@
 """All of vetchford's decisions, for one server's life.
 
-An adapter (vetchford/benchlink is one) builds the parts below, hands them to a `Node` and calls a method of
-it for each thing that happens, in ms since the start; it acts through its `Host` (vetchford/host.py). Beside
-the design (docs/design.md: byte counters with prompt rejections, a latency-gradient limit) stand these six:
+An adapter (vetchford/bench_adapter is one) builds the parts below, hands them to a `Node` and calls a method
+of it for each thing that happens, in ms since the start; it acts through its `Host` (actions.py). Beside the
+design (docs/design.md: byte counters with prompt rejections, a latency-gradient limit) stand these six:
   1. answer clock: one final answer by the time limit; drain, kill, callers that are gone; a further try's age
   2. repeat table: fingerprints kept for their window, repeats answered by sharing, never by a second run
   3. call bound: calls below stay under this server's slice; waiting ones skip the call where that is worth it
   4. due-time gate: what can't finish in time by the measured speed is answered at once, not held
   5. tenant share: utility beyond a tenant's share counts for less
   6. advice: pause, terminal, free value, fitness and stall, how long connections stay open idle
-Where pools are set (vetchford/pools/decide.py), they say whose task is next, has room or gives way.
+Where pools are set (vetchford/bulkheads/bulkheads.py), they say whose task is next, has room or gives way.
 """
 
 import heapq
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vetchford.host import Host
+from vetchford.admission.actions import Host
 
 RESTARTABLE, FINGERPRINTED, SIDE_EFFECTING = range(3)
 HELD, RUNNING, PARKED, CALLING, SHARING, DONE = range(6)
--- a/vetchford/startup.py
+++ b/vetchford/admission/factory.py
@@ -3,15 +3,15 @@
 import math
 from typing import Any
 
-from vetchford import rules
-from vetchford.host import Host
+from vetchford.admission import controller
+from vetchford.admission.actions import Host
 
 NS_PER_MS = 1_000_000
 BYTES_PER_KB = 1024
 EFFECTS = {
-    "read_like": rules.RESTARTABLE,
-    "idempotency_key": rules.FINGERPRINTED,
-    "non_idempotent": rules.SIDE_EFFECTING,
+    "read_like": controller.RESTARTABLE,
+    "idempotency_key": controller.FINGERPRINTED,
+    "non_idempotent": controller.SIDE_EFFECTING,
 }
 
 
@@ -36,10 +36,10 @@
     return not isinstance(info, dict) or (info.get("below") or "silent") != "silent"
 
 
-def build(host: Host, seed: int, told: dict[str, Any], cold: bool, pools: Any = None) -> rules.Node:
+def build(host: Host, seed: int, told: dict[str, Any], cold: bool, pools: Any = None) -> controller.Node:
     """The module's parts, each from its own few settings; `cold`: its speed still rises from the start.
 
-    `pools`: a `vetchford.pools.decide.PoolSet` for these stages, where there are to be pools.
+    `pools`: a `vetchford.bulkheads.bulkheads.PoolSet` for these stages, where there are to be pools.
     """
     info = told.get("familyInfo") or {}
     limits = told.get("rules") or {}
@@ -62,7 +62,7 @@
             raise MalformedError(f"key 'settings.requestClasses[{at}].deadline' must be above 0")
         limit = entry["deadline"] / NS_PER_MS
         stages.append(
-            rules.Stage(
+            controller.Stage(
                 due=(entry.get("promise") or entry["deadline"]) / NS_PER_MS,
                 limit=limit,
                 utility=entry.get("worth") or 0.0,
@@ -75,33 +75,33 @@
     customers = told.get("customers") or []
     bound = None
     if calls_below(told):
-        bound = rules.CallBound(
+        bound = controller.CallBound(
             share=info.get("depShare") if info["below"] == "shared" else None,
             over=(info.get("callsOver") or 0) / NS_PER_MS,
             linger=(info.get("linger") or 0) / NS_PER_MS,
             cores=cores,
         )
-    tenants = rules.TenantShare(
+    tenants = controller.TenantShare(
         quotas=[(entry.get("quotaPerS") or 0.0) / 1000.0 for entry in customers],
         servers=told.get("servers") or 1,
         over_utility=told.get("overShareWorth") or 0.0,
     )
     pauses = (caps.get("maxRetryAfter") or 0) / NS_PER_MS if caps.get("retryAfter") else 0.0
-    return rules.Node(
+    return controller.Node(
         host=host,
         stages=stages,
         cores=cores,
         survives=limits.get("fallMultiple") or 1.0,
         cold_from=limits.get("coldFrom") or 1.0,
         ramp=(limits.get("rampTime") or 0) / NS_PER_MS if cold else 0.0,
-        counters=rules.ByteCounters(
+        counters=controller.ByteCounters(
             memory=(info.get("ramKb") or math.inf) * BYTES_PER_KB,
             multiple=info.get("blowup") or 1.0,
             entry=(info.get("keyKb") or 0.0) * BYTES_PER_KB,
         ),
         calls=bound,
         tenants=tenants,
-        advice=rules.Advice(
+        advice=controller.Advice(
             host=host,
             seed=seed,
             say=info.get("say") or "silent",
--- a/vetchford/benchlink/__main__.py
+++ b/vetchford/bench_adapter/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m vetchford.benchlink`: one batch of events in, one reply out, until the input ends."""
+"""`python -m vetchford.bench_adapter`: one batch of events in, one reply out, until the input ends."""
 
 import sys
 
-from vetchford.benchlink.link import Link, MalformedError
+from vetchford.bench_adapter.simulator_link import Link, MalformedError
 
 
 def main() -> int:
--- a/vetchford/benchlink/link.py
+++ b/vetchford/bench_adapter/simulator_link.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from vetchford import rules, startup
-from vetchford.memory.indices import Indices
-from vetchford.startup import BYTES_PER_KB, NS_PER_MS, MalformedError
+from vetchford.admission import controller, factory
+from vetchford.admission.factory import BYTES_PER_KB, NS_PER_MS, MalformedError
+from vetchford.server.index_allocator import Indices
 
 UNKNOWN = -1  # a repeat of something that this life no longer holds
 CODES = frozenset(
@@ -33,7 +33,7 @@
         self.tenants: dict[str, int] = {}
         self.stages: dict[str, int] = {}
         self.gauges: dict[str, int] = {}
-        self.node: rules.Node | None = None
+        self.node: controller.Node | None = None
 
     def ms(self, clock: int) -> float:
         return (clock - self.origin) / NS_PER_MS
@@ -92,8 +92,8 @@
         settings = need(event, "settings", dict)
         seed = need(event, "prng", int)
         cold = bool((settings.get("familyInfo") or {}).get("cold"))
-        self.stages, self.tenants, self.gauges = startup.indices(settings)
-        self.node = startup.build(self, seed, settings, cold)
+        self.stages, self.tenants, self.gauges = factory.indices(settings)
+        self.node = factory.build(self, seed, settings, cold)
 
     def ingress(self, now: float, event: dict[str, Any]) -> None:
         name = need(event, "call", str)
--- a/vetchford/pools/decide.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from vetchford.pools.adapt import AdaptiveLimit
+from vetchford.bulkheads.adaptive_limit import AdaptiveLimit
 
 CREDIT = (
     500.0  # ms of a whole resource: what a pool that was idle may be behind, so that it catches up within
--- a/vetchford/pools/marks.py
+++ b/vetchford/bulkheads/metrics.py
@@ -5,10 +5,10 @@
 
 import structlog
 
-from vetchford import startup
-from vetchford.actors.counts import Counts
-from vetchford.pools import building
-from vetchford.pools.decide import PoolSet
+from vetchford.admission import factory
+from vetchford.bulkheads import builder
+from vetchford.bulkheads.bulkheads import PoolSet
+from vetchford.runtime.metrics import Counts
 
 log = structlog.get_logger()
 
@@ -48,8 +48,8 @@
     stages = told["requestClasses"]
     names = [entry.get("name") or "" for entry in stages]
     marks = Marks(counts, names)
-    effects = [startup.EFFECTS[entry["effect"]] for entry in stages]
-    made = building.build(marks, declared, names, effects, [entry.get("worth") or 0.0 for entry in stages])
+    effects = [factory.EFFECTS[entry["effect"]] for entry in stages]
+    made = builder.build(marks, declared, names, effects, [entry.get("worth") or 0.0 for entry in stages])
     if made is not None:
         marks.names = [terms.name for terms in made.terms]
         log.info(
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -44,41 +44,41 @@
 from docopt import DocoptExit, docopt
 
 import vetchford
-from vetchford.actors import logs
-from vetchford.lifecycle import configuration, server, signals
-from vetchford.startup import MalformedError
+from vetchford.admission.factory import MalformedError
+from vetchford.runtime import log_setup
+from vetchford.server import platform_config, server_process, signals
 
 
 def main(argv: list[str] | None = None) -> int:
     given = sys.argv[1:] if argv is None else argv
     if given[:1] == ["fleet"]:
-        from vetchford.fleet import cli  # a server does without it
+        from vetchford.fleet.commands import machine  # a server does without it
 
-        return cli.main(given[1:])
+        return machine.main(given[1:])
     try:
         asked = docopt(__doc__, given, version=vetchford.__version__)
     except DocoptExit:
         return complain("wrong usage; `vetchford --help` tells how")
     asked["--with"] = list(dict.fromkeys(asked["--with"]))  # the options' library repeats a repeated option
-    for option, known in (("--log-level", tuple(logs.LEVELS)), ("--log-form", logs.FORMS)):
+    for option, known in (("--log-level", tuple(log_setup.LEVELS)), ("--log-form", log_setup.FORMS)):
         if asked[option] not in known:
             return complain(f"{option} must be one of {', '.join(known)}")
     if asked["version"]:
         print(vetchford.__version__)
         return 0
     if asked["--schema"]:
-        from vetchford.declared import apart  # only here, and where such files are read
+        from vetchford.configuration import isolated_reader  # only here, and where such files are read
 
-        print(apart.schema(), end="")
+        print(isolated_reader.schema(), end="")
         return 0
     if asked["agent"]:
         return run_agent(asked)
-    load = partial(configuration.load, path=asked["--config"], ours=asked["--with"])
+    load = partial(platform_config.load, path=asked["--config"], ours=asked["--with"])
     try:
         if asked["check"] and asked["--with"] and not (asked["--config"] or os.environ.get("ROUTER_CONFIG")):
-            from vetchford.declared import apart
+            from vetchford.configuration import isolated_reader
 
-            apart.read(asked["--with"], None)
+            isolated_reader.read(asked["--with"], None)
             print(f"{', '.join(asked['--with'])}: good")
             return 0
         told = load()
@@ -88,27 +88,27 @@
         print(f"{told['name']}: configuration is good")
         return 0
     if asked["settings"]:
-        print(json.dumps(configuration.understood(told), indent=2))
+        print(json.dumps(platform_config.understood(told), indent=2))
         return 0
     signals.hold_signals()
-    writer = logs.begin(asked["--log-level"], asked["--log-form"])
+    writer = log_setup.begin(asked["--log-level"], asked["--log-form"])
     try:
-        return server.serve(told, load, writer.end_by)
+        return server_process.serve(told, load, writer.end_by)
     finally:
         writer.close()
 
 
 def run_agent(asked: dict) -> int:
-    from vetchford.declared import apart  # a server does without both
+    from vetchford.configuration import isolated_reader  # a server does without both
     from vetchford.fleet import agent
 
     try:
-        told = apart.read(asked["--with"], None)["agent"] if asked["--with"] else None
+        told = isolated_reader.read(asked["--with"], None)["agent"] if asked["--with"] else None
     except MalformedError as problem:
         return complain(str(problem))
     if told is None:
         return complain("no file given by --with has the key 'agent'")
-    writer = logs.begin(asked["--log-level"], asked["--log-form"])
+    writer = log_setup.begin(asked["--log-level"], asked["--log-form"])
     try:
         return agent.serve(told)
     finally:
--- a/vetchford/declared/__main__.py
+++ b/vetchford/configuration/__main__.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from vetchford.declared.problems import DeclaredError
-from vetchford.declared.reading import read
+from vetchford.configuration.errors import DeclaredError
+from vetchford.configuration.reader import read
 
 
 def main() -> int:
--- a/vetchford/declared/apart.py
+++ b/vetchford/configuration/isolated_reader.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from vetchford.startup import MalformedError
+from vetchford.admission.factory import MalformedError
 
 PATIENCE = (
     20.0  # s: a file at every bound takes one or two; a stuck machine must not hang the start for good
@@ -23,7 +23,7 @@
 
     MalformedError has a line for each problem.
     """
-    command = [sys.executable, "-m", "vetchford.declared", *paths]
+    command = [sys.executable, "-m", "vetchford.configuration", *paths]
     try:
         done = subprocess.run(
             command, input=json.dumps(stages), capture_output=True, text=True, timeout=PATIENCE, check=False
--- a/vetchford/declared/syntax.py
+++ b/vetchford/configuration/parser.py
@@ -9,8 +9,8 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput, UnexpectedToken
 
-from vetchford.declared import values
-from vetchford.declared.problems import Place, Problem, TooMuchError
+from vetchford.configuration import values
+from vetchford.configuration.errors import Place, Problem, TooMuchError
 
 MOST_BYTES = 256 * 1024  # of a file: a thousand pools fit
 MOST_DEPTH = 48  # of brackets and of nested keys: true files have four or five
--- a/vetchford/declared/reading.py
+++ b/vetchford/configuration/reader.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from vetchford.declared import records
-from vetchford.declared.evaluate import ABSENT, Around, Evaluation, Said, Vertex
-from vetchford.declared.problems import DeclaredError, Place, Problem, TooMuchError
-from vetchford.declared.syntax import MOST_BYTES, Record, Reference, parse
+from vetchford.configuration import records
+from vetchford.configuration.errors import DeclaredError, Place, Problem, TooMuchError
+from vetchford.configuration.parser import MOST_BYTES, Record, Reference, parse
+from vetchford.configuration.unifier import ABSENT, Around, Evaluation, Said, Vertex
 
 SCHEMA = Path(__file__).with_name("schema.vet")
 MOST_FILES = 8
--- a/vetchford/declared/evaluate.py
+++ b/vetchford/configuration/unifier.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vetchford.declared import values
-from vetchford.declared.problems import Place, Problem, TooMuchError
-from vetchford.declared.syntax import (
+from vetchford.configuration import values
+from vetchford.configuration.errors import Place, Problem, TooMuchError
+from vetchford.configuration.parser import (
     Anything,
     Both,
     Choice,
--- a/vetchford/declared/values.py
+++ b/vetchford/configuration/values.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from vetchford.declared.problems import Place
+from vetchford.configuration.errors import Place
 
 MOST_DIGITS = 40  # characters of a number: past that no figure of ours is meant
 MOST_TEXT = 4096  # characters of a string
--- a/vetchford/neighbours/actor.py
+++ b/vetchford/coordination/fleet_member.py
@@ -11,17 +11,17 @@
 
 import structlog
 
-from vetchford.actors.actor import Actor
-from vetchford.actors.clock import clock
-from vetchford.actors.counts import Counts
-from vetchford.fleet.membership import ALIVE, DEAD, SUSPECT, Membership, News
-from vetchford.neighbours.measure import Measure
-from vetchford.peers.frames import MALFORMED
-from vetchford.peers.talk import Talk
-from vetchford.signals.conclude import DEAD_NOW, FIGURES, PROBE, Conclusions, Numbers
-from vetchford.signals.decide import Row, Signals
-from vetchford.subsets.decide import View
-from vetchford.turns.decide import Keeper, Taker
+from vetchford.coordination.load_sampler import Measure
+from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, Membership, News
+from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, Conclusions, Numbers
+from vetchford.gossip.load_gossip import Row, Signals
+from vetchford.leases.leases import Keeper, Taker
+from vetchford.runtime.actor import Actor
+from vetchford.runtime.clock import clock
+from vetchford.runtime.metrics import Counts
+from vetchford.subsetting.subsets import View
+from vetchford.transport.connections import Talk
+from vetchford.transport.framing import MALFORMED
 
 log = structlog.get_logger()
 
@@ -29,7 +29,7 @@
 CHANGED = 0.5  # of the share of calls lost: a service that went or came, told at once
 CONCLUDES = 200.0  # ms between two surveys of the module: a tenth of the window that it measures over
 RINGS = 3  # whom we tell in turn: the next in so many rings of all names
-DENIALS = 1 << 20  # incarnations within one life, as in fleet/joined.py
+DENIALS = 1 << 20  # incarnations within one life, as in fleet/coordinator_actor.py
 DISPUTED = 5  # lives begun in a minute because others knew a later one: then two servers have this name
 PROVOKED = frozenset(("turns_full", "turn_ran_out"))  # by what others do: logged ever more rarely
 SUMMARY = 10_000.0  # ms between two lines on what is seen
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -21,12 +21,12 @@
 
 import structlog
 
-from vetchford.actors.actor import Actor, Crew
-from vetchford.actors.clock import clock
-from vetchford.actors.counts import Counts
-from vetchford.fleet import processes
-from vetchford.fleet.decide import ALIVE, ENDED, Change, Fleet, RefusedError, Terms
-from vetchford.fleet.store import Store, StoreError
+from vetchford.fleet import supervisor
+from vetchford.fleet.history_store import Store, StoreError
+from vetchford.fleet.rollout import ALIVE, ENDED, Change, Fleet, RefusedError, Terms
+from vetchford.runtime.actor import Actor, Crew
+from vetchford.runtime.clock import clock
+from vetchford.runtime.metrics import Counts
 
 log = structlog.get_logger()
 
@@ -58,13 +58,13 @@
             raise StoreError(f"store {told['store']}: another agent has it") from None
         self.store = Store(told["store"])
         self.fleet = Fleet(self)
-        self.ours: dict[str, processes.Process] = {}  # emptied as processes end
+        self.ours: dict[str, supervisor.Process] = {}  # emptied as processes end
         self.token, self.next_turn, self.next_look = "", 0.0, 0.0
         self.joined: Any = None
         self.wake_read, self.wake_write = os.pipe()
         self.restore()
         if told.get("peers"):
-            from vetchford.fleet.joined import Joined  # an agent alone does without it
+            from vetchford.fleet.coordinator_actor import Joined  # an agent alone does without it
 
             self.joined = Joined(self, self, told["peers"], counts)
 
@@ -88,7 +88,7 @@
             gone = [name for name in change.targets if name not in self.specs]
             if gone and change.state not in ENDED:
                 self.fleet.turn(change, "broken", f"no longer in the settings: {', '.join(gone)}")
-        found = processes.find(self.token)
+        found = supervisor.find(self.token)
         for name, several in found.items():
             for process, _ in several[1:] if name in self.specs else several:
                 log.warning("fleet_stray", instance=name, pid=process.pid)
@@ -114,7 +114,7 @@
         told = [word.replace("{name}", name).replace("{listen}", spec["listen"]) for word in command]
         try:
             file = os.path.join(self.told["logs"], f"{name}.log")
-            self.ours[name] = processes.start(
+            self.ours[name] = supervisor.start(
                 told, name, version, self.token, spec["environment"], file, spec["descriptors"]
             )
         except OSError as problem:
@@ -140,10 +140,10 @@
         """Logs that have grown long, and instances that take more memory than they are to."""
         for name in self.specs:
             path = os.path.join(self.told["logs"], f"{name}.log")
-            processes.turn_over(path, self.specs[name]["log_mb"] << 20)
+            supervisor.turn_over(path, self.specs[name]["log_mb"] << 20)
         for name, process in self.ours.items():
             most = self.specs[name]["memory_mb"]
-            if most is None or processes.memory_kb(process.pid) <= most << 10:
+            if most is None or supervisor.memory_kb(process.pid) <= most << 10:
                 continue
             for change in self.fleet.changes.values():
                 if change.state in ("running", "back"):
@@ -192,7 +192,7 @@
                     told.add(id(process))
                     self.tell(self.gone, name, process)
 
-    def gone(self, name: str, process: processes.Process) -> None:
+    def gone(self, name: str, process: supervisor.Process) -> None:
         if self.ours.get(name) is process:
             del self.ours[name]
             self.fleet.exited(self.now(), name, process.ended())
@@ -202,7 +202,7 @@
         crew, asked = Crew(self.counts, CHECKERS), set[str]()  # whose check is under way; emptied by its end
         crew.begin()
 
-        def act(name: str, process: processes.Process) -> None:
+        def act(name: str, process: supervisor.Process) -> None:
             try:
                 self.check(name, process)
             finally:
@@ -215,12 +215,12 @@
                     crew.run(partial(act, name, process))
             time.sleep(CHECK)
 
-    def check(self, name: str, process: processes.Process) -> None:
+    def check(self, name: str, process: supervisor.Process) -> None:
         good = ready(self.specs[name]["listen"])
         if self.ours.get(name) is process:
             self.tell(self.checked, name, process, good)
 
-    def checked(self, name: str, process: processes.Process, good: bool) -> None:
+    def checked(self, name: str, process: supervisor.Process, good: bool) -> None:
         if self.ours.get(name) is process:  # else it has ended meanwhile: this is not its successor's
             self.fleet.checked(self.now(), name, good)
 
@@ -252,7 +252,7 @@
                     "group": one.terms.group, "labels": self.specs[one.name]["labels"], "wanted": one.wanted,
                     "for_ms": round(now - one.since), "restarts": one.restarts, "killed": one.killed,
                     "pid": self.ours[one.name].pid if one.name in self.ours else 0,
-                    "memory_kb": processes.memory_kb(self.ours[one.name].pid) if one.name in self.ours else 0,
+                    "memory_kb": supervisor.memory_kb(self.ours[one.name].pid) if one.name in self.ours else 0,
                     "change": owner.id if (owner := self.fleet.owner(one.name)) else "",
                 }
                 for one in self.fleet.instances.values()
--- /dev/null
+++ b/vetchford/fleet/commands/__init__.py
@@ -0,0 +1,1 @@
+"""Sub-commands of `vetchford fleet`."""
--- a/vetchford/fleet/cli.py
+++ b/vetchford/fleet/commands/machine.py
@@ -49,7 +49,7 @@
 
 from docopt import DocoptExit, docopt
 
-from vetchford.fleet.calls import (
+from vetchford.fleet.agent_client import (
     DONE,
     FAILED,
     REFUSED,
@@ -96,9 +96,9 @@
     id = asked["ID"] or asked["--id"] or uuid.uuid4().hex[:12]
     paths = list(dict.fromkeys(asked["--socket"]))  # the options' library repeats a repeated option
     if asked["--across"] or any(asked[word] for word in ("watch", "peers", "admit", "dismiss")):
-        from vetchford.fleet import wide
+        from vetchford.fleet.commands import whole_fleet
 
-        return wide.main(asked, paths, numbers, counts)
+        return whole_fleet.main(asked, paths, numbers, counts)
     if asked["status"]:
         return all_status(paths, asked)
     for path in paths:
--- a/vetchford/fleet/wide.py
+++ b/vetchford/fleet/commands/whole_fleet.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from vetchford.fleet.calls import (
+from vetchford.fleet.agent_client import (
     DONE,
     FAILED,
     REFUSED,
--- a/vetchford/fleet/across.py
+++ b/vetchford/fleet/coordinator.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from vetchford.fleet.book import DRIVES, Book
-from vetchford.fleet.decide import RefusedError
-from vetchford.fleet.orders import ABORT, PAUSE, Orders
-from vetchford.fleet.spans import ENDED, Driver, split
+from vetchford.fleet.consensus import DRIVES, Book
+from vetchford.fleet.fleet_rollout import ENDED, Driver, split
+from vetchford.fleet.rollout import RefusedError
+from vetchford.fleet.rollout_controls import ABORT, PAUSE, Orders
 
 GO = 3000.0  # ms that a report of ours may be old when an order rests on it: six rounds of a busy site
 ANSWERS = 6000.0  # ms for a tool's request: a new driver is found in less
--- a/vetchford/fleet/joined.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -1,4 +1,4 @@
-"""An agent's place among other agents, on sockets: carries `across` and `membership` over `vetchford.peers`.
+"""An agent's place among other agents, on sockets: carries `coordinator` and `failure_detector` over links.
 
 Lives on the agent's thread. What it keeps in the agent's store: its own life and the identity of the store
 ("self"), the lives of others that it has heard of ("peer"), the fleet's record ("book") and orders
@@ -13,23 +13,23 @@
 
 import structlog
 
-from vetchford.actors.actor import Actor
-from vetchford.actors.clock import clock
-from vetchford.actors.counts import Counts
-from vetchford.fleet import membership, spans
-from vetchford.fleet.across import Across
-from vetchford.fleet.decide import Change, Fleet, RefusedError
-from vetchford.fleet.store import Store
-from vetchford.peers.decide import UP
-from vetchford.peers.frames import MALFORMED
-from vetchford.peers.talk import Talk
+from vetchford.fleet import failure_detector, fleet_rollout
+from vetchford.fleet.coordinator import Across
+from vetchford.fleet.history_store import Store
+from vetchford.fleet.rollout import Change, Fleet, RefusedError
+from vetchford.runtime.actor import Actor
+from vetchford.runtime.clock import clock
+from vetchford.runtime.metrics import Counts
+from vetchford.transport.connections import Talk
+from vetchford.transport.framing import MALFORMED
+from vetchford.transport.session import UP
 
 log = structlog.get_logger()
 
 DENIALS = 1 << 20  # incarnations within one life, for suspicions denied: one a second lasts twelve days
 DISPUTED = 5  # lives begun in a minute because others knew a later one: then two machines have this name
 PROVOKED = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
-WORDS = {membership.ALIVE: "there", membership.SUSPECT: "may be there", membership.DEAD: "not seen"}
+WORDS = {failure_detector.ALIVE: "there", failure_detector.SUSPECT: "may be there", failure_detector.DEAD: "not seen"}
 
 Body = dict[str, Any]
 
@@ -66,11 +66,11 @@
             if kind == "peer" and name in self.talk.decide.peers:
                 peer = self.talk.decide.peers[name]
                 peer.life, peer.nonce = body["life"], body["nonce"]
-        self.views = membership.Membership(
+        self.views = failure_detector.Membership(
             self, self.name, agents, seed + self.life, self.life * DENIALS, listed=True, now=now
         )
         self.across = Across(
-            self, self.name, seed, self.store, spans.founding(sorted(agents)), now, self.life
+            self, self.name, seed, self.store, fleet_rollout.founding(sorted(agents)), now, self.life
         )
         for kind, name, body in kept:
             if kind in ("book", "orders"):
@@ -147,7 +147,7 @@
 
     # -- the host of the membership view
 
-    def send(self, to: str, kind: str, number: int, about: str, news: list[membership.News]) -> None:
+    def send(self, to: str, kind: str, number: int, about: str, news: list[failure_detector.News]) -> None:
         self.talk.throw(to, [kind, number, about, news])
 
     def seen(self, name: str, state: str) -> None:
--- a/vetchford/fleet/spans.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from vetchford.fleet.decide import KINDS, ON_FAILURE, SERVING, RefusedError
-from vetchford.fleet.orders import ABORT, Orders
+from vetchford.fleet.rollout import KINDS, ON_FAILURE, SERVING, RefusedError
+from vetchford.fleet.rollout_controls import ABORT, Orders
 
 POLL = 250.0  # ms between two reports of one agent while a change runs
 POLL_IDLE = 1000.0  # ms between them else: they hold what `--across` selects from
--- a/vetchford/fleet/store.py
+++ b/vetchford/fleet/history_store.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from vetchford.actors.clock import clock
+from vetchford.runtime.clock import clock
 
 VERSION = 1
 HISTORY = 10_000  # entries kept: a roll over a hundred instances writes some five hundred
--- a/vetchford/signals/conclude.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from vetchford.signals.decide import Figure, Signals
+from vetchford.gossip.load_gossip import Figure, Signals
 
 SLOW, SLOW_OVER = 2.5, 1.7  # times the usual: chance and a busy hour stay under 2, a trouble is 5 and more
 DEAD = 0.85  # of the calls lost: a service at a tenth of its speed still answers a tenth or more
--- a/vetchford/memory/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What a server keeps in memory: its tasks by index, fingerprints and the results kept for their repeats."""
--- a/vetchford/wire/jsonrpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from vetchford.wire.inbox import Inbox, UnfollowableError
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
 
 MOST_HEAD = 1024  # bytes; one short line is expected
 MOST_BODY = 8192  # bytes; 2 KiB in base64 are 2,732, the other fields a few hundred
--- a/vetchford/wire/recordlines.py
+++ b/vetchford/protocol/records_lines.py
@@ -1,6 +1,6 @@
 """The records service's lines: parser and writer, free of sockets."""
 
-from vetchford.wire.inbox import Inbox, UnfollowableError
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
 
 MOST_LINE = 256  # bytes; an id, a word and a length
 MOST_REPLY = 65_536  # bytes; the page names no bound, replies seen are far shorter
--- a/vetchford/wire/poollines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from vetchford.wire.inbox import Inbox
+from vetchford.protocol.receive_buffer import Inbox
 
 MOST_LINE = 65_536  # bytes; results of 4 KiB are 5.5 KB in base64, calls are not bounded by the page
 MOST_NESTED = 32  # brackets in a line; the reader's stack is small
--- a/vetchford/actors/actor.py
+++ b/vetchford/runtime/actor.py
@@ -9,7 +9,7 @@
 from queue import Empty, SimpleQueue
 from typing import Any
 
-from vetchford.actors.counts import Counts
+from vetchford.runtime.metrics import Counts
 
 MOST_BEHIND = 500  # entries, of 3 KB at most: a tenth of a second of work, and a MB or two
 A_BATCH = 16  # entries before `idle`: what they bring is written at once, and no timer waits for long
--- a/vetchford/module.py
+++ b/vetchford/server/admission_actor.py
@@ -14,14 +14,14 @@
 
 import structlog
 
-from vetchford import rules, startup
-from vetchford.actors.actor import Actor
-from vetchford.actors.counts import Counts
-from vetchford.actors.timers import Timers
-from vetchford.drain import Drain
-from vetchford.memory.fingerprints import Fingerprints
-from vetchford.memory.tasks import Slot, Tasks
-from vetchford.wire import jsonrpc, poollines
+from vetchford.admission import controller, factory
+from vetchford.protocol import json_rpc, worker_pool_lines
+from vetchford.runtime.actor import Actor
+from vetchford.runtime.metrics import Counts
+from vetchford.runtime.timers import Timers
+from vetchford.server.idempotency_cache import Fingerprints
+from vetchford.server.request_table import Slot, Tasks
+from vetchford.server.shutdown import Drain
 
 log = structlog.get_logger()
 
@@ -30,7 +30,7 @@
 OVERDUE = 30.0  # ms past a task's limit: the sweep before it has answered, and the page allows 150
 SUMMARY = 10_000.0  # ms between summary lines
 Act, Given = Callable[..., None], tuple[Any, ...]
-RUNS, BEGUN = (rules.RUNNING,), (rules.RUNNING, rules.PARKED, rules.CALLING)
+RUNS, BEGUN = (controller.RUNNING,), (controller.RUNNING, controller.PARKED, controller.CALLING)
 
 
 class ModuleActor(Actor):
@@ -40,7 +40,7 @@
         """`pools` makes the class pools; without it there are none."""
         super().__init__("module", counts)
         self.seed, self.told, self.make_pools = seed, told, pools
-        self.gauge_places = startup.indices(told)[2]
+        self.gauge_places = factory.indices(told)[2]
         self.tasks, self.prints = Tasks(), Fingerprints()
         self.marks: dict[int, str] = {}  # fingerprints of tasks; emptied by `release`
         self.calls: dict[int, int] = {}  # tasks by the number of their call; emptied as calls end or are cut
@@ -48,7 +48,7 @@
         self.call_count = 0
         self.timers, self.drain = Timers(), Drain()
         self.later: deque[tuple[Act, Given]] = deque()  # until the node's method returns
-        self.node: rules.Node | None = None
+        self.node: controller.Node | None = None
         self.origin = 0.0  # Unix ms that the node's clock starts at
         self.link, self.ready = 0, False  # the pool's link; whether its replay was read
         self.arriving = -1  # the task that the node is told of just now
@@ -100,13 +100,13 @@
     ) -> None:
         if self.node is None:  # the pool is not up: it never ran
             self.counts.add("rejected_no_pool")
-            caller.answer(rpc_id, jsonrpc.rejected(rpc_id, False, 0.0))
+            caller.answer(rpc_id, json_rpc.rejected(rpc_id, False, 0.0))
             return
         if name in self.tasks.by_name:
             self.counts.note(
-                "balancer_bad_message", code=jsonrpc.INVALID_PARAMS, problem="field 'txn' is in use"
+                "balancer_bad_message", code=json_rpc.INVALID_PARAMS, problem="field 'txn' is in use"
             )
-            caller.answer(rpc_id, jsonrpc.error(rpc_id, jsonrpc.INVALID_PARAMS, "field 'txn' is in use"))
+            caller.answer(rpc_id, json_rpc.error(rpc_id, json_rpc.INVALID_PARAMS, "field 'txn' is in use"))
             return
         now, arrived, told = self.now(), door - self.origin, self.node.stages[stage]
         # No caller waits for longer than the time limit, nor asks for more work than fits into it: one that
@@ -116,7 +116,7 @@
         limit = max(now, arrived + told.limit if until is None else until)
         q = self.tasks.enter(Slot(name, kind, caller, rpc_id, content, limit))
         original = None
-        if mark is not None and told.effect == rules.FINGERPRINTED:
+        if mark is not None and told.effect == controller.FINGERPRINTED:
             # All tries of a task carry the same body: under its key with another one this is no repeat of it.
             mark = f"{stage} {mark} {hashlib.blake2b(content.encode(), digest_size=16).hexdigest()}"
             original = self.prints.find(mark, door)
@@ -133,7 +133,7 @@
             lb,
             until,
             work,
-            max(1, round(kb * startup.BYTES_PER_KB)),
+            max(1, round(kb * factory.BYTES_PER_KB)),
             False,
             max(0.0, now - arrived),
             original,
@@ -155,7 +155,7 @@
         if self.node is None:
             self.origin = time.time() * 1000.0 - ago
             pools = self.make_pools() if self.make_pools else None
-            self.node = startup.build(self, self.seed, self.told, cold, pools)
+            self.node = factory.build(self, self.seed, self.told, cold, pools)
             log.info("pool_bound", cold=cold, started_ms_ago=round(ago))
             self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
         self.poll()  # what is read before its answer is the replay
@@ -209,7 +209,7 @@
         """It sent what never came by the balancers: the rest of it is held for nobody."""
         for q, slot in enumerate(self.tasks.slots):
             if slot is not None and slot.caller is caller and not slot.answered and q in self.node.held:
-                self.answer(slot, jsonrpc.rejected(slot.rpc_id, True, 0.0), "rejected_distrusted")
+                self.answer(slot, json_rpc.rejected(slot.rpc_id, True, 0.0), "rejected_distrusted")
                 self.node.gone(self.now(), q)
 
     def run_blocked(self, name: str, notice: int, body: bytes) -> None:
@@ -234,7 +234,7 @@
         if self.watch is not None:
             self.watch.call_ended(self.now(), code, took)
         if code == "completed":
-            self.command(slot, poollines.supply(slot.name, reply))
+            self.command(slot, worker_pool_lines.supply(slot.name, reply))
         self.node.call_returned(self.now(), q, code, took)
 
     def call_cut(self, number: int) -> None:
@@ -273,9 +273,9 @@
         if slot.answered:
             self.counts.add("runs_unwanted")
         elif code == "completed":
-            self.answer(slot, jsonrpc.finished(slot.rpc_id, content), "finished")
+            self.answer(slot, json_rpc.finished(slot.rpc_id, content), "finished")
         else:
-            self.answer(slot, jsonrpc.abandoned(slot.rpc_id), "abandoned")
+            self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
 
     def sweep(self) -> None:
         places = self.gauge_places
@@ -307,7 +307,7 @@
         for slot in self.tasks.slots:
             if slot is not None and not slot.answered and min(slot.until, self.node.kill) < before:
                 self.counts.note("must_hold_broken", what="answered_in_time", task=slot.name)
-                self.answer(slot, jsonrpc.abandoned(slot.rpc_id), "abandoned")
+                self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
 
     # -- the fleet
 
@@ -342,7 +342,7 @@
     def leave_without_pool(self) -> None:
         self.leave_step()
         if not self.stopped:
-            self.timers.at(time.time() * 1000.0 + rules.Node.SWEEP, self.leave_without_pool)
+            self.timers.at(time.time() * 1000.0 + controller.Node.SWEEP, self.leave_without_pool)
 
     def leave_step(self) -> None:
         """Past the grace nothing new is taken; once all is answered and written, the end."""
@@ -390,19 +390,19 @@
                 # A poll behind it is answered in well under a ms. What is not confirmed when a link breaks is
                 # sent again, and might start anew a run that ends just then; others may run anew.
                 self.polls += 1
-                parts = parts + poollines.poll(f"{self.link}-{self.polls}")
+                parts = parts + worker_pool_lines.poll(f"{self.link}-{self.polls}")
             self.pool.do(self.pool.send, self.link, parts)
 
     def poll(self) -> None:
         if self.pool.mailbox.qsize() > MOST_BEHIND:  # a paused pool gets no heap of polls
             return
         self.polls += 1
-        self.pool.do(self.pool.send, self.link, poollines.poll(f"{self.link}-{self.polls}"))
+        self.pool.do(self.pool.send, self.link, worker_pool_lines.poll(f"{self.link}-{self.polls}"))
 
     def start(self, q: int) -> None:
         slot = self.tasks[q]
-        once = self.node.tasks[q].stage.effect != rules.RESTARTABLE
-        self.command(slot, poollines.spawn(slot.name, slot.kind, slot.content), once)
+        once = self.node.tasks[q].stage.effect != controller.RESTARTABLE
+        self.command(slot, worker_pool_lines.spawn(slot.name, slot.kind, slot.content), once)
 
     def stop(self, q: int) -> None:
         """The protocol has no command for it yet: the run goes on to its end, which changes no answer."""
@@ -416,11 +416,11 @@
             why = "stalled"
         else:
             why = "at_door" if q == self.arriving else "held"
-        self.answer(slot, jsonrpc.rejected(slot.rpc_id, terminal, pause), "rejected_" + why)
+        self.answer(slot, json_rpc.rejected(slot.rpc_id, terminal, pause), "rejected_" + why)
 
     def abandon(self, q: int) -> None:
         slot = self.tasks[q]
-        self.answer(slot, jsonrpc.abandoned(slot.rpc_id), "abandoned")
+        self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
 
     def share(self, q: int) -> None:
         first = self.tasks[q].waits_for
@@ -435,13 +435,13 @@
         slot.call = self.call_count
         self.calls[slot.call], self.begun[slot.call] = q, self.now()
         until = self.origin + cut_at
-        once = self.node.tasks[q].stage.effect != rules.RESTARTABLE
+        once = self.node.tasks[q].stage.effect != controller.RESTARTABLE
         self.records.op(slot.name, slot.call, until, slot.need[1], once)
         self.timers.at(until, self.call_cut, slot.call)
 
     def skip(self, q: int) -> None:
         slot = self.tasks[q]
-        self.command(slot, poollines.skip(slot.name, slot.need[0]))
+        self.command(slot, worker_pool_lines.skip(slot.name, slot.need[0]))
 
     def remember(self, q: int, keep_for: float) -> None:
         mark = self.marks.get(q)
--- a/vetchford/wire/balancers.py
+++ b/vetchford/server/client_connections.py
@@ -7,12 +7,12 @@
 import time
 from typing import Any
 
-from vetchford.actors.actor import Crew, CrewedActor
-from vetchford.actors.counts import Counts
-from vetchford.wire import jsonrpc
-from vetchford.wire.inbox import Inbox, UnfollowableError
-from vetchford.wire.lobby import Lobby
-from vetchford.wire.sockets import send_now, send_parts, shut, time_limit
+from vetchford.protocol import json_rpc
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.runtime.actor import Crew, CrewedActor
+from vetchford.runtime.metrics import Counts
+from vetchford.runtime.sockets import send_now, send_parts, shut, time_limit
+from vetchford.server.idle_poller import Lobby
 
 MOST_OPEN = 64  # tasks: twice the page's 32, as one that nobody waits for is open here until it is answered
 MOST_REPLIES = 64  # to checks and bad messages, waiting to be written, before reading waits for them
@@ -33,7 +33,7 @@
 PACKED = 0.8  # of the table: hundreds may connect at once, and balancers must not wait for them to be judged
 CROWDED = 0.5  # of the table, past which idle connections go; balancers may open as many
 BACKLOG = 512
-BUFFER = 2 * (jsonrpc.MOST_HEAD + jsonrpc.MOST_BODY)
+BUFFER = 2 * (json_rpc.MOST_HEAD + json_rpc.MOST_BODY)
 
 
 class Connection(CrewedActor):
@@ -114,7 +114,7 @@
                     continue
                 inbox.fed(count)
                 try:
-                    while (body := jsonrpc.next_body(inbox)) is not None:
+                    while (body := json_rpc.next_body(inbox)) is not None:
                         self.take(body)
                         self.begun = math.inf  # what follows is the next one
                 except UnfollowableError as problem:
@@ -143,7 +143,7 @@
         self.passing, self.begun = True, math.inf
         self.used = time.monotonic()
         if self.room.acquire(blocking=False):
-            self.do(self.write_reply, jsonrpc.error(None, jsonrpc.INVALID_REQUEST, why))
+            self.do(self.write_reply, json_rpc.error(None, json_rpc.INVALID_REQUEST, why))
         self.do(self.end_after_answers)
 
     def overstays(self, now: float) -> bool:
@@ -174,23 +174,23 @@
         if self.distrusted:
             raise UnfollowableError("its tasks are unknown to the worker pool")
         try:
-            method, rpc_id, params = jsonrpc.decode(body)
+            method, rpc_id, params = json_rpc.decode(body)
             if rpc_id in self.open:
-                raise jsonrpc.BadMessageError(jsonrpc.INVALID_REQUEST, f"id {rpc_id} is in use")
+                raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, f"id {rpc_id} is in use")
             if rpc_id is None:
                 # Balancers have sent hundreds at a time: no reason to part with one, and its tasks, for that.
                 self.counts.note("balancer_notification", method=method[:40], params=str(params)[:120])
                 if method in self.doors.stages:  # a task that could not be answered: whoever sent it is told
-                    self.reply(jsonrpc.error(None, jsonrpc.INVALID_REQUEST, "field 'id' is missing"))
+                    self.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
             elif method == "check":
-                self.reply(jsonrpc.checked(rpc_id, self.doors.fit))
+                self.reply(json_rpc.checked(rpc_id, self.doors.fit))
             else:
                 self.request(method, rpc_id, params)
-        except jsonrpc.BadMessageError as problem:
+        except json_rpc.BadMessageError as problem:
             self.counts.note("balancer_bad_message", code=problem.code, problem=str(problem))
             # Under the id of an open task this would pass for its answer.
             rpc_id = None if problem.rpc_id in self.open else problem.rpc_id
-            self.reply(jsonrpc.error(rpc_id, problem.code, str(problem)))
+            self.reply(json_rpc.error(rpc_id, problem.code, str(problem)))
             self.wrong += 1
             if self.wrong >= MOST_WRONG:
                 raise UnfollowableError("too many bad messages") from None
@@ -198,20 +198,20 @@
     def request(self, method: str, rpc_id: int | str, params: dict) -> None:
         stage = self.doors.stages.get(method)
         if stage is None:
-            raise jsonrpc.BadMessageError(jsonrpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
+            raise json_rpc.BadMessageError(json_rpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
         if not isinstance(rpc_id, int):
-            raise jsonrpc.BadMessageError(jsonrpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
+            raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
         if len(self.open) >= MOST_OPEN:
             # Not a bad message: a balancer that has given up many here, unheard, may send as many more.
             self.counts.add("rejected_over_open")
-            self.reply(jsonrpc.rejected(rpc_id, False, 0.0))
+            self.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
-        name, door, limit, caller, team, work, kb, mark, content = jsonrpc.request_fields(
+        name, door, limit, caller, team, work, kb, mark, content = json_rpc.request_fields(
             params, rpc_id, time.time() * 1000.0
         )
         tenant = -1 if team is None else self.doors.tenants.get(team)
         if tenant is None:
-            raise jsonrpc.BadMessageError(jsonrpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+            raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
         self.open.add(rpc_id)
         self.module.tell_when_room(
             self.module.request,
@@ -284,7 +284,7 @@
 
     def ask_to_close(self) -> None:
         if not self.asked:
-            self.out += jsonrpc.closing()
+            self.out += json_rpc.closing()
             self.asked = time.monotonic()
 
     def distrust(self) -> None:
--- a/vetchford/lifecycle/configuration.py
+++ b/vetchford/server/platform_config.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from vetchford import startup
-from vetchford.lifecycle import told as platform
-from vetchford.startup import MalformedError
+from vetchford.admission import factory
+from vetchford.admission.factory import MalformedError
+from vetchford.server import settings_schema as platform
 
 
 def address(told: Mapping[str, Any], key: str) -> tuple[str, int]:
@@ -24,7 +24,7 @@
 
 def records(told: Mapping[str, Any]) -> tuple[str, int] | None:
     """Where calls go; None where the settings have nothing below, and so name no service."""
-    if told.get("records") or startup.calls_below(told.get("settings")):
+    if told.get("records") or factory.calls_below(told.get("settings")):
         return address(told, "records")
     return None
 
@@ -68,9 +68,9 @@
     check(told)
     told.pop("declared", None)  # not the platform's to set
     if ours:
-        from vetchford.declared import apart  # a server without such files does without it
+        from vetchford.configuration import isolated_reader  # a server without such files does without it
 
-        told["declared"] = apart.read(ours, list(startup.indices(told["settings"])[0]))
+        told["declared"] = isolated_reader.read(ours, list(factory.indices(told["settings"])[0]))
     return told
 
 
@@ -95,8 +95,8 @@
     if wrong:
         raise MalformedError("\n".join(wrong))
     try:
-        startup.indices(told["settings"])
-        startup.build(Silent(), seed(told), told["settings"], False)
+        factory.indices(told["settings"])
+        factory.build(Silent(), seed(told), told["settings"], False)
     except (TypeError, AttributeError, ValueError) as problem:
         raise MalformedError(f"key 'settings' holds a value of the wrong kind: {problem}") from None
 
@@ -105,17 +105,17 @@
     """What on-call staff want to see of it: addresses, limits and the stages by the project's words."""
     settings = told["settings"]
     stages = settings.get("requestClasses") or []
-    millis = startup.NS_PER_MS
+    millis = factory.NS_PER_MS
     return {
         **{key: told[key] for key in ("name", "listen", "pool", "members", "stop_ms", "limits")},
         "records": told.get("records"),
         "cores": (settings.get("familyInfo") or {}).get("cores"),
         **({"declared": told["declared"]} if "declared" in told else {}),
-        "tenants": list(startup.indices(settings)[1]),
+        "tenants": list(factory.indices(settings)[1]),
         "stages": [
             {
                 "name": entry.get("name"),
-                "effect": startup.EFFECTS[entry["effect"]],
+                "effect": factory.EFFECTS[entry["effect"]],
                 "due_ms": (entry.get("promise") or entry["deadline"]) / millis,
                 "limit_ms": entry["deadline"] / millis,
                 "utility": entry.get("worth"),
--- a/vetchford/wire/records.py
+++ b/vetchford/server/records_client.py
@@ -7,11 +7,11 @@
 from contextlib import suppress
 from typing import Any
 
-from vetchford.actors.actor import Crew, CrewedActor
-from vetchford.actors.counts import Counts
-from vetchford.wire import recordlines
-from vetchford.wire.inbox import Inbox, UnfollowableError
-from vetchford.wire.sockets import connected, send_parts, shut
+from vetchford.protocol import records_lines
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.runtime.actor import Crew, CrewedActor
+from vetchford.runtime.metrics import Counts
+from vetchford.runtime.sockets import connected, send_parts, shut
 
 FRESH = 0.5  # s since its last reply that a connection is used again: idle ones are closed or forgotten early
 KEPT = 4  # of its connections one in so many may wait for the next call; the others are there for calls
@@ -97,7 +97,7 @@
         super().__init__("records-line", records.counts, records.crew)
         self.records, self.address = records, records.address
         self.sock: socket.socket | None = None
-        self.inbox = Inbox(recordlines.MOST_REPLY + 2 * recordlines.MOST_LINE)
+        self.inbox = Inbox(records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE)
         # Tasks with a call on it before: a second copy would pass for their next. Emptied by its own end,
         # which MOST_HAD brings: in steady use it is never idle, and would remember each task for good.
         self.had: set[str] = set()
@@ -152,9 +152,9 @@
         if wait < 1 or self.given_up:
             return "", b""  # the module has cut it, or is about to: it was never sent
         self.had.add(name)
-        send_parts(self.sock, recordlines.op(name, wait, body))
+        send_parts(self.sock, records_lines.op(name, wait, body))
         while True:
-            while (reply := recordlines.next_reply(self.inbox)) is not None:
+            while (reply := records_lines.next_reply(self.inbox)) is not None:
                 if reply[0] == name:
                     return reply[1], bytes(reply[2] or b"")
                 self.records.counts.add("records_late_replies")  # it is for no call that is out here
@@ -168,7 +168,7 @@
         self.given_up = True
         if self.sock is not None:
             with suppress(OSError):  # a full or broken connection: its end gives the call up as well
-                self.sock.sendmsg(recordlines.unop(name), [], socket.MSG_DONTWAIT)
+                self.sock.sendmsg(records_lines.unop(name), [], socket.MSG_DONTWAIT)
             shut(self.sock)
 
     def end(self) -> None:
--- a/vetchford/wire/members.py
+++ b/vetchford/server/registry_reporter.py
@@ -3,9 +3,9 @@
 import socket
 import time
 
-from vetchford.actors.actor import Actor
-from vetchford.actors.counts import Counts
-from vetchford.wire import heartbeat
+from vetchford.protocol import heartbeat
+from vetchford.runtime.actor import Actor
+from vetchford.runtime.metrics import Counts
 
 EVERY = 0.25  # s; an entry lapses 3 s after its last report, and one datagram in four may be lost
 
--- a/vetchford/memory/tasks.py
+++ b/vetchford/server/request_table.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from vetchford.memory.indices import Indices
+from vetchford.server.index_allocator import Indices
 
 
 class Slot:
--- a/vetchford/lifecycle/server.py
+++ b/vetchford/server/server_process.py
@@ -9,16 +9,16 @@
 
 import structlog
 
-from vetchford import startup
-from vetchford.actors.actor import begin_thread
-from vetchford.actors.counts import Counts
-from vetchford.lifecycle import configuration, signals
-from vetchford.lifecycle.renewals import Renewals
-from vetchford.module import ModuleActor
-from vetchford.wire.balancers import Doors
-from vetchford.wire.members import Members
-from vetchford.wire.pool import Pool
-from vetchford.wire.records import Records
+from vetchford.admission import factory
+from vetchford.runtime.actor import begin_thread
+from vetchford.runtime.metrics import Counts
+from vetchford.server import platform_config, signals
+from vetchford.server.admission_actor import ModuleActor
+from vetchford.server.client_connections import Doors
+from vetchford.server.records_client import Records
+from vetchford.server.registry_reporter import Members
+from vetchford.server.reload import Renewals
+from vetchford.server.worker_pool import Pool
 
 log = structlog.get_logger()
 
@@ -41,13 +41,13 @@
     """
     threading.stack_size(STACK)
     counts = Counts()
-    module = ModuleActor(configuration.seed(told), told["settings"], counts, pools_from(told, counts))
-    pool = Pool(configuration.address(told, "pool"), module, counts)
+    module = ModuleActor(platform_config.seed(told), told["settings"], counts, pools_from(told, counts))
+    pool = Pool(platform_config.address(told, "pool"), module, counts)
     sockets = int(told["limits"]["sockets"])
     for_calls = min(MOST_CALLS, max(8, sockets // 4 - OTHERS))  # the rest is for balancers
-    records = Records(configuration.records(told), for_calls, module, counts)
-    members = Members(configuration.address(told, "members"), told["name"], counts)
-    stages, tenants, _ = startup.indices(told["settings"])
+    records = Records(platform_config.records(told), for_calls, module, counts)
+    members = Members(platform_config.address(told, "members"), told["name"], counts)
+    stages, tenants, _ = factory.indices(told["settings"])
     try:
         neighbours = neighbours_from(told, module, counts)
     except OSError as problem:
@@ -55,7 +55,7 @@
         return 1
     try:
         doors = Doors(
-            configuration.address(told, "listen"),
+            platform_config.address(told, "listen"),
             sockets - for_calls - OTHERS - (FOR_NEIGHBOURS if neighbours else 0),
             stages,
             tenants,
@@ -90,7 +90,7 @@
     grace = (told["settings"].get("rules") or {}).get("drainGrace") or 0
     for part in neighbours:
         part.tell(part.leave)
-    module.tell(module.notice, at, stop_ms, grace / startup.NS_PER_MS)
+    module.tell(module.notice, at, stop_ms, grace / factory.NS_PER_MS)
     try:
         threading.Thread(
             target=partial(signals.heed_for_good, renewals.ask), name="signals", daemon=True
@@ -108,9 +108,9 @@
     declared = told.get("declared") or {}
     if not declared.get("pools") or declared["pools"] == "none":
         return None
-    from vetchford.pools import marks  # a server without pools does without it
+    from vetchford.bulkheads import metrics  # a server without pools does without it
 
-    return partial(marks.pools, told["settings"], declared["pools"], counts)
+    return partial(metrics.pools, told["settings"], declared["pools"], counts)
 
 
 def neighbours_from(told: dict[str, Any], module: ModuleActor, counts: Counts) -> list[Any]:
@@ -118,12 +118,12 @@
     together = (told.get("declared") or {}).get("together")
     if not together:
         return []
-    from vetchford.neighbours import actor  # a server alone does without it
+    from vetchford.coordination import fleet_member  # a server alone does without it
 
-    module.watch = actor.measure()
+    module.watch = fleet_member.measure()
     return [
-        actor.Neighbours(
-            together, configuration.seed(told), counts, partial(module.tell, module.survey),
+        fleet_member.Neighbours(
+            together, platform_config.seed(told), counts, partial(module.tell, module.survey),
             partial(module.tell, module.fleet),
         )
     ]  # fmt: skip
@@ -140,7 +140,7 @@
         fresh = reread()
         moved = [key for key in MOVABLE if fresh.get(key) != told.get(key)]
         addresses = {
-            key: configuration.records(fresh) if key == "records" else configuration.address(fresh, key)
+            key: platform_config.records(fresh) if key == "records" else platform_config.address(fresh, key)
             for key in moved
         }
     except Exception as problem:  # whatever is wrong with the file, the server goes on
--- a/vetchford/lifecycle/told.py
+++ b/vetchford/server/settings_schema.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from vetchford.startup import EFFECTS
+from vetchford.admission.factory import EFFECTS
 
 NUMBER, WORD, SWITCH = "a number", "a string", "true or false"
 MOST_SHOWN = 60  # characters of a value that was found
--- a/vetchford/wire/pool.py
+++ b/vetchford/server/worker_pool.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from vetchford.actors.actor import Crew, CrewedActor, begin_thread
-from vetchford.actors.counts import Counts
-from vetchford.wire import poollines
-from vetchford.wire.inbox import Inbox, UnfollowableError
-from vetchford.wire.sockets import send_now, send_parts, shut
+from vetchford.protocol import worker_pool_lines
+from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.runtime.actor import Crew, CrewedActor, begin_thread
+from vetchford.runtime.metrics import Counts
+from vetchford.runtime.sockets import send_now, send_parts, shut
 
 AGAIN = 0.02  # s between attempts; runs go on meanwhile, and the pool is on the same machine
 AGAIN_MOST = 0.5  # s: while nobody is there
@@ -80,7 +80,7 @@
             try:
                 sock.settimeout(None)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                send_parts(sock, poollines.bind(self.last))
+                send_parts(sock, worker_pool_lines.bind(self.last))
                 self.link, self.sock = self.link + 1, sock
                 if address == self.address:  # else moved meanwhile: a link to the old place would never serve
                     self.read(sock)
@@ -96,19 +96,19 @@
                 time.sleep(pause)
 
     def read(self, sock: socket.socket) -> None:
-        inbox = Inbox(2 * poollines.MOST_LINE)
+        inbox = Inbox(2 * worker_pool_lines.MOST_LINE)
         while count := sock.recv_into(inbox.space()):
             inbox.fed(count)
-            while (line := poollines.next_line(inbox)) is not None:
+            while (line := worker_pool_lines.next_line(inbox)) is not None:
                 try:
-                    message = poollines.decode(line)
-                except poollines.BadLineError as problem:
+                    message = worker_pool_lines.decode(line)
+                except worker_pool_lines.BadLineError as problem:
                     self.counts.note("pool_bad_line", problem=str(problem))
                     self.once_more(self.last + 1)  # it may have been that one
                     continue
                 try:
                     self.take(*message)
-                except poollines.BadLineError as problem:
+                except worker_pool_lines.BadLineError as problem:
                     self.counts.note("pool_bad_line", problem=str(problem))
 
     def once_more(self, number: int) -> None:
@@ -129,8 +129,8 @@
                 self.counts.note("pool_notices_missed", after=self.last, number=number)
                 self.once_more(self.last + 1)
             try:
-                fields = poollines.notice_fields(name, message)
-            except poollines.BadLineError:
+                fields = worker_pool_lines.notice_fields(name, message)
+            except worker_pool_lines.BadLineError:
                 self.once_more(number)
                 self.last = number
                 if name == "finished":
@@ -139,13 +139,13 @@
                 raise
             self.last = number
         if name == "finished":
-            module.tell_when_room(module.run_ended, *(fields or poollines.finished_fields(message)))
+            module.tell_when_room(module.run_ended, *(fields or worker_pool_lines.finished_fields(message)))
         elif name == "blocked":
-            module.tell_when_room(module.run_blocked, *(fields or poollines.blocked_fields(message)))
+            module.tell_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
         elif name == "polled":
-            module.tell_when_room(module.polled, *poollines.polled_fields(message))
+            module.tell_when_room(module.polled, *worker_pool_lines.polled_fields(message))
         elif name == "bound":
-            module.tell(module.bound, self.link, *poollines.bound_fields(message))
+            module.tell(module.bound, self.link, *worker_pool_lines.bound_fields(message))
         elif name == "unknown":
             command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
             module.tell_when_room(module.command_unknown, command, task)
--- a/vetchford/peers/talk.py
+++ b/vetchford/transport/connections.py
@@ -14,12 +14,12 @@
 
 import structlog
 
-from vetchford.actors.actor import Actor, begin_thread
-from vetchford.actors.clock import clock
-from vetchford.actors.counts import Counts
-from vetchford.peers import frames
-from vetchford.peers.decide import Outbox, Peers
-from vetchford.peers.frames import Envelope, FrameError
+from vetchford.runtime.actor import Actor, begin_thread
+from vetchford.runtime.clock import clock
+from vetchford.runtime.metrics import Counts
+from vetchford.transport import framing
+from vetchford.transport.framing import Envelope, FrameError
+from vetchford.transport.session import Outbox, Peers
 
 log = structlog.get_logger()
 
@@ -130,8 +130,8 @@
     def throw(self, peer: str, body: Any, kind: str = "news") -> None:
         """A datagram; it may be lost."""
         try:
-            data = frames.packed(self.envelope(self.decide.next_datagram(), kind, body))
-            if len(data) > frames.MOST_DATAGRAM:
+            data = framing.packed(self.envelope(self.decide.next_datagram(), kind, body))
+            if len(data) > framing.MOST_DATAGRAM:
                 self.counts.note("datagram_too_long", bytes=len(data))
                 return
             self.bytes_out += len(data)
@@ -164,7 +164,7 @@
         if wire is None:
             return False
         try:
-            data = frames.packed(self.envelope(sequence, kind, body))
+            data = framing.packed(self.envelope(sequence, kind, body))
         except FrameError:
             self.counts.note("peer_message_too_long", kind=kind)
             self.actor.tell(self.ended, link, "a message of ours was too long")
@@ -241,7 +241,7 @@
             try:
                 life, nonce = envelope.body
                 self.decide.compare(int(life), int(nonce))
-            except frames.MALFORMED:
+            except framing.MALFORMED:
                 self.count("peer_refused", why="malformed", peer=envelope.sender)
         else:
             self.owner.datagram(envelope.sender, envelope.body)
@@ -261,8 +261,8 @@
     def read_datagrams(self) -> None:
         while True:
             try:
-                data, (address, _) = self.datagrams.recvfrom(frames.MOST_DATAGRAM + 1)
-                self.actor.tell_when_room(self.thrown, address, frames.datagram(data))
+                data, (address, _) = self.datagrams.recvfrom(framing.MOST_DATAGRAM + 1)
+                self.actor.tell_when_room(self.thrown, address, framing.datagram(data))
             except FrameError as problem:
                 self.count("peer_refused", why=str(problem))
             except OSError as problem:  # an answer of the system to one that we sent to nobody
@@ -270,7 +270,7 @@
                 time.sleep(0.01)
 
     def read(self, link: int, wire: Wire) -> None:
-        stream, why = frames.Stream(), "closed by the other side"
+        stream, why = framing.Stream(), "closed by the other side"
         try:
             while more := wire.sock.recv(READ):
                 for envelope in stream.feed(more):
