--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -48,8 +48,17 @@
         address = f"127.0.0.1:{port}"
         command = json.dumps([sys.executable, "-S", "-m", "testkit.fakes.instance", address, "good"])
         entries.append(f'n{at:03}: {{command: {command}, listen: "{address}"}}')
-    text = ["version: 1", "agent: {", f'socket: "{folder}/s"', f'store: "{folder}/store"',
-            f'logs: "{folder}/logs"', "instances: {", *entries, "}", "}"]  # fmt: skip
+    text = [
+        "version: 1",
+        "agent: {",
+        f'socket: "{folder}/s"',
+        f'store: "{folder}/store"',
+        f'logs: "{folder}/logs"',
+        "instances: {",
+        *entries,
+        "}",
+        "}",
+    ]
     (folder / "fleet.vet").write_text("\n".join(text))
     agent = Agent(folder)
     agent.begin()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -50,19 +50,42 @@
     told["familyInfo"]["below"] = "silent"
     for at, port in enumerate(ports):
         config = folder / f"n{at:02}.json"
-        config.write_text(json.dumps({
-            "name": f"n{at:02}", "listen": f"127.0.0.1:{port}", "pool": f"127.0.0.1:{pools[at]}",
-            "records": "127.0.0.1:9", "members": "127.0.0.1:9", "seed": f"{at + 1:x}", "stop_ms": 3200,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128}, "settings": told}))  # fmt: skip
+        config.write_text(
+            json.dumps(
+                {
+                    "name": f"n{at:02}",
+                    "listen": f"127.0.0.1:{port}",
+                    "pool": f"127.0.0.1:{pools[at]}",
+                    "records": "127.0.0.1:9",
+                    "members": "127.0.0.1:9",
+                    "seed": f"{at + 1:x}",
+                    "stop_ms": 3200,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
+                    "settings": told,
+                }
+            )
+        )
         command = json.dumps([sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)])
         entries.append(f'n{at:02}: {{command: {command}, listen: "127.0.0.1:{port}", stop_ms: 3500ms}}')
     roll = json.dumps(
         [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(folder / "{name}.json")]
     )
-    (folder / "fleet.vet").write_text("\n".join([
-        "version: 1", "agent: {",
-        f'socket: "{folder}/s"', f'store: "{folder}/store"', f'logs: "{folder}/logs"',
-        "instances: {", *entries, "}", f"versions: v2: {roll}", "}"]))  # fmt: skip
+    (folder / "fleet.vet").write_text(
+        "\n".join(
+            [
+                "version: 1",
+                "agent: {",
+                f'socket: "{folder}/s"',
+                f'store: "{folder}/store"',
+                f'logs: "{folder}/logs"',
+                "instances: {",
+                *entries,
+                "}",
+                f"versions: v2: {roll}",
+                "}",
+            ]
+        )
+    )
 
 
 class Agent:
@@ -191,20 +214,27 @@
     allowed = {names.index(name) for name in ended["killed"]}
     lost = sum(len(load.cut) for at, load in enumerate(loads) if at not in allowed)
     out = {
-        "instances": COUNT, "agent_killed": killed,
-        "while_rolling": within, "change": ended["state"], "why": ended["why"],
+        "instances": COUNT,
+        "agent_killed": killed,
+        "while_rolling": within,
+        "change": ended["state"],
+        "why": ended["why"],
         "killed_at_stop_time": ended["killed"],
         "known_states": sum(one["state"] == "serving" for one in status.values()),
         "matches_process_table": table == {name: [one["pid"]] for name, one in status.items()},
         "new_version": sum(one["version"] == "v2" for one in status.values()),
-        "least_serving": least[0], "floor": FLOOR,
+        "least_serving": least[0],
+        "floor": FLOOR,
         "tried": sum(tally.tried - tally.unsent for load in loads for tally in load.tallies.values()),
         "served": sum(tally.served + tally.late for load in loads for tally in load.tallies.values()),
-        "lost": lost, "lost_with_killed": sum(len(loads[at].cut) for at in allowed),
-        "broken": sum(len(load.wrong) for load in loads), "what": sorted(wrong)[:4],
+        "lost": lost,
+        "lost_with_killed": sum(len(loads[at].cut) for at in allowed),
+        "broken": sum(len(load.wrong) for load in loads),
+        "what": sorted(wrong)[:4],
         "ran_twice": sum(count > 1 for count in ran.values()),
-        "status_median_ms": round(sorted(times)[15] * 1000.0, 2), "quick": quick,
-    }  # fmt: skip
+        "status_median_ms": round(sorted(times)[15] * 1000.0, 2),
+        "quick": quick,
+    }
     good = (
         ended["state"] == "finished"
         and out["matches_process_table"]
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -134,8 +134,12 @@
             ran = pools.end()["ran"]
             killed = set(ended["killed"])
             return {
-                "seed": seed, "faults": made, "met_on_links": rig.links.met(), "change": ended["state"],
-                "why": ended["why"], "wrong": wrong(events, FLOOR)[:4],
+                "seed": seed,
+                "faults": made,
+                "met_on_links": rig.links.met(),
+                "change": ended["state"],
+                "why": ended["why"],
+                "wrong": wrong(events, FLOOR)[:4],
                 "drivers": sum(entry["event"] == "drives" for entry in events),
                 "orders": sum(entry["event"] == "order_done" for entry in events),
                 "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
@@ -146,7 +150,7 @@
                 "lost_with_killed": sum(len(load.cut) for key, load in loads.items() if key in killed),
                 "ran_twice": sum(count > 1 for count in ran.values()),
                 "broken": sum(len(load.wrong) for load in loads.values()),
-            }  # fmt: skip
+            }
 
 
 def up(rig: Rig) -> int:
@@ -164,10 +168,15 @@
 
 def sound(one: dict[str, Any]) -> bool:
     return "broke" not in one and (
-        not one["wrong"] and one["matches_process_table"] and not one["lost"] and not one["ran_twice"]
-        and not one["broken"] and one["serving"] == AGENTS * EACH
-        and one["change"] == "finished" and one["new_version"] == AGENTS * EACH
-    )  # fmt: skip
+        not one["wrong"]
+        and one["matches_process_table"]
+        and not one["lost"]
+        and not one["ran_twice"]
+        and not one["broken"]
+        and one["serving"] == AGENTS * EACH
+        and one["change"] == "finished"
+        and one["new_version"] == AGENTS * EACH
+    )
 
 
 # -- the view and the driver, by number of agents
@@ -210,11 +219,12 @@
         at = time.monotonic()
         rig.until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
         return {
-            "driven_s": round(driven, 1), "death_seen_s": round(seen, 1),
+            "driven_s": round(driven, 1),
+            "death_seen_s": round(seen, 1),
             "healed_s": round(time.monotonic() - at, 1),
             "bytes_per_s": round(sum(sent) / len(sent) / passed),
             "datagrams_per_s": round(sum(messages) / len(messages) / passed, 1),
-        }  # fmt: skip
+        }
 
 
 def view_alone(count: int) -> float:
@@ -248,10 +258,12 @@
             met[kind] = met.get(kind, 0) + times
     keys = ("tried", "lost", "lost_with_killed", "ran_twice", "broken", "drivers", "orders")
     return {
-        "schedules": len(played), "sound": sum(map(sound, played)), "faults": met,
+        "schedules": len(played),
+        "sound": sum(map(sound, played)),
+        "faults": met,
         **{key: sum(one.get(key, 0) for one in played) for key in keys},
         "unsound": [one for one in played if not sound(one)],
-    }  # fmt: skip
+    }
 
 
 def given(option: str, default: str) -> str:
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -59,9 +59,7 @@
     first = [Flow("charge", 5.0 * CORES * 1000.0 / 40.0, 40.0, 1, True, 0.0, alone)]
     return [
         # Full speed, a tenth, nothing, and back at once.
-        Case(
-            "ledger", back + 9.0, mix(5.0), speed=[(0.0, 1.0), (4.0, 0.1), (4.0 + slow, 0.0), (back, 1.0)]
-        ),
+        Case("ledger", back + 9.0, mix(5.0), speed=[(0.0, 1.0), (4.0, 0.1), (4.0 + slow, 0.0), (back, 1.0)]),
         Case(
             "stolen",
             12.0 if quick else 24.0,
--- a/testkit/fakes/records_service.py
+++ b/testkit/fakes/records_service.py
@@ -12,9 +12,7 @@
     def __init__(self, slots: int, takes: float, speed: Script, most_waiting: int = 200) -> None:
         """`takes`: ms of a call at full speed; past `most_waiting` in line calls are turned away."""
         self.takes, self.most_waiting = takes, most_waiting
-        self.shared = Shared(
-            lambda count, seconds: speed.at(seconds), speed.until_next, self.finished, slots
-        )
+        self.shared = Shared(lambda count, seconds: speed.at(seconds), speed.until_next, self.finished, slots)
         self.done: list[float] = []  # when calls were answered, in seconds from the start
         self.ran: dict[str, int] = {}  # calls that had their effect, by body
         self.given_up = self.turned_away = 0
@@ -74,5 +72,11 @@
     pipe.send(ledger.listener.getsockname()[1])
     while (told := pipe.recv()) is not None:
         ledger.shared.began = told
-    pipe.send({"done": ledger.done, "ran": ledger.ran, "turned_away": ledger.turned_away,
-               "given_up": ledger.given_up})
+    pipe.send(
+        {
+            "done": ledger.done,
+            "ran": ledger.ran,
+            "turned_away": ledger.turned_away,
+            "given_up": ledger.given_up,
+        }
+    )
--- a/testkit/fakes/worker_pool.py
+++ b/testkit/fakes/worker_pool.py
@@ -48,9 +48,7 @@
             elif kind == "poll":
                 count = self.shared.inside()
                 left = self.cores * (1.0 - self.taken.at(self.shared.at - self.shared.began))
-                self.say(
-                    {"type": "polled", "ref": message["ref"], "gauges": [min(1.0, count / left), count]}
-                )
+                self.say({"type": "polled", "ref": message["ref"], "gauges": [min(1.0, count / left), count]})
             elif kind == "spawn":
                 self.spawn(message["job"], base64.b64decode(message["data"]))
             elif kind in ("supply", "pass"):
--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -69,9 +69,11 @@
     "floor by the old view": (floor_by_the_old_view, {"faults": ("machine", "cut"), "floor": 16}, range(12)),
     "floor without what is out": (floor_without_what_is_out, {"floor": 17}, range(12)),
     "incarnation forgotten": (
-        incarnation_forgotten, {"faults": ("old_disk", "no_disk", "cut", "cut")}, range(30),
+        incarnation_forgotten,
+        {"faults": ("old_disk", "no_disk", "cut", "cut")},
+        range(30),
     ),
-}  # fmt: skip
+}
 
 
 def caught(mistake: str, planted: bool = True, seeds: range | None = None) -> int:
--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -48,8 +48,16 @@
     Without `relays` agents speak to each other directly, and no link can be broken.
     """
 
-    def __init__(self, folder: pathlib.Path, agents: int = 3, instances: int = 2, seed: int = 1,
-                 commands: Any = None, stop: str = "1s", relays: bool = True) -> None:  # fmt: skip
+    def __init__(
+        self,
+        folder: pathlib.Path,
+        agents: int = 3,
+        instances: int = 2,
+        seed: int = 1,
+        commands: Any = None,
+        stop: str = "1s",
+        relays: bool = True,
+    ) -> None:
         self.folder, self.names, self.seed = folder, [f"a{n}" for n in range(agents)], seed
         ports = free_ports(agents * (instances + 1))
         programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
@@ -66,16 +74,18 @@
                 address = f"127.0.0.1:{ports.pop()}"
                 self.addresses[f"n{at}@{name}"] = address
                 command = json.dumps(
-                    commands(name, f"n{at}", address) if commands
+                    commands(name, f"n{at}", address)
+                    if commands
                     else [sys.executable, "-S", "-m", "testkit.fakes.instance", address, "good"]
-                )  # fmt: skip
+                )
                 entries.append(
                     f'n{at}: {{command: {command}, listen: "{address}", stop_ms: {stop}, group: "pay"}}'
                 )
             roll = json.dumps(
-                commands(name, "{name}", "{listen}") if commands
+                commands(name, "{name}", "{listen}")
+                if commands
                 else [sys.executable, "-S", "-m", "testkit.fakes.instance", "{listen}", "good"]
-            )  # fmt: skip
+            )
             crash = json.dumps([sys.executable, "-S", "-m", "testkit.fakes.instance", "{listen}", "crash"])
             seen_at = {
                 other: self.links.address(name, other) if relays else f"127.0.0.1:{programs[other][1]}"
@@ -120,9 +130,11 @@
             ]
             with (home / "agent.log").open("a") as log:
                 self.running[name] = subprocess.Popen(
-                    command, cwd=ROOT, stderr=log,
+                    command,
+                    cwd=ROOT,
+                    stderr=log,
                     env={**os.environ, "VETCHFORD_CLOCK": self.clocks.get(name, "")},
-                )  # fmt: skip
+                )
             self.told("agent_begun", agent=name)
         for name in names or self.names:
             self.until(lambda name=name: self.answers(name), 20.0, f"{name} does not answer")
@@ -343,8 +355,8 @@
     def __init__(self, names: list[str], seed: int, seconds: float, count: int) -> None:
         chance = random.Random(seed)
         self.clocks = {
-            name: f"{chance.uniform(-86_400.0, 86_400.0):.3f} {chance.uniform(0.9, 1.1):.4f}" for name in
-            names
+            name: f"{chance.uniform(-86_400.0, 86_400.0):.3f} {chance.uniform(0.9, 1.1):.4f}"
+            for name in names
         }
         self.steps = []
         for at in sorted(chance.uniform(0.0, seconds) for _ in range(count)):
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -130,19 +130,34 @@
         fleet = self.fleet
         return {
             "instances": {
-                one.name: {"state": one.state, "unseen": one.unseen, "group": one.terms.group,
-                           "version": one.runs or one.version, "declared": "v1", "wanted": one.wanted,
-                           "change": owner.id if (owner := fleet.owner(one.name)) else ""}
+                one.name: {
+                    "state": one.state,
+                    "unseen": one.unseen,
+                    "group": one.terms.group,
+                    "version": one.runs or one.version,
+                    "declared": "v1",
+                    "wanted": one.wanted,
+                    "change": owner.id if (owner := fleet.owner(one.name)) else "",
+                }
                 for one in fleet.instances.values()
             },
-            "locals": {id: [change.state, change.why, list(change.killed)]
-                       for id, change in fleet.changes.items() if id.partition("/")[0] in known},
+            "locals": {
+                id: [change.state, change.why, list(change.killed)]
+                for id, change in fleet.changes.items()
+                if id.partition("/")[0] in known
+            },
             "versions": ["v2", "bad"],
-        }  # fmt: skip
+        }
 
     def begin_step(self, act):
-        change = Change(act["id"], act["kind"], [act["name"]], version=act["version"], soak=act["soak"],
-                        on_failure="go_on")  # fmt: skip
+        change = Change(
+            act["id"],
+            act["kind"],
+            [act["name"]],
+            version=act["version"],
+            soak=act["soak"],
+            on_failure="go_on",
+        )
         try:
             if self.fleet.ask(self.world.now, change).state == "paused":
                 self.fleet.resume(self.world.now, change.id)
@@ -226,8 +241,14 @@
             return
         for _ in range(2 if self.chance.random() < 0.02 else 1):
             late = self.chance.uniform(200.0, 2500.0) if (sender, to) in self.slow else 0.0
-            self.at(self.now + self.chance.uniform(1.0, 15.0) + late, self.arrive, sender, to, kind,
-                    copy.deepcopy(body))  # fmt: skip
+            self.at(
+                self.now + self.chance.uniform(1.0, 15.0) + late,
+                self.arrive,
+                sender,
+                to,
+                kind,
+                copy.deepcopy(body),
+            )
 
     def arrive(self, sender, to, kind, body):
         machine = self.machines.get(to)
@@ -397,8 +418,11 @@
 
     def span(self, id):
         """The newest copy of it."""
-        found = [(m.across.book.at, m.across.book.body["spans"][id]) for m in self.machines.values()
-                 if m.across is not None and id in m.across.book.body["spans"]]  # fmt: skip
+        found = [
+            (m.across.book.at, m.across.book.body["spans"][id])
+            for m in self.machines.values()
+            if m.across is not None and id in m.across.book.body["spans"]
+        ]
         return max(found, key=lambda one: one[0])[1] if found else None
 
     def ended(self, id):
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -101,21 +101,43 @@
 
 
 def pools_of(seed):
-    terms = [Terms(name, part, part, part, reserve=seed % 3 if name == "a" else 0, lends=seed % 2 == 0,
-                   call_budget=300.0 if name == "a" else math.inf)
-             for name, part in (("a", 0.2), ("b", 0.3), ("c", 0.5))]
+    terms = [
+        Terms(
+            name,
+            part,
+            part,
+            part,
+            reserve=seed % 3 if name == "a" else 0,
+            lends=seed % 2 == 0,
+            call_budget=300.0 if name == "a" else math.inf,
+        )
+        for name, part in (("a", 0.2), ("b", 0.3), ("c", 0.5))
+    ]
     return PoolSet(Recorder(), terms, [0, 1, 2], derive=seed % 4 == 3)
 
 
 def day(seed, draw_out, edge=False, pooled=False):
     chance = random.Random(seed)
-    stages = [stage(late_utility=0.2, skip_utility=0.3), stage(utility=3.0, effect=controller.FINGERPRINTED),
-              stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0)]
+    stages = [
+        stage(late_utility=0.2, skip_utility=0.3),
+        stage(utility=3.0, effect=controller.FINGERPRINTED),
+        stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0),
+    ]
     host, callers = Model(), 2000 if edge else 3
     host.slice = 1 if edge else 4  # edge: a slice far under one call, thousands of callers, waits told
-    server = node(host, stages=stages, cores=1 if edge else CORES, cold=seed % 2 == 0, memory=MEMORY,
-                  callers=callers, share=0.02 if edge else 4.0, say="level", quotas=[0.01, 0.02],
-                  can_stop=seed % 3 == 0, pools=pools_of(seed) if pooled else None)
+    server = node(
+        host,
+        stages=stages,
+        cores=1 if edge else CORES,
+        cold=seed % 2 == 0,
+        memory=MEMORY,
+        callers=callers,
+        share=0.02 if edge else 4.0,
+        say="level",
+        quotas=[0.01, 0.02],
+        can_stop=seed % 3 == 0,
+        pools=pools_of(seed) if pooled else None,
+    )
     subject, killed = 0, float("inf")
     for step in range(3500):
         host.now = now = step * 5.0
@@ -132,23 +154,45 @@
             queued = chance.choice((0.0, 5.0, 40.0, 2500.0))
             subject += 1
             first = None
-            alike = [t for t in host.tasks.values() if t["effect"] == controller.FINGERPRINTED
-                     and t["state"] != "sharing" and t.get("entry", 0.0) > now - queued
-                     and (t["state"] == "held" or t["ran"])]
+            alike = [
+                t
+                for t in host.tasks.values()
+                if t["effect"] == controller.FINGERPRINTED
+                and t["state"] != "sharing"
+                and t.get("entry", 0.0) > now - queued
+                and (t["state"] == "held" or t["ran"])
+            ]
             if kind == 1 and alike and chance.random() < 0.3:
                 first = chance.choice(alike)
             q = next(n for n in range(len(host.tasks) + 1) if n not in host.tasks)
             size = chance.randint(5, 60)
-            host.read(q, subject=first["subject"] if first else subject, arrived=now - queued, size=size,
-                      effect=stages[kind].effect, window=13000.0 if kind == 1 else 0.0, skips=kind == 0,
-                      stuck=chance.random() < 0.04,
-                      limit=min(max(now, now - queued + stages[kind].limit), killed))
+            host.read(
+                q,
+                subject=first["subject"] if first else subject,
+                arrived=now - queued,
+                size=size,
+                effect=stages[kind].effect,
+                window=13000.0 if kind == 1 else 0.0,
+                skips=kind == 0,
+                stuck=chance.random() < 0.04,
+                limit=min(max(now, now - queued + stages[kind].limit), killed),
+            )
             held, task = host.memory(), host.tasks[q]
             until = max(now, now - queued + chance.choice((0.5, 0.5, 0.52, 0.8)) * stages[kind].limit)
             task["limit"] = min(task["limit"], until) if edge else task["limit"]
-            send(server, now, q, kind, caller=chance.randrange(callers), tenant=chance.randrange(-1, 2),
-                 size=size, again=chance.random() < 0.2, queued_for=queued,
-                 limit_at=until if edge else None, original=first["q"] if first else None)
+            send(
+                server,
+                now,
+                q,
+                kind,
+                caller=chance.randrange(callers),
+                tenant=chance.randrange(-1, 2),
+                size=size,
+                again=chance.random() < 0.2,
+                queued_for=queued,
+                limit_at=until if edge else None,
+                original=first["q"] if first else None,
+            )
             assert host.memory() <= max(MEMORY, held), "out of memory"
         for task in list(host.tasks.values()):
             q, luck = task["q"], chance.random()
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -34,10 +34,21 @@
 def digest_of_a_history(seed, crowded):
     """One digest over each act, its arguments and its moment."""
     chance, host, acts = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
-    stages = [stage(skip_utility=0.3), stage(utility=3.0, effect=controller.FINGERPRINTED),
-              stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0, late_utility=0.2)]
-    server = node(host, stages=stages, share=2.0 if crowded else None, memory=20_000.0 if crowded else 1e6,
-                  quotas=(0.01, 0.02), say="credit", cold=seed % 2 == 0, callers=4)
+    stages = [
+        stage(skip_utility=0.3),
+        stage(utility=3.0, effect=controller.FINGERPRINTED),
+        stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0, late_utility=0.2),
+    ]
+    server = node(
+        host,
+        stages=stages,
+        share=2.0 if crowded else None,
+        memory=20_000.0 if crowded else 1e6,
+        quotas=(0.01, 0.02),
+        say="credit",
+        cold=seed % 2 == 0,
+        callers=4,
+    )
     count, told = 0, 0
     for step in range(3000):
         host.now = now = step * 5.0
@@ -50,9 +61,20 @@
                 first = next((q for q, task in server.tasks.items() if task.entry_until > now), None)
             count += 1
             limit_at = now + 0.5 * stages[kind].limit if chance.random() < 0.5 else None
-            send(server, now, count, kind, caller=chance.randrange(4), tenant=chance.randrange(-1, 2),
-                 limit_at=limit_at, work=chance.choice((None, 5.0, 40.0, 200.0)), size=chance.randint(5, 60),
-                 again=chance.random() < 0.2, queued_for=chance.choice((0.0, 3.0, 400.0)), original=first)
+            send(
+                server,
+                now,
+                count,
+                kind,
+                caller=chance.randrange(4),
+                tenant=chance.randrange(-1, 2),
+                limit_at=limit_at,
+                work=chance.choice((None, 5.0, 40.0, 200.0)),
+                size=chance.randint(5, 60),
+                again=chance.random() < 0.2,
+                queued_for=chance.choice((0.0, 3.0, 400.0)),
+                original=first,
+            )
         for q, task in list(server.tasks.items()):
             luck = chance.random()
             if server.tasks.get(q) is not task:
@@ -62,8 +84,12 @@
             elif task.state == controller.RUNNING and luck < 0.08:
                 server.stalled_on_call(now, q)
             elif task.state == controller.CALLING and luck < 0.05:
-                server.call_returned(now, q, chance.choice(("completed", "saturated", "overdue", "errored")),
-                                     chance.uniform(5.0, 300.0))
+                server.call_returned(
+                    now,
+                    q,
+                    chance.choice(("completed", "saturated", "overdue", "errored")),
+                    chance.uniform(5.0, 300.0),
+                )
             elif task.state == controller.SHARING and luck < 0.05:
                 server.ended(now, q, "completed", 0.0)
             elif not task.answered and luck > 0.9995:
--- a/tests/bench_adapter/test_simulator_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -7,12 +7,27 @@
 from vetchford.bench_adapter.simulator_link import Link, MalformedError
 
 TOLD = {
-    "familyInfo": {"cores": 2, "ramKb": 9000.0, "blowup": 8.0, "keyKb": 5.0, "say": "weight", "halt": "drop",
-                   "ownStats": ["core_use", "on_cores"], "below": "shared", "depShare": 4.0},
+    "familyInfo": {
+        "cores": 2,
+        "ramKb": 9000.0,
+        "blowup": 8.0,
+        "keyKb": 5.0,
+        "say": "weight",
+        "halt": "drop",
+        "ownStats": ["core_use", "on_cores"],
+        "below": "shared",
+        "depShare": 4.0,
+    },
     "requestClasses": [
         {"name": "read", "promise": 1_800_000_000, "deadline": 4_400_000_000, "effect": "read_like"},
-        {"name": "pay", "promise": 1_800_000_000, "deadline": 4_400_000_000, "effect": "idempotency_key",
-         "worth": 3.0, "window": 13_000_000_000},
+        {
+            "name": "pay",
+            "promise": 1_800_000_000,
+            "deadline": 4_400_000_000,
+            "effect": "idempotency_key",
+            "worth": 3.0,
+            "window": 13_000_000_000,
+        },
     ],
     "rules": {"fallMultiple": 8.0, "drainGrace": 2_000_000_000},
     "unheard-of": None,
--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -210,9 +210,7 @@
         elif calling:  # one is answered
             task = calling.pop(chance.randrange(len(calling)))
             p = task.pool
-            pools.call_ended(
-                float(now), p, task.q, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1
-            )
+            pools.call_ended(float(now), p, task.q, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1)
             calls.moments.append((now, p, -1, 0.0))
             pools.resumed(float(now), p, whole)
             slots.moments.append((now, p, 1, whole))
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -76,18 +76,22 @@
         for thread in threads:
             thread.start()
         several.until(
-            lambda: {one["server"] for one in several.events("records_seen") if one["state"] == "dead"}
-            == set(several.names),
+            lambda: (
+                {one["server"] for one in several.events("records_seen") if one["state"] == "dead"}
+                == set(several.names)
+            ),
             20.0,
             "not all hold it for dead",
         )
         several.until(
-            lambda: {
-                one["server"]
-                for one in several.events("records_seen")
-                if one["state"] == "well" and one["was"] == "opening"
-            }
-            == set(several.names),
+            lambda: (
+                {
+                    one["server"]
+                    for one in several.events("records_seen")
+                    if one["state"] == "well" and one["was"] == "opening"
+                }
+                == set(several.names)
+            ),
             30.0,
             "not all opened",
         )
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -98,8 +98,9 @@
     ended = subprocess.Popen([sys.executable, "-S", "-c", ""])
     pidfd = os.pidfd_open(ended.pid)
     ended.wait(PATIENCE)
-    other = subprocess.Popen([sys.executable, "-S", "-c", "input()"], stdin=subprocess.PIPE,
-                             start_new_session=True)  # fmt: skip
+    other = subprocess.Popen(
+        [sys.executable, "-S", "-c", "input()"], stdin=subprocess.PIPE, start_new_session=True
+    )
     try:
         adopted = supervisor.Process(other.pid, "another's start", pidfd, None)
         Agent.kill(SimpleNamespace(ours={"n0": adopted}), "n0")
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -233,8 +233,10 @@
     rig.change(name, "r1", "restart", batch=2, floor=3)
     rolled(rig, version="1")
     rig.until(
-        lambda: {entry.get("why") for entry in rig.events() if entry["event"] == "peer_refused"}
-        >= {"no_frame", "other_version", "too_long", "crowd"},
+        lambda: (
+            {entry.get("why") for entry in rig.events() if entry["event"] == "peer_refused"}
+            >= {"no_frame", "other_version", "too_long", "crowd"}
+        ),
         10.0,
         "not all were told",
     )
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -48,7 +48,9 @@
 
 
 def drives(world, among=None):
-    return [name for name in among or world.names if world.machines[name].across.book.role == consensus.DRIVES]
+    return [
+        name for name in among or world.names if world.machines[name].across.book.role == consensus.DRIVES
+    ]
 
 
 def split(world, side):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -51,24 +51,63 @@
 
 
 def stage(**given):
-    figures = dict(due=1800.0, limit=4400.0, utility=1.0, late_utility=0.0, effect=controller.RESTARTABLE,
-                   window=13000.0, skip_utility=0.0)
+    figures = dict(
+        due=1800.0,
+        limit=4400.0,
+        utility=1.0,
+        late_utility=0.0,
+        effect=controller.RESTARTABLE,
+        window=13000.0,
+        skip_utility=0.0,
+    )
     return controller.Stage(**{**figures, **given})
 
 
-def node(host, stages=None, cores=2, cold=False, memory=100_000.0, share=None, calls=True, quotas=(),
-         say="silent", can_stop=False, callers=2, pools=None):
+def node(
+    host,
+    stages=None,
+    cores=2,
+    cold=False,
+    memory=100_000.0,
+    share=None,
+    calls=True,
+    quotas=(),
+    say="silent",
+    can_stop=False,
+    callers=2,
+    pools=None,
+):
     return controller.Node(
-        host=host, stages=stages or [stage(), stage(utility=3.0, effect=controller.FINGERPRINTED)], cores=cores,
-        survives=8.0, cold_from=0.24, ramp=18000.0 if cold else 0.0,
+        host=host,
+        stages=stages or [stage(), stage(utility=3.0, effect=controller.FINGERPRINTED)],
+        cores=cores,
+        survives=8.0,
+        cold_from=0.24,
+        ramp=18000.0 if cold else 0.0,
         counters=controller.ByteCounters(memory, 8.0, 50.0),
         calls=controller.CallBound(share, 5000.0, 200.0, cores) if calls else None,
         tenants=controller.TenantShare(list(quotas), 1, 0.05),
         advice=controller.Advice(host, 7, say, 1000.0, callers, cores, 30_000.0),
-        by_work=False, can_stop=can_stop, grace=2000.0, worst_weight=0.3, pools=pools,
+        by_work=False,
+        can_stop=can_stop,
+        grace=2000.0,
+        worst_weight=0.3,
+        pools=pools,
     )
 
 
-def send(server, now, q, kind=0, caller=0, tenant=-1, limit_at=None, work=None, size=10, again=False,
-         queued_for=0.0, original=None):
+def send(
+    server,
+    now,
+    q,
+    kind=0,
+    caller=0,
+    tenant=-1,
+    limit_at=None,
+    work=None,
+    size=10,
+    again=False,
+    queued_for=0.0,
+    original=None,
+):
     server.arrived(now, q, kind, tenant, caller, limit_at, work, size, again, queued_for, original)
--- a/tests/runtime/test_actor_races.py
+++ b/tests/runtime/test_actor_races.py
@@ -37,17 +37,19 @@
     assert again.wait(PATIENCE)
 
 
-
-
-
 def test_two_configurations_beside_each_other_decide_as_each_alone():
     short = {"promise": 900_000_000, "deadline": 1_500_000_000}
     told = {**TOLD, "requestClasses": [{**entry, **short} for entry in TOLD["requestClasses"]]}
     other = {
         **TOLD,
         "requestClasses": [
-            {"name": "pay", "worth": 9.0, "promise": 300_000_000, "deadline": 900_000_000,
-             "effect": "read_like"},
+            {
+                "name": "pay",
+                "worth": 9.0,
+                "promise": 300_000_000,
+                "deadline": 900_000_000,
+                "effect": "read_like",
+            },
             {"name": "read", "worth": 1.0, "deadline": 700_000_000, "effect": "non_idempotent"},
         ],
         "customers": [],
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -196,9 +196,10 @@
     """Let go there it would be closed, and its number armed anew for whoever has it next."""
     lobby, visitor, gate = Lobby(Crew(Counts(), 4)), Visitor(), Gate()
     visitor.come_back = lobby.come_back
-    lobby.epoll = Wrapped(lobby.epoll, **{
-        name: gate.before(getattr(lobby.epoll, name)) for name in (["register"] if first else ["modify"])
-    })  # fmt: skip
+    lobby.epoll = Wrapped(
+        lobby.epoll,
+        **{name: gate.before(getattr(lobby.epoll, name)) for name in (["register"] if first else ["modify"])},
+    )
     lobby.begin()
     if first:
         beside(lambda: (lobby.enter(visitor), visitor.back.set()))
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -138,8 +138,16 @@
         assert server.records.nothing_more("OP")
 
 
-@pytest.mark.parametrize("spoilt", [b"\xff\0?\r\n", b"x" * 999, b"%b DONE 2\r\nlonger\r\n",
-                                    b"%b DONE 3000000000\r\n" + b"x" * 99_999, b"%b DONE -1\r\n\r\n"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"\xff\0?\r\n",
+        b"x" * 999,
+        b"%b DONE 2\r\nlonger\r\n",
+        b"%b DONE 3000000000\r\n" + b"x" * 99_999,
+        b"%b DONE -1\r\n\r\n",
+    ],
+)
 def test_a_spoilt_reply_costs_its_own_call_and_no_other(server, spoilt):
     caller = server.balancer()
     jobs = [caller.ask(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
@@ -240,10 +248,16 @@
     caller = server.balancer()
     job = caller.ask(1)
     server.pool.take("spawn")
-    for line in (b"{\n", b"[]\n", b'{"type":"finished","n":1}\n', b'{"type":"what"}\n', b"[" * 999 + b"\n",
-                 b'{"type":"finished","n":2,"job":"nobody","state":"complete","took":1,"data":""}\n',
-                 b'{"type":"unknown","state":"pass","job":"x"}\n',
-                 b'{"type":"chatter","n":3,"state":"hello"}\n'):
+    for line in (
+        b"{\n",
+        b"[]\n",
+        b'{"type":"finished","n":1}\n',
+        b'{"type":"what"}\n',
+        b"[" * 999 + b"\n",
+        b'{"type":"finished","n":2,"job":"nobody","state":"complete","took":1,"data":""}\n',
+        b'{"type":"unknown","state":"pass","job":"x"}\n',
+        b'{"type":"chatter","n":3,"state":"hello"}\n',
+    ):
         server.pool.say(None, raw=line)
     server.pool.number = 3
     server.pool.finish(job)
@@ -454,11 +468,31 @@
     ({"jsonrpc": "2.0", "id": "7", "method": "read", "params": GOOD}, -32600, "7"),
     ({"jsonrpc": "2.0", "id": 7, "method": "write"}, -32601, 7),
     ({"jsonrpc": "2.0", "id": 7, "method": "read", "params": []}, -32602, 7),
-    *(({"jsonrpc": "2.0", "id": 7, "method": "read", "params": {**GOOD, **wrong}}, -32602, 7)
-      for wrong in ({"txn": None}, {"txn": "a b"}, {"door": "1"}, {"door": None}, {"team": "nobody"},
-                    {"content": "?"}, {"content": None}, {"content": "A" * 4000}, {"ram": -1},
-                    {"limit": 1e99}, {"unique": 5}, {"cpu": True}, {"lb": []}, {"ram": None}, {"ram": 0},
-                    {"ram": 2500}, {"standing": -0.5}, {"standing": "0"}, {"door": -1}, {"door": 9e14})),
+    *(
+        ({"jsonrpc": "2.0", "id": 7, "method": "read", "params": {**GOOD, **wrong}}, -32602, 7)
+        for wrong in (
+            {"txn": None},
+            {"txn": "a b"},
+            {"door": "1"},
+            {"door": None},
+            {"team": "nobody"},
+            {"content": "?"},
+            {"content": None},
+            {"content": "A" * 4000},
+            {"ram": -1},
+            {"limit": 1e99},
+            {"unique": 5},
+            {"cpu": True},
+            {"lb": []},
+            {"ram": None},
+            {"ram": 0},
+            {"ram": 2500},
+            {"standing": -0.5},
+            {"standing": "0"},
+            {"door": -1},
+            {"door": 9e14},
+        )
+    ),
 ]
 
 
@@ -567,9 +601,18 @@
         del silent
 
 
-@pytest.mark.parametrize("head", [b"\r\n\r\n", b"Content-Type: x\r\n\r\n", b"Content-Length: -5\r\n\r\n",
-                                  b"Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", b"x" * 5000,
-                                  b"Content-Length: 999999999999\r\n\r\n", b"Content-Length: 100000\r\n\r\n"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"\r\n\r\n",
+        b"Content-Type: x\r\n\r\n",
+        b"Content-Length: -5\r\n\r\n",
+        b"Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}",
+        b"x" * 5000,
+        b"Content-Length: 999999999999\r\n\r\n",
+        b"Content-Length: 100000\r\n\r\n",
+    ],
+)
 def test_a_stream_that_cannot_be_followed_is_closed_after_what_is_open_on_it(server, head):
     caller = server.balancer()
     job = caller.ask(1)
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -50,9 +50,12 @@
         pipe = tmp_path / "pipe.json"
         os.mkfifo(pipe)
         process = subprocess.Popen(
-            model.COMMAND, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
+            model.COMMAND,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
             env={**os.environ, "ROUTER_CONFIG": str(pipe)},
-        )  # fmt: skip
+        )
         try:
             with opened_for_reading(pipe) as end:  # it is in the middle of its start
                 process.send_signal(signal.SIGHUP)
@@ -73,9 +76,12 @@
     pipe = tmp_path / "pipe.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
-        Running.COMMAND, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
+        Running.COMMAND,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
         env={**os.environ, "ROUTER_CONFIG": str(pipe)},
-    )  # fmt: skip
+    )
     try:
         with opened_for_reading(pipe):  # it is in the middle of its start, and nothing is written there
             process.terminate()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -36,8 +36,11 @@
 def imported(program, *given):
     ran = subprocess.run(
         [sys.executable, "-O", "-X", "importtime", *program, *given],
-        cwd=ROOT, capture_output=True, text=True, timeout=60,
-    )  # fmt: skip
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     return ran, {
         line.rpartition("|")[2].strip() for line in ran.stderr.splitlines() if "import time:" in line
     }
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -19,7 +19,7 @@
     Outbox,
     Peers,
     Window,
-)  # fmt: skip
+)
 
 
 class Side:
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -82,9 +82,7 @@
     """The reader is just about to read; closed now, its number could be the next connection's."""
     peers, gate, closed = side.talk.decide, Gate(), threading.Event()
     mine, _ = socket.socketpair()
-    wrapped = Wrapped(
-        mine, recv=gate.before(mine.recv), close=closed.set, setsockopt=lambda *given: None
-    )
+    wrapped = Wrapped(mine, recv=gate.before(mine.recv), close=closed.set, setsockopt=lambda *given: None)
     number = peers.accepted(0.0, "127.0.0.1")
     side.talk.serve(number, wrapped)
     gate.wait()
@@ -123,9 +121,17 @@
         port = free.getsockname()[1]
     servers = {"a": f"127.0.0.1:{port}", "b": "127.0.0.1:9"}
     told = {
-        "name": "a", "fleet": "pay", "listen": servers["a"], "servers": servers, "keepers": ["a", "b"],
-        "turns": {}, "probes": 1, "zone": "", "records": True, "full": True,
-    }  # fmt: skip
+        "name": "a",
+        "fleet": "pay",
+        "listen": servers["a"],
+        "servers": servers,
+        "keepers": ["a", "b"],
+        "turns": {},
+        "probes": 1,
+        "zone": "",
+        "records": True,
+        "full": True,
+    }
     return Neighbours(told, 1, Counts(), lambda tell: None, lambda numbers: None)
 
 
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -203,8 +203,9 @@
 class Advice:
     """What callers are told: how long to stay away, and the free value where there is one."""
 
-    def __init__(self, host: Host, seed: int, say: str, longest: float, callers: int, cores: int, idle: float
-                 ) -> None:
+    def __init__(
+        self, host: Host, seed: int, say: str, longest: float, callers: int, cores: int, idle: float
+    ) -> None:
         self.host, self.seed, self.say, self.longest = host, seed, say, longest
         self.callers, self.idle, self.kept = max(1, callers), idle, idle
         self.credit = 4.0 * cores / self.callers  # a caller's tasks at once: a core runs one, holds three
@@ -247,10 +248,24 @@
     SWEEP = 50.0  # ms: answers due before the next sweep leave in this one, so they are early by this at most
     RECENT = 0.05  # weight of a run in the recent means: about the last twenty
 
-    def __init__(self, host: Host, stages: list[Stage], cores: int, survives: float, cold_from: float,
-                 ramp: float, counters: ByteCounters, calls: CallBound | None, tenants: TenantShare,
-                 advice: Advice, by_work: bool, can_stop: bool, grace: float, worst_weight: float,
-                 pools: Any = None) -> None:
+    def __init__(
+        self,
+        host: Host,
+        stages: list[Stage],
+        cores: int,
+        survives: float,
+        cold_from: float,
+        ramp: float,
+        counters: ByteCounters,
+        calls: CallBound | None,
+        tenants: TenantShare,
+        advice: Advice,
+        by_work: bool,
+        can_stop: bool,
+        grace: float,
+        worst_weight: float,
+        pools: Any = None,
+    ) -> None:
         self.host, self.stages, self.cores, self.due = host, stages, cores, max(kind.due for kind in stages)
         # At most half the crowd survived, warm or cold, is started: resumed calls and reading come on top.
         self.crowd_warm, self.ramp = max(1.0, 0.5 * cores * survives), ramp
@@ -273,8 +288,20 @@
         host.fitness(True)
         host.wake(self.SWEEP)
 
-    def arrived(self, now: float, q: int, stage: int, tenant: int, caller: int, limit_at: float | None,
-                work: float | None, size: int, again: bool, queued_for: float, original: int | None) -> None:
+    def arrived(
+        self,
+        now: float,
+        q: int,
+        stage: int,
+        tenant: int,
+        caller: int,
+        limit_at: float | None,
+        work: float | None,
+        size: int,
+        again: bool,
+        queued_for: float,
+        original: int | None,
+    ) -> None:
         kind, at = self.stages[stage], now - queued_for
         limit = min(at + kind.limit if limit_at is None else limit_at, self.kill)
         usual = max(range(101), key=self.waits.counts.__getitem__) / 100.0
@@ -446,8 +473,15 @@
         entry = counters.entry if task.stage.effect == FINGERPRINTED else 0.0
         if self.pools is not None:
             line = [o for o in self.held.values() if o.pool == task.pool and self._density(o) >= density]
-            ahead = self.pools.ahead(now, task.pool, sum(map(self._service, line)), len(line), self._slots(),
-                                     {o.pool for o in self.held.values()}, self._lined(task.pool))
+            ahead = self.pools.ahead(
+                now,
+                task.pool,
+                sum(map(self._service, line)),
+                len(line),
+                self._slots(),
+                {o.pool for o in self.held.values()},
+                self._lined(task.pool),
+            )
         elif self.running + 0.2 > self._slots():
             ahead = sum(self._service(o) for o in self.held.values() if self._density(o) >= density)
             ahead = (ahead + 0.5 * self.mean_run * self.running) / max(1.0, self.limit.limit)
@@ -455,8 +489,11 @@
             self._turn_away(task, False)
             return False
         over_caller = counters.over_caller(task.caller, task.size)
-        roomy = (counters.unanswered <= counters.clears if self.pools is None
-                 else self.pools.admits(task.pool, counters.unanswered, counters.clears))
+        roomy = (
+            counters.unanswered <= counters.clears
+            if self.pools is None
+            else self.pools.admits(task.pool, counters.unanswered, counters.clears)
+        )
         if not over_caller and roomy:
             return True
         heavy = counters.by_caller  # room goes to the higher utility; among equals the heaviest loses it
@@ -497,8 +534,9 @@
                 if self.pools is None:
                     return
             if self.pools is not None:
-                ready = self.pools.ready(now, self.held.values(), self.waiting.values(), self.running, slots,
-                                         self.ceiling, shut)
+                ready = self.pools.ready(
+                    now, self.held.values(), self.waiting.values(), self.running, slots, self.ceiling, shut
+                )
             else:
                 # What must call below is not started into a line of its like: it would only park and age.
                 lined = sum(not o.stage.skip_utility for o in self.waiting.values())
@@ -558,9 +596,17 @@
         if pause is None:  # as long as the hold takes to empty
             if self.pools is not None:  # of its own pool
                 line = [self._service(other) for other in self.held.values() if other.pool == task.pool]
-                pause = self.advice.pause(self.pools.ahead(
-                    self.pools.slots.at, task.pool, sum(line), len(line), self._slots(),
-                    {other.pool for other in self.held.values()}, self._lined(task.pool)))
+                pause = self.advice.pause(
+                    self.pools.ahead(
+                        self.pools.slots.at,
+                        task.pool,
+                        sum(line),
+                        len(line),
+                        self._slots(),
+                        {other.pool for other in self.held.values()},
+                        self._lined(task.pool),
+                    )
+                )
             else:
                 backlog = sum(self._service(other) for other in self.held.values())
                 pause = self.advice.pause(backlog / max(1.0, self.limit.limit))
@@ -611,8 +657,9 @@
                 waiting = self.pools.callable(now, waiting, self.calls.bound())
                 if not waiting:
                     return
-            task = max(waiting,
-                       key=lambda o: (self._density(o) * (1.0 - o.stage.skip_utility), -o.arrived, -o.q))
+            task = max(
+                waiting, key=lambda o: (self._density(o) * (1.0 - o.stage.skip_utility), -o.arrived, -o.q)
+            )
             if self.pools is not None:
                 self.pools.call_began(now, task.pool, task.q, self.calls.bound())
                 cut_at = self.pools.call_until(now, task)
--- a/vetchford/bulkheads/adaptive_limit.py
+++ b/vetchford/bulkheads/adaptive_limit.py
@@ -8,9 +8,7 @@
 import math
 from collections.abc import Callable
 
-RISE = (
-    1.4  # of the base: the mean of four calls strays by a third where their times do as widely as they may
-)
+RISE = 1.4  # of the base: the mean of four calls strays by a third where their times do as widely as they may
 HELPED = 0.85  # of the time before the cut: a queue of ours would have shrunk to 0.7
 CUT = 0.7  # of the limit on trial: small enough to see a difference, and little is lost for a period
 TURNED_AWAY = 0.75  # of the limit after a period with calls turned away, which needs no trial
--- a/vetchford/bulkheads/builder.py
+++ b/vetchford/bulkheads/builder.py
@@ -35,7 +35,9 @@
     return bulkheads.PoolSet(host, terms, [owner.get(name, len(terms) - 1) for name in names])
 
 
-def derived(host: bulkheads.PoolHost, effects: Sequence[int], utilities: Sequence[float]) -> bulkheads.PoolSet:
+def derived(
+    host: bulkheads.PoolHost, effects: Sequence[int], utilities: Sequence[float]
+) -> bulkheads.PoolSet:
     """Light work, work with an effect, and the rest. What is light shows by its runs alone (`regroup`)."""
     total = sum(utilities) or 1.0
     heavy = 1.0 - bulkheads.LIGHT_SHARE
--- a/vetchford/bulkheads/metrics.py
+++ b/vetchford/bulkheads/metrics.py
@@ -37,9 +37,7 @@
             log.info("pool_limit_moved", pool=self.names[pool], why=why, limit=round(limit, 1), count=count)
 
     def regrouped(self, pools: Sequence[int]) -> None:
-        moved = ",".join(
-            f"{name}:{self.names[pool]}" for name, pool in zip(self.stages, pools, strict=True)
-        )
+        moved = ",".join(f"{name}:{self.names[pool]}" for name, pool in zip(self.stages, pools, strict=True))
         log.info("pools_regrouped", stages=moved)
 
 
@@ -52,7 +50,5 @@
     made = builder.build(marks, declared, names, effects, [entry.get("worth") or 0.0 for entry in stages])
     if made is not None:
         marks.names = [terms.name for terms in made.terms]
-        log.info(
-            "pools", names=",".join(marks.names), stages=",".join(marks.names[p] for p in made.pool_of)
-        )
+        log.info("pools", names=",".join(marks.names), stages=",".join(marks.names[p] for p in made.pool_of))
     return made
--- a/vetchford/configuration/isolated_reader.py
+++ b/vetchford/configuration/isolated_reader.py
@@ -8,9 +8,7 @@
 
 from vetchford.admission.factory import MalformedError
 
-PATIENCE = (
-    20.0  # s: a file at every bound takes one or two; a stuck machine must not hang the start for good
-)
+PATIENCE = 20.0  # s: a file at every bound takes one or two; a stuck machine must not hang the start for good
 
 
 def schema() -> str:
--- a/vetchford/configuration/reader.py
+++ b/vetchford/configuration/reader.py
@@ -131,8 +131,7 @@
                     Problem(
                         place,
                         path,
-                        f"found '{stage}', which is no stage of this server; "
-                        f"allowed: {', '.join(stages)}",
+                        f"found '{stage}', which is no stage of this server; allowed: {', '.join(stages)}",
                     )
                 )
             owner.setdefault(stage, name)
--- a/vetchford/configuration/unifier.py
+++ b/vetchford/configuration/unifier.py
@@ -114,17 +114,13 @@
             entry, via = work.pop()  # the targets that led here
             self.step()
             if isinstance(entry.node, Both):
-                work += [
-                    (Said(part, entry.around, entry.closes), via) for part in reversed(entry.node.parts)
-                ]
+                work += [(Said(part, entry.around, entry.closes), via) for part in reversed(entry.node.parts)]
             elif isinstance(entry.node, Reference):
                 target = self.target(entry, vertex)
                 if target is None:
                     good = False
                 elif id(target) in via or target is vertex or len(via) > MOST_DEPTH:
-                    self.wrong(
-                        entry.node.place, vertex, f"'{'.'.join(entry.node.labels)}' refers to itself"
-                    )
+                    self.wrong(entry.node.place, vertex, f"'{'.'.join(entry.node.labels)}' refers to itself")
                     good = False
                 else:
                     closes = entry.closes
@@ -157,8 +153,7 @@
                 self.wrong(
                     node.place,
                     vertex,
-                    f"found a reference to '{'.'.join(node.labels)}': "
-                    f"'{found.path}' has no key '{label}'",
+                    f"found a reference to '{'.'.join(node.labels)}': '{found.path}' has no key '{label}'",
                 )
                 return None
             found = found.children[label]
@@ -248,14 +243,14 @@
                 return self.wrong(
                     known[0].place,
                     vertex,
-                    f"{known[0].text} conflicts with {other.text} " f"at {other.place}",
+                    f"{known[0].text} conflicts with {other.text} at {other.place}",
                 )
         broken = [limit for limit in limits if not self.allows(limit, known[0])]
         if broken:
             return self.wrong(
                 known[0].place,
                 vertex,
-                f"found {known[0].text}; allowed: {values.described(limits)}" f" (by {broken[0].place})",
+                f"found {known[0].text}; allowed: {values.described(limits)} (by {broken[0].place})",
             )
         return known[0].value
 
@@ -372,7 +367,7 @@
             return self.wrong(
                 choices[0].node.place,
                 vertex,
-                "is not decided: several values remain " f"({', '.join(map(repr, first[:4]))})",
+                f"is not decided: several values remain ({', '.join(map(repr, first[:4]))})",
             )
         return self.none_fits(vertex, plain, choices, failed)
 
@@ -399,9 +394,7 @@
                 self.followed.append(Problem(place, vertex.path, f"is missing; allowed: {said}"))
                 return ABSENT
             return self.wrong(place, vertex, f"is missing; allowed: {said}")
-        text = (
-            found[0].text if isinstance(found[0], values.Known) else said_of(found[0], "a record or list")
-        )
+        text = found[0].text if isinstance(found[0], values.Known) else said_of(found[0], "a record or list")
         return self.wrong(found[0].place, vertex, f"found {text}; allowed: {said}")
 
     def words(self, node: Node, around: Around, vertex: Vertex) -> str:
@@ -409,9 +402,7 @@
         flat = self.flat(Vertex(vertex.path, vertex.depth), [Said(node, around)]) or []
         self.problems = kept
         scalars = [
-            entry.node
-            for entry in flat
-            if isinstance(entry.node, values.Known | values.Kind | values.Bound)
+            entry.node for entry in flat if isinstance(entry.node, values.Known | values.Kind | values.Bound)
         ]
         if scalars:
             return values.described(scalars)
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -51,7 +51,8 @@
         super().__init__("agent", counts)
         self.told, self.specs = told, told["instances"]
         os.makedirs(told["logs"], exist_ok=True)
-        self.guard = open(told["store"] + ".lock", "a")  # noqa: SIM115: held until the process ends
+        # Held until the process ends.
+        self.guard = open(told["store"] + ".lock", "a")  # noqa: SIM115
         try:
             fcntl.flock(self.guard, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -248,23 +249,36 @@
         return {
             "instances": [
                 {
-                    "name": one.name, "state": one.state, "version": one.runs or one.version, "why": one.why,
-                    "group": one.terms.group, "labels": self.specs[one.name]["labels"], "wanted": one.wanted,
-                    "for_ms": round(now - one.since), "restarts": one.restarts, "killed": one.killed,
+                    "name": one.name,
+                    "state": one.state,
+                    "version": one.runs or one.version,
+                    "why": one.why,
+                    "group": one.terms.group,
+                    "labels": self.specs[one.name]["labels"],
+                    "wanted": one.wanted,
+                    "for_ms": round(now - one.since),
+                    "restarts": one.restarts,
+                    "killed": one.killed,
                     "pid": self.ours[one.name].pid if one.name in self.ours else 0,
-                    "memory_kb": supervisor.memory_kb(self.ours[one.name].pid) if one.name in self.ours else 0,
+                    "memory_kb": supervisor.memory_kb(self.ours[one.name].pid)
+                    if one.name in self.ours
+                    else 0,
                     "change": owner.id if (owner := self.fleet.owner(one.name)) else "",
                 }
                 for one in self.fleet.instances.values()
             ],
             "changes": [self.told_of(change) for change in self.fleet.changes.values()],
-        }  # fmt: skip
+        }
 
     def told_of(self, change: Change) -> dict[str, Any]:
         return {
-            "id": change.id, "kind": change.kind, "state": change.state, "why": change.why,
-            "steps": change.steps, "killed": change.killed,
-        }  # fmt: skip
+            "id": change.id,
+            "kind": change.kind,
+            "state": change.state,
+            "why": change.why,
+            "steps": change.steps,
+            "killed": change.killed,
+        }
 
     def on_change(self, request: dict[str, Any]) -> dict[str, Any]:
         fields = {key: value for key, value in request.items() if key not in ("ask", "dry_run")}
--- a/vetchford/fleet/commands/whole_fleet.py
+++ b/vetchford/fleet/commands/whole_fleet.py
@@ -176,8 +176,10 @@
     steps: dict[str, list[str]] = {}
     for key, step in answer["steps"].items():
         steps.setdefault(step, []).append(key)
-    print(f"change {answer['id']} ({answer['kind']}, batch {answer['batch']}, floor {answer['floor']}) "
-          f"is {answer['state']}{': ' + answer['why'] if answer['why'] else ''}")  # fmt: skip
+    print(
+        f"change {answer['id']} ({answer['kind']}, batch {answer['batch']}, floor {answer['floor']}) "
+        f"is {answer['state']}{': ' + answer['why'] if answer['why'] else ''}"
+    )
     for step, keys in sorted(steps.items()):
         print(f"  {step}: {', '.join(keys)}")
     if answer["waits"]:
@@ -187,8 +189,10 @@
         if answer["driver_heard_ms"]
         else "asked itself"
     )
-    print(f"  driven by {answer['driver'] or 'nobody that is seen'} ({heard}), "
-          f"record {answer['term']}.{answer['revision']} as {answer['told_by']} holds it")  # fmt: skip
+    print(
+        f"  driven by {answer['driver'] or 'nobody that is seen'} ({heard}), "
+        f"record {answer['term']}.{answer['revision']} as {answer['told_by']} holds it"
+    )
 
 
 def peers(paths: list[str], plain: bool) -> int:
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -365,7 +365,12 @@
 
     def table(self, now: float) -> Body:
         return {
-            "role": self.role, "driver": self.driver, "promised": self.promised, "at": list(self.at),
-            "voters": sorted(self.voters()), "members": self.members(),
-            "member": self.name in self.body["members"], "counted": self.counts(self.name, self.voters()),
-        }  # fmt: skip
+            "role": self.role,
+            "driver": self.driver,
+            "promised": self.promised,
+            "at": list(self.at),
+            "voters": sorted(self.voters()),
+            "members": self.members(),
+            "member": self.name in self.body["members"],
+            "counted": self.counts(self.name, self.voters()),
+        }
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -141,8 +141,12 @@
         if self.driver is None:
             return  # deposed by what an earlier answer of this round led to
         self.polls[number] = self.woken
-        word = {"number": number, "term": self.book.standing_for, "orders": self.orders.by_change,
-                "said": self.driver.said}  # fmt: skip
+        word = {
+            "number": number,
+            "term": self.book.standing_for,
+            "orders": self.orders.by_change,
+            "said": self.driver.said,
+        }
         if agent == self.name:
             self.on_look(self.woken, self.name, word)
         else:
@@ -166,8 +170,15 @@
     # -- words of other agents
 
     def heard(self, now: float, sender: str, kind: str, body: Body) -> None:
-        act = {"book": self.book.heard, "look": self.on_look, "seen": self.on_seen, "order": self.on_order,
-               "orders": self.on_orders, "ask": self.on_ask, "told": self.on_told}.get(kind)  # fmt: skip
+        act = {
+            "book": self.book.heard,
+            "look": self.on_look,
+            "seen": self.on_seen,
+            "order": self.on_order,
+            "orders": self.on_orders,
+            "ask": self.on_ask,
+            "told": self.on_told,
+        }.get(kind)
         if act is None:
             self.host.note("peer_unknown_word", sender=sender, kind=kind)
             return
@@ -185,8 +196,12 @@
         self.reports[word["number"]] = now
         while len(self.reports) > REPORTS:
             del self.reports[next(iter(self.reports))]
-        report = {"number": word["number"], "term": word["term"], "report": self.host.report(self.known),
-                  "orders": self.orders.by_change}  # fmt: skip
+        report = {
+            "number": word["number"],
+            "term": word["term"],
+            "report": self.host.report(self.known),
+            "orders": self.orders.by_change,
+        }
         if sender == self.name:
             self.on_seen(now, self.name, report)
         else:
@@ -215,8 +230,16 @@
         if refused:
             self.host.note("order_refused", span=act["span"], instance=act["name"], why=refused)
             return
-        self.host.note("order_done", span=act["span"], instance=act["name"], step=act["id"], kind=act["kind"],
-                       term=word["term"], revision=word["revision"], driver=sender)  # fmt: skip
+        self.host.note(
+            "order_done",
+            span=act["span"],
+            instance=act["name"],
+            step=act["id"],
+            kind=act["kind"],
+            term=word["term"],
+            revision=word["revision"],
+            driver=sender,
+        )
 
     def on_orders(self, now: float, sender: str, word: Body) -> None:
         self.take_orders(word["orders"])
@@ -287,9 +310,17 @@
         quiet = now - self.book.heard_at if self.book.role != DRIVES else 0.0
         stands, why = self.orders.stands(id)
         state = "paused" if stands == PAUSE and span["state"] == "running" else span["state"]
-        return {**span, "state": state, "why": span["why"] or why, "waits": self.said.get(id, ""),
-                "driver": self.seen_driver(), "driver_heard_ms": round(quiet),
-                "term": self.book.at[0], "revision": self.book.at[1], "told_by": self.name}  # fmt: skip
+        return {
+            **span,
+            "state": state,
+            "why": span["why"] or why,
+            "waits": self.said.get(id, ""),
+            "driver": self.seen_driver(),
+            "driver_heard_ms": round(quiet),
+            "term": self.book.at[0],
+            "revision": self.book.at[1],
+            "told_by": self.name,
+        }
 
     def try_job(self, now: float, ref: int, job: Job) -> None:
         if self.driver is not None:
@@ -312,8 +343,7 @@
                     "refused": f"nobody drives that can be seen from {self.name}: a majority of "
                     f"{', '.join(voters)} is needed"
                     if not driver
-                    else f"{driver} drives, and it is not in force yet; the same command with --id "
-                    "asks again"
+                    else f"{driver} drives, and it is not in force yet; the same command with --id asks again"
                 },
             )
 
@@ -323,9 +353,12 @@
     def alone(self) -> Body:
         """What can be told without the one that drives."""
         mine = self.host.report(self.known)["instances"]
-        return {"instances": {f"{name}@{self.name}": one for name, one in mine.items()}, "driver": "",
-                "unknown": [agent for agent in self.book.members() if agent != self.name],
-                "spans": self.listed()}  # fmt: skip
+        return {
+            "instances": {f"{name}@{self.name}": one for name, one in mine.items()},
+            "driver": "",
+            "unknown": [agent for agent in self.book.members() if agent != self.name],
+            "spans": self.listed(),
+        }
 
     def listed(self) -> list[Body]:
         return [
@@ -355,8 +388,12 @@
             if touched & set(unknown):
                 return None  # one that has just come back is seen with the next report
         if ask == "all":
-            return {"instances": driver.all_seen(now), "unknown": unknown, "driver": self.name,
-                    "spans": self.listed()}  # fmt: skip
+            return {
+                "instances": driver.all_seen(now),
+                "unknown": unknown,
+                "driver": self.name,
+                "spans": self.listed(),
+            }
         if ask == "span":
             known = driver.ask(now, request["change"])
             return None if known is None else self.told_of(now, known["id"])
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -29,7 +29,11 @@
 DENIALS = 1 << 20  # incarnations within one life, for suspicions denied: one a second lasts twelve days
 DISPUTED = 5  # lives begun in a minute because others knew a later one: then two machines have this name
 PROVOKED = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
-WORDS = {failure_detector.ALIVE: "there", failure_detector.SUSPECT: "may be there", failure_detector.DEAD: "not seen"}
+WORDS = {
+    failure_detector.ALIVE: "there",
+    failure_detector.SUSPECT: "may be there",
+    failure_detector.DEAD: "not seen",
+}
 
 Body = dict[str, Any]
 
@@ -60,8 +64,9 @@
         agents: dict[str, str] = told["agents"]
         seed = zlib.crc32(told["fleet"].encode())
         now = self.now()
-        self.talk = Talk(actor, self, counts, told["fleet"], self.name, told["listen"], agents, seed,
-                         self.life, self.nonce)  # fmt: skip
+        self.talk = Talk(
+            actor, self, counts, told["fleet"], self.name, told["listen"], agents, seed, self.life, self.nonce
+        )
         for kind, name, body in kept:
             if kind == "peer" and name in self.talk.decide.peers:
                 peer = self.talk.decide.peers[name]
@@ -166,9 +171,15 @@
         return {
             "instances": {
                 one.name: {
-                    "state": one.state, "unseen": one.unseen, "group": one.terms.group, "why": one.why,
-                    "version": one.runs or one.version, "declared": specs[one.name]["version"],
-                    "wanted": one.wanted, "labels": specs[one.name]["labels"], "killed": one.killed,
+                    "state": one.state,
+                    "unseen": one.unseen,
+                    "group": one.terms.group,
+                    "why": one.why,
+                    "version": one.runs or one.version,
+                    "declared": specs[one.name]["version"],
+                    "wanted": one.wanted,
+                    "labels": specs[one.name]["labels"],
+                    "killed": one.killed,
                     "change": owner.id if (owner := fleet.owner(one.name)) else "",
                 }
                 for one in fleet.instances.values()
@@ -179,13 +190,17 @@
                 if id.partition("/")[0] in known
             },
             "versions": sorted(self.owner.told["versions"]),
-        }  # fmt: skip
+        }
 
     def begin_step(self, act: Body) -> str:
         change = Change(
-            str(act["id"]), str(act["kind"]), [str(act["name"])], version=str(act["version"]),
-            soak=float(act["soak"]), on_failure="go_on",
-        )  # fmt: skip
+            str(act["id"]),
+            str(act["kind"]),
+            [str(act["name"])],
+            version=str(act["version"]),
+            soak=float(act["soak"]),
+            on_failure="go_on",
+        )
         try:
             if self.owner.fleet.ask(self.now(), change).state == "paused":
                 self.owner.fleet.resume(self.now(), change.id)
@@ -217,7 +232,12 @@
             row["member"] = row["name"] in book.body["members"]
             row["voter"] = row["name"] in book.voters()
         return {
-            "name": self.name, "fleet": self.told["fleet"], "life": self.life, "peers": rows,
-            "book": book.table(self.now()), "log": book.body["log"],
-            "bytes_sent": self.talk.bytes_out, "datagrams_sent": self.talk.datagrams_out,
-        }  # fmt: skip
+            "name": self.name,
+            "fleet": self.told["fleet"],
+            "life": self.life,
+            "peers": rows,
+            "book": book.table(self.now()),
+            "log": book.body["log"],
+            "bytes_sent": self.talk.bytes_out,
+            "datagrams_sent": self.talk.datagrams_out,
+        }
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -17,9 +17,7 @@
 ANSWERS = 300.0  # ms for an answer: on one site's network a few ms are usual, a busy agent takes some tens
 HELPERS = 3  # agents asked to probe in its place: at 5 % loss all of four ways fail in 1 of 10,000
 SUSPECTED = 3.0  # periods for each doubling of the agents, until a suspect is taken for dead
-SPREAD = (
-    3.0  # times that a piece of news is sent on for each doubling: all have it but one in some thousands
-)
+SPREAD = 3.0  # times that a piece of news is sent on for each doubling: all have it but one in some thousands
 MOST_NEWS = 8  # pieces on one message: under a datagram's 1,400 bytes with names of 64
 MOST_AWARE = 4  # an agent that hears nobody is itself the likely trouble: waits up to five times as long
 FORGOTTEN = 120_000.0  # ms that the dead are kept, and asked now and then whether a split has healed
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -197,15 +197,25 @@
         if request["batch"] < 1 or request["floor"] < 0:
             raise RefusedError("batch must be 1 or more, floor 0 or more")
         span = {
-            "id": request["id"], "kind": request["kind"], "version": request["version"],
+            "id": request["id"],
+            "kind": request["kind"],
+            "version": request["version"],
             "batch": request["batch"],
-            "floor": request["floor"], "spacing": request["spacing"], "soak": request["soak"],
-            "on_failure": request["on_failure"], "state": RUNNING, "why": "", "back": False, "killed": [],
-            "turned": [], "halts": {},
+            "floor": request["floor"],
+            "spacing": request["spacing"],
+            "soak": request["soak"],
+            "on_failure": request["on_failure"],
+            "state": RUNNING,
+            "why": "",
+            "back": False,
+            "killed": [],
+            "turned": [],
+            "halts": {},
             "groups": sorted({seen[key]["group"] for key in targets}),
-            "steps": dict.fromkeys(targets, PENDING), "tries": dict.fromkeys(targets, 0),
+            "steps": dict.fromkeys(targets, PENDING),
+            "tries": dict.fromkeys(targets, 0),
             "before": {key: [seen[key]["version"], seen[key]["wanted"]] for key in targets},
-        }  # fmt: skip
+        }
         up = self.proven(now, self.body, span)
         going = sum(seen[key]["state"] == SERVING for key in targets)
         if span["kind"] == "stop" and up - going < span["floor"]:
@@ -350,8 +360,13 @@
             return
         waiting = [key for key, step in span["steps"].items() if step == PENDING]
         out = sum(step == OUT for step in span["steps"].values())
-        away = sorted({split(key)[1] for key, step in span["steps"].items() if step in (PENDING, OUT)
-                       and not self.fresh(now, split(key)[1])})  # fmt: skip
+        away = sorted(
+            {
+                split(key)[1]
+                for key, step in span["steps"].items()
+                if step in (PENDING, OUT) and not self.fresh(now, split(key)[1])
+            }
+        )
         said = f"not seen: {', '.join(away)}" if away else ""
         can = [key for key in waiting if split(key)[1] not in away and self.seen_of(key) is not None]
         can.sort(key=lambda key: self.seen_of(key)["state"] == SERVING)  # type: ignore[index]
--- a/vetchford/fleet/rollout.py
+++ b/vetchford/fleet/rollout.py
@@ -360,9 +360,7 @@
         change = self.known(id)
         if change.state not in ENDED:
             up = [
-                name
-                for name, step in change.steps.items()
-                if step in (OUT, COMING) and change.kind != "stop"
+                name for name, step in change.steps.items() if step in (OUT, COMING) and change.kind != "stop"
             ]
             self.turn(change, ABORTED, "asked to")
             for name in up:
@@ -426,9 +424,7 @@
         if all(step in (DONE, LOST) for step in change.steps.values()):
             lost = [name for name, step in change.steps.items() if step == LOST]
             ended = BROKEN if lost or change.state == BACK else FINISHED
-            why = (
-                f"lost: {', '.join(lost)}" if lost else "gone back" if change.state == BACK else "all done"
-            )
+            why = f"lost: {', '.join(lost)}" if lost else "gone back" if change.state == BACK else "all done"
             self.turn(change, ended, why)
 
     def next_out(self, now: float, change: Change) -> bool:
@@ -441,9 +437,7 @@
         if any(self.instances[name].unseen for name in scope):
             return False  # after a restart of the agent it is not known yet who serves
         # One that does not serve costs no floor, and is mended first.
-        name = min(
-            waiting, key=lambda one: (self.instances[one].state == SERVING, change.targets.index(one))
-        )
+        name = min(waiting, key=lambda one: (self.instances[one].state == SERVING, change.targets.index(one)))
         instance = self.instances[name]
         takes = instance.state == SERVING and change.kind in ("stop", "restart", "roll")
         if takes and self.serving(scope) - 1 < change.floor:
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -123,10 +123,13 @@
     module.watch = fleet_member.measure()
     return [
         fleet_member.Neighbours(
-            together, platform_config.seed(told), counts, partial(module.tell, module.survey),
+            together,
+            platform_config.seed(told),
+            counts,
+            partial(module.tell, module.survey),
             partial(module.tell, module.fleet),
         )
-    ]  # fmt: skip
+    ]
 
 
 def renew(
--- a/vetchford/server/settings_schema.py
+++ b/vetchford/server/settings_schema.py
@@ -14,21 +14,45 @@
 
 SHAPE: dict[str, Any] = {
     "familyInfo": {
-        "cores": (NUMBER, 1), "ramKb": (NUMBER, 0), "blowup": (NUMBER, 0), "keyKb": (NUMBER, 0),
-        "say": WORD, "halt": WORD, "below": WORD, "callerIdle": (NUMBER, 0), "callers": (NUMBER, 0),
-        "callsOver": (NUMBER, 0), "linger": (NUMBER, 0), "depShare": (NUMBER, 0), "cold": SWITCH,
-        "classSkipWorth": [(NUMBER, 0)], "ownStats": [WORD],
+        "cores": (NUMBER, 1),
+        "ramKb": (NUMBER, 0),
+        "blowup": (NUMBER, 0),
+        "keyKb": (NUMBER, 0),
+        "say": WORD,
+        "halt": WORD,
+        "below": WORD,
+        "callerIdle": (NUMBER, 0),
+        "callers": (NUMBER, 0),
+        "callsOver": (NUMBER, 0),
+        "linger": (NUMBER, 0),
+        "depShare": (NUMBER, 0),
+        "cold": SWITCH,
+        "classSkipWorth": [(NUMBER, 0)],
+        "ownStats": [WORD],
     },
-    "requestClasses": [{
-        "name": WORD, "effect": tuple(EFFECTS), "deadline": (NUMBER, 0), "promise": (NUMBER, 0),
-        "worth": (NUMBER, 0), "lateWorth": (NUMBER, 0), "window": (NUMBER, 0),
-    }],
+    "requestClasses": [
+        {
+            "name": WORD,
+            "effect": tuple(EFFECTS),
+            "deadline": (NUMBER, 0),
+            "promise": (NUMBER, 0),
+            "worth": (NUMBER, 0),
+            "lateWorth": (NUMBER, 0),
+            "window": (NUMBER, 0),
+        }
+    ],
     "customers": [{"name": WORD, "quotaPerS": (NUMBER, 0)}],
-    "rules": {"fallMultiple": (NUMBER, 0), "coldFrom": (NUMBER, 0), "rampTime": (NUMBER, 0),
-              "drainGrace": (NUMBER, 0)},
+    "rules": {
+        "fallMultiple": (NUMBER, 0),
+        "coldFrom": (NUMBER, 0),
+        "rampTime": (NUMBER, 0),
+        "drainGrace": (NUMBER, 0),
+    },
     "goal": {"whole": (NUMBER, 0), "worstWindow": (NUMBER, 0), "worstClass": (NUMBER, 0)},
     "caps": {"retryAfter": SWITCH, "maxRetryAfter": (NUMBER, 0)},
-    "valueBy": WORD, "servers": (NUMBER, 0), "overShareWorth": (NUMBER, 0),
+    "valueBy": WORD,
+    "servers": (NUMBER, 0),
+    "overShareWorth": (NUMBER, 0),
 }
 
 
