--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -34,7 +34,7 @@
 from testkit.fakes.load_generator import Flow, Load
 from testkit.fakes.schedule import Apart
 from testkit.faults.mutations import MISTAKES, caught
-from testkit.faults.process_cluster import Rig, Script, wrong
+from testkit.faults.process_cluster import ProcessCluster, Script, wrong
 from testkit.simulation import agents
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
@@ -55,8 +55,8 @@
 def virtual(count: int) -> dict[str, Any]:
     faults: dict[str, int] = {}
     bad, ends = [], {}
-    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as crew:
-        for seed, found, end, met in crew.imap_unordered(schedule, range(1000, 1000 + count)):
+    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
+        for seed, found, end, met in thread_pool.imap_unordered(schedule, range(1000, 1000 + count)):
             ends[end] = ends.get(end, 0) + 1
             if found or end not in ("finished", "broken"):
                 bad.append((seed, found[:2], end))
@@ -66,8 +66,8 @@
 
 
 def planted() -> dict[str, int]:
-    with multiprocessing.Pool(len(MISTAKES)) as crew:
-        return dict(zip(sorted(MISTAKES), crew.map(caught, sorted(MISTAKES)), strict=True))
+    with multiprocessing.Pool(len(MISTAKES)) as thread_pool:
+        return dict(zip(sorted(MISTAKES), thread_pool.map(caught, sorted(MISTAKES)), strict=True))
 
 
 # -- processes
@@ -91,7 +91,7 @@
                 config.write_text(json.dumps(given))
             return [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)]
 
-        with Rig(folder, AGENTS, EACH, seed, command, stop="3500ms") as rig:
+        with ProcessCluster(folder, AGENTS, EACH, seed, command, stop="3500ms") as rig:
             script = Script(rig.names, seed, seconds, faults)
             rig.clocks = script.clocks
             rig.begin()
@@ -153,7 +153,7 @@
             }
 
 
-def up(rig: Rig) -> int:
+def up(rig: ProcessCluster) -> int:
     seen = rig.ask(rig.driven(), {"ask": "all"})["instances"]
     return sum(one["state"] == "serving" for one in seen.values())
 
@@ -184,7 +184,10 @@
 
 def sizes(count: int) -> dict[str, Any]:
     """Agents in processes of their own, started at once; one machine gone; then all agree again."""
-    with tempfile.TemporaryDirectory() as name, Rig(pathlib.Path(name), count, 1, 3, relays=False) as rig:
+    with (
+        tempfile.TemporaryDirectory() as name,
+        ProcessCluster(pathlib.Path(name), count, 1, 3, relays=False) as rig,
+    ):
         began = time.monotonic()
         rig.begin()
         rig.driven(seconds=60.0)
@@ -282,8 +285,10 @@
     out["processes"] = []
     begin = int(given("--from", "21"))
     seconds, faults = (8.0, 5) if quick else (20.0, 12)
-    with ProcessPoolExecutor(int(given("--at-once", "1")), multiprocessing.get_context("spawn")) as crew:
-        played = [crew.submit(told, seed, seconds, faults) for seed in range(begin, begin + count)]
+    with ProcessPoolExecutor(
+        int(given("--at-once", "1")), multiprocessing.get_context("spawn")
+    ) as thread_pool:
+        played = [thread_pool.submit(told, seed, seconds, faults) for seed in range(begin, begin + count)]
         for one in as_completed(played):
             out["processes"].append(one.result())
             print("processes:", out["processes"][-1], flush=True)
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -27,7 +27,7 @@
 from benchmarks.pools import DUE, LIMIT, settings
 from testkit.fakes.load_generator import Flow, Load
 from testkit.faults.process_cluster import Script
-from testkit.faults.server_cluster import Several, most_at_once
+from testkit.faults.server_cluster import ServerCluster, most_at_once
 from testkit.simulation import gossip, leases
 
 COUNT, SLOTS, CALL = 8, 16, 40.0  # servers a side; the ledger's slots, ms of a call
@@ -58,7 +58,7 @@
     told = settings()
     told["familyInfo"]["depShare"] = float(SLOTS) / COUNT * 2.0
     with tempfile.TemporaryDirectory() as name:
-        several = Several(
+        several = ServerCluster(
             pathlib.Path(name),
             COUNT,
             told,
@@ -118,7 +118,7 @@
             }
 
 
-def break_links(several: Several, seed: int, at: float, seconds: float) -> dict[str, int]:
+def break_links(several: ServerCluster, seed: int, at: float, seconds: float) -> dict[str, int]:
     """Link faults by a script; two of eight servers at a time at most, so that most still see each other."""
     met: dict[str, int] = {}
     chosen = [
@@ -144,9 +144,9 @@
 
 def sides(quick: bool, seed: int, pools: str) -> dict[str, Any]:
     at = time.time() + 8.0
-    with ProcessPoolExecutor(2, multiprocessing.get_context("spawn")) as crew:
-        on = crew.submit(side, True, quick, seed, at, 0, pools)
-        off = crew.submit(side, False, quick, seed, at, 1, pools)
+    with ProcessPoolExecutor(2, multiprocessing.get_context("spawn")) as thread_pool:
+        on = thread_pool.submit(side, True, quick, seed, at, 0, pools)
+        off = thread_pool.submit(side, False, quick, seed, at, 1, pools)
         return {"seed": seed, "on": on.result(), "off": off.result()}
 
 
@@ -172,10 +172,10 @@
 
 
 def turns(count: int) -> dict[str, Any]:
-    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as crew:
-        played = crew.map(leases.played, range(1, count + 1))
+    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
+        played = thread_pool.map(leases.played, range(1, count + 1))
         found = dict(
-            zip(sorted(leases.MISTAKES), crew.map(leases.caught, sorted(leases.MISTAKES)), strict=True)
+            zip(sorted(leases.MISTAKES), thread_pool.map(leases.caught, sorted(leases.MISTAKES)), strict=True)
         )
     return {
         "schedules": count,
@@ -201,8 +201,8 @@
     cases = [
         (n, loss) for n in ((3, 10, 100) if quick else (3, 10, 100, 300, 1000)) for loss in (0.0, 0.05, 0.2)
     ]
-    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as crew:
-        out["signals"] = crew.starmap(gossip.measured, cases)
+    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
+        out["signals"] = thread_pool.starmap(gossip.measured, cases)
     for one in out["signals"]:
         print("signals:", one, flush=True)
     bytes_at = {one["servers"]: one["bytes_per_s"] for one in out["signals"] if not one["loss"]}
--- a/testkit/fakes/worker_pool.py
+++ b/testkit/fakes/worker_pool.py
@@ -17,7 +17,7 @@
 KEPT_NOTICES = 4000  # by the protocol: the last that a new link may ask for
 
 
-class Workers:
+class FakeWorkerPool:
     def __init__(self, cores: float, taken: Script) -> None:
         """`taken`: the neighbour's part of the cores."""
         self.cores, self.taken = cores, taken
@@ -115,7 +115,7 @@
 
 def serve_many(pipe: Any, count: int, cores: float) -> None:
     """As `serve`, of several pools: sends their ports, and what they counted together."""
-    pools = [Workers(cores, Script([(0.0, 0.0)])) for _ in range(count)]
+    pools = [FakeWorkerPool(cores, Script([(0.0, 0.0)])) for _ in range(count)]
     pipe.send([pool.listener.getsockname()[1] for pool in pools])
     while pipe.recv() is not None:
         pass
@@ -127,7 +127,7 @@
 
 
 def serve(pipe: Any, cores: float, taken: list[tuple[float, float]]) -> None:
-    workers = Workers(cores, Script(taken))
+    workers = FakeWorkerPool(cores, Script(taken))
     pipe.send(workers.listener.getsockname()[1])
     while (told := pipe.recv()) is not None:
         workers.shared.began = told
--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -11,7 +11,7 @@
 SHORT = 0.3  # s that the other side gets where a guard holds it; where none does it needs a ms
 
 
-class Gate:
+class Checkpoint:
     """Only the first to come is held, or the first whose thread `holds` says so; the others go through."""
 
     def __init__(self, holds: Callable[[], bool] = lambda: True) -> None:
@@ -51,7 +51,7 @@
 class HeldLock:
     """A lock whose next holder but none comes to the gate just behind its release."""
 
-    def __init__(self, gate: Gate) -> None:
+    def __init__(self, gate: Checkpoint) -> None:
         self.inner, self.gate = threading.Lock(), gate
 
     def __enter__(self) -> None:
@@ -86,10 +86,10 @@
     def __getattr__(self, name: str) -> str:
         return name
 
-    def tell(self, act: str, *given: Any) -> None:
+    def post(self, act: str, *given: Any) -> None:
         self.told.put((act, *given))
 
-    tell_when_room = tell
+    post_when_room = post
 
     def take(self, wanted: str) -> tuple[Any, ...]:
         while True:
--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -32,9 +32,9 @@
         return on_word
 
     return put(
-        (consensus.Book, "take", unfenced(consensus.Book.take, 0)),
-        (consensus.Book, "on_promise", unfenced(consensus.Book.on_promise, 1)),
-        (coordinator.Across, "current", lambda self, sender, term: True),
+        (consensus.ReplicatedRecord, "take", unfenced(consensus.ReplicatedRecord.take, 0)),
+        (consensus.ReplicatedRecord, "on_promise", unfenced(consensus.ReplicatedRecord.on_promise, 1)),
+        (coordinator.FleetCoordinator, "current", lambda self, sender, term: True),
     )
 
 
@@ -49,7 +49,7 @@
     def proven(self, now, body, span):
         return sum(one["state"] == "serving" for one in self.all_seen(now).values())
 
-    return put((fleet_rollout.Driver, "proven", proven))
+    return put((fleet_rollout.FleetRolloutController, "proven", proven))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -1,8 +1,8 @@
 """Several agents in processes of their own with links between them that break, and one history of it all.
 
-`Rig` starts, kills, freezes and restarts; `Script` draws a schedule of faults from a seed (the same seed,
-the same script), and how wrong each agent's clock goes; `wrong` reads the history and knows nothing of how
-agents decide.
+`ProcessCluster` starts, kills, freezes and restarts; `Script` draws a schedule of faults from a seed (the
+same seed, the same script), and how wrong each agent's clock goes; `wrong` reads the history and knows
+nothing of how agents decide.
 """
 
 import datetime
@@ -42,7 +42,7 @@
     raise RuntimeError("no free ports")
 
 
-class Rig:
+class ProcessCluster:
     """`commands(agent, instance, address)` gives an instance's command; without it, stand-in instances.
 
     Without `relays` agents speak to each other directly, and no link can be broken.
@@ -115,7 +115,7 @@
     def path(self, name: str) -> str:
         return str(self.folder / name / "s")
 
-    def begin(self, *names: str) -> "Rig":
+    def begin(self, *names: str) -> "ProcessCluster":
         for name in names or self.names:
             home = self.folder / name
             command = [
@@ -276,7 +276,7 @@
                     os.close(process.pidfd)
         self.links.close()
 
-    def __enter__(self) -> "Rig":
+    def __enter__(self) -> "ProcessCluster":
         return self
 
     def __exit__(self, *problem: Any) -> None:
@@ -364,7 +364,7 @@
             side = {name, *(other for other in names if chance.random() < 0.25)}
             self.steps.append((at, kind, name, side, chance.uniform(0.5, 5.0)))
 
-    def play(self, rig: Rig) -> dict[str, int]:
+    def play(self, rig: ProcessCluster) -> dict[str, int]:
         """Runs it to its end and heals everything; how often each fault was brought about."""
         begun, heals, count = time.monotonic(), [], {}
         lost: set[str] = set()
@@ -380,7 +380,7 @@
 
     def do(
         self,
-        rig: Rig,
+        rig: ProcessCluster,
         at: float,
         heals: list,
         count: dict[str, int],
@@ -414,8 +414,10 @@
             heals.append((at + lasts, self.mend, (links,)))
         count[kind] = count.get(kind, 0) + 1
 
-    def undo(self, rig: Rig, at: float, heals: list, count: dict, lost: set, name: str, kind: str) -> None:
+    def undo(
+        self, rig: ProcessCluster, at: float, heals: list, count: dict, lost: set, name: str, kind: str
+    ) -> None:
         rig.thaw(name) if kind == "freeze" else rig.begin(name)
 
-    def mend(self, rig: Rig, at: float, heals: list, count: dict, lost: set, links: list) -> None:
+    def mend(self, rig: ProcessCluster, at: float, heals: list, count: dict, lost: set, links: list) -> None:
         rig.links.fault("heal", links)
--- a/testkit/faults/server_cluster.py
+++ b/testkit/faults/server_cluster.py
@@ -18,7 +18,7 @@
 from testkit.faults.relay import Links
 
 
-def most_at_once(several: "Several") -> int:
+def most_at_once(several: "ServerCluster") -> int:
     """How many held a turn at once, by what they logged: one machine, one clock."""
     steps = [(entry["timestamp"], 1) for entry in several.events("turn_taken")]
     steps += [
@@ -31,7 +31,7 @@
     return most
 
 
-class Several:
+class ServerCluster:
     """`together`: whether they speak to each other; keys of the record `together` beside names and
     addresses.
     """
@@ -96,7 +96,7 @@
         lines = [f"{key}: {json.dumps(value)}" for key, value in (record | self.told | told).items()]
         (self.folder / f"{name}.vet").write_text("version: 1\ntogether: {\n" + "\n".join(lines) + "\n}\n")
 
-    def begin(self, *names: str) -> "Several":
+    def begin(self, *names: str) -> "ServerCluster":
         for name in names or self.names:
             command = [sys.executable, "-O", "-m", "vetchford", "--log-form", "json", "serve"]
             command += ["--config", str(self.folder / f"{name}.json")]
@@ -153,7 +153,7 @@
             if re.search(r"part_broke|must_hold_broken|Traceback|peer_malformed", line)
         ]
 
-    def __enter__(self) -> "Several":
+    def __enter__(self) -> "ServerCluster":
         return self
 
     def __exit__(self, *problem: Any) -> None:
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -11,8 +11,8 @@
 
 from vetchford.fleet import consensus as books
 from vetchford.fleet import fleet_rollout
-from vetchford.fleet.coordinator import Across
-from vetchford.fleet.rollout import Change, Fleet, RefusedError, Terms
+from vetchford.fleet.coordinator import FleetCoordinator
+from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
 SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
@@ -51,9 +51,9 @@
         self.life += 1
         self.lives += 1
         self.disk.setdefault("store", f"{self.name}.{self.lives}")
-        self.fleet = Fleet(self)
+        self.fleet = RolloutController(self)
         world = self.world
-        self.across = Across(
+        self.across = FleetCoordinator(
             self,
             self.name,
             world.seed,
@@ -150,7 +150,7 @@
         }
 
     def begin_step(self, act):
-        change = Change(
+        change = Rollout(
             act["id"],
             act["kind"],
             [act["name"]],
@@ -219,10 +219,10 @@
     def run(self, until, stop=lambda: False):
         while self.queue and self.queue[0][0] <= until and not stop():
             self.now, _, act, given = heapq.heappop(self.queue)
-            self.guarded(act, *given)
+            self.run_guarded(act, *given)
         return stop()
 
-    def guarded(self, act, *given):
+    def run_guarded(self, act, *given):
         try:
             act(*given)
         except KilledError as killed:
@@ -395,7 +395,7 @@
         if machine.across is None or self.now < machine.frozen_until:
             return out
         try:
-            self.guarded(machine.across.request, self.now, {"ask": ask, **fields}, out.append)
+            self.run_guarded(machine.across.request, self.now, {"ask": ask, **fields}, out.append)
         except RefusedError as problem:
             out.append({"refused": str(problem)})
         return out
--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -6,15 +6,15 @@
 import msgspec
 
 from testkit.simulation.world import Port, World
-from vetchford.gossip.load_gossip import OLD, PERIOD, Figure, Signals
+from vetchford.gossip.load_gossip import OLD, PERIOD, LoadGossip, MetricDefinition
 from vetchford.subsetting.subsets import View
 
 FIGURES = (
-    Figure("pace", 64.0),
-    Figure("lost", 1.0),
-    Figure("full", 1.0),
-    Figure("memory", 1.0),
-    Figure("rate", 1e5),
+    MetricDefinition("pace", 64.0),
+    MetricDefinition("lost", 1.0),
+    MetricDefinition("full", 1.0),
+    MetricDefinition("memory", 1.0),
+    MetricDefinition("rate", 1e5),
 )
 LIARS = 0.1  # of the servers: they tell the most that can be told
 packer = msgspec.msgpack.Encoder()
@@ -28,7 +28,7 @@
     ) -> None:
         self.port, self.truth, self.lies, self.bytes = port, truth, lies, 0
         self.chance = random.Random(f"{port.name}")
-        self.signals = Signals(self, port.name, port.life, FIGURES, 7)
+        self.signals = LoadGossip(self, port.name, port.life, FIGURES, 7)
         self.signals.there(names, rings[port.name])
         self.turns = 0
 
--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -6,7 +6,7 @@
 
 from testkit.simulation.world import Port, World
 from vetchford.leases import leases
-from vetchford.leases.leases import Keeper, Taker
+from vetchford.leases.leases import LeaseClient, LeaseServer
 
 KEEPERS = ("s0", "s1", "s2")
 
@@ -16,7 +16,7 @@
     chance.
     """
 
-    keeper, taker = Keeper, Taker
+    keeper, taker = LeaseServer, LeaseClient
 
     def __init__(self, port: Port, most: int, zones: int) -> None:
         self.port, self.busy_until, self.rest_until, self.notes = port, 0.0, 0.0, []
@@ -174,7 +174,7 @@
 # -- mistakes that must be found
 
 
-class NoWait(Keeper):
+class NoWait(LeaseServer):
     """A new leader grants at once."""
 
     def on_voted(self, now: float, sender: str, word: Any) -> None:
@@ -182,7 +182,7 @@
         self.opens = 0.0
 
 
-class FromTheAnswer(Taker):
+class FromTheAnswer(LeaseClient):
     """The permit counts from when its answer came."""
 
     def on_yours(self, now: float, sender: str, word: Any, wish: Any) -> None:
@@ -191,7 +191,7 @@
             wish.until = now + leases.PERMIT * leases.SLOPE
 
 
-class NeverLooks(Taker):
+class NeverLooks(LeaseClient):
     """What it was given it takes for its own until it is told otherwise."""
 
     def holds(self, now: float, turn: str) -> int:
@@ -199,7 +199,7 @@
         return wish.fence if wish is not None else 0
 
 
-class TwoAtOnce(Keeper):
+class TwoAtOnce(LeaseServer):
     """Gives its vote to whoever asks under a higher term, also while another's lease runs."""
 
     def on_vote(self, now: float, sender: str, word: Any) -> None:
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from vetchford.fleet.failure_detector import MOST_NEWS, Membership
+from vetchford.fleet.failure_detector import MOST_NEWS, FailureDetector
 
 
 class Net:
@@ -12,7 +12,7 @@
         self.now, self.queue, self.count, self.dead, self.slow = 0.0, [], 0, set(), {}
         self.side, self.sent, self.told = {}, 0, []
         names = [f"a{n:03}" for n in range(count)]
-        self.agents = {name: Membership(Port(self, name), name, names, seed) for name in names}
+        self.agents = {name: FailureDetector(Port(self, name), name, names, seed) for name in names}
         for name in names:
             self.later(self.chance.uniform(0.0, 1000.0), "woke", name, ())
 
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -11,7 +11,7 @@
 from helpers import Recorder, node, send, stage
 
 from vetchford.admission import controller
-from vetchford.bulkheads.bulkheads import PoolSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
 
 GRACE, SLACK, CORES, MEMORY, MULTIPLE, ENTRY = 2000.0, 60.0, 2, 3000, 8.0, 50.0
 
@@ -113,7 +113,7 @@
         )
         for name, part in (("a", 0.2), ("b", 0.3), ("c", 0.5))
     ]
-    return PoolSet(Recorder(), terms, [0, 1, 2], derive=seed % 4 == 3)
+    return BulkheadSet(Recorder(), terms, [0, 1, 2], derive=seed % 4 == 3)
 
 
 def day(seed, draw_out, edge=False, pooled=False):
--- a/tests/bench_adapter/test_simulator_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from vetchford.bench_adapter.simulator_link import Link, MalformedError
+from vetchford.bench_adapter.simulator_link import Link, MalformedInputError
 
 TOLD = {
     "familyInfo": {
@@ -106,7 +106,7 @@
     ],
 )
 def test_malformed_input_is_refused_by_name(line, names):
-    with pytest.raises(MalformedError, match=names):
+    with pytest.raises(MalformedInputError, match=names):
         Link().exchange(line)
 
 
--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from vetchford.bulkheads.bulkheads import CREDIT, SPARE, PoolSet, Terms
+from vetchford.bulkheads.bulkheads import CREDIT, SPARE, BulkheadSet, Terms
 
 PARTS = ((0.25, 0.25, 0.5), (0.125, 0.375, 0.5), (0.5, 0.5), (0.25, 0.75), (0.125, 0.125, 0.25, 0.5))
 
@@ -89,7 +89,7 @@
         )
         for n, part in enumerate(parts)
     ]
-    host, pools = Seen(), PoolSet(Seen(), terms, list(range(len(parts))))
+    host, pools = Seen(), BulkheadSet(Seen(), terms, list(range(len(parts))))
     pools.host = host
     pools.attach([SimpleNamespace(pool=0) for _ in parts], None)
     slots, calls, reserve = PlainTurns(parts), PlainTurns(parts), [0] * len(parts)
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -7,7 +7,7 @@
 
 from vetchford.admission import controller
 from vetchford.bulkheads import builder
-from vetchford.bulkheads.bulkheads import PoolSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
 
 CHECK, QUOTE, CHARGE = range(3)
 
@@ -34,7 +34,7 @@
         stage(utility=2.0, skip_utility=0.5),
         stage(utility=3.0, effect=controller.FINGERPRINTED),
     ]
-    return node(host, stages=stages, pools=PoolSet(seen or Seen(), terms, pool_of), **given)
+    return node(host, stages=stages, pools=BulkheadSet(seen or Seen(), terms, pool_of), **given)
 
 
 def started(host):
--- a/tests/configuration/test_command.py
+++ b/tests/configuration/test_command.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import TOLD
 
-from vetchford.admission.factory import MalformedError
+from vetchford.errors import MalformedInputError
 from vetchford.server import platform_config
 
 ROOT = Path(__file__).parent.parent.parent
@@ -92,7 +92,7 @@
     for step in steps[:-1]:
         inner = inner[int(step) if step.isdigit() else step]
     inner[steps[-1]] = value
-    with pytest.raises(MalformedError) as caught:
+    with pytest.raises(MalformedInputError) as caught:
         platform_config.check(told)
     assert str(caught.value).startswith(said)
 
@@ -101,7 +101,7 @@
     told = json.loads(json.dumps(PLATFORM))
     told["settings"]["familyInfo"] |= {"cores": "two", "blowup": []}
     told["settings"]["customers"][0]["name"] = 7
-    with pytest.raises(MalformedError) as caught:
+    with pytest.raises(MalformedInputError) as caught:
         platform_config.check(told)
     assert len(str(caught.value).splitlines()) == 3
 
--- a/tests/coordination/test_load_sampler.py
+++ b/tests/coordination/test_load_sampler.py
@@ -1,6 +1,6 @@
 """What one server tells of itself."""
 
-from vetchford.coordination.load_sampler import WINDOW, Measure
+from vetchford.coordination.load_sampler import WINDOW, LoadSampler
 
 
 def figures(measure, now, begun=(), usual=40.0, counts=None):
@@ -8,11 +8,11 @@
 
 
 def test_a_server_without_calls_says_nothing_of_the_service():
-    assert figures(Measure(), 0.0) == {"memory": 0.1}
+    assert figures(LoadSampler(), 0.0) == {"memory": 0.1}
 
 
 def test_pace_and_lost_calls_are_those_of_the_window_and_cut_ones_count_as_slow():
-    measure = Measure()
+    measure = LoadSampler()
     for at in range(10):
         measure.call_ended(float(at), "completed", 40.0)
     told = figures(measure, 10.0)
@@ -25,7 +25,7 @@
 
 
 def test_a_call_that_is_out_for_long_with_no_end_seen_tells_of_a_service_that_hangs():
-    measure = Measure()
+    measure = LoadSampler()
     for at in range(10):
         measure.call_ended(float(at), "completed", 40.0)
     assert figures(measure, 3000.0, begun=[2100.0]).get("lost") is None  # under a second
@@ -35,7 +35,7 @@
 
 
 def test_the_share_turned_away_is_that_of_the_last_seconds():
-    measure = Measure()
+    measure = LoadSampler()
     assert "full" not in figures(measure, 0.0, counts={"read": 100, "rejected_at_door": 90})
     told = figures(measure, 1000.0, counts={"read": 200, "rejected_at_door": 110, "rejected_held": 5})
     assert told["full"] == 0.25 and told["rate"] == 100.0
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -10,7 +10,7 @@
 
 from benchmarks.pools import settings
 from testkit.fakes.load_generator import Flow, Load
-from testkit.faults.server_cluster import Several, most_at_once
+from testkit.faults.server_cluster import ServerCluster, most_at_once
 
 
 @pytest.fixture(scope="module")
@@ -18,7 +18,7 @@
     """One fleet for all tests here but one: each leaves it as a whole."""
     folder = tmp_path_factory.mktemp("fleet")
     told = {"probes": 1, "turns": {"deep": 1}}
-    with Several(folder, 4, settings(), 8, 40.0, [(0.0, 1.0)], **told) as made:
+    with ServerCluster(folder, 4, settings(), 8, 40.0, [(0.0, 1.0)], **told) as made:
         made.begin()
         made.until(lambda: all(len(there(made, name)) == 3 for name in made.names), 20.0, "all see all")
         yield made
@@ -62,7 +62,7 @@
     speed = [(0.0, 1.0), (4.0, 0.0), (11.0, 1.0)]
     told = settings()
     told["familyInfo"]["depShare"] = 4.0
-    with Several(tmp_path / "fleet", 4, told, 8, 40.0, speed, probes=1, records=True) as several:
+    with ServerCluster(tmp_path / "fleet", 4, told, 8, 40.0, speed, probes=1, records=True) as several:
         several.begin()
         several.until(lambda: leaders(several), 20.0, "nobody leads")
         flows = [Flow("fee-quote", 10.0, 5.0, 1), Flow("charge", 10.0, 5.0, 1, True)]
@@ -133,8 +133,8 @@
 
 
 def test_a_file_that_names_no_such_keeper_or_server_is_refused_in_one_line_with_its_place(tmp_path):
-    from vetchford.admission.factory import MalformedError
     from vetchford.configuration.isolated_reader import read
+    from vetchford.errors import MalformedInputError
 
     base = {
         "fleet": "pay",
@@ -153,6 +153,6 @@
         file = tmp_path / "wrong.vet"
         entries = "\n".join(f"{name}: {json.dumps(given)}" for name, given in (base | {key: value}).items())
         file.write_text(f"version: 1\ntogether: {{\n{entries}\n}}\n")
-        with pytest.raises(MalformedError) as refused:
+        with pytest.raises(MalformedInputError) as refused:
             read([str(file)], None)
         assert text in str(refused.value) and "wrong.vet:" in str(refused.value), str(refused.value)
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -13,12 +13,12 @@
 import pytest
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import Gate, beside, until
+from testkit.faults.checkpoints import Checkpoint, beside, until
 from vetchford.fleet import agent as agent_file
 from vetchford.fleet import rollout, supervisor
 from vetchford.fleet.agent import Agent
-from vetchford.fleet.rollout import Change, Fleet, Terms
-from vetchford.runtime.metrics import Counts
+from vetchford.fleet.rollout import Rollout, RolloutController, Terms
+from vetchford.runtime.metrics import Metrics
 
 # -- the ready check
 
@@ -50,7 +50,7 @@
 def test_where_no_thread_is_to_be_had_checks_go_on_once_there_is(monkeypatch):
     """Threads run out between two checks of a round, and are there again for the next."""
     scarce, refused, looked, over = (threading.Event() for _ in range(4))
-    gate, checked, start = Gate(), set(), _thread.start_new_thread
+    gate, checked, start = Checkpoint(), set(), _thread.start_new_thread
 
     class Ours(dict):
         def items(self):
@@ -72,7 +72,7 @@
     monkeypatch.setattr(_thread, "start_new_thread", starts)
     monkeypatch.setattr(threading, "_start_new_thread", starts)
     monkeypatch.setattr(agent_file, "CHECK", 0.01)
-    one = SimpleNamespace(counts=Counts(), ours=Ours(), check=check)
+    one = SimpleNamespace(metrics=Metrics(), ours=Ours(), check=check)
 
     def checking():
         with contextlib.suppress(SystemExit):
@@ -136,11 +136,11 @@
 def up(names="abc"):
     """All serve, under the old version."""
     world = World()
-    fleet = Fleet(world)
+    fleet = RolloutController(world)
     for name in names:
         fleet.declare(name, Terms(stop_ms=400.0, ready_ms=1500.0), "v1")
         fleet.found(0.0, name, None)
-    fleet.ask(0.0, Change("up", "start", list(names), batch=9, soak=0.0))
+    fleet.ask(0.0, Rollout("up", "start", list(names), batch=9, soak=0.0))
     for name in names:
         fleet.checked(1.0, name, True)
     fleet.woke(2.0)
@@ -157,7 +157,7 @@
 
 def test_one_that_hangs_in_its_drain_is_killed_also_where_its_change_was_aborted_meanwhile():
     world, fleet = up()
-    fleet.ask(10.0, Change("r", "restart", ["a"], soak=0.0))
+    fleet.ask(10.0, Rollout("r", "restart", ["a"], soak=0.0))
     fleet.abort(20.0, "r")
     for now in range(100, 2500, 50):
         fleet.woke(float(now))
@@ -169,7 +169,7 @@
 
 def rolled_back(fleet, now):
     """A roll over all, one by one; the second one's new version fails, so that both go back."""
-    fleet.ask(now, Change("r", "roll", ["a", "b", "c"], "v2", soak=0.0, on_failure="back"))
+    fleet.ask(now, Rollout("r", "roll", ["a", "b", "c"], "v2", soak=0.0, on_failure="back"))
     out_and_up(fleet, now + 10.0, "a")
     fleet.woke(now + 20.0)
     fleet.exited(now + 30.0, "b", 0)  # it leaves, and its next one
@@ -181,7 +181,7 @@
     rolled_back(fleet, 100.0)
     assert fleet.changes["r"].state == rollout.BACK
     fleet.pause(150.0, "r")
-    again = Fleet(world)  # the agent is started anew in between
+    again = RolloutController(world)  # the agent is started anew in between
     for name in fleet.instances:
         again.declare(name, Terms(stop_ms=400.0, ready_ms=1500.0), "v1")
         again.restore("instance", name, world.kept["instance", name])
@@ -219,7 +219,7 @@
 
 def test_an_abort_that_the_store_cannot_take_has_not_happened_and_can_be_given_again():
     world, fleet = up()
-    fleet.ask(10.0, Change("r", "restart", ["a", "b"], soak=0.0))
+    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], soak=0.0))
     world.full = True
     with pytest.raises(OSError):
         fleet.abort(20.0, "r")
@@ -233,7 +233,7 @@
 
 def test_a_pause_that_the_store_cannot_take_holds_and_is_logged():
     world, fleet = up()
-    fleet.ask(10.0, Change("r", "restart", ["a", "b"], soak=0.0))
+    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], soak=0.0))
     noted = []
     world.note = lambda event, **fields: noted.append((event, fields.get("now")))
     world.full = True
@@ -247,7 +247,7 @@
 def test_a_store_that_fails_in_the_middle_of_an_abort_keeps_no_instance_down():
     """The change is on record as aborted; what follows for its instances is not."""
     world, fleet = up()
-    fleet.ask(10.0, Change("r", "restart", ["a", "b"], batch=2, soak=0.0))
+    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], batch=2, soak=0.0))
     fleet.pause(20.0, "r")
     for name in "ab":
         fleet.exited(30.0, name, 0)
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from testkit.faults.process_cluster import ROOT, Rig, Script, free_ports, wrong
+from testkit.faults.process_cluster import ROOT, ProcessCluster, Script, free_ports, wrong
 from vetchford.fleet.agent_client import UnreachableError, ask
 
 
 @pytest.fixture
 def rig(tmp_path):
-    with Rig(tmp_path, agents=3, instances=2) as made:
+    with ProcessCluster(tmp_path, agents=3, instances=2) as made:
         made.begin()
         made.driven()
         made.up()
@@ -181,7 +181,7 @@
 
 
 def test_clocks_a_day_apart_and_a_tenth_too_fast_or_slow_break_nothing(tmp_path):
-    with Rig(tmp_path, agents=3, instances=2) as rig:
+    with ProcessCluster(tmp_path, agents=3, instances=2) as rig:
         rig.clocks = {"a0": "-86400 0.9", "a1": "86400 1.1", "a2": "3 1"}
         rig.begin()
         rig.up()
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -224,7 +224,7 @@
 
 def test_orders_come_out_the_same_in_any_order_and_any_number_of_times():
     chance = random.Random(5)
-    sides = [rollout_controls.Orders(name) for name in "abc"]
+    sides = [rollout_controls.RolloutControls(name) for name in "abc"]
     for n in range(200):
         one, other = chance.sample(sides, 2)
         draw = chance.random()
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -58,7 +58,7 @@
 
 def test_a_listed_view_takes_in_nobody_else_and_one_that_was_stopped_buries_nobody():
     net = Net(5, 9)
-    one = failure_detector.Membership(net.agents["a000"].host, "a000", net.agents, 9, listed=True)
+    one = failure_detector.FailureDetector(net.agents["a000"].host, "a000", net.agents, 9, listed=True)
     assert {member.state for member in one.members.values()} == {SUSPECT}  # nobody was heard yet
     one.take(1.0, ("stranger", ALIVE, 3))
     one.heard(1.0, "other", "ping", 1, "", [])
--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -9,7 +9,7 @@
 import pytest
 
 from vetchford.fleet import rollout
-from vetchford.fleet.rollout import Change, Fleet, RefusedError, Terms
+from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
 
 STOP, READY = 400.0, 1500.0
 
@@ -76,7 +76,7 @@
 
 
 def fleet_of(world, names, restored):
-    fleet = Fleet(world)
+    fleet = RolloutController(world)
     for name in names:
         fleet.declare(name, Terms(group=name[0], stop_ms=STOP, ready_ms=READY), "v1")
     if restored:
@@ -93,7 +93,7 @@
     world.bad = bad
     chance = random.Random(seed + 1000)
     fleet = fleet_of(world, names, False)
-    fleet.ask(0.0, Change("up", "start", names, batch=8))
+    fleet.ask(0.0, Rollout("up", "start", names, batch=8))
     asked, died = False, 0
     while world.now < length:
         world.now += 50.0
@@ -121,7 +121,7 @@
                 fleet.checked(world.now, name, good)
             if world.now >= 3000.0 and not asked and fleet.changes["up"].state in rollout.ENDED:
                 asked, world.floor, world.scope = True, floor, set(names)
-                change = Change("roll", "roll", names, "v2", batch, floor, 100.0, 300.0, on_failure)
+                change = Rollout("roll", "roll", names, "v2", batch, floor, 100.0, 300.0, on_failure)
                 fleet.ask(world.now, change)
             elif asked and "roll" not in fleet.changes:  # died before it was on record: asked again
                 asked = False
@@ -134,7 +134,7 @@
             except RefusedError:
                 raise AssertionError("a restart that refuses") from None
             if "up" not in fleet.changes:
-                fleet.ask(world.now, Change("up", "start", names, batch=8))
+                fleet.ask(world.now, Rollout("up", "start", names, batch=8))
     return world, fleet, died
 
 
@@ -178,11 +178,11 @@
 def settled(names="abc", group="g"):
     world = World(1)
     world.chance = random.Random(5)
-    fleet = Fleet(world)
+    fleet = RolloutController(world)
     for name in names:
         fleet.declare(name, Terms(group=group, stop_ms=STOP, ready_ms=READY), "v1")
         fleet.found(0.0, name, None)
-    fleet.ask(0.0, Change("up", "start", list(names), batch=9, soak=0.0))
+    fleet.ask(0.0, Rollout("up", "start", list(names), batch=9, soak=0.0))
     for name in names:
         fleet.checked(1.0, name, True)
     fleet.woke(10.0)
@@ -192,18 +192,18 @@
 
 def test_the_same_command_twice_is_one_change_and_two_on_the_same_instances_are_refused():
     world, fleet = settled()
-    first = fleet.ask(20.0, Change("r", "restart", ["a", "b"], soak=10.0))
-    assert fleet.ask(21.0, Change("r", "restart", ["a", "b"], soak=10.0)) is first
+    first = fleet.ask(20.0, Rollout("r", "restart", ["a", "b"], soak=10.0))
+    assert fleet.ask(21.0, Rollout("r", "restart", ["a", "b"], soak=10.0)) is first
     with pytest.raises(RefusedError, match="id r is another"):
-        fleet.ask(22.0, Change("r", "restart", ["a"]))
+        fleet.ask(22.0, Rollout("r", "restart", ["a"]))
     with pytest.raises(RefusedError, match="b is in change r, which is running"):
-        fleet.ask(22.0, Change("s", "stop", ["b", "c"]))
+        fleet.ask(22.0, Rollout("s", "stop", ["b", "c"]))
     for wrong, why in (
-        (Change("x", "stop", ["z"]), "no such instance: z"),
-        (Change("x", "stop", []), "names no"),
-        (Change("x", "melt", ["c"]), "none that is known"),
-        (Change("x", "stop", ["c", "c"]), "named twice"),
-        (Change("x", "stop", ["c"], floor=3), "under the floor of 3"),
+        (Rollout("x", "stop", ["z"]), "no such instance: z"),
+        (Rollout("x", "stop", []), "names no"),
+        (Rollout("x", "melt", ["c"]), "none that is known"),
+        (Rollout("x", "stop", ["c", "c"]), "named twice"),
+        (Rollout("x", "stop", ["c"], floor=3), "under the floor of 3"),
     ):
         with pytest.raises(RefusedError, match=why):
             fleet.ask(23.0, wrong)
@@ -213,7 +213,7 @@
     world, fleet = settled("a")
     world.up["a"]["hangs"] = True
     world.now = 100.0
-    fleet.ask(100.0, Change("stop", "stop", ["a"]))
+    fleet.ask(100.0, Rollout("stop", "stop", ["a"]))
     fleet.woke(100.0 + STOP - 1.0)
     assert not world.kills
     world.now = 100.0 + STOP
@@ -241,7 +241,7 @@
 
 def test_a_full_store_begins_nothing_more_and_pauses_the_change():
     world, fleet = settled()
-    fleet.ask(20.0, Change("r", "restart", ["a", "b", "c"], soak=0.0))
+    fleet.ask(20.0, Rollout("r", "restart", ["a", "b", "c"], soak=0.0))
     world.full = True
     world.up.pop("a")
     fleet.exited(300.0, "a", 0)
@@ -255,7 +255,7 @@
 def test_a_full_store_keeps_no_hung_instance_from_its_kill_and_no_crashed_one_down_for_good():
     world, fleet = settled("ab")
     world.up["a"]["hangs"], world.now = True, 100.0
-    fleet.ask(100.0, Change("stop", "stop", ["a"]))
+    fleet.ask(100.0, Rollout("stop", "stop", ["a"]))
     world.full = True
     del world.up["b"]
     fleet.exited(150.0, "b", 1)
@@ -269,7 +269,7 @@
 
 def test_an_aborted_change_brings_back_what_is_out_and_takes_no_more():
     world, fleet = settled()
-    fleet.ask(20.0, Change("r", "restart", ["a", "b", "c"], soak=0.0))
+    fleet.ask(20.0, Rollout("r", "restart", ["a", "b", "c"], soak=0.0))
     fleet.abort(30.0, "r")
     world.up.pop("a")
     fleet.exited(200.0, "a", 0)
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -6,8 +6,8 @@
 import pytest
 
 from testkit.simulation import gossip
-from vetchford.gossip.fleet_signals import ALONE, FIGURES, MOST_STRETCH, Conclusions
-from vetchford.gossip.load_gossip import MOST_KNOWN, MOST_ROWS, OLD, Figure, Signals
+from vetchford.gossip.fleet_signals import ALONE, FIGURES, MOST_STRETCH, FleetSignalPolicy
+from vetchford.gossip.load_gossip import MOST_KNOWN, MOST_ROWS, OLD, LoadGossip, MetricDefinition
 
 
 class Host:
@@ -30,12 +30,12 @@
         return self.mine
 
 
-FULL = (Figure("full", 1.0),)
+FULL = (MetricDefinition("full", 1.0),)
 
 
 def signals(names, me="a", figures=FULL):
     host = Host()
-    made = Signals(host, me, 1, figures, 3)
+    made = LoadGossip(host, me, 1, figures, 3)
     made.there(names, names[:3])
     return made, host
 
@@ -133,7 +133,7 @@
 def concluding(count=5):
     names = [f"n{n}" for n in range(count)]
     one, host = signals(names, "a", FIGURES)
-    return one, Conclusions(host, "a", 1, one), host
+    return one, FleetSignalPolicy(host, "a", 1, one), host
 
 
 def say(one, now, sequence, **figures):
@@ -210,7 +210,7 @@
 def test_servers_open_apart_by_their_names():
     starts = set()
     for name in ("s1", "s2", "s3", "s11", "s12"):
-        one = Signals(Host(), name, 1, FIGURES, 3)
+        one = LoadGossip(Host(), name, 1, FIGURES, 3)
         one.there([f"n{n}" for n in range(200)], [])
-        starts.add(round(Conclusions(Host(), name, 1, one).apart()))
+        starts.add(round(FleetSignalPolicy(Host(), name, 1, one).apart()))
     assert len(starts) == 5 and max(starts) <= 402
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,17 +77,17 @@
     callers=2,
     pools=None,
 ):
-    return controller.Node(
+    return controller.AdmissionController(
         host=host,
         stages=stages or [stage(), stage(utility=3.0, effect=controller.FINGERPRINTED)],
         cores=cores,
         survives=8.0,
         cold_from=0.24,
         ramp=18000.0 if cold else 0.0,
-        counters=controller.ByteCounters(memory, 8.0, 50.0),
-        calls=controller.CallBound(share, 5000.0, 200.0, cores) if calls else None,
-        tenants=controller.TenantShare(list(quotas), 1, 0.05),
-        advice=controller.Advice(host, 7, say, 1000.0, callers, cores, 30_000.0),
+        counters=controller.InFlightBytes(memory, 8.0, 50.0),
+        calls=controller.DependencyConcurrencyLimit(share, 5000.0, 200.0, cores) if calls else None,
+        tenants=controller.TenantQuotas(list(quotas), 1, 0.05),
+        advice=controller.LoadAdvice(host, 7, say, 1000.0, callers, cores, 30_000.0),
         by_work=False,
         can_stop=can_stop,
         grace=2000.0,
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -3,7 +3,7 @@
 import pytest
 
 from testkit.simulation.leases import KEEPERS, MISTAKES, Turning, caught
-from vetchford.leases.leases import LEASE, PERMIT, SLOPE, Keeper, Taker
+from vetchford.leases.leases import LEASE, PERMIT, SLOPE, LeaseClient, LeaseServer
 
 
 class Post:
@@ -27,7 +27,7 @@
 def leading(now=10_000.0, most=2):
     """A keeper alone of one that leads and grants."""
     post = Post()
-    keeper = Keeper(post, "k", ["k"], {"deep": most}, 1, 100, 0.0)
+    keeper = LeaseServer(post, "k", ["k"], {"deep": most}, 1, 100, 0.0)
     keeper.woke(now)
     for _ in range(2):  # its own vote, asked for and given
         sent, post.sent = post.sent, []
@@ -78,7 +78,7 @@
 
 def test_a_keeper_that_just_started_gives_no_vote_and_does_not_stand():
     post = Post()
-    keeper = Keeper(post, "k1", ["k1", "k2", "k3"], {"deep": 1}, 1, 100, 0.0)
+    keeper = LeaseServer(post, "k1", ["k1", "k2", "k3"], {"deep": 1}, 1, 100, 0.0)
     vote = {"do": "vote", "term": 100_000, "number": 1}
     keeper.heard(LEASE * SLOPE - 1.0, "k2", vote)
     keeper.woke(LEASE * SLOPE - 1.0)
@@ -133,7 +133,7 @@
 
 def test_a_holder_that_was_stopped_knows_that_its_turn_is_over_before_it_acts():
     post = Post()
-    taker = Taker(post, "a", KEEPERS, "", 1)
+    taker = LeaseClient(post, "a", KEEPERS, "", 1)
     taker.want(0.0, "deep")
     ((to, word),) = post.take("want")
     taker.heard(
--- a/tests/protocol/test_codecs.py
+++ b/tests/protocol/test_codecs.py
@@ -9,13 +9,13 @@
 import pytest
 
 from vetchford.protocol import json_rpc, records_lines, worker_pool_lines
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.runtime.sockets import send_now, send_parts
 
 
 def in_place(take, size, stream, chance):
     """What `take` finds in a stream that comes in pieces, and whether it could be followed to its end."""
-    inbox, found, at = Inbox(size), [], 0
+    inbox, found, at = ReceiveBuffer(size), [], 0
     try:
         while at < len(stream):
             room = inbox.space()
@@ -27,7 +27,7 @@
                 found.append(
                     bytes(item) if isinstance(item, memoryview) else (*item[:2], bytes(item[2] or b""))
                 )
-    except UnfollowableError:
+    except UnreadableStreamError:
         return found, False
     return found, True
 
--- a/tests/runtime/test_actor_races.py
+++ b/tests/runtime/test_actor_races.py
@@ -6,34 +6,34 @@
 from helpers import TOLD, Recorder
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import Gate, beside, until
+from testkit.faults.checkpoints import Checkpoint, beside, until
 from vetchford.admission import controller, factory
 from vetchford.runtime import actor
-from vetchford.runtime.actor import Crew
-from vetchford.runtime.metrics import Counts
-from vetchford.server.reload import Renewals
+from vetchford.runtime.actor import ThreadPool
+from vetchford.runtime.metrics import Metrics
+from vetchford.server.reload import ConfigurationReloader
 
 
 def test_a_job_that_finds_no_thread_is_done_all_the_same(monkeypatch):
-    crew, done = Crew(Counts(), 4), threading.Event()
-    crew.begin()
-    until(lambda: crew.free == 1, "its first thread waits")
+    thread_pool, done = ThreadPool(Metrics(), 4), threading.Event()
+    thread_pool.start()
+    until(lambda: thread_pool.free == 1, "its first thread waits")
     held, busy = threading.Event(), threading.Event()
-    crew.run(lambda: (busy.set(), held.wait(PATIENCE)))
+    thread_pool.run(lambda: (busy.set(), held.wait(PATIENCE)))
     assert busy.wait(PATIENCE)
 
     def none(*given):
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(actor._thread, "start_new_thread", none)
-    crew.run(done.set)
-    assert not done.is_set() and crew.counts.by_name["no_thread"] == 1
+    thread_pool.run(done.set)
+    assert not done.is_set() and thread_pool.metrics.by_name["no_thread"] == 1
     held.set()
     assert done.wait(PATIENCE)
     time.sleep(0)  # past its rest the thread is still there for the next
     monkeypatch.setattr(actor, "REST", 0.01)
     again = threading.Event()
-    crew.run(again.set)
+    thread_pool.run(again.set)
     assert again.wait(PATIENCE)
 
 
@@ -81,7 +81,7 @@
 
 def test_a_renewal_that_raises_keeps_no_later_one_from_its_turn():
     """The second wish comes while the first is served, and that one ends in an error."""
-    gate, served = Gate(), []
+    gate, served = Checkpoint(), []
 
     def renew(told):
         served.append(told)
@@ -90,7 +90,7 @@
             raise OSError("the disk")
         return {"stop_ms": len(served)}
 
-    renewals = Renewals({"stop_ms": 0}, renew, lambda act: beside(act))
+    renewals = ConfigurationReloader({"stop_ms": 0}, renew, lambda act: beside(act))
     renewals.ask()
     gate.wait()
     renewals.ask()
--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -9,10 +9,10 @@
 from helpers import TOLD, Recorder
 
 from vetchford.runtime import timers
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.server import admission_actor as under_test
-from vetchford.server.admission_actor import ModuleActor
-from vetchford.server.worker_pool import Pool
+from vetchford.server.admission_actor import AdmissionActor
+from vetchford.server.worker_pool import WorkerPoolClient
 
 WINDOW, LIMIT, SLACK = 13_000.0, 4_400.0, 100.0
 CLASSES = [
@@ -42,9 +42,9 @@
         self.chance, self.now = random.Random(seed), 1_764_576_000_000.0
         for part in (under_test, timers):
             monkeypatch.setattr(part, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
-        self.module = ModuleActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Counts())
-        self.pool = Pool(("", 0), self.module, Counts())
-        self.pool.do = self.sent
+        self.module = AdmissionActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Metrics())
+        self.pool = WorkerPoolClient(("", 0), self.module, Metrics())
+        self.pool.run_or_post = self.sent
         self.module.attach(self.pool, self, Recorder(), self, lambda: None)
         self.requests, self.runs, self.notices = {}, {}, []
         self.to_pool, self.to_server, self.calls = [], [], {}
@@ -57,7 +57,7 @@
         if self.up and link == self.pool.link:
             self.to_pool += [json.loads(line) for line in b"".join(parts).splitlines()]
 
-    def tell(self, act, *given):
+    def post(self, act, *given):
         act(*given)
 
     def op(self, name, number, until, body, once):
@@ -108,10 +108,10 @@
         )
 
     def do(self, act, *given):
-        self.module.guarded(act, *given)
+        self.module.run_guarded(act, *given)
         while not self.module.mailbox.empty():
             act, given = self.module.mailbox.get()
-            self.module.guarded(act, *given)
+            self.module.run_guarded(act, *given)
 
     def notice(self, kind, name, **fields):
         self.notices.append({"type": kind, "n": len(self.notices) + 1, "job": name, **fields})
@@ -142,7 +142,7 @@
     def step(self):
         chance = self.chance
         self.now += chance.choice((0.2, 1.0, 10.0, 10.0, 40.0))
-        self.module.idle()
+        self.module.on_idle()
         if self.up:
             for _ in range(chance.randrange(len(self.to_pool) + 1)):
                 self.command(self.to_pool.pop(0))
@@ -208,6 +208,6 @@
     codes = {answer["error"]["code"] if "error" in answer else 0 for answer in answers}
     assert codes == {0, -32050, -32051}
     # Links broke at the wrong time, and results were shared.
-    assert day.module.counts.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
-    assert all("must_hold" not in name and "broke" not in name for name in day.module.counts.by_name)
+    assert day.module.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
+    assert all("must_hold" not in name and "broke" not in name for name in day.module.metrics.by_name)
     assert not day.module.calls and not day.module.prints.sharing
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -9,21 +9,21 @@
 from helpers import Balancer
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import SHORT, Gate, Heard, Wrapped, beside, until
+from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, Wrapped, beside, until
 from vetchford.protocol import json_rpc
-from vetchford.runtime.actor import Crew
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.actor import ThreadPool
+from vetchford.runtime.metrics import Metrics
 from vetchford.server import client_connections
-from vetchford.server.client_connections import Doors
-from vetchford.server.idle_poller import Lobby
+from vetchford.server.client_connections import Listener
+from vetchford.server.idle_poller import IdleConnectionPoller
 
 
 class Entrance:
     """Doors on loopback, with a module that only listens."""
 
     def __init__(self, most=16):
-        self.module, self.counts = Heard(), Counts()
-        self.doors = Doors(("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.module, self.counts)
+        self.module, self.metrics = Heard(), Metrics()
+        self.doors = Listener(("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.module, self.metrics)
         self.port = self.doors.sock.getsockname()[1]
 
     def request(self):
@@ -43,9 +43,9 @@
 
 def test_a_connection_between_two_hands_keeps_the_drain_from_its_end(entrance):
     """Accepted and not yet in the table, as the doors close and the drain looks whether all is done."""
-    gate, doors = Gate(), entrance.doors
+    gate, doors = Checkpoint(), entrance.doors
     doors.enter = gate.before(doors.enter)
-    doors.begin()
+    doors.start()
     caller = Balancer(entrance.port)
     caller.ask(1)
     gate.wait()
@@ -62,7 +62,7 @@
     """The drain closes the door with a request in the backlog and no descriptor left for it."""
     doors, short = entrance.doors, [OSError(errno.EMFILE, "too many")]
     listener = doors.sock
-    doors.lobby.begin()  # no thread accepts: what connects waits in the backlog
+    doors.lobby.start()  # no thread accepts: what connects waits in the backlog
     caller = Balancer(entrance.port)
     caller.ask(1)
     tries = []
@@ -99,9 +99,9 @@
     first, second = Balancer(entrance.port), Balancer(entrance.port)
     second.ask(1)
     if by == "accept":
-        doors.begin()
+        doors.start()
     else:
-        doors.lobby.begin()
+        doors.lobby.start()
         doors.close()
     entrance.finish(*entrance.request())
     heard = [second.hear() for _ in range(1 if by == "accept" else 2)]
@@ -119,7 +119,7 @@
     doors.close()  # the lobby does not run yet: the process was paused
     until(lambda: all(connection.asked for connection in doors.connections), "asked to close")
     assert doors.connections and not doors.done()
-    doors.lobby.begin()
+    doors.lobby.start()
     entrance.finish(*entrance.request())
     assert {caller.hear().get("id") for _ in range(2)} == {None, 1}
     until(doors.done, "the end once it is answered")
@@ -129,7 +129,7 @@
     """Half a request was read; the door closes, the time after `closing` passes; then comes the rest."""
     monkeypatch.setattr(client_connections, "DRAINED_IN", 0.0)
     doors = entrance.doors
-    doors.begin()
+    doors.start()
     caller = Balancer(entrance.port)
     whole, send = [], caller.sock.sendall
     caller.raw = whole.append
@@ -148,7 +148,7 @@
 def test_one_that_speaks_as_it_is_let_go_is_read_on(entrance, monkeypatch):
     """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
     monkeypatch.setattr(client_connections, "FIRST_IN", 0.05)
-    doors, gate = entrance.doors, Gate()
+    doors, gate = entrance.doors, Checkpoint()
     read_last, over = client_connections.Connection.read_last, threading.Event()
 
     def held(connection):
@@ -157,7 +157,7 @@
         over.set()
 
     monkeypatch.setattr(client_connections.Connection, "read_last", held)
-    doors.begin()
+    doors.start()
     caller = Balancer(entrance.port)
     gate.wait()
     caller.ask(1)
@@ -194,13 +194,13 @@
 @pytest.mark.parametrize("first", [True, False])
 def test_none_is_let_go_between_its_place_in_the_table_and_its_arming(first):
     """Let go there it would be closed, and its number armed anew for whoever has it next."""
-    lobby, visitor, gate = Lobby(Crew(Counts(), 4)), Visitor(), Gate()
+    lobby, visitor, gate = IdleConnectionPoller(ThreadPool(Metrics(), 4)), Visitor(), Checkpoint()
     visitor.come_back = lobby.come_back
     lobby.epoll = Wrapped(
         lobby.epoll,
         **{name: gate.before(getattr(lobby.epoll, name)) for name in (["register"] if first else ["modify"])},
     )
-    lobby.begin()
+    lobby.start()
     if first:
         beside(lambda: (lobby.enter(visitor), visitor.back.set()))
     else:
@@ -225,9 +225,9 @@
         raise OSError(errno.ENOMEM, "no memory")
 
     doors.lobby.epoll = Wrapped(doors.lobby.epoll, modify=refuses)
-    doors.begin()
+    doors.start()
     caller = Balancer(entrance.port)
     caller.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
     assert caller.hear()["id"] == 1 and caller.hear() is None
     until(lambda: not doors.connections, "it leaves the table")
-    assert entrance.counts.by_name["connections_not_watched"] == 1
+    assert entrance.metrics.by_name["connections_not_watched"] == 1
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -4,9 +4,9 @@
 import time
 
 from testkit.fakes.peers import PATIENCE, RecordsPeer
-from testkit.faults.checkpoints import SHORT, Gate, Heard, HeldLock, beside, until
-from vetchford.runtime.metrics import Counts
-from vetchford.server.records_client import Records
+from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, HeldLock, beside, until
+from vetchford.runtime.metrics import Metrics
+from vetchford.server.records_client import RecordsClient
 
 
 def host_and_port(address):
@@ -17,11 +17,11 @@
 def test_a_line_given_up_just_as_its_call_ended_takes_no_later_call():
     """unop has the line in hand; its reply arrives and it ends; then unop cuts it."""
     service, module = RecordsPeer(), Heard()
-    records = Records(host_and_port(service.address), 8, module, Counts())
+    records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
     until_ms = time.time() * 1000.0 + 60_000.0
     records.op("a", 1, until_ms, b"ask", False)
     connection = service.take("OP")[3]
-    line, gate, ended = records.out[1], Gate(), threading.Event()
+    line, gate, ended = records.out[1], Checkpoint(), threading.Event()
     line.give_up = gate.before(line.give_up)
     first_end = records.ended
     records.ended = lambda *given: (first_end(*given), ended.set())
@@ -44,13 +44,13 @@
 def test_a_waiting_call_given_up_as_its_turn_comes_is_not_left_out():
     """A call's end takes the next from the line of the waiting; unop of just that one comes behind it."""
     service, module = RecordsPeer(), Heard()
-    records = Records(host_and_port(service.address), 2, module, Counts())  # one out at a time
+    records = RecordsClient(host_and_port(service.address), 2, module, Metrics())  # one out at a time
     until_ms = time.time() * 1000.0 + 60_000.0
     records.op("a", 1, until_ms, b"ask", True)
     connection = service.take("OP")[3]
     records.op("b", 2, until_ms, b"ask", True)
     assert len(records.waiting) == 1
-    gate = Gate(lambda: not records.waiting)
+    gate = Checkpoint(lambda: not records.waiting)
     records.lock, done = HeldLock(gate), threading.Event()
     first_end = records.ended
     records.ended = lambda *given: (first_end(*given), done.set())
@@ -65,7 +65,7 @@
 def test_a_line_in_steady_use_does_not_remember_each_task_for_good():
     """One call after the other, each before its line has been idle for long: all could share it."""
     service, module = RecordsPeer(), Heard()
-    records = Records(host_and_port(service.address), 8, module, Counts())
+    records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
     until_ms, lines, most = time.time() * 1000.0 + 60_000.0, set(), 0
     for number in range(1, 601):
         records.op(f"t{number}", number, until_ms, b"ask", False)
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -7,9 +7,9 @@
 from helpers import TOLD, Recorder
 
 from vetchford.runtime import timers
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.server import admission_actor as module_file
-from vetchford.server.admission_actor import ModuleActor
+from vetchford.server.admission_actor import AdmissionActor
 
 
 class Clocked:
@@ -20,7 +20,7 @@
         for part in (module_file, timers):
             monkeypatch.setattr(part, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
         self.stops, self.peer, self.doors = [], Recorder(), Recorder()
-        self.module = ModuleActor(7, TOLD, Counts())
+        self.module = AdmissionActor(7, TOLD, Metrics())
         self.peer.mailbox = queue.SimpleQueue()
         self.doors.connections, self.all_out = (), False
         self.doors.done = lambda: self.all_out
@@ -30,7 +30,7 @@
 
     def at(self, now):
         self.now = now
-        self.module.idle()
+        self.module.on_idle()
 
 
 def test_a_decision_that_raises_in_every_sweep_of_a_drain_keeps_nobody_from_its_end(monkeypatch):
@@ -88,5 +88,5 @@
     assert clocked.module.drain.kill == signalled + 1000.0
     door = signalled + 150.0  # past the grace: the page forbids to run it
     clocked.module.request(clocked.peer, 1, "ab", 0, "read", -1, 0, door, 500.0, 20.0, 1.0, None, "")
-    assert clocked.module.counts.by_name["rejected_draining"] == 1
+    assert clocked.module.metrics.by_name["rejected_draining"] == 1
     assert not [act for act in clocked.peer.acts if act[0] == "do" and b"spawn" in str(act).encode()]
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -16,13 +16,13 @@
 from helpers import GOOD, ROOT, TOLD, Recorder
 
 import vetchford
-from vetchford.admission.factory import MalformedError
+from vetchford.errors import MalformedInputError
 from vetchford.runtime import log_setup
-from vetchford.runtime.actor import Crew, begin_thread
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.actor import ThreadPool, start_thread
+from vetchford.runtime.metrics import Metrics
 from vetchford.server import client_connections, platform_config
-from vetchford.server.admission_actor import ModuleActor
-from vetchford.server.idempotency_cache import Fingerprints
+from vetchford.server.admission_actor import AdmissionActor
+from vetchford.server.idempotency_cache import IdempotencyCache
 
 
 def command(*given, **environment):
@@ -64,7 +64,7 @@
     for step in path[:-1]:
         inner = inner[step]
     inner[path[-1]] = value
-    with pytest.raises(MalformedError, match="settings" if key.startswith("settings") else key):
+    with pytest.raises(MalformedInputError, match="settings" if key.startswith("settings") else key):
         platform_config.check(told)
 
 
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("cold", [False, True])
 def test_the_ramp_of_a_cold_pool_counts_from_the_pool_s_start(cold):
     told = {**TOLD, "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000}}
-    module = ModuleActor(7, told, Counts())
+    module = AdmissionActor(7, told, Metrics())
     peer = Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
@@ -92,7 +92,7 @@
 
 def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
     # It would be taken off the slots, and a core would stand idle for what nobody reads.
-    module, peer = ModuleActor(7, TOLD, Counts()), Recorder()
+    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, False, 5000.0)
@@ -106,7 +106,7 @@
 
 
 def test_figures_that_no_caller_can_mean_neither_hold_a_task_for_hours_nor_outweigh_the_others():
-    module, peer = ModuleActor(7, TOLD, Counts()), Recorder()
+    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, False, 5000.0)
@@ -116,7 +116,7 @@
 
 
 def test_a_task_that_the_decisions_lose_is_answered_all_the_same():
-    module, peer = ModuleActor(7, TOLD, Counts()), Recorder()
+    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, False, 5000.0)
@@ -128,7 +128,7 @@
     module.sweep()
     module.sweep()
     assert [act[0] for act in peer.acts].count("answer") == 1
-    assert module.counts.by_name["must_hold_broken"] == 1
+    assert module.metrics.by_name["must_hold_broken"] == 1
 
 
 def test_wrong_usage_and_configuration_are_one_line_and_2_and_nothing_listens(tmp_path):
@@ -181,22 +181,22 @@
 
 def test_what_a_peer_can_provoke_is_logged_ever_more_rarely_and_a_stuck_log_stops_nobody():
     read, write = socket.socketpair()
-    writer = log_setup.begin("info", "json", write.makefile("w"))
-    counts = Counts()
+    writer = log_setup.start("info", "json", write.makefile("w"))
+    metrics = Metrics()
     for _ in range(1000):
-        counts.note("balancer_bad_message", code=1)
-    assert counts.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
+        metrics.log_sampled("balancer_bad_message", code=1)
+    assert metrics.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
     for _ in range(20_000):
-        counts.log_summary(text="x" * 200)
+        metrics.log_summary(text="x" * 200)
     assert writer.lines.qsize() <= log_setup.MOST_WAITING and writer.dropped > 0
     read.close()
     write.close()
-    log_setup.begin("error", "text", io.StringIO())
+    log_setup.start("error", "text", io.StringIO())
 
 
 def test_the_log_s_end_is_waited_for_no_longer_than_it_was_told():
     read, write = socket.socketpair()
-    writer = log_setup.begin("info", "json", write.makefile("w"))
+    writer = log_setup.start("info", "json", write.makefile("w"))
     waited = []
     writer.thread = SimpleNamespace(join=waited.append)
     writer.close()
@@ -205,11 +205,11 @@
     assert waited == [log_setup.FLUSH, 0.0]
     read.close()
     write.close()
-    log_setup.begin("error", "text", io.StringIO())
+    log_setup.start("error", "text", io.StringIO())
 
 
 def test_where_there_is_no_thread_the_next_try_takes_the_connection(monkeypatch):
-    counts, begun, tries = Counts(), [], []
+    metrics, begun, tries = Metrics(), [], []
 
     class Scarce(threading.Thread):
         def start(self):
@@ -219,13 +219,13 @@
             begun.append(self.name)
 
     monkeypatch.setattr(threading, "Thread", Scarce)
-    begin_thread(lambda: None, "reader", counts)
-    assert begun == ["reader"] and counts.by_name["no_thread"] == 2
+    start_thread(lambda: None, "reader", metrics)
+    assert begun == ["reader"] and metrics.by_name["no_thread"] == 2
 
 
 def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
-        Counts().must(False, "one_answer")
+        Metrics().must(False, "one_answer")
     release = (
         "from vetchford.runtime.metrics import Counts\nc = Counts()\nc.must(False, 'one_answer')\n"
         "print(c.by_name)"
@@ -236,7 +236,7 @@
 
 def test_fingerprints_agree_with_a_plain_list_of_what_was_kept():
     for seed in range(50):
-        chance, prints, plain, ended = random.Random(seed), Fingerprints(), [], {}
+        chance, prints, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
         for q in range(200):
             mark, door = chance.choice("abcde"), float(10 * q)
             live = [entry for entry in plain if entry[0] == mark]
@@ -268,9 +268,9 @@
 
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
-    doors = client_connections.Doors(("127.0.0.1", 0), 10, {}, {}, Recorder(), Counts())
+    doors = client_connections.Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
     ours, theirs = socket.socketpair()
-    connection = client_connections.Connection(ours, doors, Counts())
+    connection = client_connections.Connection(ours, doors, Metrics())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
         doors.connections = set(range(held))
         assert not connection.overstays(connection.used + stays)
@@ -280,10 +280,10 @@
 
 
 def test_a_crew_takes_no_more_threads_than_it_may_and_does_all_it_is_given():
-    crew, done, hold = Crew(Counts(), 3), queue.Queue(), threading.Event()
+    thread_pool, done, hold = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
     for n in range(50):
-        crew.run(lambda n=n: (hold.wait(20), done.put(n)))
-    assert crew.threads == 3
+        thread_pool.run(lambda n=n: (hold.wait(20), done.put(n)))
+    assert thread_pool.threads == 3
     hold.set()
     assert sorted(done.get(timeout=20) for _ in range(50)) == list(range(50))
 
@@ -292,7 +292,7 @@
     told = json.loads(json.dumps(GOOD))
     for records in (None, ""):
         told["records"] = records
-        with pytest.raises(MalformedError, match="'records'"):
+        with pytest.raises(MalformedInputError, match="'records'"):
             platform_config.check(told)  # its runs may call
     told["settings"]["familyInfo"]["below"] = "silent"
     platform_config.check(told)
@@ -300,5 +300,5 @@
     platform_config.check(told)
     assert platform_config.records(told) is None and platform_config.understood(told)["records"] is None
     told["records"] = "nowhere"
-    with pytest.raises(MalformedError, match="'records'"):
+    with pytest.raises(MalformedInputError, match="'records'"):
         platform_config.check(told)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -77,13 +77,13 @@
 
 
 # A package or module and what it may import of ours beside itself; arrows run one way, from programs down to
-# plain data.
+# plain data. `errors` is open to all.
 PEER_ACTORS = {"protocol", "runtime"}
 ALLOWED_IMPORTS = {
     "admission": set(),
     "bench_adapter": {"admission", "server.index_allocator"},
     "bulkheads": {"admission.factory", "runtime"},
-    "configuration": {"admission.factory"},
+    "configuration": set(),
     "coordination": {"fleet", "gossip", "leases", "runtime", "subsetting", "transport"},
     "fleet": {"runtime", "transport"},
     "gossip": set(),
@@ -127,5 +127,7 @@
     paths = sorted(place.rglob("*.py")) if place.is_dir() else [place.with_suffix(".py")]
     for path in paths:
         for name in modules_imported(path):
-            allowed = any(f"{name}.".startswith(f"{other}.") for other in {*ALLOWED_IMPORTS[part], part})
+            allowed = any(
+                f"{name}.".startswith(f"{other}.") for other in {*ALLOWED_IMPORTS[part], part, "errors"}
+            )
             assert allowed, f"{path.name} of {part} imports {name}"
--- a/tests/testkit/test_fake_worker_pool.py
+++ b/tests/testkit/test_fake_worker_pool.py
@@ -8,7 +8,7 @@
 
 from testkit.fakes.peers import PATIENCE
 from testkit.fakes.schedule import Script
-from testkit.fakes.worker_pool import Workers
+from testkit.fakes.worker_pool import FakeWorkerPool
 
 
 class Link:
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def workers():
-    return Workers(2.0, Script([(0.0, 0.0)]))
+    return FakeWorkerPool(2.0, Script([(0.0, 0.0)]))
 
 
 def test_notices_are_numbered_from_1_again_for_a_server_that_starts_anew(workers):
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -17,7 +17,7 @@
     UP,
     WINDOW,
     Outbox,
-    Peers,
+    SessionManager,
     Window,
 )
 
@@ -35,7 +35,7 @@
             [],
         )
         self.outlived_by = []
-        self.peers = Peers(self, "pay", name, {other: "10.0.0.1" for other in others}, 1, life, 77)
+        self.peers = SessionManager(self, "pay", name, {other: "10.0.0.1" for other in others}, 1, life, 77)
         self.sequences = {}
 
     def dial(self, peer, link):
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -9,13 +9,13 @@
 import xxhash
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import SHORT, Gate, Wrapped, until
-from vetchford.coordination.fleet_member import Neighbours
+from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped, until
+from vetchford.coordination.fleet_member import FleetMember
 from vetchford.gossip.fleet_signals import PROBE
 from vetchford.runtime.actor import Actor
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.transport import framing
-from vetchford.transport.connections import Talk
+from vetchford.transport.connections import Transport
 from vetchford.transport.framing import HEAD, MAGIC, VERSION, Envelope
 from vetchford.transport.session import CALLING, OFF
 
@@ -24,12 +24,21 @@
     """One program "a" that knows "b": its talk, an actor, and what it is brought."""
 
     def __init__(self):
-        self.counts, self.brought = Counts(), queue.Queue()
-        self.actor = Actor("a", self.counts)
+        self.metrics, self.brought = Metrics(), queue.Queue()
+        self.actor = Actor("a", self.metrics)
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
-        self.talk = Talk(
-            self.actor, self, self.counts, "pay", "a", f"127.0.0.1:{self.port}", {"b": "127.0.0.1:9"}, 1, 1, 1
+        self.talk = Transport(
+            self.actor,
+            self,
+            self.metrics,
+            "pay",
+            "a",
+            f"127.0.0.1:{self.port}",
+            {"b": "127.0.0.1:9"},
+            1,
+            1,
+            1,
         )
 
     def datagram(self, peer, body):
@@ -40,8 +49,8 @@
     def met(self, peer, life, nonce): ...
 
     def begin(self):
-        self.actor.begin()
-        self.talk.begin()
+        self.actor.start()
+        self.talk.start()
 
     def throw(self, data):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -80,7 +89,7 @@
 
 def test_a_connection_that_is_shut_keeps_its_number_until_its_reader_is_through(side):
     """The reader is just about to read; closed now, its number could be the next connection's."""
-    peers, gate, closed = side.talk.decide, Gate(), threading.Event()
+    peers, gate, closed = side.talk.decide, Checkpoint(), threading.Event()
     mine, _ = socket.socketpair()
     wrapped = Wrapped(mine, recv=gate.before(mine.recv), close=closed.set, setsockopt=lambda *given: None)
     number = peers.accepted(0.0, "127.0.0.1")
@@ -111,7 +120,7 @@
 def test_a_datagram_of_the_wrong_form_deafens_nobody(side, bad):
     side.begin()
     side.throw(bad)
-    until(lambda: any("malformed" in name for name in side.counts.by_name), "it is refused and counted")
+    until(lambda: any("malformed" in name for name in side.metrics.by_name), "it is refused and counted")
     side.throw(framing.packed(said(2)))
     assert side.brought.get(timeout=PATIENCE) == ("b", "word")
 
@@ -132,7 +141,7 @@
         "records": True,
         "full": True,
     }
-    return Neighbours(told, 1, Counts(), lambda tell: None, lambda numbers: None)
+    return FleetMember(told, 1, Metrics(), lambda tell: None, lambda numbers: None)
 
 
 def test_a_service_held_for_dead_in_a_drain_takes_no_turn_that_its_end_would_keep():
@@ -149,4 +158,4 @@
     one = neighbours()
     one.datagram("b", ["view", "ping", math.inf, "", []])
     one.datagram("b", ["view", "ping", 1, "", [["b", "alive", math.inf]]])
-    assert one.counts.by_name["peer_malformed"] == 2
+    assert one.metrics.by_name["peer_malformed"] == 2
--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 
-class Host(Protocol):
+class AdmissionActions(Protocol):
     """Acts on tasks by their small index `q`; times and durations are milliseconds with fractions."""
 
     def start(self, q: int) -> None:
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -1,7 +1,7 @@
 """All of vetchford's decisions, for one server's life.
 
-An adapter (vetchford/bench_adapter is one) builds the parts below, hands them to a `Node` and calls a method
-of it for each thing that happens, in ms since the start; it acts through its `Host` (actions.py). Beside the
+An adapter builds the parts below, hands them to an `AdmissionController` and calls a method of it for each
+event, in ms since the start; the controller acts through `AdmissionActions` (actions.py). Beside the
 design (docs/design.md: byte counters with prompt rejections, a latency-gradient limit) stand these six:
   1. answer clock: one final answer by the time limit; drain, kill, callers that are gone; a further try's age
   2. repeat table: fingerprints kept for their window, repeats answered by sharing, never by a second run
@@ -18,13 +18,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vetchford.admission.actions import Host
+from vetchford.admission.actions import AdmissionActions
 
 RESTARTABLE, FINGERPRINTED, SIDE_EFFECTING = range(3)
 HELD, RUNNING, PARKED, CALLING, SHARING, DONE = range(6)
 
 
-class LongMean:
+class TimeWeightedAverage:
     """The long window: a minute by time, lest a slow spell pass for the normal; the first `few` by count."""
 
     def __init__(self, few: int) -> None:
@@ -45,7 +45,9 @@
     effect: int
     window: float  # within which a fingerprinted task may come again
     skip_utility: float  # share of the utility left when the call below is skipped; 0: it may not be
-    pace: LongMean = field(default_factory=lambda: LongMean(64))  # uncrowded run time over expected work
+    pace: TimeWeightedAverage = field(
+        default_factory=lambda: TimeWeightedAverage(64)
+    )  # uncrowded run time over expected work
     away: float = 0.0  # recent time that a run waits on calls
     learnt_at: float = -math.inf  # when a run last told of them
     asked: float = 1e-9  # utility, of late
@@ -76,7 +78,7 @@
     pool: int = 0  # of its stage when it came
 
 
-class GradientLimit:
+class GradientConcurrencyLimit:
     """The design's latency gradient: for running tasks and, with its own bounds, for calls below."""
 
     def __init__(self, floor: float, start: float) -> None:
@@ -98,7 +100,7 @@
         self.limit = min(max(self.floor, self.limit), ceiling)
 
 
-class ByteCounters:
+class InFlightBytes:
     """The design's two counters: bytes read but not answered, for the node and for each caller."""
 
     def __init__(self, memory: float, multiple: float, entry: float) -> None:
@@ -127,7 +129,7 @@
         return callers > 1 and not lent and self.by_caller[caller] > max(size, 1.5 * self.clears / callers)
 
 
-class CallBound:
+class DependencyConcurrencyLimit:
     """Calls below: in hand and abandoned ones stay under this server's slice of what is survived."""
 
     def __init__(self, share: float | None, over: float, linger: float, cores: int) -> None:
@@ -135,8 +137,11 @@
         self.over, self.linger, self.rest_until = over, linger, 0.0
         self.room, self.slow = 1.0, 0.0  # as the fleet tells: part of the slice; ms of a call at least
         self.longest = 0.5 * self.share * over if self.share < 1.0 else math.inf  # a hung one: half of it
-        self.gradient = GradientLimit(1.0, max(1.0, self.share))
-        self.base, self.in_hand = LongMean(16), 0  # calls differ little, and a slow spell may come early
+        self.gradient = GradientConcurrencyLimit(1.0, max(1.0, self.share))
+        self.base, self.in_hand = (
+            TimeWeightedAverage(16),
+            0,
+        )  # calls differ little, and a slow spell may come early
         self.lingering: list[float] = []  # ends of abandoned calls; emptied as they pass
 
     def free(self, now: float) -> bool:
@@ -162,7 +167,7 @@
         self.gradient.step(now, max(1.0, self.share), True, True)
 
 
-class TenantShare:
+class TenantQuotas:
     """Utility of a tenant's tasks, by how far its first tries run beyond its share of the fleet."""
 
     MEMORY = 2000.0  # ms: a surge shows within a couple of seconds, chance clumps do not
@@ -181,7 +186,7 @@
         return within + (1.0 - within) * self.over_utility
 
 
-class Waits:
+class QueueTimeHistogram:
     """How long first tries wait, in hundredths of their time limit: as callers tell, or as they leave."""
 
     def __init__(self) -> None:
@@ -200,11 +205,18 @@
         return (next((n for n in range(at, 100) if self.counts[n] > often), 100) - at) / 100.0
 
 
-class Advice:
+class LoadAdvice:
     """What callers are told: how long to stay away, and the free value where there is one."""
 
     def __init__(
-        self, host: Host, seed: int, say: str, longest: float, callers: int, cores: int, idle: float
+        self,
+        host: AdmissionActions,
+        seed: int,
+        say: str,
+        longest: float,
+        callers: int,
+        cores: int,
+        idle: float,
     ) -> None:
         self.host, self.seed, self.say, self.longest = host, seed, say, longest
         self.callers, self.idle, self.kept = max(1, callers), idle, idle
@@ -244,22 +256,22 @@
             self.host.keep_idle(keep)
 
 
-class Node:
+class AdmissionController:
     SWEEP = 50.0  # ms: answers due before the next sweep leave in this one, so they are early by this at most
     RECENT = 0.05  # weight of a run in the recent means: about the last twenty
 
     def __init__(
         self,
-        host: Host,
+        host: AdmissionActions,
         stages: list[Stage],
         cores: int,
         survives: float,
         cold_from: float,
         ramp: float,
-        counters: ByteCounters,
-        calls: CallBound | None,
-        tenants: TenantShare,
-        advice: Advice,
+        counters: InFlightBytes,
+        calls: DependencyConcurrencyLimit | None,
+        tenants: TenantQuotas,
+        advice: LoadAdvice,
         by_work: bool,
         can_stop: bool,
         grace: float,
@@ -272,7 +284,7 @@
         self.crowd_cold = max(1.0, 0.5 * cores * (1.0 + (survives - 1.0) * cold_from))
         self.counters, self.calls, self.tenants, self.advice = counters, calls, tenants, advice
         self.by_work, self.can_stop, self.grace, self.worst_weight = by_work, can_stop, grace, worst_weight
-        self.limit = GradientLimit(cores, min(cores, self.crowd_cold))
+        self.limit = GradientConcurrencyLimit(cores, min(cores, self.crowd_cold))
         self.pools, self.ceiling = pools, min(cores, self.crowd_cold)  # runs at once, reserves included
         self.tasks: dict[int, Task] = {}  # emptied as answers leave, cores are left and entries run out
         self.held: dict[int, Task] = {}  # emptied by start, answer, departure
@@ -281,7 +293,11 @@
         self.running, self.moved = 0, 0.0  # runs on the cores; when one last started or moved on
         self.stalled, self.fit, self.notice, self.kill = False, True, math.inf, math.inf
         self.stretch, self.lag = 1.0, 0.0  # recent run time over the base, wait to be read over the due time
-        self.waits, self.busy, self.reading = Waits(), False, 0.0  # reading: on the cores beside the runs
+        self.waits, self.busy, self.reading = (
+            QueueTimeHistogram(),
+            False,
+            0.0,
+        )  # reading: on the cores beside the runs
         self.mean_run = self.mean_size = self.mean_work = 0.0  # recent, of finished tasks
         if pools is not None:
             pools.attach(stages, calls)
--- a/vetchford/admission/factory.py
+++ b/vetchford/admission/factory.py
@@ -1,10 +1,11 @@
-"""Builds a `Node` from the settings a server is told, for the bench's adapter and for the server alike."""
+"""Builds an `AdmissionController` from the settings a server is given."""
 
 import math
 from typing import Any
 
 from vetchford.admission import controller
-from vetchford.admission.actions import Host
+from vetchford.admission.actions import AdmissionActions
+from vetchford.errors import MalformedInputError
 
 NS_PER_MS = 1_000_000
 BYTES_PER_KB = 1024
@@ -15,10 +16,6 @@
 }
 
 
-class MalformedError(Exception):
-    """Input that is not what its page says; names the field."""
-
-
 def indices(told: dict[str, Any]) -> tuple[dict[str, int], dict[str, int], dict[str, int]]:
     """The small index of each stage, tenant and gauge by its name on the wire."""
     stages, tenants = told.get("requestClasses") or [], told.get("customers") or []
@@ -36,7 +33,9 @@
     return not isinstance(info, dict) or (info.get("below") or "silent") != "silent"
 
 
-def build(host: Host, seed: int, told: dict[str, Any], cold: bool, pools: Any = None) -> controller.Node:
+def build(
+    host: AdmissionActions, seed: int, told: dict[str, Any], cold: bool, pools: Any = None
+) -> controller.AdmissionController:
     """The module's parts, each from its own few settings; `cold`: its speed still rises from the start.
 
     `pools`: a `vetchford.bulkheads.bulkheads.PoolSet` for these stages, where there are to be pools.
@@ -48,18 +47,18 @@
     caps = told.get("caps") or {}
     cores = info.get("cores") or 0
     if cores < 1:
-        raise MalformedError("key 'settings.familyInfo.cores' must be 1 or more")
+        raise MalformedInputError("key 'settings.familyInfo.cores' must be 1 or more")
     classes = told.get("requestClasses") or []
     if not classes:
-        raise MalformedError("key 'settings.requestClasses' names no stage")
+        raise MalformedInputError("key 'settings.requestClasses' names no stage")
     skips = info.get("classSkipWorth") or []
     stages = []
     for at, entry in enumerate(classes):
         if entry.get("effect") not in EFFECTS:
             known = ", ".join(EFFECTS)
-            raise MalformedError(f"key 'settings.requestClasses[{at}].effect' must be one of {known}")
+            raise MalformedInputError(f"key 'settings.requestClasses[{at}].effect' must be one of {known}")
         if not entry.get("deadline"):
-            raise MalformedError(f"key 'settings.requestClasses[{at}].deadline' must be above 0")
+            raise MalformedInputError(f"key 'settings.requestClasses[{at}].deadline' must be above 0")
         limit = entry["deadline"] / NS_PER_MS
         stages.append(
             controller.Stage(
@@ -75,33 +74,33 @@
     customers = told.get("customers") or []
     bound = None
     if calls_below(told):
-        bound = controller.CallBound(
+        bound = controller.DependencyConcurrencyLimit(
             share=info.get("depShare") if info["below"] == "shared" else None,
             over=(info.get("callsOver") or 0) / NS_PER_MS,
             linger=(info.get("linger") or 0) / NS_PER_MS,
             cores=cores,
         )
-    tenants = controller.TenantShare(
+    tenants = controller.TenantQuotas(
         quotas=[(entry.get("quotaPerS") or 0.0) / 1000.0 for entry in customers],
         servers=told.get("servers") or 1,
         over_utility=told.get("overShareWorth") or 0.0,
     )
     pauses = (caps.get("maxRetryAfter") or 0) / NS_PER_MS if caps.get("retryAfter") else 0.0
-    return controller.Node(
+    return controller.AdmissionController(
         host=host,
         stages=stages,
         cores=cores,
         survives=limits.get("fallMultiple") or 1.0,
         cold_from=limits.get("coldFrom") or 1.0,
         ramp=(limits.get("rampTime") or 0) / NS_PER_MS if cold else 0.0,
-        counters=controller.ByteCounters(
+        counters=controller.InFlightBytes(
             memory=(info.get("ramKb") or math.inf) * BYTES_PER_KB,
             multiple=info.get("blowup") or 1.0,
             entry=(info.get("keyKb") or 0.0) * BYTES_PER_KB,
         ),
         calls=bound,
         tenants=tenants,
-        advice=controller.Advice(
+        advice=controller.LoadAdvice(
             host=host,
             seed=seed,
             say=info.get("say") or "silent",
--- a/vetchford/bench_adapter/__main__.py
+++ b/vetchford/bench_adapter/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from vetchford.bench_adapter.simulator_link import Link, MalformedError
+from vetchford.bench_adapter.simulator_link import Link, MalformedInputError
 
 
 def main() -> int:
@@ -11,7 +11,7 @@
     for number, line in enumerate(read, 1):
         try:
             reply = link.exchange(line)
-        except MalformedError as problem:
+        except MalformedInputError as problem:
             print(f"benchlink: line {number}: {problem}", file=sys.stderr)
             return 1
         write.write(reply)
--- a/vetchford/bench_adapter/simulator_link.py
+++ b/vetchford/bench_adapter/simulator_link.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from vetchford.admission import controller, factory
-from vetchford.admission.factory import BYTES_PER_KB, NS_PER_MS, MalformedError
-from vetchford.server.index_allocator import Indices
+from vetchford.admission.factory import BYTES_PER_KB, NS_PER_MS
+from vetchford.errors import MalformedInputError
+from vetchford.server.index_allocator import IndexAllocator
 
 UNKNOWN = -1  # a repeat of something that this life no longer holds
 CODES = frozenset(
@@ -19,7 +20,9 @@
 def need(event: dict[str, Any], key: str, kinds: type | tuple[type, ...]) -> Any:
     value = event.get(key)
     if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-        raise MalformedError(f"{event.get('t', 'message')}: field '{key}' is missing or of the wrong kind")
+        raise MalformedInputError(
+            f"{event.get('t', 'message')}: field '{key}' is missing or of the wrong kind"
+        )
     return value
 
 
@@ -28,12 +31,12 @@
 
     def __init__(self, number: int, origin: int, out: list[dict[str, Any]]) -> None:
         self.number, self.origin, self.out = number, origin, out
-        self.indices = Indices()
+        self.indices = IndexAllocator()
         self.ids = self.indices.names
         self.tenants: dict[str, int] = {}
         self.stages: dict[str, int] = {}
         self.gauges: dict[str, int] = {}
-        self.node: controller.Node | None = None
+        self.node: controller.AdmissionController | None = None
 
     def ms(self, clock: int) -> float:
         return (clock - self.origin) / NS_PER_MS
@@ -99,7 +102,7 @@
         name = need(event, "call", str)
         kind = need(event, "type", str)
         if kind not in self.stages:
-            raise MalformedError(f"ingress: field 'type' names no stage of the settings: {kind}")
+            raise MalformedInputError(f"ingress: field 'type' names no stage of the settings: {kind}")
         until = event.get("validUntil")
         original = event.get("repeats")
         work = event.get("predicted")
@@ -146,7 +149,7 @@
     def outcome(self, event: dict[str, Any]) -> tuple[str, float]:
         code = need(event, "code", str)
         if code not in CODES:
-            raise MalformedError(f"{event['t']}: field 'code' is no outcome: {code}")
+            raise MalformedInputError(f"{event['t']}: field 'code' is no outcome: {code}")
         return code, need(event, "timeTaken", int) / NS_PER_MS
 
     def call_result(self, now: float, event: dict[str, Any]) -> None:
@@ -182,14 +185,14 @@
         try:
             batch = json.loads(line)
         except ValueError as problem:
-            raise MalformedError(f"not JSON: {problem}") from None
+            raise MalformedInputError(f"not JSON: {problem}") from None
         if not isinstance(batch, dict):
-            raise MalformedError("a batch must be an object")
+            raise MalformedInputError("a batch must be an object")
         clock = need(batch, "time", int)
         out: list[dict[str, Any]] = []
         for event in need(batch, "happened", list):
             if not isinstance(event, dict):
-                raise MalformedError("field 'happened' holds something that is no object")
+                raise MalformedInputError("field 'happened' holds something that is no object")
             self.take(clock, event, out)
         return json.dumps({"decisions": out}, separators=(",", ":")).encode() + b"\n"
 
@@ -202,10 +205,10 @@
                 instance.attach(event)
                 return
             if kind != "exit" and kind not in Instance.HANDLERS:
-                raise MalformedError(f"field 't' names no event: {kind}")
+                raise MalformedInputError(f"field 't' names no event: {kind}")
             instance = self.instances.get(number)
             if instance is None:
-                raise MalformedError(f"{kind}: field 'i' names no instance that is attached: {number}")
+                raise MalformedInputError(f"{kind}: field 'i' names no instance that is attached: {number}")
             if kind == "exit":
                 # What it asked for in this batch dies with it.
                 out[:] = [action for action in out if action["i"] != number]
@@ -213,7 +216,7 @@
                 return
             instance.out = out
             Instance.HANDLERS[kind](instance, instance.ms(clock), event)
-        except MalformedError:
+        except MalformedInputError:
             raise
         except Exception as problem:  # the bench is told where the module broke
             place = traceback.extract_tb(problem.__traceback__)[-1]
--- a/vetchford/bulkheads/builder.py
+++ b/vetchford/bulkheads/builder.py
@@ -1,4 +1,4 @@
-"""A `PoolSet` from the checked record and the stages that a server was told."""
+"""A `BulkheadSet` from the checked record and the stages that a server was told."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -15,7 +15,7 @@
     names: Sequence[str],
     effects: Sequence[int],
     utilities: Sequence[float],
-) -> bulkheads.PoolSet | None:
+) -> bulkheads.BulkheadSet | None:
     """`names`, `effects` and `utilities` of the stages, by index. None where there are to be no pools."""
     if pools == "none" or not pools:
         return None
@@ -32,12 +32,12 @@
             for key in ("share", "bytes", "calls")
         }
         terms.append(bulkheads.Terms(name=REST if REST not in pools else REST + "-unnamed", **left))
-    return bulkheads.PoolSet(host, terms, [owner.get(name, len(terms) - 1) for name in names])
+    return bulkheads.BulkheadSet(host, terms, [owner.get(name, len(terms) - 1) for name in names])
 
 
 def derived(
     host: bulkheads.PoolHost, effects: Sequence[int], utilities: Sequence[float]
-) -> bulkheads.PoolSet:
+) -> bulkheads.BulkheadSet:
     """Light work, work with an effect, and the rest. What is light shows by its runs alone (`regroup`)."""
     total = sum(utilities) or 1.0
     heavy = 1.0 - bulkheads.LIGHT_SHARE
@@ -50,4 +50,4 @@
             ("light", "effect", REST), parts, (bulkheads.LIGHT_RESERVE, 0, 0), strict=True
         )
     ]
-    return bulkheads.PoolSet(host, terms, [1 if effect else 2 for effect in effects], derive=True)
+    return bulkheads.BulkheadSet(host, terms, [1 if effect else 2 for effect in effects], derive=True)
--- a/vetchford/bulkheads/metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -7,32 +7,32 @@
 
 from vetchford.admission import factory
 from vetchford.bulkheads import builder
-from vetchford.bulkheads.bulkheads import PoolSet
-from vetchford.runtime.metrics import Counts
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.runtime.metrics import Metrics
 
 log = structlog.get_logger()
 
 
 class Marks:
-    """The host of a `PoolSet`: counts by pool's name, of which there are 17 at most."""
+    """The host of a `BulkheadSet`: counts by pool's name, of which there are 17 at most."""
 
-    def __init__(self, counts: Counts, stages: Sequence[str]) -> None:
-        self.counts, self.stages, self.names = counts, stages, []
+    def __init__(self, metrics: Metrics, stages: Sequence[str]) -> None:
+        self.metrics, self.stages, self.names = metrics, stages, []
 
     def borrowed(self, pool: int, what: str) -> None:
-        self.counts.add(f"pool_{self.names[pool]}_borrowed_{what}")
+        self.metrics.increment(f"pool_{self.names[pool]}_borrowed_{what}")
 
     def returned(self, pool: int, what: str) -> None:
-        self.counts.add(f"pool_{self.names[pool]}_returned_{what}")
+        self.metrics.increment(f"pool_{self.names[pool]}_returned_{what}")
 
     def reserve_used(self, pool: int) -> None:
-        self.counts.add(f"pool_{self.names[pool]}_reserve_used")
+        self.metrics.increment(f"pool_{self.names[pool]}_reserve_used")
 
     def bound(self, pool: int, what: str) -> None:
-        self.counts.add(f"pool_{self.names[pool]}_bound_{what}")
+        self.metrics.increment(f"pool_{self.names[pool]}_bound_{what}")
 
     def limit_moved(self, pool: int, why: str, limit: float) -> None:
-        count = self.counts.add(f"pool_{self.names[pool]}_calls_{why}")
+        count = self.metrics.increment(f"pool_{self.names[pool]}_calls_{why}")
         if count & (count - 1) == 0:  # the 1st, 2nd, 4th, 8th ..., as for all that a peer can provoke
             log.info("pool_limit_moved", pool=self.names[pool], why=why, limit=round(limit, 1), count=count)
 
@@ -41,11 +41,11 @@
         log.info("pools_regrouped", stages=moved)
 
 
-def pools(told: dict[str, Any], declared: str | dict[str, Any], counts: Counts) -> PoolSet | None:
+def pools(told: dict[str, Any], declared: str | dict[str, Any], metrics: Metrics) -> BulkheadSet | None:
     """The pools of a server that was told these settings."""
     stages = told["requestClasses"]
     names = [entry.get("name") or "" for entry in stages]
-    marks = Marks(counts, names)
+    marks = Marks(metrics, names)
     effects = [factory.EFFECTS[entry["effect"]] for entry in stages]
     made = builder.build(marks, declared, names, effects, [entry.get("worth") or 0.0 for entry in stages])
     if made is not None:
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -118,7 +118,7 @@
         return terms[p].borrows and sum(self.in_use) + 1.0 + kept <= whole + 1.0 - SPARE
 
 
-class PoolSet:
+class BulkheadSet:
     """All pools of one server. The node tells it what happens and asks before it acts."""
 
     def __init__(
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -44,7 +44,7 @@
 from docopt import DocoptExit, docopt
 
 import vetchford
-from vetchford.admission.factory import MalformedError
+from vetchford.errors import MalformedInputError
 from vetchford.runtime import log_setup
 from vetchford.server import platform_config, server_process, signals
 
@@ -82,7 +82,7 @@
             print(f"{', '.join(asked['--with'])}: good")
             return 0
         told = load()
-    except MalformedError as problem:
+    except MalformedInputError as problem:
         return complain(str(problem))
     if asked["check"]:
         print(f"{told['name']}: configuration is good")
@@ -91,7 +91,7 @@
         print(json.dumps(platform_config.understood(told), indent=2))
         return 0
     signals.hold_signals()
-    writer = log_setup.begin(asked["--log-level"], asked["--log-form"])
+    writer = log_setup.start(asked["--log-level"], asked["--log-form"])
     try:
         return server_process.serve(told, load, writer.end_by)
     finally:
@@ -104,11 +104,11 @@
 
     try:
         told = isolated_reader.read(asked["--with"], None)["agent"] if asked["--with"] else None
-    except MalformedError as problem:
+    except MalformedInputError as problem:
         return complain(str(problem))
     if told is None:
         return complain("no file given by --with has the key 'agent'")
-    writer = log_setup.begin(asked["--log-level"], asked["--log-form"])
+    writer = log_setup.start(asked["--log-level"], asked["--log-form"])
     try:
         return agent.serve(told)
     finally:
--- a/vetchford/configuration/isolated_reader.py
+++ b/vetchford/configuration/isolated_reader.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from vetchford.admission.factory import MalformedError
+from vetchford.errors import MalformedInputError
 
 PATIENCE = 20.0  # s: a file at every bound takes one or two; a stuck machine must not hang the start for good
 
@@ -27,8 +27,10 @@
             command, input=json.dumps(stages), capture_output=True, text=True, timeout=PATIENCE, check=False
         )
     except (OSError, subprocess.TimeoutExpired) as problem:
-        raise MalformedError(f"{', '.join(paths)}: could not be read: {type(problem).__name__}") from None
+        raise MalformedInputError(
+            f"{', '.join(paths)}: could not be read: {type(problem).__name__}"
+        ) from None
     if done.returncode:
         last = done.stderr.strip() or f"the reader ended with status {done.returncode}"
-        raise MalformedError(last if done.returncode == 2 else last.splitlines()[-1])
+        raise MalformedInputError(last if done.returncode == 2 else last.splitlines()[-1])
     return json.loads(done.stdout)
--- a/vetchford/configuration/parser.py
+++ b/vetchford/configuration/parser.py
@@ -108,16 +108,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoilt:
+class InvalidNode:
     """Stands where a value could not be read, which is told already."""
 
     place: Place
 
 
-Node = values.Scalar | Record | Items | Reference | Choice | Both | Anything | Spoilt
+Node = values.Scalar | Record | Items | Reference | Choice | Both | Anything | InvalidNode
 
 
-class Commas:
+class SeparatorFilter:
     """Line ends to commas where an entry can end; brackets are counted, so that depth is bounded."""
 
     always_accept = ("_NL",)
@@ -153,7 +153,7 @@
         start="file",
         parser="lalr",
         lexer="contextual",
-        postlex=Commas(),
+        postlex=SeparatorFilter(),
         propagate_positions=True,
         maybe_placeholders=False,
     )
@@ -181,7 +181,7 @@
         return None, once_a_line([*problems, problem])
     if problems:
         return None, once_a_line(problems)
-    maker = Maker(file)
+    maker = TreeBuilder(file)
     record = maker.record(tree.children, Place(file, 1, 1))
     return record, maker.problems
 
@@ -213,7 +213,7 @@
     return Problem(Place(file, line, column), "", text)
 
 
-class Maker:
+class TreeBuilder:
     """Nodes of a tree; what is wrong with single values is kept and the value passed over."""
 
     def __init__(self, file: str) -> None:
@@ -280,7 +280,7 @@
             return read(str(token), place)
         except ValueError as problem:
             self.problems.append(Problem(place, "", str(problem)))
-            return Spoilt(place)
+            return InvalidNode(place)
 
     def made_kind(self, parts: list[Any], place: Place) -> Node:
         return values.Kind(str(parts[0]), place)
--- a/vetchford/configuration/reader.py
+++ b/vetchford/configuration/reader.py
@@ -8,7 +8,7 @@
 from vetchford.configuration import records
 from vetchford.configuration.errors import DeclaredError, Place, Problem, TooMuchError
 from vetchford.configuration.parser import MOST_BYTES, Record, Reference, parse
-from vetchford.configuration.unifier import ABSENT, Around, Evaluation, Said, Vertex
+from vetchford.configuration.unifier import ABSENT, Constraint, Scope, Unifier, ValueNode
 
 SCHEMA = Path(__file__).with_name("schema.vet")
 MOST_FILES = 8
@@ -55,14 +55,14 @@
     assert form is not None and not wrong, wrong
     if any(not problem.path for problem in problems) and len(parsed) < len(texts) or not parsed:
         raise DeclaredError(problems or [Problem(Place("", 1, 1), "", "no file is named")])
-    evaluation = Evaluation(SCHEMA.name, [name for name, _ in texts])
+    evaluation = Unifier(SCHEMA.name, [name for name, _ in texts])
     try:
         rules = evaluation.top([form])
-        top = Vertex("", 0)
-        around = Around(top, None, Around(rules, None, None))
+        top = ValueNode("", 0)
+        around = Scope(top, None, Scope(rules, None, None))
         for record in parsed:
-            top.said.append(Said(record, around))
-        top.said.append(Said(Reference(("#Settings",), Place(SCHEMA.name, 1, 1)), around))
+            top.said.append(Constraint(record, around))
+        top.said.append(Constraint(Reference(("#Settings",), Place(SCHEMA.name, 1, 1)), around))
         top.places = [Place(texts[-1][0], 1, 1)]
         evaluation.grow(top, [said for said in top.said if isinstance(said.node, Record)])
         plain = evaluation.value(top)
@@ -83,7 +83,7 @@
     return declared
 
 
-def placed(top: Vertex, path: str, file: str) -> Place:
+def placed(top: ValueNode, path: str, file: str) -> Place:
     """Where the key of a path stands, or the nearest above it."""
     vertex, place = top, Place(file, 1, 1)
     for label in re.split(r"[.\[]", path):
@@ -94,7 +94,7 @@
     return place
 
 
-def agree(declared: records.Declared, top: Vertex, stages: list[str] | None, file: str) -> None:
+def agree(declared: records.Declared, top: ValueNode, stages: list[str] | None, file: str) -> None:
     """What no single value shows: an agent that is not of its fleet, stages in two pools or unknown."""
     peers = declared.agent.peers if declared.agent else None
     if peers is not None and peers.name not in peers.agents:
--- a/vetchford/configuration/records.py
+++ b/vetchford/configuration/records.py
@@ -42,7 +42,7 @@
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
-class Peers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SessionManager(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """As #Peers of the schema."""
 
     fleet: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -59,7 +59,7 @@
     logs: Annotated[str, Meta(min_length=1)]
     instances: Annotated[dict[str, Instance], Meta(min_length=1, max_length=1000)]
     versions: dict[str, list[str]]
-    peers: Peers | None = None
+    peers: SessionManager | None = None
 
 
 class Together(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/vetchford/configuration/unifier.py
+++ b/vetchford/configuration/unifier.py
@@ -1,7 +1,7 @@
 """Unifies records: every key has all that any file says of it, and the value is what satisfies all of it.
 
-A `Vertex` is one key of the result. Each thing that is said of it is a conjunct: a node, the records around
-it (where its references look up names) and the definition that closes it. References take over what is said
+A `ValueNode` is one key of the result. What is said of it are conjuncts: a node, the records around it
+(where its references look up names) and the definition that closes it. References take over what is said
 of their target, so they see what other files add to it. Nothing is executed; steps are bounded.
 """
 
@@ -17,11 +17,11 @@
     Anything,
     Both,
     Choice,
+    InvalidNode,
     Items,
     Node,
     Record,
     Reference,
-    Spoilt,
 )
 
 MOST_STEPS = 100_000  # conjuncts looked at: a file of fifty pools takes some thousands; about a second here
@@ -29,35 +29,35 @@
 
 
 @dataclass(slots=True)
-class Around:
+class Scope:
     """The records that a node stands in, the innermost first."""
 
-    vertex: "Vertex"
+    vertex: "ValueNode"
     record: Record | None  # None at the top: all keys of all files are in view
-    outer: "Around | None"
+    outer: "Scope | None"
 
 
 @dataclass(slots=True)
-class Said:
+class Constraint:
     node: Node
-    around: Around
+    around: Scope
     closes: tuple[int, ...] = ()  # the uses of definitions that this came by
 
 
 @dataclass(slots=True)
-class Vertex:
+class ValueNode:
     path: str
     depth: int
-    said: list[Said] = field(default_factory=list)
-    children: dict[str, "Vertex"] = field(default_factory=dict)
+    said: list[Constraint] = field(default_factory=list)
+    children: dict[str, "ValueNode"] = field(default_factory=dict)
     optional: bool = True  # until one says it without a mark
     places: list[Place] = field(default_factory=list)  # of its key
-    up: "Vertex | None" = None
+    up: "ValueNode | None" = None
 
-    def child(self, label: str) -> "Vertex":
+    def child(self, label: str) -> "ValueNode":
         if label not in self.children:
             path = f"{self.path}.{label}" if self.path else label
-            self.children[label] = Vertex(path, self.depth + 1, up=self)
+            self.children[label] = ValueNode(path, self.depth + 1, up=self)
         return self.children[label]
 
     def place(self, schema: str) -> Place | None:
@@ -69,7 +69,7 @@
 ABSENT = object()  # declared only, or wrong: has no value
 
 
-class Evaluation:
+class Unifier:
     """One reading: its steps, its problems. `value` gives plain data, as JSON has it."""
 
     def __init__(self, schema: str = "", order: Sequence[str] = ()) -> None:
@@ -79,7 +79,7 @@
         """
         self.steps, self.schema = 0, schema
         self.ranks = {name: at for at, name in enumerate(order)}
-        self.uses: list[Reference] = []  # of definitions, by the numbers in `Said.closes`
+        self.uses: list[Reference] = []  # of definitions, by the numbers in `Constraint.closes`
         self.problems: list[Problem] = []
         self.followed: list[
             Problem
@@ -90,31 +90,33 @@
         if self.steps > MOST_STEPS:
             raise TooMuchError(f"more than {MOST_STEPS} steps: choices or references multiply")
 
-    def wrong(self, place: Place, vertex: Vertex, text: str) -> Any:
+    def wrong(self, place: Place, vertex: ValueNode, text: str) -> Any:
         self.problems.append(Problem(place, vertex.path, text))
         return ABSENT
 
-    def top(self, records: list[Record]) -> Vertex:
+    def top(self, records: list[Record]) -> ValueNode:
         """A top that holds what all of the records say."""
-        vertex = Vertex("", 0)
-        around = Around(vertex, None, None)
+        vertex = ValueNode("", 0)
+        around = Scope(vertex, None, None)
         for record in records:
-            vertex.said.append(Said(record, around))
+            vertex.said.append(Constraint(record, around))
         self.grow(vertex, [said for said in vertex.said if isinstance(said.node, Record)])
         return vertex
 
     # -- what is said of a key, down to single statements
 
-    def flat(self, vertex: Vertex, said: list[Said]) -> list[Said] | None:
+    def flat(self, vertex: ValueNode, said: list[Constraint]) -> list[Constraint] | None:
         """References and `&` resolved; None where a reference goes nowhere."""
-        out: list[Said] = []
-        work: list[tuple[Said, tuple[int, ...]]] = [(entry, ()) for entry in reversed(said)]
+        out: list[Constraint] = []
+        work: list[tuple[Constraint, tuple[int, ...]]] = [(entry, ()) for entry in reversed(said)]
         good = True
         while work:
             entry, via = work.pop()  # the targets that led here
             self.step()
             if isinstance(entry.node, Both):
-                work += [(Said(part, entry.around, entry.closes), via) for part in reversed(entry.node.parts)]
+                work += [
+                    (Constraint(part, entry.around, entry.closes), via) for part in reversed(entry.node.parts)
+                ]
             elif isinstance(entry.node, Reference):
                 target = self.target(entry, vertex)
                 if target is None:
@@ -128,14 +130,14 @@
                         closes = (*closes, len(self.uses))
                         self.uses.append(entry.node)
                     work += [
-                        (Said(one.node, one.around, closes + one.closes), (*via, id(target)))
+                        (Constraint(one.node, one.around, closes + one.closes), (*via, id(target)))
                         for one in reversed(target.said)
                     ]
             else:
                 out.append(entry)
         return out if good else None
 
-    def target(self, entry: Said, vertex: Vertex) -> Vertex | None:
+    def target(self, entry: Constraint, vertex: ValueNode) -> ValueNode | None:
         node, around = entry.node, entry.around
         first = node.labels[0]
         while around is not None:
@@ -159,47 +161,47 @@
             found = found.children[label]
         return found
 
-    def grow(self, vertex: Vertex, flat: list[Said]) -> None:
+    def grow(self, vertex: ValueNode, flat: list[Constraint]) -> None:
         """The keys under it, with all that its records say of each."""
         records = [entry for entry in flat if isinstance(entry.node, Record)]
         vertex.children = {label: kept for label, kept in vertex.children.items() if kept.said}
         for kept in vertex.children.values():
             kept.said, kept.places, kept.optional = [], [], True
         for entry in records:
-            around = Around(vertex, entry.node, entry.around)
+            around = Scope(vertex, entry.node, entry.around)
             if not vertex.path and entry.around.vertex is vertex:
                 around = entry.around  # the top: names of all files are in view
             for one in entry.node.fields:
                 self.step()
                 child = vertex.child(one.label)
-                child.said.append(Said(one.value, around, entry.closes))
+                child.said.append(Constraint(one.value, around, entry.closes))
                 child.places.append(one.place)
                 child.optional &= one.optional
         for entry in records:
             if entry.node.pattern is None:
                 continue
-            around = Around(vertex, entry.node, entry.around)
+            around = Scope(vertex, entry.node, entry.around)
             for label, child in vertex.children.items():
                 if not entry.node.declares(label) and not label.startswith("#"):
-                    child.said.append(Said(entry.node.pattern[1], around, entry.closes))
+                    child.said.append(Constraint(entry.node.pattern[1], around, entry.closes))
 
     # -- values
 
-    def value(self, vertex: Vertex, extra: list[Said] | None = None) -> Any:
+    def value(self, vertex: ValueNode, extra: list[Constraint] | None = None) -> Any:
         """Plain data; ABSENT where there is none, with the reason among the problems."""
         if vertex.depth > MOST_DEPTH:
             raise TooMuchError(f"keys nested deeper than {MOST_DEPTH}")
         flat = self.flat(vertex, vertex.said if extra is None else extra)
         if flat is None:
             return ABSENT
-        if any(isinstance(entry.node, Spoilt) for entry in flat):
+        if any(isinstance(entry.node, InvalidNode) for entry in flat):
             return ABSENT
         choices = [entry for entry in flat if isinstance(entry.node, Choice)]
         plain = [entry for entry in flat if not isinstance(entry.node, Choice | Anything)]
         if choices:
             return self.chosen(vertex, plain, choices)
         sorts = {Record: "a record", Items: "a list"}
-        first: dict[str, Said] = {}
+        first: dict[str, Constraint] = {}
         for entry in plain:
             first.setdefault(sorts.get(type(entry.node), "a single value"), entry)
         if len(first) > 1:
@@ -220,7 +222,7 @@
             return self.items(vertex, plain)
         return self.scalar(vertex, plain)
 
-    def scalar(self, vertex: Vertex, plain: list[Said]) -> Any:
+    def scalar(self, vertex: ValueNode, plain: list[Constraint]) -> Any:
         nodes = [entry.node for entry in plain]
         known = [node for node in nodes if isinstance(node, values.Known)]
         limits = [node for node in nodes if not isinstance(node, values.Known)]
@@ -259,7 +261,7 @@
             values.is_a(known, limit.kind) if isinstance(limit, values.Kind) else values.keeps(known, limit)
         )
 
-    def record(self, vertex: Vertex, plain: list[Said]) -> Any:
+    def record(self, vertex: ValueNode, plain: list[Constraint]) -> Any:
         self.grow(vertex, plain)
         closed = self.closed(vertex, plain)
         out, good = {}, True
@@ -290,7 +292,7 @@
                 out[label] = value
         return out if good else ABSENT
 
-    def closed(self, vertex: Vertex, plain: list[Said]) -> dict[int, set[str]]:
+    def closed(self, vertex: ValueNode, plain: list[Constraint]) -> dict[int, set[str]]:
         """The keys that each use of a definition allows; without those that `...` leaves open."""
         by_use: dict[int, list[Record]] = {}
         for entry in plain:
@@ -308,7 +310,7 @@
                     names.add(label)
         return allowed
 
-    def items(self, vertex: Vertex, plain: list[Said]) -> Any:
+    def items(self, vertex: ValueNode, plain: list[Constraint]) -> Any:
         length = max(len(entry.node.items) for entry in plain)
         for entry in plain:
             if len(entry.node.items) < length and entry.node.rest is None:
@@ -321,28 +323,28 @@
                 return self.wrong(short.place, vertex, text)
         out, good = [], True
         for at in range(length):
-            child = Vertex(f"{vertex.path}[{at}]", vertex.depth + 1, up=vertex)
+            child = ValueNode(f"{vertex.path}[{at}]", vertex.depth + 1, up=vertex)
             for entry in plain:
                 items = entry.node.items
                 node = items[at] if at < len(items) else entry.node.rest
-                child.said.append(Said(node, entry.around, entry.closes))
+                child.said.append(Constraint(node, entry.around, entry.closes))
             value = self.value(child)
             good &= value is not ABSENT
             out.append(value)
         return out if good else ABSENT
 
-    def chosen(self, vertex: Vertex, plain: list[Said], choices: list[Said]) -> Any:
+    def chosen(self, vertex: ValueNode, plain: list[Constraint], choices: list[Constraint]) -> Any:
         """Each way through the choices is tried; what is wrong with those that fail is told if all do."""
         before = self.problems
-        left: list[tuple[Any, tuple[bool, ...], Vertex]] = []
+        left: list[tuple[Any, tuple[bool, ...], ValueNode]] = []
         ranks = [self.ranks.get(entry.node.place.file, -1) for entry in choices]
         stronger = sorted(set(ranks), reverse=True)
         failed: list[list[Problem]] = []
         for way in itertools.product(*(entry.node.options for entry in choices)):
             self.step()
-            trial = Vertex(vertex.path, vertex.depth, places=vertex.places, up=vertex.up)
+            trial = ValueNode(vertex.path, vertex.depth, places=vertex.places, up=vertex.up)
             said = plain + [
-                Said(option, entry.around, entry.closes)
+                Constraint(option, entry.around, entry.closes)
                 for (option, _), entry in zip(way, choices, strict=True)
             ]
             trial.said, self.problems = said, []
@@ -372,7 +374,11 @@
         return self.none_fits(vertex, plain, choices, failed)
 
     def none_fits(
-        self, vertex: Vertex, plain: list[Said], choices: list[Said], failed: list[list[Problem]]
+        self,
+        vertex: ValueNode,
+        plain: list[Constraint],
+        choices: list[Constraint],
+        failed: list[list[Problem]],
     ) -> Any:
         deep = [each for each in failed if all(problem.path != vertex.path for problem in each)]
         if len(deep) == 1:  # one was of the right sort: what is wrong is inside it
@@ -397,9 +403,9 @@
         text = found[0].text if isinstance(found[0], values.Known) else said_of(found[0], "a record or list")
         return self.wrong(found[0].place, vertex, f"found {text}; allowed: {said}")
 
-    def words(self, node: Node, around: Around, vertex: Vertex) -> str:
+    def words(self, node: Node, around: Scope, vertex: ValueNode) -> str:
         kept, self.problems = self.problems, []
-        flat = self.flat(Vertex(vertex.path, vertex.depth), [Said(node, around)]) or []
+        flat = self.flat(ValueNode(vertex.path, vertex.depth), [Constraint(node, around)]) or []
         self.problems = kept
         scalars = [
             entry.node for entry in flat if isinstance(entry.node, values.Known | values.Kind | values.Bound)
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -11,16 +11,16 @@
 
 import structlog
 
-from vetchford.coordination.load_sampler import Measure
-from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, Membership, News
-from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, Conclusions, Numbers
-from vetchford.gossip.load_gossip import Row, Signals
-from vetchford.leases.leases import Keeper, Taker
+from vetchford.coordination.load_sampler import LoadSampler
+from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
+from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, FleetSignalPolicy, FleetSignals
+from vetchford.gossip.load_gossip import LoadGossip, Row
+from vetchford.leases.leases import LeaseClient, LeaseServer
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.subsetting.subsets import View
-from vetchford.transport.connections import Talk
+from vetchford.transport.connections import Transport
 from vetchford.transport.framing import MALFORMED
 
 log = structlog.get_logger()
@@ -35,28 +35,28 @@
 SUMMARY = 10_000.0  # ms between two lines on what is seen
 
 
-class Neighbours(Actor):
+class FleetMember(Actor):
     """Begun by `begin`, after `module` has been; `figures` and `say` are told on its thread."""
 
     def __init__(
         self,
         told: dict[str, Any],
         seed: int,
-        counts: Counts,
+        metrics: Metrics,
         survey: Callable[[Any], None],
-        say: Callable[[Numbers], None],
+        say: Callable[[FleetSignals], None],
     ) -> None:
         """`told`: the record `together` of the settings; `survey` is given what to call with the figures,
         `say` what holds from now on. OSError where the address can't be had.
         """
-        super().__init__("neighbours", counts)
+        super().__init__("neighbours", metrics)
         self.told, self.name, self.survey, self.say = told, told["name"], survey, say
         self.life, self.nonce = int(clock.day() * 1000.0), time.time_ns() & (1 << 62) - 1
         servers: dict[str, str] = told["servers"]
-        self.talk = Talk(
+        self.talk = Transport(
             self,
             self,
-            counts,
+            metrics,
             told["fleet"],
             self.name,
             told["listen"],
@@ -67,32 +67,34 @@
             streams=False,
         )
         now = self.now()
-        self.views = Membership(self, self.name, servers, seed, self.life * DENIALS, listed=True, now=now)
-        self.signals = Signals(self, self.name, self.life, FIGURES, seed)
-        self.conclusions = Conclusions(self, self.name, seed, self.signals)
+        self.views = FailureDetector(
+            self, self.name, servers, seed, self.life * DENIALS, listed=True, now=now
+        )
+        self.signals = LoadGossip(self, self.name, self.life, FIGURES, seed)
+        self.conclusions = FleetSignalPolicy(self, self.name, seed, self.signals)
         keepers, turns = told["keepers"], {**told["turns"], PROBE: told["probes"]}
         epoch = int(clock.day() * 10.0)
         self.keeper = (
-            Keeper(self, self.name, keepers, turns, seed, epoch, now) if self.name in keepers else None
+            LeaseServer(self, self.name, keepers, turns, seed, epoch, now) if self.name in keepers else None
         )
-        self.taker = Taker(self, self.name, keepers, told["zone"], self.life)
+        self.taker = LeaseClient(self, self.name, keepers, told["zone"], self.life)
         self.seed, self.raised = told["fleet"], []
         self.next_turn, self.next_survey, self.next_summary = 0.0, 0.0, now + SUMMARY
-        self.numbers, self.lost = Numbers(), 0.0
+        self.numbers, self.lost = FleetSignals(), 0.0
         self.leaving = False
         self.seen_changed()
 
-    def begin(self) -> None:
-        super().begin()
-        self.talk.begin()
+    def start(self) -> None:
+        super().start()
+        self.talk.start()
 
     def now(self) -> float:
         return clock.now()
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         return max(0.0, self.next_turn - time.monotonic())
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         if time.monotonic() < self.next_turn:
             return
         self.next_turn = time.monotonic() + TURN
@@ -112,7 +114,7 @@
     # -- what the module tells, on its thread; and what it is told
 
     def measured(self, figures: dict[str, float]) -> None:
-        self.tell(self.conclude, figures)
+        self.post(self.conclude, figures)
 
     def conclude(self, figures: dict[str, float]) -> None:
         now = self.now()
@@ -123,7 +125,7 @@
         numbers = self.conclusions.turn(now)
         pace, room = (numbers.pace, numbers.room) if self.told["records"] else (1.0, 1.0)
         full, stretch = (numbers.full, numbers.stretch) if self.told["full"] else (False, 1.0)
-        numbers = Numbers(pace, room, full, stretch)
+        numbers = FleetSignals(pace, room, full, stretch)
         if numbers != self.numbers:
             self.numbers = numbers
             self.say(numbers)
@@ -177,7 +179,7 @@
 
     def turn_word(self, to: str, body: dict[str, Any]) -> None:
         if to == self.name:
-            self.tell(self.turn_heard, to, body)
+            self.post(self.turn_heard, to, body)
         else:
             self.talk.throw(to, ["turn", body])
 
@@ -200,9 +202,9 @@
 
     def note(self, event: str, **fields: Any) -> None:
         if event in PROVOKED:
-            self.counts.note(event, **fields)
+            self.metrics.log_sampled(event, **fields)
             return
-        self.counts.add(event)
+        self.metrics.increment(event)
         log.info(event, **fields)
 
     # -- what `talk` brings
@@ -219,7 +221,7 @@
             elif kind == "turn":
                 self.turn_heard(peer, rest[0])
         except MALFORMED as problem:
-            self.counts.note("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
+            self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
     def word(self, peer: str, kind: str, body: Any) -> None:
         """Nobody has a stream to us."""
@@ -233,7 +235,7 @@
         now = self.now()
         self.raised = [at for at in self.raised if now - at < 60_000.0]
         if len(self.raised) >= DISPUTED:
-            self.counts.note("name_disputed", name=self.name)
+            self.metrics.log_sampled("name_disputed", name=self.name)
             return
         self.raised.append(now)
         self.life, self.nonce = max(life, self.life) + 1, time.time_ns() & (1 << 62) - 1
@@ -247,5 +249,5 @@
         self.talk.renew(self.life, self.nonce)
 
 
-def measure() -> Measure:
-    return Measure()
+def measure() -> LoadSampler:
+    return LoadSampler()
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -11,7 +11,7 @@
 LEAST_STUCK = 1000.0  # ms of it at least: a pause of a machine is shorter
 
 
-class Measure:
+class LoadSampler:
     """`call_ended` for each end of a call, `figures` a few times a second."""
 
     def __init__(self) -> None:
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -23,10 +23,10 @@
 
 from vetchford.fleet import supervisor
 from vetchford.fleet.history_store import Store, StoreError
-from vetchford.fleet.rollout import ALIVE, ENDED, Change, Fleet, RefusedError, Terms
-from vetchford.runtime.actor import Actor, Crew
+from vetchford.fleet.rollout import ALIVE, ENDED, RefusedError, Rollout, RolloutController, Terms
+from vetchford.runtime.actor import Actor, ThreadPool
 from vetchford.runtime.clock import clock
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -44,11 +44,11 @@
 
 
 class Agent(Actor):
-    """The host of `Fleet`."""
+    """The host of `RolloutController`."""
 
-    def __init__(self, told: dict[str, Any], counts: Counts) -> None:
+    def __init__(self, told: dict[str, Any], metrics: Metrics) -> None:
         """`told`: the checked record of the settings. StoreError where the store can't be used."""
-        super().__init__("agent", counts)
+        super().__init__("agent", metrics)
         self.told, self.specs = told, told["instances"]
         os.makedirs(told["logs"], exist_ok=True)
         # Held until the process ends.
@@ -58,16 +58,16 @@
         except OSError:
             raise StoreError(f"store {told['store']}: another agent has it") from None
         self.store = Store(told["store"])
-        self.fleet = Fleet(self)
+        self.fleet = RolloutController(self)
         self.ours: dict[str, supervisor.Process] = {}  # emptied as processes end
         self.token, self.next_turn, self.next_look = "", 0.0, 0.0
         self.joined: Any = None
         self.wake_read, self.wake_write = os.pipe()
         self.restore()
         if told.get("peers"):
-            from vetchford.fleet.coordinator_actor import Joined  # an agent alone does without it
+            from vetchford.fleet.coordinator_actor import CoordinatorActor  # an agent alone does without it
 
-            self.joined = Joined(self, self, told["peers"], counts)
+            self.joined = CoordinatorActor(self, self, told["peers"], metrics)
 
     def now(self) -> float:
         return clock.now()  # no deadline of ours may depend on a time of day that is set
@@ -110,7 +110,7 @@
         spec = self.specs[name]
         command = spec["command"] if version == spec["version"] else self.told["versions"].get(version)
         if command is None:
-            self.tell(self.spawn_failed, name, f"no command for version {version}")
+            self.post(self.spawn_failed, name, f"no command for version {version}")
             return
         told = [word.replace("{name}", name).replace("{listen}", spec["listen"]) for word in command]
         try:
@@ -119,7 +119,7 @@
                 told, name, version, self.token, spec["environment"], file, spec["descriptors"]
             )
         except OSError as problem:
-            self.tell(self.spawn_failed, name, str(problem))
+            self.post(self.spawn_failed, name, str(problem))
             return
         os.write(self.wake_write, b"x")
 
@@ -153,10 +153,10 @@
 
     # -- the actor
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         return max(0.0, self.next_turn - time.monotonic())
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         if time.monotonic() >= self.next_turn:
             self.next_turn = time.monotonic() + TURN
             self.fleet.woke(self.now())
@@ -168,7 +168,7 @@
 
     def run(self) -> None:
         if self.joined is not None:
-            self.joined.begin()
+            self.joined.start()
         for act in (self.watch, self.check_all):
             threading.Thread(target=act, daemon=True).start()
         super().run()
@@ -191,7 +191,7 @@
                 else:
                     name, process = by_fd[fd]
                     told.add(id(process))
-                    self.tell(self.gone, name, process)
+                    self.post(self.gone, name, process)
 
     def gone(self, name: str, process: supervisor.Process) -> None:
         if self.ours.get(name) is process:
@@ -200,8 +200,11 @@
 
     def check_all(self) -> None:
         # A crew of ours: where no thread is to be had, its work waits for one that is busy, and goes on.
-        crew, asked = Crew(self.counts, CHECKERS), set[str]()  # whose check is under way; emptied by its end
-        crew.begin()
+        thread_pool, asked = (
+            ThreadPool(self.metrics, CHECKERS),
+            set[str](),
+        )  # whose check is under way; emptied by its end
+        thread_pool.start()
 
         def act(name: str, process: supervisor.Process) -> None:
             try:
@@ -213,13 +216,13 @@
             for name, process in list(self.ours.items()):
                 if name not in asked:
                     asked.add(name)
-                    crew.run(partial(act, name, process))
+                    thread_pool.run(partial(act, name, process))
             time.sleep(CHECK)
 
     def check(self, name: str, process: supervisor.Process) -> None:
         good = ready(self.specs[name]["listen"])
         if self.ours.get(name) is process:
-            self.tell(self.checked, name, process, good)
+            self.post(self.checked, name, process, good)
 
     def checked(self, name: str, process: supervisor.Process, good: bool) -> None:
         if self.ours.get(name) is process:  # else it has ended meanwhile: this is not its successor's
@@ -270,7 +273,7 @@
             "changes": [self.told_of(change) for change in self.fleet.changes.values()],
         }
 
-    def told_of(self, change: Change) -> dict[str, Any]:
+    def told_of(self, change: Rollout) -> dict[str, Any]:
         return {
             "id": change.id,
             "kind": change.kind,
@@ -282,7 +285,7 @@
 
     def on_change(self, request: dict[str, Any]) -> dict[str, Any]:
         fields = {key: value for key, value in request.items() if key not in ("ask", "dry_run")}
-        change = Change(**{"id": uuid.uuid4().hex[:12], **fields})
+        change = Rollout(**{"id": uuid.uuid4().hex[:12], **fields})
         if change.kind == "roll":
             missing = [
                 name
@@ -292,7 +295,7 @@
             if missing and change.version not in self.told["versions"]:
                 raise RefusedError(f"no command for version '{change.version}' in the settings")
         if request.get("dry_run"):
-            trial = Fleet(Silent())
+            trial = RolloutController(Silent())
             trial.instances, trial.changes = dict(self.fleet.instances), dict(self.fleet.changes)
             trial.go_on = lambda now: None  # type: ignore[method-assign]
             change = trial.ask(self.now(), change)
@@ -386,11 +389,11 @@
                     request = json.loads(line)
                 except ValueError:
                     request = None
-                agent.tell(agent.answer, request, reply)
+                agent.post(agent.answer, request, reply)
                 lines.write(json.dumps(reply.get(timeout=30.0)).encode() + b"\n")
                 lines.flush()
     except Exception as problem:  # a tool that goes away, or a line that is none: its own affair
-        agent.counts.note("fleet_tool_lost", problem=f"{type(problem).__name__}: {problem}")
+        agent.metrics.log_sampled("fleet_tool_lost", problem=f"{type(problem).__name__}: {problem}")
     finally:
         free.release()
 
@@ -402,9 +405,9 @@
     leaving = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *given: leaving.set())
-    counts = Counts()
+    metrics = Metrics()
     try:
-        agent = Agent(told, counts)
+        agent = Agent(told, metrics)
         sock = listen(told["socket"])
     except (StoreError, OSError) as problem:
         log.error("agent_cannot_start", problem=str(problem))
@@ -418,10 +421,10 @@
                 threading.Thread(target=talk, args=(agent, sock.accept()[0], free), daemon=True).start()
             except (OSError, RuntimeError) as problem:  # descriptors or threads ran out: tools wait
                 free.release()
-                counts.note("accept_failed", problem=str(problem))
+                metrics.log_sampled("accept_failed", problem=str(problem))
                 time.sleep(0.1)
 
-    agent.begin()
+    agent.start()
     threading.Thread(target=accept, daemon=True).start()
     log.info(
         "agent_serving", socket=told["socket"], instances=len(told["instances"]), adopted=len(agent.ours)
--- a/vetchford/fleet/commands/machine.py
+++ b/vetchford/fleet/commands/machine.py
@@ -126,8 +126,8 @@
         except UnreachableError as problem:
             return {"unknown": str(problem)}
 
-    with ThreadPoolExecutor(len(paths)) as crew:
-        out = dict(zip(paths, crew.map(act, paths), strict=True))
+    with ThreadPoolExecutor(len(paths)) as thread_pool:
+        out = dict(zip(paths, thread_pool.map(act, paths), strict=True))
     worst = DONE
     for answer in out.values():
         if "unknown" in answer:
--- a/vetchford/fleet/commands/whole_fleet.py
+++ b/vetchford/fleet/commands/whole_fleet.py
@@ -204,8 +204,8 @@
         except UnreachableError as problem:
             return {"unknown": str(problem)}
 
-    with ThreadPoolExecutor(len(paths)) as crew:
-        answers = dict(zip(paths, crew.map(act, paths), strict=True))
+    with ThreadPoolExecutor(len(paths)) as thread_pool:
+        answers = dict(zip(paths, thread_pool.map(act, paths), strict=True))
     code = DONE
     for answer in answers.values():
         if "unknown" in answer or "refused" in answer:
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -59,7 +59,7 @@
     return 2 * len(among & set(votes)) > len(among)
 
 
-class Book:
+class ReplicatedRecord:
     """One agent's copy, and its part in who drives."""
 
     def __init__(
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from vetchford.fleet.consensus import DRIVES, Book
-from vetchford.fleet.fleet_rollout import ENDED, Driver, split
+from vetchford.fleet.consensus import DRIVES, ReplicatedRecord
+from vetchford.fleet.fleet_rollout import ENDED, FleetRolloutController, split
 from vetchford.fleet.rollout import RefusedError
-from vetchford.fleet.rollout_controls import ABORT, PAUSE, Orders
+from vetchford.fleet.rollout_controls import ABORT, PAUSE, RolloutControls
 
 GO = 3000.0  # ms that a report of ours may be old when an order rests on it: six rounds of a busy site
 ANSWERS = 6000.0  # ms for a tool's request: a new driver is found in less
@@ -54,16 +54,16 @@
         self.until = now + ANSWERS
 
 
-class Across:
+class FleetCoordinator:
     """The decisions of one agent about its fleet."""
 
     def __init__(
         self, host: Host, name: str, seed: int, store: str, founding: Body, now: float, life: int
     ) -> None:
         self.host, self.name, self.life = host, name, life
-        self.book = Book(self, name, seed, store, founding, now)
-        self.orders = Orders(name)
-        self.driver: Driver | None = None  # while we drive
+        self.book = ReplicatedRecord(self, name, seed, store, founding, now)
+        self.orders = RolloutControls(name)
+        self.driver: FleetRolloutController | None = None  # while we drive
         self.reports: dict[int, float] = {}  # when each was sent; the oldest go
         self.polls: dict[int, float] = {}  # when each was asked for; emptied as they come or grow old
         self.jobs: dict[int, Job] = {}  # emptied by answers and their time
@@ -105,7 +105,7 @@
         self.host.keep("book", "newest", state)
 
     def drives(self, now: float) -> None:
-        self.driver = Driver(self, self.name, self.book.body, self.orders)
+        self.driver = FleetRolloutController(self, self.name, self.book.body, self.orders)
         self.driver.woke(now)
 
     def in_force(self, now: float) -> None:
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -14,13 +14,13 @@
 import structlog
 
 from vetchford.fleet import failure_detector, fleet_rollout
-from vetchford.fleet.coordinator import Across
+from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.history_store import Store
-from vetchford.fleet.rollout import Change, Fleet, RefusedError
+from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
-from vetchford.runtime.metrics import Counts
-from vetchford.transport.connections import Talk
+from vetchford.runtime.metrics import Metrics
+from vetchford.transport.connections import Transport
 from vetchford.transport.framing import MALFORMED
 from vetchford.transport.session import UP
 
@@ -42,17 +42,17 @@
     """The agent."""
 
     store: Store
-    fleet: Fleet
+    fleet: RolloutController
     specs: dict[str, dict[str, Any]]
     told: dict[str, Any]
 
 
-class Joined:
+class CoordinatorActor:
     """Begun by `begin`; `woke` comes from the agent's turns."""
 
-    def __init__(self, actor: Actor, owner: Owner, told: dict[str, Any], counts: Counts) -> None:
+    def __init__(self, actor: Actor, owner: Owner, told: dict[str, Any], metrics: Metrics) -> None:
         """`told`: the record `peers` of the settings. OSError where its address can't be had."""
-        self.owner, self.told, self.counts, self.name = owner, told, counts, told["name"]
+        self.owner, self.told, self.metrics, self.name = owner, told, metrics, told["name"]
         kept = owner.store.all()
         mine = next(
             (body for kind, _, body in kept if kind == "self"), {"life": 0, "store": uuid.uuid4().hex}
@@ -64,25 +64,34 @@
         agents: dict[str, str] = told["agents"]
         seed = zlib.crc32(told["fleet"].encode())
         now = self.now()
-        self.talk = Talk(
-            actor, self, counts, told["fleet"], self.name, told["listen"], agents, seed, self.life, self.nonce
+        self.talk = Transport(
+            actor,
+            self,
+            metrics,
+            told["fleet"],
+            self.name,
+            told["listen"],
+            agents,
+            seed,
+            self.life,
+            self.nonce,
         )
         for kind, name, body in kept:
             if kind == "peer" and name in self.talk.decide.peers:
                 peer = self.talk.decide.peers[name]
                 peer.life, peer.nonce = body["life"], body["nonce"]
-        self.views = failure_detector.Membership(
+        self.views = failure_detector.FailureDetector(
             self, self.name, agents, seed + self.life, self.life * DENIALS, listed=True, now=now
         )
-        self.across = Across(
+        self.across = FleetCoordinator(
             self, self.name, seed, self.store, fleet_rollout.founding(sorted(agents)), now, self.life
         )
         for kind, name, body in kept:
             if kind in ("book", "orders"):
                 self.across.restore(kind, name, body)
 
-    def begin(self) -> None:
-        self.talk.begin()
+    def start(self) -> None:
+        self.talk.start()
 
     def now(self) -> float:
         return clock.now()
@@ -102,7 +111,7 @@
         try:
             self.across.heard(self.now(), peer, kind, body)
         except MALFORMED as problem:
-            self.counts.note(
+            self.metrics.log_sampled(
                 "peer_malformed", peer=peer, kind=kind, problem=f"{type(problem).__name__}: {problem}"
             )
 
@@ -112,7 +121,7 @@
             pieces = [(str(name), str(state), int(at)) for name, state, at in news]
             self.views.heard(self.now(), peer, str(kind), int(number), str(about), pieces)
         except MALFORMED as problem:
-            self.counts.note("peer_malformed", peer=peer, kind="news", problem=str(problem))
+            self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
     def linked(self, peer: str, state: str) -> None:
         if state == UP:
@@ -122,7 +131,7 @@
         try:
             self.owner.store.put("peer", peer, {"life": life, "nonce": nonce})
         except OSError as problem:  # it is known until our own end
-            self.counts.note("peer_not_kept", problem=str(problem))
+            self.metrics.log_sampled("peer_not_kept", problem=str(problem))
 
     def outlived(self, life: int, nonce: int) -> None:
         """Somebody knows a later life of our name: our store is an old copy or empty, or the name is used
@@ -131,7 +140,7 @@
         now = self.now()
         self.raised = [at for at in self.raised if now - at < 60_000.0]
         if len(self.raised) >= DISPUTED:
-            self.counts.note("name_disputed", name=self.name)
+            self.metrics.log_sampled("name_disputed", name=self.name)
             return
         self.raised.append(now)
         before = self.life, self.store
@@ -143,7 +152,7 @@
             self.keep_self()
         except OSError as problem:  # others go on refusing this life, and tell so with each new connection
             self.life, self.store = before
-            self.counts.note("life_not_kept", problem=str(problem))
+            self.metrics.log_sampled("life_not_kept", problem=str(problem))
             return
         log.warning("life_raised", life=self.life, known=life)
         self.views.incarnation = self.life * DENIALS
@@ -193,7 +202,7 @@
         }
 
     def begin_step(self, act: Body) -> str:
-        change = Change(
+        change = Rollout(
             str(act["id"]),
             str(act["kind"]),
             [str(act["name"])],
@@ -210,7 +219,7 @@
 
     def note(self, event: str, **fields: Any) -> None:
         if event in PROVOKED:
-            self.counts.note(event, **fields)
+            self.metrics.log_sampled(event, **fields)
         else:
             log.info(event, **fields)
 
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -54,7 +54,7 @@
     their_number: int = 0
 
 
-class Membership:
+class FailureDetector:
     """One agent's view of all others."""
 
     def __init__(
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from vetchford.fleet.rollout import KINDS, ON_FAILURE, SERVING, RefusedError
-from vetchford.fleet.rollout_controls import ABORT, Orders
+from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 
 POLL = 250.0  # ms between two reports of one agent while a change runs
 POLL_IDLE = 1000.0  # ms between them else: they hold what `--across` selects from
@@ -84,10 +84,10 @@
     }
 
 
-class Driver:
+class FleetRolloutController:
     """Made anew each time that this agent begins to drive; holds nothing that the record has not."""
 
-    def __init__(self, host: Host, name: str, body: Body, orders: Orders) -> None:
+    def __init__(self, host: Host, name: str, body: Body, orders: RolloutControls) -> None:
         self.host, self.name, self.body, self.orders = host, name, body, orders
         self.views: dict[str, View] = {agent: View() for agent in body["members"]}
         self.said: dict[str, str] = {}  # why a span does not go on just now; emptied as it does
--- a/vetchford/fleet/rollout.py
+++ b/vetchford/fleet/rollout.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class Rollout:
     id: str
     kind: str
     targets: list[str]
@@ -120,13 +120,13 @@
         return body
 
 
-class Fleet:
+class RolloutController:
     """All instances of one agent and the changes over them."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.instances: dict[str, Instance] = {}  # as the settings name them
-        self.changes: dict[str, Change] = {}  # emptied by `prune`, the oldest ended first
+        self.changes: dict[str, Rollout] = {}  # emptied by `prune`, the oldest ended first
         self.next_start: dict[str, float] = {}  # by change: when the next may come up; emptied as it ends
 
     # -- what there is, and what a restarted agent finds
@@ -143,7 +143,7 @@
             instance.wanted, instance.killed = body["wanted"], body["killed"]
             instance.version = body["version"] or instance.version
         elif kind == "change":
-            self.changes[name] = Change(**{"back": body["state"] == BACK, **body})
+            self.changes[name] = Rollout(**{"back": body["state"] == BACK, **body})
 
     def found(self, now: float, name: str, version: str | None) -> None:
         """What the process table says of it: the version that runs, or None. Told once for each at first."""
@@ -276,19 +276,19 @@
 
     # -- changes
 
-    def owner(self, name: str) -> Change | None:
+    def owner(self, name: str) -> Rollout | None:
         """The change that an instance is in, if it is not ended."""
         return next((c for c in self.changes.values() if c.state not in ENDED and name in c.steps), None)
 
     def serving(self, among: set[str]) -> int:
         return sum(one.state == SERVING for one in self.instances.values() if one.name in among)
 
-    def scope(self, change: Change) -> set[str]:
+    def scope(self, change: Rollout) -> set[str]:
         """The instances that its floor counts: all of the groups it touches."""
         groups = {self.instances[name].terms.group for name in change.targets}
         return {one.name for one in self.instances.values() if one.terms.group in groups}
 
-    def ask(self, now: float, change: Change) -> Change:
+    def ask(self, now: float, change: Rollout) -> Rollout:
         """Begins it; RefusedError where it must not be. The same id again is the same change."""
         if change.id in self.changes:
             known = self.changes[change.id]
@@ -325,7 +325,7 @@
         self.prune()
         return change
 
-    def check_floor(self, change: Change) -> None:
+    def check_floor(self, change: Rollout) -> None:
         scope = self.scope(change)
         up = self.serving(scope)
         if change.kind == "stop":
@@ -337,13 +337,13 @@
             if at_most:
                 raise RefusedError(f"{up} serve and the floor is {change.floor}: none may go out")
 
-    def pause(self, now: float, id: str, why: str = "asked to") -> Change:
+    def pause(self, now: float, id: str, why: str = "asked to") -> Rollout:
         change = self.known(id)
         if change.state in (RUNNING, BACK):
             self.turn(change, PAUSED, why)
         return change
 
-    def resume(self, now: float, id: str) -> Change:
+    def resume(self, now: float, id: str) -> Rollout:
         change = self.known(id)
         if change.state == PAUSED:
             for name, step in change.steps.items():
@@ -355,7 +355,7 @@
             self.go_on(now)
         return change
 
-    def abort(self, now: float, id: str) -> Change:
+    def abort(self, now: float, id: str) -> Rollout:
         """What is out is brought back up as it is; nothing more goes out."""
         change = self.known(id)
         if change.state not in ENDED:
@@ -375,12 +375,12 @@
                     self.keep(instance)
         return change
 
-    def known(self, id: str) -> Change:
+    def known(self, id: str) -> Rollout:
         if id not in self.changes:
             raise RefusedError(f"no change {id}")
         return self.changes[id]
 
-    def turn(self, change: Change, state: str, why: str) -> None:
+    def turn(self, change: Rollout, state: str, why: str) -> None:
         before = change.state, change.why, change.back
         change.state, change.why, change.back = state, why, change.back or state == BACK
         try:
@@ -395,7 +395,7 @@
         if state in ENDED:
             self.next_start.pop(change.id, None)
 
-    def step(self, change: Change, name: str, step: str) -> None:
+    def step(self, change: Rollout, name: str, step: str) -> None:
         before, change.steps[name] = change.steps[name], step
         try:
             self.host.record("change", change.id, change.kept())
@@ -413,7 +413,7 @@
                     change.state, change.why = PAUSED, f"the store failed: {problem}"
                     self.host.note("change_moved", change=change.id, was=was, now=PAUSED, why=change.why)
 
-    def advance(self, now: float, change: Change) -> None:
+    def advance(self, now: float, change: Rollout) -> None:
         for name in change.targets:
             if change.steps[name] in (OUT, COMING, SOAKING):
                 self.follow(now, change, self.instances[name])
@@ -427,7 +427,7 @@
             why = f"lost: {', '.join(lost)}" if lost else "gone back" if change.state == BACK else "all done"
             self.turn(change, ended, why)
 
-    def next_out(self, now: float, change: Change) -> bool:
+    def next_out(self, now: float, change: Rollout) -> bool:
         """Takes one more out, where batch, floor and spacing let it; whether it did."""
         going = [name for name, step in change.steps.items() if step in (OUT, COMING, SOAKING)]
         waiting = [name for name in change.targets if change.steps[name] == PENDING]
@@ -458,7 +458,7 @@
         self.follow(now, change, instance)
         return True
 
-    def follow(self, now: float, change: Change, instance: Instance) -> None:
+    def follow(self, now: float, change: Rollout, instance: Instance) -> None:
         """One that is on its way, as far as it has come."""
         step = change.steps[instance.name]
         if step == OUT and instance.state not in (DRAINING, STOPPING):
@@ -486,7 +486,7 @@
             elif instance.state not in (SERVING, STARTING):
                 self.lose(now, change, instance)
 
-    def lose(self, now: float, change: Change, instance: Instance) -> None:
+    def lose(self, now: float, change: Rollout, instance: Instance) -> None:
         self.step(change, instance.name, LOST)
         self.host.note("change_lost", change=change.id, instance=instance.name, why=instance.why)
         if change.state == BACK or change.on_failure == "go_on":
--- a/vetchford/fleet/rollout_controls.py
+++ b/vetchford/fleet/rollout_controls.py
@@ -14,7 +14,7 @@
 Given = dict[str, Any]  # of one change: {"halts": {id: [kind, why]}, "lifted": [ids, in order]}
 
 
-class Orders:
+class RolloutControls:
     """What one agent has heard of orders; `dropped` empties it as changes end."""
 
     def __init__(self, name: str) -> None:
--- a/vetchford/gossip/fleet_signals.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from vetchford.gossip.load_gossip import Figure, Signals
+from vetchford.gossip.load_gossip import LoadGossip, MetricDefinition
 
 SLOW, SLOW_OVER = 2.5, 1.7  # times the usual: chance and a busy hour stay under 2, a trouble is 5 and more
 DEAD = 0.85  # of the calls lost: a service at a tenth of its speed still answers a tenth or more
@@ -31,12 +31,12 @@
 FULL, FULL_OVER = 0.5, 0.3  # share of tasks turned away by the fleet: over half, one in two walks in vain
 MOST_STRETCH = 4.0  # of return times
 FIGURES = (
-    Figure("pace", 64.0),  # recent call time over the usual
-    Figure("lost", 1.0),  # share of calls that were cut, refused or broken off
-    Figure("well", 10_000.0),  # ms since a call was last answered
-    Figure("full", 1.0),  # share of tasks turned away
-    Figure("memory", 1.0),  # of its limit
-    Figure("rate", 100_000.0),  # tasks read a second
+    MetricDefinition("pace", 64.0),  # recent call time over the usual
+    MetricDefinition("lost", 1.0),  # share of calls that were cut, refused or broken off
+    MetricDefinition("well", 10_000.0),  # ms since a call was last answered
+    MetricDefinition("full", 1.0),  # share of tasks turned away
+    MetricDefinition("memory", 1.0),  # of its limit
+    MetricDefinition("rate", 100_000.0),  # tasks read a second
 )
 PROBE = "probe"  # the turn
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Numbers:
+class FleetSignals:
     """For the node: see `rules.Node.fleet`."""
 
     pace: float = 1.0  # times that a call takes longer than usual
@@ -66,10 +66,10 @@
     stretch: float = 1.0  # of return times
 
 
-class Conclusions:
+class FleetSignalPolicy:
     """Asked several times a second."""
 
-    def __init__(self, host: Host, name: str, seed: int, signals: Signals) -> None:
+    def __init__(self, host: Host, name: str, seed: int, signals: LoadGossip) -> None:
         self.host, self.signals = host, signals
         self.chance = zlib.crc32(b"%d:%s" % (seed, name.encode())) % 1000 / 1000.0
         self.state, self.since, self.full = WELL, 0.0, False
@@ -90,7 +90,7 @@
             if state == DEAD_NOW:
                 self.host.want_probe()
 
-    def turn(self, now: float) -> Numbers:
+    def turn(self, now: float) -> FleetSignals:
         """What holds from now on."""
         pace, lost = self.signals.aggregate(now, "pace"), self.signals.aggregate(now, "lost")
         if self.state == DEAD_NOW:
@@ -109,7 +109,7 @@
         if self.full and full is not None:
             stretch = min(MOST_STRETCH, 1.0 / max(1e-6, 1.0 - full.value))
         slow = pace.value if pace is not None and self.state == SLOWED else 1.0
-        return Numbers(max(1.0, slow), self.room(now), self.full, stretch)
+        return FleetSignals(max(1.0, slow), self.room(now), self.full, stretch)
 
     def look_for_life(self, now: float) -> None:
         dead_for = now - self.since
--- a/vetchford/gossip/load_gossip.py
+++ b/vetchford/gossip/load_gossip.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class MetricDefinition:
     """One thing that all servers tell, the same list on all: 0 to `most`."""
 
     name: str
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class PeerReport:
     life: int
     sequence: int
     measured: float  # by our clock
@@ -68,14 +68,16 @@
     age: float  # ms, their mean
 
 
-class Signals:
+class LoadGossip:
     """One server's rows, and what follows from them."""
 
-    def __init__(self, host: Host, name: str, life: int, figures: Sequence[Figure], seed: int) -> None:
+    def __init__(
+        self, host: Host, name: str, life: int, figures: Sequence[MetricDefinition], seed: int
+    ) -> None:
         assert 0 < len(figures) <= MOST_VALUES
         self.host, self.name, self.life, self.seed, self.draws = host, name, life, seed, 0
         self.figures, self.at = list(figures), {figure.name: n for n, figure in enumerate(figures)}
-        self.rows: dict[str, Known] = {}  # by origin; emptied by age, departure and room
+        self.rows: dict[str, PeerReport] = {}  # by origin; emptied by age, departure and room
         self.others: list[str] = []  # those who are there
         self.ring: list[str] = []  # of them, whom we tell in turn
         self.sequence, self.turn, self.next = 0, 0, 0.0
@@ -102,7 +104,7 @@
             if math.isfinite(value):
                 values[self.at[name]] = round(1000.0 * min(max(0.0, value), most) / most)
         self.sequence += 1
-        self.rows[self.name] = Known(self.life, self.sequence, now, values)
+        self.rows[self.name] = PeerReport(self.life, self.sequence, now, values)
 
     def news(self, now: float) -> None:
         """Our own row to many at once, where what it says can't wait: rarely, and not to all of a large
@@ -172,7 +174,7 @@
                 if self.rows[oldest].measured >= now - age or oldest == self.name:
                     continue
                 del self.rows[oldest]
-            self.rows[name] = Known(life, sequence, now - age, list(values))
+            self.rows[name] = PeerReport(life, sequence, now - age, list(values))
 
     # -- what is asked
 
--- a/vetchford/leases/leases.py
+++ b/vetchford/leases/leases.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Permit:
+class Lease:
     holder: str
     mark: tuple[int, int]  # life and wish of the holder: a later one is not held by what an earlier was given
     slot: int
@@ -73,13 +73,13 @@
     """One thing to be done in turns, as the leader sees it."""
 
     most: int
-    permits: dict[int, Permit] = field(default_factory=dict)  # by slot; emptied by ends and leases
+    permits: dict[int, Lease] = field(default_factory=dict)  # by slot; emptied by ends and leases
     waiting: list[Waiter] = field(default_factory=list)  # emptied by permits, and of those not heard
     last: dict[str, int] = field(default_factory=dict)  # by zone, the fence of its last permit
     counted: int = 0
 
 
-class Keeper:
+class LeaseServer:
     """One keeper: its vote, and all the permits while it leads."""
 
     def __init__(
@@ -272,7 +272,7 @@
             return
         held = line.permits.get(word["slot"])
         if held is None and now < self.opens and 0 <= word["slot"] < line.most:
-            held = Permit(
+            held = Lease(
                 sender, (word["life"], word["wish"]), word["slot"], word["fence"], now, word["zone"]
             )  # taken over
             line.permits[held.slot] = held
@@ -316,10 +316,10 @@
             fence = self.term * 1_000_000 + self.fences
             line.last[waiter.zone] = fence
             line.counted += 1
-            held = line.permits[slot] = Permit(waiter.name, waiter.mark, slot, fence, 0.0, waiter.zone)
+            held = line.permits[slot] = Lease(waiter.name, waiter.mark, slot, fence, 0.0, waiter.zone)
             self.tell(now, turn, held, waiter.number)
 
-    def tell(self, now: float, turn: str, held: Permit, number: int) -> None:
+    def tell(self, now: float, turn: str, held: Lease, number: int) -> None:
         held.until = now + PERMIT * SLOPE
         self.host.turn_word(
             held.holder,
@@ -357,7 +357,7 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class LeaseRequest:
     """A turn that is wanted or held here."""
 
     number: int  # grows from wish to wish of one life
@@ -370,19 +370,19 @@
     asked: dict[int, float] = field(default_factory=dict)  # when each was asked; emptied by age
 
 
-class Taker:
+class LeaseClient:
     """The turns that one program wants or holds."""
 
     def __init__(self, host: Host, name: str, keepers: Sequence[str], zone: str, life: int) -> None:
         self.host, self.name, self.keepers, self.zone, self.life = host, name, sorted(keepers), zone, life
-        self.wishes: dict[str, Wish] = {}  # by turn; emptied by `done`
+        self.wishes: dict[str, LeaseRequest] = {}  # by turn; emptied by `done`
         self.number = self.tries = 0
 
     def want(self, now: float, turn: str) -> None:
         """Asks for it from now on, until `done`; once it is known already."""
         if turn not in self.wishes:
             self.number += 1
-            self.wishes[turn] = Wish(self.number)
+            self.wishes[turn] = LeaseRequest(self.number)
             self.ask(now, turn, self.wishes[turn])
 
     def holds(self, now: float, turn: str) -> int:
@@ -413,7 +413,7 @@
             if now >= wish.next:
                 self.ask(now, turn, wish)
 
-    def ask(self, now: float, turn: str, wish: Wish) -> None:
+    def ask(self, now: float, turn: str, wish: LeaseRequest) -> None:
         if not wish.at:  # whoever of them leads says so, the others name it
             self.tries += 1
             start = zlib.crc32(self.name.encode()) % len(self.keepers)
@@ -442,7 +442,7 @@
         if act is not None:
             act(now, sender, word, wish)
 
-    def on_yours(self, now: float, sender: str, word: Body, wish: Wish | None) -> None:
+    def on_yours(self, now: float, sender: str, word: Body, wish: LeaseRequest | None) -> None:
         if wish is None:  # we are done with it: an answer that was late, or `done` was lost
             self.host.turn_word(sender, self.ended(word["turn"], word["fence"], word["mark"][1]))
             return
@@ -455,7 +455,7 @@
         wish.until = max(wish.until, asked + PERMIT)
         wish.asked = {number: at for number, at in wish.asked.items() if at > asked}
 
-    def on_wait(self, now: float, sender: str, word: Body, wish: Wish | None) -> None:
+    def on_wait(self, now: float, sender: str, word: Body, wish: LeaseRequest | None) -> None:
         if wish is None:
             self.host.turn_word(sender, self.ended(word["turn"], 0, self.number))
         elif word["number"] in wish.asked and not wish.fence:
@@ -463,7 +463,7 @@
             # The asking that is in line is the one whose number comes back with the permit: it stays known.
             wish.next = max(wish.next, now + ASKS)
 
-    def on_led_by(self, now: float, sender: str, word: Body, wish: Wish | None) -> None:
+    def on_led_by(self, now: float, sender: str, word: Body, wish: LeaseRequest | None) -> None:
         if wish is None or word["number"] not in wish.asked:
             return
         del wish.asked[word["number"]]
@@ -473,7 +473,7 @@
         else:
             wish.at = ""
 
-    def on_over(self, now: float, sender: str, word: Body, wish: Wish | None) -> None:
+    def on_over(self, now: float, sender: str, word: Body, wish: LeaseRequest | None) -> None:
         if wish is not None and wish.fence == word["fence"] and wish.fence:
             self.host.note("turn_lost", turn=word["turn"], fence=wish.fence)
             wish.fence, wish.slot, wish.until, wish.next = 0, -1, 0.0, now
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 
 MOST_HEAD = 1024  # bytes; one short line is expected
 MOST_BODY = 8192  # bytes; 2 KiB in base64 are 2,732, the other fields a few hundred
@@ -29,7 +29,7 @@
         self.code, self.rpc_id = code, rpc_id
 
 
-def next_body(inbox: Inbox) -> memoryview | None:
+def next_body(inbox: ReceiveBuffer) -> memoryview | None:
     """The next whole body, in place; None until more is read."""
     ends = inbox.find(b"\r\n\r\n", MOST_HEAD)
     if ends < 0:
@@ -38,17 +38,17 @@
     for line in bytes(inbox.view[inbox.start : ends]).split(b"\r\n"):
         name, colon, value = line.partition(b":")
         if not colon:
-            raise UnfollowableError("a line of a head is no field")
+            raise UnreadableStreamError("a line of a head is no field")
         if name.strip().lower() != b"content-length":
             continue
         value = value.strip()
         if length is not None or not value.isdigit() or len(value) > 9:
-            raise UnfollowableError("the length in a head is repeated or bad")
+            raise UnreadableStreamError("the length in a head is repeated or bad")
         length = int(value)
     if length is None:
-        raise UnfollowableError("a head without a length")
+        raise UnreadableStreamError("a head without a length")
     if length > MOST_BODY:
-        raise UnfollowableError("a body is longer than it may be")
+        raise UnreadableStreamError("a body is longer than it may be")
     if inbox.end < ends + 4 + length:
         return None
     inbox.start = ends + 4
--- a/vetchford/protocol/receive_buffer.py
+++ b/vetchford/protocol/receive_buffer.py
@@ -1,11 +1,11 @@
 """The bytes of one connection that were read and not yet understood; parsed where they lie."""
 
 
-class UnfollowableError(Exception):
+class UnreadableStreamError(Exception):
     """The stream can't be followed any further; says why."""
 
 
-class Inbox:
+class ReceiveBuffer:
     """A buffer that grows up to `most`: `space` to read into, `start` to `end` the bytes that wait."""
 
     FIRST = 4096  # bytes: most messages fit, and hundreds of silent connections cost little
@@ -26,7 +26,7 @@
             self.start, self.end = 0, kept
         if self.end == len(self.bytes):
             if self.end >= self.most:
-                raise UnfollowableError("a message is longer than it may be")
+                raise UnreadableStreamError("a message is longer than it may be")
             # Parts taken before are views of the old bytes, and stay good.
             self.bytes = self.bytes + bytearray(min(self.most, 2 * self.end) - self.end)
             self.view = memoryview(self.bytes)
@@ -39,7 +39,7 @@
         """Where `mark` starts, within `most` bytes from the start; -1 while it is not there yet."""
         at = self.bytes.find(mark, self.start, min(self.end, self.start + most + len(mark)))
         if at < 0 and self.end - self.start >= most + len(mark):
-            raise UnfollowableError("a head or line is longer than it may be")
+            raise UnreadableStreamError("a head or line is longer than it may be")
         return at
 
     def take(self, until: int, drop: int = 0) -> memoryview:
--- a/vetchford/protocol/records_lines.py
+++ b/vetchford/protocol/records_lines.py
@@ -1,6 +1,6 @@
 """The records service's lines: parser and writer, free of sockets."""
 
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 
 MOST_LINE = 256  # bytes; an id, a word and a length
 MOST_REPLY = 65_536  # bytes; the page names no bound, replies seen are far shorter
@@ -14,28 +14,28 @@
 }  # it proves as WAIT does that the call never ran
 
 
-def next_reply(inbox: Inbox) -> tuple[str, str, memoryview | None] | None:
+def next_reply(inbox: ReceiveBuffer) -> tuple[str, str, memoryview | None] | None:
     """Id, outcome in the module's words and body of the next whole reply; None until more is read."""
     ends = inbox.find(b"\r\n", MOST_LINE)
     if ends < 0:
         return None
     words = bytes(inbox.view[inbox.start : ends]).split(b" ")
     if not 2 <= len(words) <= 3 or not all(word.isalnum() for word in words):
-        raise UnfollowableError("a line that is no reply")
+        raise UnreadableStreamError("a line that is no reply")
     status = words[1].decode("ascii", "replace")
     if status not in CODES or (status == "DONE") != (len(words) == 3):
-        raise UnfollowableError("a line with no known outcome")
+        raise UnreadableStreamError("a line with no known outcome")
     name = words[0].decode("ascii", "replace")
     if status != "DONE":
         inbox.take(ends, 2)
         return name, CODES[status], None
     if not words[2].isdigit() or len(words[2]) > 9 or int(words[2]) > MOST_REPLY:
-        raise UnfollowableError("a length that is none or too long")
+        raise UnreadableStreamError("a length that is none or too long")
     length = int(words[2])
     if inbox.end < ends + 2 + length + 2:
         return None
     if inbox.bytes[ends + 2 + length : ends + 4 + length] != b"\r\n":
-        raise UnfollowableError("a reply that does not end where it should")
+        raise UnreadableStreamError("a reply that does not end where it should")
     inbox.start = ends + 2
     return name, CODES[status], inbox.take(inbox.start + length, 2)
 
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from vetchford.protocol.receive_buffer import Inbox
+from vetchford.protocol.receive_buffer import ReceiveBuffer
 
 MOST_LINE = 65_536  # bytes; results of 4 KiB are 5.5 KB in base64, calls are not bounded by the page
 MOST_NESTED = 32  # brackets in a line; the reader's stack is small
@@ -18,7 +18,7 @@
     """A line that can't be read; says why."""
 
 
-def next_line(inbox: Inbox) -> memoryview | None:
+def next_line(inbox: ReceiveBuffer) -> memoryview | None:
     ends = inbox.find(b"\n", MOST_LINE)
     return None if ends < 0 else inbox.take(ends, 1)
 
--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -9,88 +9,88 @@
 from queue import Empty, SimpleQueue
 from typing import Any
 
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 
-MOST_BEHIND = 500  # entries, of 3 KB at most: a tenth of a second of work, and a MB or two
-A_BATCH = 16  # entries before `idle`: what they bring is written at once, and no timer waits for long
-REST = 0.5  # s that a thread of the crew waits for work before it ends
+MAILBOX_HIGH_WATER = 500  # entries, of 3 KB at most: a tenth of a second of work, and a MB or two
+BATCH_SIZE = 16  # entries before `on_idle`: what they bring is written at once, and no timer waits for long
+IDLE_THREAD_TIMEOUT = 0.5  # s that a thread of the crew waits for work before it ends
 
 
-def begin_thread(act: Callable[[], None], name: str, counts: Counts) -> None:
+def start_thread(act: Callable[[], None], name: str, metrics: Metrics) -> None:
     """Where the system gives none just now, waits: a connection that was taken must not be dropped unread."""
     while True:
         try:
             threading.Thread(target=act, name=name, daemon=True).start()
             return
         except RuntimeError as problem:
-            counts.note("no_thread", part=name, problem=str(problem))
+            metrics.log_sampled("no_thread", part=name, problem=str(problem))
             time.sleep(0.05)  # s: others end as their connections are closed
 
 
 class Actor:
-    """One thread and its mailbox. `tell` never blocks; an entry is one of its methods, with arguments."""
+    """One thread and its mailbox. `post` never blocks; an entry is one of its methods, with arguments."""
 
-    def __init__(self, name: str, counts: Counts) -> None:
-        self.name, self.counts = name, counts
+    def __init__(self, name: str, metrics: Metrics) -> None:
+        self.name, self.metrics = name, metrics
         self.mailbox: SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = SimpleQueue()
         self.running = True
 
-    def tell(self, act: Callable[..., None], *given: Any) -> None:
+    def post(self, act: Callable[..., None], *given: Any) -> None:
         self.mailbox.put((act, given))
 
-    def tell_when_room(self, act: Callable[..., None], *given: Any) -> None:
+    def post_when_room(self, act: Callable[..., None], *given: Any) -> None:
         """For readers of sockets: a mailbox that is far behind stops them, and so those who write to them."""
-        while self.mailbox.qsize() > MOST_BEHIND:
+        while self.mailbox.qsize() > MAILBOX_HIGH_WATER:
             time.sleep(0.005)  # s: the mailbox empties by some fifty entries meanwhile
         self.mailbox.put((act, given))
 
-    def begin(self) -> None:
-        begin_thread(self.run, self.name, self.counts)
+    def start(self) -> None:
+        start_thread(self.run, self.name, self.metrics)
 
     def run(self) -> None:
         while self.running:
-            self.batch(self.patience())
+            self.process_batch(self.next_timeout())
 
-    def batch(self, patience: float | None) -> bool:
-        """What the mailbox holds, up to a batch, then `idle`; whether there was anything."""
+    def process_batch(self, timeout: float | None) -> bool:
+        """What the mailbox holds, up to a batch, then `on_idle`; whether there was anything."""
         take, count = self.mailbox.get, 0
         try:
-            act, given = take(timeout=patience)
+            act, given = take(timeout=timeout)
             while True:
                 count += 1
-                self.guarded(act, *given)
-                if count == A_BATCH:
+                self.run_guarded(act, *given)
+                if count == BATCH_SIZE:
                     break
                 act, given = take(False)
         except Empty:
             pass
-        self.guarded(self.idle)
+        self.run_guarded(self.on_idle)
         return count > 0
 
-    def patience(self) -> float | None:
-        """Seconds until `idle` is due; None for never."""
+    def next_timeout(self) -> float | None:
+        """Seconds until `on_idle` is due; None for never."""
         return None
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         """Called after each batch of entries and whenever patience runs out."""
 
-    def guarded(self, act: Callable[..., None], *given: Any) -> None:
+    def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
         # One entry that goes wrong must not end the thread, and with it the server.
         try:
             act(*given)
         except Exception as problem:
-            self.counts.broke(self.name, problem)
+            self.metrics.report_internal_error(self.name, problem)
 
 
-class Crew:
+class ThreadPool:
     """Threads that serve whoever needs one, and end when they are not needed for a while.
 
     Where a machine is paused and resumed many times a second, as under a limit of its processor, each thread
     costs time at each pause: only what has something to do may have one.
     """
 
-    def __init__(self, counts: Counts, most: int) -> None:
-        self.counts, self.lock, self.most = counts, threading.Lock(), most
+    def __init__(self, metrics: Metrics, most: int) -> None:
+        self.metrics, self.lock, self.most = metrics, threading.Lock(), most
         self.threads = 0
         self.jobs: SimpleQueue[Callable[[], None]] = SimpleQueue()
         self.free = 0  # threads that wait for a job, less the jobs that wait for a thread
@@ -105,7 +105,7 @@
         try:
             _thread.start_new_thread(self.serve, (act,))
         except RuntimeError as problem:  # none to be had just now: the next that has done its work takes it
-            self.counts.note("no_thread", problem=str(problem))
+            self.metrics.log_sampled("no_thread", problem=str(problem))
             with self.lock:
                 self.threads -= 1
                 self.jobs.put(act)
@@ -113,13 +113,13 @@
         with self.lock:
             self.free += 1
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """A first thread that stays: without it a job that finds none to be had might wait for good."""
         with self.lock:
             self.threads += 1
-        begin_thread(partial(self.serve, lambda: None, True), "crew", self.counts)
+        start_thread(partial(self.serve, lambda: None, True), "crew", self.metrics)
 
-    def roomy(self) -> bool:
+    def has_spare_threads(self) -> bool:
         """Whether a thread may wait a little without keeping others from theirs."""
         return self.jobs.empty() and self.threads < self.most // 2
 
@@ -129,11 +129,11 @@
                 act()
             except Exception as problem:
                 with contextlib.suppress(Exception):  # a debug build raises it again: the thread goes on
-                    self.counts.broke("crew", problem)
+                    self.metrics.report_internal_error("crew", problem)
             with self.lock:
                 self.free += 1
             try:
-                act = self.jobs.get(timeout=None if stays else REST)
+                act = self.jobs.get(timeout=None if stays else IDLE_THREAD_TIMEOUT)
             except Empty:
                 with self.lock:
                     if self.jobs.empty():
@@ -143,53 +143,53 @@
                 act = self.jobs.get()
 
 
-class CrewedActor(Actor):
-    """Has a thread of the crew only while there is something to do; light work is done by whoever brings it.
+class PooledActor(Actor):
+    """An actor that takes a thread of the pool only while it has entries; light work runs in the caller.
 
-    Each hand-over to another thread costs more than a small write does. `do` takes the actor's place while it
-    is asleep, and leaves to a thread what could block: a slow peer still holds up nobody but its own actor.
+    Each hand-over to another thread costs more than a small write does. `run_or_post` takes the actor's place
+    while it is asleep, and leaves to a thread what could block: a slow peer delays no actor but its own.
     """
 
-    def __init__(self, name: str, counts: Counts, crew: Crew) -> None:
-        super().__init__(name, counts)
-        self.crew, self.lock, self.awake = crew, threading.Lock(), False
+    def __init__(self, name: str, metrics: Metrics, thread_pool: ThreadPool) -> None:
+        super().__init__(name, metrics)
+        self.thread_pool, self.lock, self.awake = thread_pool, threading.Lock(), False
 
-    def tell(self, act: Callable[..., None], *given: Any) -> None:
+    def post(self, act: Callable[..., None], *given: Any) -> None:
         self.mailbox.put((act, given))
         if not self.awake:
             with self.lock:
                 first, self.awake = not self.awake, True
             if first:
-                self.crew.run(self.run)
+                self.thread_pool.run(self.run)
 
-    def do(self, act: Callable[..., None], *given: Any) -> None:
-        """Like `tell`, for entries that don't block."""
+    def run_or_post(self, act: Callable[..., None], *given: Any) -> None:
+        """Like `post`, for entries that don't block."""
         if not self.awake:
             with self.lock:
                 mine, self.awake = not self.awake, True
             if mine:
-                self.guarded(act, *given)
-                self.guarded(self.now)
-                if not self.sleeps():
-                    self.crew.run(self.run)
+                self.run_guarded(act, *given)
+                self.run_guarded(self.flush_nonblocking)
+                if not self.try_sleep():
+                    self.thread_pool.run(self.run)
                 return
-        self.tell(act, *given)
+        self.post(act, *given)
 
-    def now(self) -> None:
-        """As much of `idle` as doesn't block."""
+    def flush_nonblocking(self) -> None:
+        """As much of `on_idle` as doesn't block."""
 
-    def left(self) -> bool:
-        """Whether `now` has left something over."""
+    def has_unwritten(self) -> bool:
+        """Whether `flush_nonblocking` has left something over."""
         return False
 
-    def sleeps(self) -> bool:
+    def try_sleep(self) -> bool:
         with self.lock:
             self.awake = False  # before the last look: whoever puts an entry now wakes it again
-            more = self.running and (self.left() or not self.mailbox.empty())
+            more = self.running and (self.has_unwritten() or not self.mailbox.empty())
             self.awake = more
         return not more
 
     def run(self) -> None:
         while self.running:
-            if not self.batch(0.0) and self.sleeps():
+            if not self.process_batch(0.0) and self.try_sleep():
                 return
--- a/vetchford/runtime/log_setup.py
+++ b/vetchford/runtime/log_setup.py
@@ -19,7 +19,7 @@
 FORMS = ("text", "json")
 
 
-class Writer:
+class LogWriter:
     """What structlog calls a logger: takes finished lines, at any level."""
 
     def __init__(self, file: TextIO) -> None:
@@ -55,8 +55,8 @@
         self.thread.join(max(0.0, min(FLUSH, self.ends_by - time.time())))
 
 
-def begin(level: str, form: str, file: TextIO = sys.stderr) -> Writer:
-    writer = Writer(file)
+def start(level: str, form: str, file: TextIO = sys.stderr) -> LogWriter:
+    writer = LogWriter(file)
     last = (
         structlog.processors.JSONRenderer()
         if form == "json"
--- a/vetchford/runtime/metrics.py
+++ b/vetchford/runtime/metrics.py
@@ -8,21 +8,21 @@
 log = structlog.get_logger()
 
 
-class Counts:
+class Metrics:
     """Names are fixed by the code, so the table is bounded; several threads add to it."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, int] = {}
         self.lock = threading.Lock()
 
-    def add(self, name: str) -> int:
+    def increment(self, name: str) -> int:
         with self.lock:
             count = self.by_name[name] = self.by_name.get(name, 0) + 1
         return count
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_sampled(self, event: str, **fields: Any) -> None:
         """Counts what a peer can provoke, and logs the 1st, 2nd, 4th, 8th ... of it."""
-        count = self.add(event)
+        count = self.increment(event)
         if count & (count - 1) == 0:
             log.warning(event, count=count, **fields)
 
@@ -31,13 +31,13 @@
             counted = dict(sorted(self.by_name.items()))
         log.info("summary", **fields, **counted)
 
-    def broke(self, part: str, problem: Exception) -> None:
+    def report_internal_error(self, part: str, problem: Exception) -> None:
         """Our own code went wrong: debug builds end the thread, release builds say where and go on."""
         place = problem.__traceback__
         while place and place.tb_next:
             place = place.tb_next
         code = place.tb_frame.f_code.co_filename.rsplit("/", 1)[-1] if place else ""
-        self.note(
+        self.log_sampled(
             "part_broke",
             part=part,
             problem=type(problem).__name__,
@@ -47,8 +47,8 @@
         if __debug__:
             raise problem
 
-    def must(self, holds: bool, name: str, **fields: Any) -> bool:
+    def check_invariant(self, holds: bool, name: str, **fields: Any) -> bool:
         assert holds, name
         if not holds:
-            self.note("must_hold_broken", what=name, **fields)
+            self.log_sampled("must_hold_broken", what=name, **fields)
         return holds
--- a/vetchford/runtime/timers.py
+++ b/vetchford/runtime/timers.py
@@ -20,7 +20,7 @@
         self.count += 1
         heapq.heappush(self.heap, (when, self.count, act, given))
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         """Seconds until the next is due; None while there is none."""
         return max(0.0, self.heap[0][0] / 1000.0 - time.time()) if self.heap else None
 
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -1,7 +1,7 @@
-"""The module's actor: the host that the decisions act through on sockets.
+"""The actor that owns the admission controller, and carries out its actions on sockets.
 
-It alone touches the `Node`, the tasks and the fingerprints. Peers tell it what happened (one method each); it
-calls the node, and the node calls back for what is to be done. Nothing here blocks on a socket.
+It alone touches the controller, the request table and the idempotency cache. The actors of the peers
+post events to it, one method each. Nothing here blocks on a socket.
 """
 
 import contextlib
@@ -17,11 +17,11 @@
 from vetchford.admission import controller, factory
 from vetchford.protocol import json_rpc, worker_pool_lines
 from vetchford.runtime.actor import Actor
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers
-from vetchford.server.idempotency_cache import Fingerprints
-from vetchford.server.request_table import Slot, Tasks
-from vetchford.server.shutdown import Drain
+from vetchford.server.idempotency_cache import IdempotencyCache
+from vetchford.server.request_table import RequestEntry, RequestTable
+from vetchford.server.shutdown import ShutdownSchedule
 
 log = structlog.get_logger()
 
@@ -33,22 +33,22 @@
 RUNS, BEGUN = (controller.RUNNING,), (controller.RUNNING, controller.PARKED, controller.CALLING)
 
 
-class ModuleActor(Actor):
+class AdmissionActor(Actor):
     def __init__(
-        self, seed: int, told: dict[str, Any], counts: Counts, pools: Callable[[], Any] | None = None
+        self, seed: int, told: dict[str, Any], metrics: Metrics, pools: Callable[[], Any] | None = None
     ) -> None:
         """`pools` makes the class pools; without it there are none."""
-        super().__init__("module", counts)
+        super().__init__("module", metrics)
         self.seed, self.told, self.make_pools = seed, told, pools
         self.gauge_places = factory.indices(told)[2]
-        self.tasks, self.prints = Tasks(), Fingerprints()
+        self.tasks, self.prints = RequestTable(), IdempotencyCache()
         self.marks: dict[int, str] = {}  # fingerprints of tasks; emptied by `release`
         self.calls: dict[int, int] = {}  # tasks by the number of their call; emptied as calls end or are cut
         self.begun: dict[int, float] = {}  # when they went out; emptied alike
         self.call_count = 0
-        self.timers, self.drain = Timers(), Drain()
+        self.timers, self.drain = Timers(), ShutdownSchedule()
         self.later: deque[tuple[Act, Given]] = deque()  # until the node's method returns
-        self.node: controller.Node | None = None
+        self.node: controller.AdmissionController | None = None
         self.origin = 0.0  # Unix ms that the node's clock starts at
         self.link, self.ready = 0, False  # the pool's link; whether its replay was read
         self.arriving = -1  # the task that the node is told of just now
@@ -68,17 +68,17 @@
     def now(self) -> float:
         return time.time() * 1000.0 - self.origin
 
-    def patience(self) -> float | None:
-        return self.timers.patience()
+    def next_timeout(self) -> float | None:
+        return self.timers.next_timeout()
 
-    def idle(self) -> None:
-        self.timers.fire(self.guarded)
+    def on_idle(self) -> None:
+        self.timers.fire(self.run_guarded)
 
-    def guarded(self, act: Callable[..., None], *given: Any) -> None:
-        super().guarded(act, *given)
+    def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
+        super().run_guarded(act, *given)
         while self.later:
             later, its = self.later.popleft()
-            super().guarded(later, *its)
+            super().run_guarded(later, *its)
 
     # -- what can happen
 
@@ -99,11 +99,11 @@
         content: str,
     ) -> None:
         if self.node is None:  # the pool is not up: it never ran
-            self.counts.add("rejected_no_pool")
+            self.metrics.increment("rejected_no_pool")
             caller.answer(rpc_id, json_rpc.rejected(rpc_id, False, 0.0))
             return
         if name in self.tasks.by_name:
-            self.counts.note(
+            self.metrics.log_sampled(
                 "balancer_bad_message", code=json_rpc.INVALID_PARAMS, problem="field 'txn' is in use"
             )
             caller.answer(rpc_id, json_rpc.error(rpc_id, json_rpc.INVALID_PARAMS, "field 'txn' is in use"))
@@ -114,7 +114,7 @@
         until = None if limit is None else arrived + min(limit, told.limit)
         work = None if work is None else min(work, told.limit)
         limit = max(now, arrived + told.limit if until is None else until)
-        q = self.tasks.enter(Slot(name, kind, caller, rpc_id, content, limit))
+        q = self.tasks.enter(RequestEntry(name, kind, caller, rpc_id, content, limit))
         original = None
         if mark is not None and told.effect == controller.FINGERPRINTED:
             # All tries of a task carry the same body: under its key with another one this is no repeat of it.
@@ -123,7 +123,7 @@
             self.marks[q] = mark
             if original is not None:
                 self.tasks[q].waits_for = original
-        self.counts.add("read")
+        self.metrics.increment("read")
         self.arriving = q
         self.node.arrived(
             now,
@@ -145,7 +145,7 @@
             slot = self.tasks.slots[q]
             if slot is not None and not slot.answered:
                 slot.answered = True
-                self.counts.add("callers_gone")
+                self.metrics.increment("callers_gone")
                 self.node.gone(self.now(), q)
 
     def bound(self, link: int, cold: bool, ago: float) -> None:
@@ -185,25 +185,25 @@
             if link == self.confirmed[0] and polls < self.confirmed[1]:
                 slot.command = None  # it arrived: the link after the next knows nothing of this one's polls
                 continue
-            self.counts.add("commands_sent_again")
+            self.metrics.increment("commands_sent_again")
             self.command(slot, slot.command)
 
     def known(self, name: str, states: tuple[int, ...]) -> int | None:
         """The task of a notice; none where it can't be about its run: that is counted and changes nothing."""
         q = self.tasks.by_name.get(name)
         if q is None or q not in self.node.tasks or self.node.tasks[q].state not in states:
-            self.counts.note("pool_odd_notice", task=name[:64], known=q is not None)
+            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=q is not None)
             return None
         return q
 
     def command_unknown(self, command: str, name: str) -> None:
-        self.counts.note("pool_unknown", command=command, task=name)
+        self.metrics.log_sampled("pool_unknown", command=command, task=name)
         q = self.tasks.by_name.get(name)
         if command == "spawn" and q is not None:  # no end of this run will ever be told
             caller = self.tasks[q].caller
             self.refuse_held(caller)  # before this end frees a core for the next of its like
             self.run_ended(name, "superseded", 0.0, "")
-            caller.do(caller.distrust)
+            caller.run_or_post(caller.distrust)
 
     def refuse_held(self, caller: Any) -> None:
         """It sent what never came by the balancers: the rest of it is held for nobody."""
@@ -219,18 +219,18 @@
         slot = self.tasks[q]
         slot.command, slot.need = None, (notice, body)
         if self.node.calls is None:  # nothing is below: told of a call, the node would fail in each sweep
-            self.counts.note("pool_odd_notice", task=name[:64], known=True)
+            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=True)
             return
         self.node.stalled_on_call(self.now(), q)
 
     def call_ended(self, number: int, code: str, reply: bytes) -> None:
         q = self.calls.pop(number, None)
         if q is None:
-            self.counts.add("calls_late")
+            self.metrics.increment("calls_late")
             return
         slot, took = self.tasks[q], self.now() - self.begun.pop(number)
         slot.call = 0
-        self.counts.add("calls_" + code)
+        self.metrics.increment("calls_" + code)
         if self.watch is not None:
             self.watch.call_ended(self.now(), code, took)
         if code == "completed":
@@ -271,7 +271,7 @@
     def finish(self, q: int, code: str, content: str) -> None:
         slot = self.tasks[q]
         if slot.answered:
-            self.counts.add("runs_unwanted")
+            self.metrics.increment("runs_unwanted")
         elif code == "completed":
             self.answer(slot, json_rpc.finished(slot.rpc_id, content), "finished")
         else:
@@ -306,7 +306,7 @@
         """Whatever went wrong above, no task is left without an answer."""
         for slot in self.tasks.slots:
             if slot is not None and not slot.answered and min(slot.until, self.node.kill) < before:
-                self.counts.note("must_hold_broken", what="answered_in_time", task=slot.name)
+                self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=slot.name)
                 self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
 
     # -- the fleet
@@ -318,9 +318,9 @@
             return
         usual = node.calls.base.value if node.calls is not None else 0.0
         counters = node.counters
-        counts = self.counts.by_name.copy()
+        metrics = self.metrics.by_name.copy()
         begun = self.begun.values()
-        tell(self.watch.figures(self.now(), begun, usual, counts, counters.used, counters.memory))
+        tell(self.watch.figures(self.now(), begun, usual, metrics, counters.used, counters.memory))
 
     def fleet(self, numbers: Any) -> None:
         if self.node is not None:
@@ -334,7 +334,7 @@
         until = self.drain.begin(at, stop_ms, grace)
         self.timers.at(self.drain.last_moment(), self.leave_step)  # sweeps may fall around it
         if self.node is None:  # no sweeps come, and nothing could be run: only what is read is to be answered
-            self.members.tell(self.members.judge, False)
+            self.members.post(self.members.judge, False)
             self.leave_without_pool()
             return
         self.node.leaving(at - self.origin, until - self.origin)
@@ -342,7 +342,9 @@
     def leave_without_pool(self) -> None:
         self.leave_step()
         if not self.stopped:
-            self.timers.at(time.time() * 1000.0 + controller.Node.SWEEP, self.leave_without_pool)
+            self.timers.at(
+                time.time() * 1000.0 + controller.AdmissionController.SWEEP, self.leave_without_pool
+            )
 
     def leave_step(self) -> None:
         """Past the grace nothing new is taken; once all is answered and written, the end."""
@@ -360,7 +362,7 @@
         if not self.stopped:
             self.stopped = True
             try:
-                self.counts.must(not self.open_tasks(), "answered_before_the_stop")
+                self.metrics.check_invariant(not self.open_tasks(), "answered_before_the_stop")
                 self.summarise()
             finally:
                 self.when_stopped()
@@ -369,20 +371,20 @@
         return sum(slot is not None and not slot.answered for slot in self.tasks.slots)
 
     def summarise(self) -> None:
-        self.counts.log_summary(
+        self.metrics.log_summary(
             open=self.open_tasks(), connections=len(self.doors.connections), known=len(self.tasks.by_name)
         )
         self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
 
     # -- the host
 
-    def answer(self, slot: Slot, parts: list[bytes], outcome: str) -> None:
-        if self.counts.must(not slot.answered, "one_answer", task=slot.name):
+    def answer(self, slot: RequestEntry, parts: list[bytes], outcome: str) -> None:
+        if self.metrics.check_invariant(not slot.answered, "one_answer", task=slot.name):
             slot.answered = True
-            self.counts.add(outcome)
+            self.metrics.increment(outcome)
             slot.caller.answer(slot.rpc_id, parts)
 
-    def command(self, slot: Slot, parts: list[bytes], once: bool = False) -> None:
+    def command(self, slot: RequestEntry, parts: list[bytes], once: bool = False) -> None:
         slot.command, slot.commanded = parts, (0, 0)  # not sent
         if self.ready:
             slot.commanded = (self.link, self.polls)
@@ -391,13 +393,13 @@
                 # sent again, and might start anew a run that ends just then; others may run anew.
                 self.polls += 1
                 parts = parts + worker_pool_lines.poll(f"{self.link}-{self.polls}")
-            self.pool.do(self.pool.send, self.link, parts)
+            self.pool.run_or_post(self.pool.send, self.link, parts)
 
     def poll(self) -> None:
         if self.pool.mailbox.qsize() > MOST_BEHIND:  # a paused pool gets no heap of polls
             return
         self.polls += 1
-        self.pool.do(self.pool.send, self.link, worker_pool_lines.poll(f"{self.link}-{self.polls}"))
+        self.pool.run_or_post(self.pool.send, self.link, worker_pool_lines.poll(f"{self.link}-{self.polls}"))
 
     def start(self, q: int) -> None:
         slot = self.tasks[q]
@@ -406,7 +408,7 @@
 
     def stop(self, q: int) -> None:
         """The protocol has no command for it yet: the run goes on to its end, which changes no answer."""
-        self.counts.add("stops_not_sent")
+        self.metrics.increment("stops_not_sent")
 
     def reject(self, q: int, terminal: bool, pause: float) -> None:
         slot = self.tasks[q]
@@ -453,7 +455,7 @@
 
     def release(self, q: int) -> None:
         slot = self.tasks[q]
-        self.counts.must(slot.answered, "released_after_its_answer", task=slot.name)
+        self.metrics.check_invariant(slot.answered, "released_after_its_answer", task=slot.name)
         self.marks.pop(q, None)
         if slot.waits_for >= 0:
             self.prints.leave(slot.waits_for, q)
@@ -463,7 +465,7 @@
 
     def fitness(self, good: bool) -> None:
         self.doors.fit = good
-        self.members.tell(self.members.judge, good)
+        self.members.post(self.members.judge, good)
         log.info("fitness", good=good)
 
     def stamp(self, value: float) -> None:
