--- a/vetchford/server/client_connections.py
+++ b/vetchford/server/client_connections.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from vetchford.protocol import json_rpc
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
-from vetchford.runtime.actor import Crew, CrewedActor
-from vetchford.runtime.metrics import Counts
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
+from vetchford.runtime.actor import PooledActor, ThreadPool
+from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut, time_limit
-from vetchford.server.idle_poller import Lobby
+from vetchford.server.idle_poller import IdleConnectionPoller
 
 MOST_OPEN = 64  # tasks: twice the page's 32, as one that nobody waits for is open here until it is answered
 MOST_REPLIES = 64  # to checks and bad messages, waiting to be written, before reading waits for them
@@ -36,22 +36,22 @@
 BUFFER = 2 * (json_rpc.MOST_HEAD + json_rpc.MOST_BODY)
 
 
-class Connection(CrewedActor):
+class Connection(PooledActor):
     """Its reader hands tasks to the module; its writer, the actor, writes answers.
 
     `open` holds the ids that are read and whose answers haven't left; a closed connection has none. One that
     has nothing to say and nothing to be told has no thread: the lobby waits for it.
     """
 
-    def __init__(self, sock: socket.socket, doors: "Doors", counts: Counts) -> None:
-        super().__init__("connection", counts, doors.crew)
+    def __init__(self, sock: socket.socket, doors: "Listener", metrics: Metrics) -> None:
+        super().__init__("connection", metrics, doors.thread_pool)
         self.sock, self.doors, self.module = sock, doors, doors.module
         self.open: set[int | str] = set()
         self.used = time.monotonic()
         self.heard = False  # whether a whole message ever came
         self.wrong = 0  # bad messages so far
         self.distrusted = False
-        self.inbox: Inbox | None = None  # while a message is begun
+        self.inbox: ReceiveBuffer | None = None  # while a message is begun
         self.begun = math.inf  # when it was
         self.passing, self.passed = False, 0  # over a stream that can't be followed
         self.served = self.last = False
@@ -74,7 +74,7 @@
         try:
             self.doors.lobby.come_back(self)
         except OSError as problem:
-            self.counts.note("connections_not_watched", problem=str(problem))
+            self.metrics.log_sampled("connections_not_watched", problem=str(problem))
             self.broken = True
             self.read_to_end()
 
@@ -92,15 +92,15 @@
             self.wait_on()
             return
         if not self.heard:
-            self.counts.add("connections_silent")
+            self.metrics.increment("connections_silent")
         self.read_to_end()
 
     def read_on(self) -> bool:
         """Takes what has come; False once nothing more will."""
         try:
             while True:
-                inbox = self.inbox = self.inbox or Inbox(BUFFER)
-                waits = self.served and not self.last and self.doors.readers.roomy()
+                inbox = self.inbox = self.inbox or ReceiveBuffer(BUFFER)
+                waits = self.served and not self.last and self.doors.readers.has_spare_threads()
                 try:
                     count = self.sock.recv_into(inbox.space(), 0, 0 if waits else socket.MSG_DONTWAIT)
                 except BlockingIOError:
@@ -117,7 +117,7 @@
                     while (body := json_rpc.next_body(inbox)) is not None:
                         self.take(body)
                         self.begun = math.inf  # what follows is the next one
-                except UnfollowableError as problem:
+                except UnreadableStreamError as problem:
                     self.turn_out(str(problem))
                     inbox.start = inbox.end = 0
                     continue
@@ -127,11 +127,11 @@
             return True
         except OSError:
             self.broken = True
-        except UnfollowableError as problem:
+        except UnreadableStreamError as problem:
             self.turn_out(str(problem))
         except Exception as problem:
             self.broken = True
-            self.counts.broke("connection-reader", problem)
+            self.metrics.report_internal_error("connection-reader", problem)
         return False
 
     def turn_out(self, why: str) -> None:
@@ -139,12 +139,12 @@
 
         Closed with bytes unread the system would reset it, and answers on their way would be lost.
         """
-        self.counts.note("balancer_unfollowable", problem=why)
+        self.metrics.log_sampled("balancer_unfollowable", problem=why)
         self.passing, self.begun = True, math.inf
         self.used = time.monotonic()
         if self.room.acquire(blocking=False):
-            self.do(self.write_reply, json_rpc.error(None, json_rpc.INVALID_REQUEST, why))
-        self.do(self.end_after_answers)
+            self.run_or_post(self.write_reply, json_rpc.error(None, json_rpc.INVALID_REQUEST, why))
+        self.run_or_post(self.end_after_answers)
 
     def overstays(self, now: float) -> bool:
         """Whether the lobby is to let it go; one that is idle is asked to close first."""
@@ -160,26 +160,28 @@
         if self.asked:
             return self.done(now, PACKED_IN if packed else DRAINED_IN if crowded else CLOSES_IN)
         if now - self.used > IDLE:
-            self.counts.add("connections_asked_to_close")
-            self.do(self.ask_to_close)
+            self.metrics.increment("connections_asked_to_close")
+            self.run_or_post(self.ask_to_close)
         return False
 
     def read_to_end(self) -> None:
         if self.broken:
-            self.module.tell(self.module.caller_gone, self)
-        self.do(self.read_out)
+            self.module.post(self.module.caller_gone, self)
+        self.run_or_post(self.read_out)
 
     def take(self, body: memoryview) -> None:
         self.used, self.heard = time.monotonic(), True
         if self.distrusted:
-            raise UnfollowableError("its tasks are unknown to the worker pool")
+            raise UnreadableStreamError("its tasks are unknown to the worker pool")
         try:
             method, rpc_id, params = json_rpc.decode(body)
             if rpc_id in self.open:
                 raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, f"id {rpc_id} is in use")
             if rpc_id is None:
                 # Balancers have sent hundreds at a time: no reason to part with one, and its tasks, for that.
-                self.counts.note("balancer_notification", method=method[:40], params=str(params)[:120])
+                self.metrics.log_sampled(
+                    "balancer_notification", method=method[:40], params=str(params)[:120]
+                )
                 if method in self.doors.stages:  # a task that could not be answered: whoever sent it is told
                     self.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
             elif method == "check":
@@ -187,13 +189,13 @@
             else:
                 self.request(method, rpc_id, params)
         except json_rpc.BadMessageError as problem:
-            self.counts.note("balancer_bad_message", code=problem.code, problem=str(problem))
+            self.metrics.log_sampled("balancer_bad_message", code=problem.code, problem=str(problem))
             # Under the id of an open task this would pass for its answer.
             rpc_id = None if problem.rpc_id in self.open else problem.rpc_id
             self.reply(json_rpc.error(rpc_id, problem.code, str(problem)))
             self.wrong += 1
             if self.wrong >= MOST_WRONG:
-                raise UnfollowableError("too many bad messages") from None
+                raise UnreadableStreamError("too many bad messages") from None
 
     def request(self, method: str, rpc_id: int | str, params: dict) -> None:
         stage = self.doors.stages.get(method)
@@ -203,7 +205,7 @@
             raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
         if len(self.open) >= MOST_OPEN:
             # Not a bad message: a balancer that has given up many here, unheard, may send as many more.
-            self.counts.add("rejected_over_open")
+            self.metrics.increment("rejected_over_open")
             self.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
         name, door, limit, caller, team, work, kb, mark, content = json_rpc.request_fields(
@@ -213,7 +215,7 @@
         if tenant is None:
             raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
         self.open.add(rpc_id)
-        self.module.tell_when_room(
+        self.module.post_when_room(
             self.module.request,
             self,
             rpc_id,
@@ -234,13 +236,13 @@
         """Says at once what no task waits for; the connection of a peer that doesn't read it ends."""
         if not self.room.acquire(blocking=False):
             raise ConnectionError("replies are not read")
-        self.do(self.write_reply, parts)
+        self.run_or_post(self.write_reply, parts)
 
     # -- the writer
 
     def answer(self, rpc_id: int, parts: list[bytes]) -> None:
         """The final answer of an open task; called by the module."""
-        self.do(self.write_answer, rpc_id, parts)
+        self.run_or_post(self.write_answer, rpc_id, parts)
 
     def write(self) -> None:
         """All that a batch of entries brought, in one gathered write."""
@@ -255,9 +257,9 @@
     def lost(self) -> None:
         self.broken, self.out = True, []
         shut(self.sock)
-        self.module.tell(self.module.caller_gone, self)
+        self.module.post(self.module.caller_gone, self)
 
-    def now(self) -> None:
+    def flush_nonblocking(self) -> None:
         self.used = time.monotonic()
         if self.broken:
             self.out = []
@@ -270,7 +272,7 @@
         if not self.out:
             self.finish_up()
 
-    def left(self) -> bool:
+    def has_unwritten(self) -> bool:
         return bool(self.out)
 
     def write_answer(self, rpc_id: int, parts: list[bytes]) -> None:
@@ -319,7 +321,7 @@
         # Behind the look: what was read before it is with a reader, or among the open by now.
         return self.running and not self.doors.lobby.holds(self)
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         if self.out:
             self.write()
             self.used = time.monotonic()
@@ -339,7 +341,7 @@
             self.doors.left(self)
 
 
-class Doors:
+class Listener:
     """The listening socket, and all connections that came through it; a thread accepts."""
 
     CROWDED_EVERY = 0.05  # s: how often a full table looks for connections that may go
@@ -351,11 +353,11 @@
         stages: dict[str, int],
         tenants: dict[str, int],
         module: Any,
-        counts: Counts,
+        metrics: Metrics,
     ) -> None:
-        self.stages, self.tenants, self.module, self.counts = stages, tenants, module, counts
-        self.crew, self.readers = Crew(counts, WRITERS), Crew(counts, READERS)
-        self.lobby = Lobby(self.readers)
+        self.stages, self.tenants, self.module, self.metrics = stages, tenants, module, metrics
+        self.thread_pool, self.readers = ThreadPool(metrics, WRITERS), ThreadPool(metrics, READERS)
+        self.lobby = IdleConnectionPoller(self.readers)
         self.most = most
         self.fit = False
         self.connections: set[Connection] = set()
@@ -369,10 +371,10 @@
         self.sock.listen(BACKLOG)
         self.sock.setblocking(False)
 
-    def begin(self) -> None:
-        self.crew.begin()
-        self.readers.begin()
-        self.lobby.begin()
+    def start(self) -> None:
+        self.thread_pool.start()
+        self.readers.start()
+        self.lobby.start()
         threading.Thread(target=self.accept, name="doors", daemon=True).start()
 
     def accept(self) -> None:
@@ -389,7 +391,7 @@
             except OSError as problem:
                 self.free.release()
                 if not self.shutting:
-                    self.counts.note("accept_failed", problem=str(problem))
+                    self.metrics.log_sampled("accept_failed", problem=str(problem))
                     time.sleep(0.05)  # out of descriptors or memory: some time for others to leave
                 continue
             if not entered:
@@ -413,17 +415,17 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             time_limit(sock, socket.SO_RCVTIMEO, TICK)
             time_limit(sock, socket.SO_SNDTIMEO, WRITE_IN)
-            connection = Connection(sock, self, self.counts)
+            connection = Connection(sock, self, self.metrics)
             with self.lock:
                 self.connections.add(connection)
             self.lobby.enter(connection)
         except OSError as problem:  # its own end, not that of the thread which takes all others in
-            self.counts.note("connections_lost_at_door", problem=str(problem))
+            self.metrics.log_sampled("connections_lost_at_door", problem=str(problem))
             with self.lock:
                 self.connections = {other for other in self.connections if other.sock is not sock}
             sock.close()
             return False
-        self.counts.add("connections_accepted")
+        self.metrics.increment("connections_accepted")
         return True
 
     def fuller_than(self, share: float) -> bool:
@@ -443,8 +445,8 @@
         idle = [c for c in staying if c.heard and not c.open and now - c.used > CROWDED_IN]
         beyond = len(staying) - int(CROWDED * self.most)
         for connection in sorted(idle, key=lambda c: c.used)[: max(0, beyond)]:
-            self.counts.add("connections_asked_to_close")
-            connection.do(connection.ask_to_close)
+            self.metrics.increment("connections_asked_to_close")
+            connection.run_or_post(connection.ask_to_close)
 
     def close_idle(self, keep_for: float) -> None:
         """Asks the balancers to close what was silent for this long, in ms."""
@@ -457,8 +459,8 @@
             ]
         for connection in idle:
             if not connection.asked:
-                self.counts.add("connections_asked_to_close")
-                connection.do(connection.ask_to_close)
+                self.metrics.increment("connections_asked_to_close")
+                connection.run_or_post(connection.ask_to_close)
 
     def close(self) -> None:
         """Takes in what has connected already, and nothing more; then asks all to close."""
@@ -476,14 +478,14 @@
                 except ConnectionAbortedError:
                     continue
                 except OSError as problem:  # out of descriptors: the next sweep takes in the rest
-                    self.counts.note("accept_failed", problem=str(problem))
+                    self.metrics.log_sampled("accept_failed", problem=str(problem))
                     break
                 else:
                     self.enter(sock)
         with self.lock:
             asked = [connection for connection in self.connections if not connection.asked]
         for connection in asked:
-            connection.do(connection.ask_to_close)
+            connection.run_or_post(connection.ask_to_close)
 
     def done(self) -> bool:
         """Whether all that came through it is answered and closed, or could be."""
--- a/vetchford/server/idempotency_cache.py
+++ b/vetchford/server/idempotency_cache.py
@@ -1,7 +1,7 @@
 """Fingerprints with their windows, and the results kept for repeats."""
 
 
-class Fingerprints:
+class IdempotencyCache:
     """Emptied by `drop` (never ran) and `release` (the window and a time limit are over); times in ms."""
 
     def __init__(self) -> None:
--- a/vetchford/server/idle_poller.py
+++ b/vetchford/server/idle_poller.py
@@ -6,21 +6,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from vetchford.runtime.actor import Crew
+from vetchford.runtime.actor import ThreadPool
 
 EVERY = 0.05  # s between looks at what overstays; the shortest stay is twice that
 A_TURN = 64  # connections that spoke, before the next look
 
 
-class Lobby:
+class IdleConnectionPoller:
     """`waiting` is emptied as they speak, end, or have stayed too long; a thread watches."""
 
-    def __init__(self, crew: Crew) -> None:
-        self.crew, self.epoll = crew, select.epoll()
+    def __init__(self, thread_pool: ThreadPool) -> None:
+        self.thread_pool, self.epoll = thread_pool, select.epoll()
         self.waiting: dict[int, Any] = {}  # connections by descriptor
         self.lock = threading.Lock()  # held from putting one there until its descriptor is armed
 
-    def begin(self) -> None:
+    def start(self) -> None:
         threading.Thread(target=self.watch, name="lobby", daemon=True).start()
 
     def enter(self, connection: Any) -> None:
@@ -51,13 +51,13 @@
             try:
                 self.turn()
             except Exception as problem:
-                self.crew.counts.broke("lobby", problem)
+                self.thread_pool.metrics.report_internal_error("lobby", problem)
 
     def turn(self) -> None:
         for descriptor, _ in self.epoll.poll(EVERY, A_TURN):
             connection = self.waiting.pop(descriptor, None)
             if connection is not None:  # else it is just being let go
-                self.crew.run(connection.read)
+                self.thread_pool.run(connection.read)
         now = time.monotonic()
         if now >= self.look_at:
             self.look_at = now + EVERY
@@ -66,4 +66,4 @@
                     with self.lock:  # none is let go while it is just coming back
                         del self.waiting[descriptor]
                     # Read once more: what it said since is not cut off.
-                    self.crew.run(connection.read_last)
+                    self.thread_pool.run(connection.read_last)
--- a/vetchford/server/index_allocator.py
+++ b/vetchford/server/index_allocator.py
@@ -1,7 +1,7 @@
 """Small indices for ids."""
 
 
-class Indices:
+class IndexAllocator:
     """Handed out anew once released, so the table is as long as the most ids known at once."""
 
     def __init__(self) -> None:
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from vetchford.admission import factory
-from vetchford.admission.factory import MalformedError
+from vetchford.errors import MalformedInputError
 from vetchford.server import settings_schema as platform
 
 
@@ -18,7 +18,7 @@
         if not 0 <= int(port) < 65536:
             raise ValueError
     except ValueError:
-        raise MalformedError(f"key '{key}' must be an address and a port") from None
+        raise MalformedInputError(f"key '{key}' must be an address and a port") from None
     return host, int(port)
 
 
@@ -32,7 +32,7 @@
 def number(told: Mapping[str, Any], key: str, least: float, where: str = "") -> float:
     value = told.get(key)
     if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e12:
-        raise MalformedError(f"key '{where}{key}' must be a number of {least:g} or more")
+        raise MalformedInputError(f"key '{where}{key}' must be a number of {least:g} or more")
     return value
 
 
@@ -52,16 +52,16 @@
     """
     path = path or environment.get("ROUTER_CONFIG")
     if not path:
-        raise MalformedError("ROUTER_CONFIG names no configuration file")
+        raise MalformedInputError("ROUTER_CONFIG names no configuration file")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except OSError as problem:
-        raise MalformedError(f"configuration file {path}: {problem.strerror}") from None
+        raise MalformedInputError(f"configuration file {path}: {problem.strerror}") from None
     except (ValueError, RecursionError) as problem:  # the second: brackets in brackets without end
-        raise MalformedError(f"configuration file {path}: no JSON: {problem}") from None
+        raise MalformedInputError(f"configuration file {path}: no JSON: {problem}") from None
     if not isinstance(told, dict):
-        raise MalformedError(f"configuration file {path}: not an object")
+        raise MalformedInputError(f"configuration file {path}: not an object")
     for variable, key in (("ROUTER_NAME", "name"), ("ROUTER_LISTEN", "listen")):
         if environment.get(variable):
             told[key] = environment[variable]
@@ -77,28 +77,28 @@
 def check(told: dict[str, Any]) -> None:
     name = told.get("name")
     if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
-        raise MalformedError("key 'name' must be a word")
+        raise MalformedInputError("key 'name' must be a word")
     for key in ("listen", "pool", "members"):
         address(told, key)
     records(told)
     try:
         seed(told)
     except (TypeError, ValueError):
-        raise MalformedError("key 'seed' must be a number in hex digits") from None
+        raise MalformedInputError("key 'seed' must be a number in hex digits") from None
     number(told, "stop_ms", 1)
     if not isinstance(told.get("limits"), dict):
-        raise MalformedError("key 'limits' must be an object")
+        raise MalformedInputError("key 'limits' must be an object")
     number(told["limits"], "sockets", 32, "limits.")
     if not isinstance(told.get("settings"), dict):
-        raise MalformedError("key 'settings' must be an object")
+        raise MalformedInputError("key 'settings' must be an object")
     wrong = list(platform.problems(told["settings"]))
     if wrong:
-        raise MalformedError("\n".join(wrong))
+        raise MalformedInputError("\n".join(wrong))
     try:
         factory.indices(told["settings"])
         factory.build(Silent(), seed(told), told["settings"], False)
     except (TypeError, AttributeError, ValueError) as problem:
-        raise MalformedError(f"key 'settings' holds a value of the wrong kind: {problem}") from None
+        raise MalformedInputError(f"key 'settings' holds a value of the wrong kind: {problem}") from None
 
 
 def understood(told: Mapping[str, Any]) -> dict[str, Any]:
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from vetchford.protocol import records_lines
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
-from vetchford.runtime.actor import Crew, CrewedActor
-from vetchford.runtime.metrics import Counts
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
+from vetchford.runtime.actor import PooledActor, ThreadPool
+from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import connected, send_parts, shut
 
 FRESH = 0.5  # s since its last reply that a connection is used again: idle ones are closed or forgotten early
@@ -19,24 +19,31 @@
 CONNECT = 1.0  # s: a connection that isn't accepted by then is taken as refused; no call was sent on it
 
 
-class Records:
+class RecordsClient:
     """Gives each call a line of its own, an actor. Ends of calls go to `module.call_ended`."""
 
-    def __init__(self, address: tuple[str, int] | None, most: int, module: Any, counts: Counts) -> None:
+    def __init__(self, address: tuple[str, int] | None, most: int, module: Any, metrics: Metrics) -> None:
         """`most` connections at once, for the sake of descriptors; calls beyond wait for their turn.
 
         No `address`: nothing is below, and a call is as good as refused.
         """
-        self.address, self.module, self.counts, self.crew = address, module, counts, Crew(counts, 2 * most)
+        self.address, self.module, self.metrics, self.thread_pool = (
+            address,
+            module,
+            metrics,
+            ThreadPool(metrics, 2 * most),
+        )
         self.lock = threading.Lock()  # the module, the lines and a renewal use the tables
         self.most_free = max(1, most // KEPT)
         self.most_out = most - self.most_free
-        self.free: list[Line] = []  # the last used at the end; emptied by use and by a move
-        self.out: dict[int, Line] = {}  # by the number of their call; emptied as it ends or is given up
+        self.free: list[RecordsConnection] = []  # the last used at the end; emptied by use and by a move
+        self.out: dict[
+            int, RecordsConnection
+        ] = {}  # by the number of their call; emptied as it ends or is given up
         self.waiting: deque[tuple[str, int, float, bytes, bool]] = deque()  # emptied as lines come free
 
-    def begin(self) -> None:
-        self.crew.begin()
+    def start(self) -> None:
+        self.thread_pool.start()
 
     def move(self, address: tuple[str, int] | None) -> None:
         """New calls go there; those that are out end on the connection they went out on."""
@@ -44,7 +51,7 @@
             unused, self.free = (self.free, []) if address != self.address else ([], self.free)
             self.address = address
         for line in unused:
-            line.tell(line.end)
+            line.post(line.end)
 
     def op(self, name: str, number: int, until: float, body: bytes, once: bool) -> None:
         """`once`: a call that must not be made again unless it never ran; `until` in Unix ms."""
@@ -57,19 +64,19 @@
     def send_out(self, name: str, number: int, until: float, body: bytes, once: bool) -> None:
         """Under the lock: a call is among the waiting or has a line, so that `unop` finds it at any time."""
         line = self.out[number] = self.line_for(name, once)
-        line.tell(line.exchange, name, number, until, body)
+        line.post(line.exchange, name, number, until, body)
 
-    def line_for(self, name: str, once: bool) -> "Line":
+    def line_for(self, name: str, once: bool) -> "RecordsConnection":
         # On a connection that was idle a reset may mean that it was forgotten, and that the call never ran.
         # That proves nothing: what may not be made again goes on a new one.
         while self.free and not once:
             line = self.free.pop()
             if line.good_for(name):
                 return line
-            line.tell(line.end)
-        return Line(self)
+            line.post(line.end)
+        return RecordsConnection(self)
 
-    def ended(self, number: int, line: "Line", good: bool) -> None:
+    def ended(self, number: int, line: "RecordsConnection", good: bool) -> None:
         with self.lock:
             # A line that `unop` was given is about to be cut: kept, it would cut the next call on it instead.
             ours = self.out.pop(number, None) is not None
@@ -79,7 +86,7 @@
             while self.waiting and len(self.out) < self.most_out:
                 self.send_out(*self.waiting.popleft())
         if not kept:
-            line.tell(line.end)
+            line.post(line.end)
 
     def unop(self, name: str, number: int) -> None:
         with self.lock:
@@ -90,14 +97,14 @@
                 line.give_up(name)  # under the lock: the line can be neither used anew nor closed meanwhile
 
 
-class Line(CrewedActor):
+class RecordsConnection(PooledActor):
     """One connection, and at most one call at a time."""
 
-    def __init__(self, records: Records) -> None:
-        super().__init__("records-line", records.counts, records.crew)
+    def __init__(self, records: RecordsClient) -> None:
+        super().__init__("records-line", records.metrics, records.thread_pool)
         self.records, self.address = records, records.address
         self.sock: socket.socket | None = None
-        self.inbox = Inbox(records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE)
+        self.inbox = ReceiveBuffer(records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE)
         # Tasks with a call on it before: a second copy would pass for their next. Emptied by its own end,
         # which MOST_HAD brings: in steady use it is never idle, and would remember each task for good.
         self.had: set[str] = set()
@@ -118,21 +125,21 @@
         return False  # closed by the service, or more has come than was asked for
 
     def exchange(self, name: str, number: int, until: float, body: bytes) -> None:
-        module, counts = self.records.module, self.records.counts
+        module, metrics = self.records.module, self.records.metrics
         code, reply = "severed", b""  # unless it is known better: it may have run
         try:
             code, reply = self.call(name, until, body)
-        except UnfollowableError as problem:
+        except UnreadableStreamError as problem:
             if not self.given_up:
-                counts.note("records_spoilt", why=str(problem))
+                metrics.log_sampled("records_spoilt", why=str(problem))
         except OSError as problem:
             if not self.given_up:
-                counts.note("records_link_lost", why=f"{type(problem).__name__}: {problem}")
+                metrics.log_sampled("records_link_lost", why=f"{type(problem).__name__}: {problem}")
         except Exception as problem:
-            counts.broke("records-line", problem)
+            metrics.report_internal_error("records-line", problem)
         finally:
             if code and not self.given_up:
-                module.tell(module.call_ended, number, code, reply)
+                module.post(module.call_ended, number, code, reply)
             self.used = time.monotonic()
             good = code in ("completed", "saturated", "errored") and self.inbox.start == self.inbox.end
             self.records.ended(number, self, good and not self.given_up)
@@ -144,10 +151,10 @@
                     raise ConnectionRefusedError("there is no records service")
                 sock = connected(self.address, CONNECT)
             except OSError as problem:
-                self.records.counts.note("records_refused", problem=str(problem))
+                self.records.metrics.log_sampled("records_refused", problem=str(problem))
                 return "refused_conn", b""
             self.sock = sock
-            self.records.counts.add("records_connected")
+            self.records.metrics.increment("records_connected")
         wait = int(until - time.time() * 1000.0)
         if wait < 1 or self.given_up:
             return "", b""  # the module has cut it, or is about to: it was never sent
@@ -157,7 +164,7 @@
             while (reply := records_lines.next_reply(self.inbox)) is not None:
                 if reply[0] == name:
                     return reply[1], bytes(reply[2] or b"")
-                self.records.counts.add("records_late_replies")  # it is for no call that is out here
+                self.records.metrics.increment("records_late_replies")  # it is for no call that is out here
             count = self.sock.recv_into(self.inbox.space())
             if not count:
                 raise ConnectionResetError("closed")
--- a/vetchford/server/registry_reporter.py
+++ b/vetchford/server/registry_reporter.py
@@ -5,14 +5,14 @@
 
 from vetchford.protocol import heartbeat
 from vetchford.runtime.actor import Actor
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 
 EVERY = 0.25  # s; an entry lapses 3 s after its last report, and one datagram in four may be lost
 
 
-class Members(Actor):
-    def __init__(self, address: tuple[str, int], name: str, counts: Counts) -> None:
-        super().__init__("members", counts)
+class RegistryReporter(Actor):
+    def __init__(self, address: tuple[str, int], name: str, metrics: Metrics) -> None:
+        super().__init__("members", metrics)
         self.address, self.server = address, name
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.fit: bool | None = None  # nothing is reported before it is known
@@ -24,10 +24,10 @@
     def judge(self, fit: bool) -> None:
         self.fit, self.next = fit, 0.0
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         return None if self.fit is None else max(0.0, self.next - time.monotonic())
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         now = time.monotonic()
         if self.fit is None or now < self.next:
             return
@@ -35,4 +35,4 @@
         try:
             self.sock.sendto(heartbeat.report(self.server, self.fit), self.address)
         except OSError as problem:  # the service may be down; the next report tells it
-            self.counts.note("members_unreachable", problem=str(problem))
+            self.metrics.log_sampled("members_unreachable", problem=str(problem))
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -9,7 +9,7 @@
 log = structlog.get_logger()
 
 
-class Renewals:
+class ConfigurationReloader:
     """Takes the configuration anew, one time after the other, on a thread that lives as long as that takes.
 
     A file that is slow to read must not hold up whoever waits for signals: a SIGTERM behind it would lose
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from vetchford.server.index_allocator import Indices
+from vetchford.server.index_allocator import IndexAllocator
 
 
-class Slot:
+class RequestEntry:
     """What is kept of one task: where its answer goes, and what the worker pool was told last."""
 
     __slots__ = (
@@ -34,14 +34,14 @@
         self.waits_for = -1  # index of the task whose result it shares
 
 
-class Tasks(Indices):
+class RequestTable(IndexAllocator):
     """Slots by index; a released index has none."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.slots: list[Slot | None] = []
+        self.slots: list[RequestEntry | None] = []
 
-    def enter(self, slot: Slot) -> int:
+    def enter(self, slot: RequestEntry) -> int:
         q = self.add(slot.name)
         if q == len(self.slots):
             self.slots.append(slot)
@@ -49,7 +49,7 @@
             self.slots[q] = slot
         return q
 
-    def __getitem__(self, q: int) -> Slot:
+    def __getitem__(self, q: int) -> RequestEntry:
         slot = self.slots[q]
         assert slot is not None
         return slot
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -10,15 +10,15 @@
 import structlog
 
 from vetchford.admission import factory
-from vetchford.runtime.actor import begin_thread
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.actor import start_thread
+from vetchford.runtime.metrics import Metrics
 from vetchford.server import platform_config, signals
-from vetchford.server.admission_actor import ModuleActor
-from vetchford.server.client_connections import Doors
-from vetchford.server.records_client import Records
-from vetchford.server.registry_reporter import Members
-from vetchford.server.reload import Renewals
-from vetchford.server.worker_pool import Pool
+from vetchford.server.admission_actor import AdmissionActor
+from vetchford.server.client_connections import Listener
+from vetchford.server.records_client import RecordsClient
+from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.reload import ConfigurationReloader
+from vetchford.server.worker_pool import WorkerPoolClient
 
 log = structlog.get_logger()
 
@@ -40,27 +40,27 @@
     `log_ends_by` is told until when, in Unix s, the log may hold up the end.
     """
     threading.stack_size(STACK)
-    counts = Counts()
-    module = ModuleActor(platform_config.seed(told), told["settings"], counts, pools_from(told, counts))
-    pool = Pool(platform_config.address(told, "pool"), module, counts)
+    metrics = Metrics()
+    module = AdmissionActor(platform_config.seed(told), told["settings"], metrics, pools_from(told, metrics))
+    pool = WorkerPoolClient(platform_config.address(told, "pool"), module, metrics)
     sockets = int(told["limits"]["sockets"])
     for_calls = min(MOST_CALLS, max(8, sockets // 4 - OTHERS))  # the rest is for balancers
-    records = Records(platform_config.records(told), for_calls, module, counts)
-    members = Members(platform_config.address(told, "members"), told["name"], counts)
+    records = RecordsClient(platform_config.records(told), for_calls, module, metrics)
+    members = RegistryReporter(platform_config.address(told, "members"), told["name"], metrics)
     stages, tenants, _ = factory.indices(told["settings"])
     try:
-        neighbours = neighbours_from(told, module, counts)
+        neighbours = neighbours_from(told, module, metrics)
     except OSError as problem:
         log.error("cannot_listen", address=told["declared"]["together"]["listen"], problem=problem.strerror)
         return 1
     try:
-        doors = Doors(
+        doors = Listener(
             platform_config.address(told, "listen"),
             sockets - for_calls - OTHERS - (FOR_NEIGHBOURS if neighbours else 0),
             stages,
             tenants,
             module,
-            counts,
+            metrics,
         )
     except OSError as problem:
         log.error("cannot_listen", address=told["listen"], problem=problem.strerror)
@@ -70,17 +70,17 @@
     gc.collect()
     gc.freeze()
     for part in (module, members, pool, records, doors, *neighbours):
-        part.begin()
+        part.start()
     log.info("serving", name=told["name"], listen=":".join(map(str, doors.sock.getsockname())))
     moves = {
-        "pool": partial(pool.tell, pool.move),
+        "pool": partial(pool.post, pool.move),
         "records": records.move,
-        "members": partial(members.tell, members.move),
+        "members": partial(members.post, members.move),
     }
-    renewals = Renewals(
+    renewals = ConfigurationReloader(
         told,
         lambda before: renew(before, reread, moves, neighbours),
-        lambda act: begin_thread(act, "renewal", counts),
+        lambda act: start_thread(act, "renewal", metrics),
     )
     caught = signals.until_told_to_leave(renewals.ask)
     at = time.time() * 1000.0
@@ -89,14 +89,14 @@
     log_ends_by((at + stop_ms) / 1000.0 - EXITS_IN)
     grace = (told["settings"].get("rules") or {}).get("drainGrace") or 0
     for part in neighbours:
-        part.tell(part.leave)
-    module.tell(module.notice, at, stop_ms, grace / factory.NS_PER_MS)
+        part.post(part.leave)
+    module.post(module.notice, at, stop_ms, grace / factory.NS_PER_MS)
     try:
         threading.Thread(
             target=partial(signals.heed_for_good, renewals.ask), name="signals", daemon=True
         ).start()
     except RuntimeError as problem:  # the end goes before what may still move
-        counts.note("no_thread", part="signals", problem=str(problem))
+        metrics.log_sampled("no_thread", part="signals", problem=str(problem))
     if not stopped.wait(max(0.0, (at + stop_ms) / 1000.0 - time.time())):
         log.error("stop_overrun", stop_ms=stop_ms)  # the module's thread is stuck; a kill is next
         return 1
@@ -104,16 +104,16 @@
     return 0
 
 
-def pools_from(told: dict[str, Any], counts: Counts) -> Callable[[], Any] | None:
+def pools_from(told: dict[str, Any], metrics: Metrics) -> Callable[[], Any] | None:
     declared = told.get("declared") or {}
     if not declared.get("pools") or declared["pools"] == "none":
         return None
-    from vetchford.bulkheads import metrics  # a server without pools does without it
+    from vetchford.bulkheads import bulkhead_metrics  # a server without pools does without it
 
-    return partial(metrics.pools, told["settings"], declared["pools"], counts)
+    return partial(bulkhead_metrics.pools, told["settings"], declared["pools"], metrics)
 
 
-def neighbours_from(told: dict[str, Any], module: ModuleActor, counts: Counts) -> list[Any]:
+def neighbours_from(told: dict[str, Any], module: AdmissionActor, metrics: Metrics) -> list[Any]:
     """The actor that speaks to the other servers; none where they are not told of."""
     together = (told.get("declared") or {}).get("together")
     if not together:
@@ -122,12 +122,12 @@
 
     module.watch = fleet_member.measure()
     return [
-        fleet_member.Neighbours(
+        fleet_member.FleetMember(
             together,
             platform_config.seed(told),
-            counts,
-            partial(module.tell, module.survey),
-            partial(module.tell, module.fleet),
+            metrics,
+            partial(module.post, module.survey),
+            partial(module.post, module.fleet),
         )
     ]
 
@@ -153,7 +153,7 @@
         moves[key](addresses[key])
     together = (fresh.get("declared") or {}).get("together")
     for part in neighbours if together else ():
-        part.tell(part.allow, together)
+        part.post(part.allow, together)
     kept = [key for key in FIXED if fresh.get(key) != told.get(key)]
     log.info("configuration_renewed", moved=",".join(moved), not_changed=",".join(kept))
     return {**told, "stop_ms": fresh["stop_ms"], **{key: fresh.get(key) for key in MOVABLE}}
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -6,7 +6,7 @@
 LEAVE_BEFORE = 40.0  # ms before the kill: what is not written by then will not be
 
 
-class Drain:
+class ShutdownSchedule:
     """Times in Unix ms; infinite until the notice."""
 
     def __init__(self) -> None:
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from vetchford.protocol import worker_pool_lines
-from vetchford.protocol.receive_buffer import Inbox, UnfollowableError
-from vetchford.runtime.actor import Crew, CrewedActor, begin_thread
-from vetchford.runtime.metrics import Counts
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
+from vetchford.runtime.actor import PooledActor, ThreadPool, start_thread
+from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
 
 AGAIN = 0.02  # s between attempts; runs go on meanwhile, and the pool is on the same machine
@@ -16,11 +16,11 @@
 CONNECT = 2.0  # s
 
 
-class Pool(CrewedActor):
+class WorkerPoolClient(PooledActor):
     """Writes commands of the link that is open; a thread of its own opens links and reads notices."""
 
-    def __init__(self, address: tuple[str, int], module: Any, counts: Counts) -> None:
-        super().__init__("pool", counts, Crew(counts, 1))
+    def __init__(self, address: tuple[str, int], module: Any, metrics: Metrics) -> None:
+        super().__init__("pool", metrics, ThreadPool(metrics, 1))
         self.address, self.module = address, module
         self.last = 0  # number of the last notice read
         self.asked_again = 0  # number of the last that was missing or spoilt, and was asked for once more
@@ -35,23 +35,23 @@
             if self.sock is not None:
                 shut(self.sock)  # its reader opens the next link
 
-    def begin(self) -> None:
-        self.crew.begin()
-        begin_thread(self.keep_link, "pool-reader", self.counts)
+    def start(self) -> None:
+        self.thread_pool.start()
+        start_thread(self.keep_link, "pool-reader", self.metrics)
 
     def send(self, link: int, parts: list[bytes]) -> None:
         if link != self.out_for:
             self.out, self.out_for = [], link
         self.out += parts
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         """All that a batch brought in one write."""
         self.write(send_parts)
 
-    def now(self) -> None:
+    def flush_nonblocking(self) -> None:
         self.write(send_now)
 
-    def left(self) -> bool:
+    def has_unwritten(self) -> bool:
         return bool(self.out)
 
     def write(self, send: Callable[..., list[bytes] | None]) -> None:
@@ -62,7 +62,7 @@
         try:
             self.out = send(sock, parts) or []
         except OSError as problem:
-            self.counts.note("pool_write_failed", problem=str(problem))
+            self.metrics.log_sampled("pool_write_failed", problem=str(problem))
             shut(sock)
 
     def keep_link(self) -> None:
@@ -72,7 +72,7 @@
             try:
                 sock = socket.create_connection(address, CONNECT)
             except OSError as problem:
-                self.counts.note("pool_refused", problem=str(problem))
+                self.metrics.log_sampled("pool_refused", problem=str(problem))
                 time.sleep(pause)
                 pause = min(AGAIN_MOST, 2.0 * pause)
                 continue
@@ -84,49 +84,49 @@
                 self.link, self.sock = self.link + 1, sock
                 if address == self.address:  # else moved meanwhile: a link to the old place would never serve
                     self.read(sock)
-            except (OSError, UnfollowableError) as problem:
+            except (OSError, UnreadableStreamError) as problem:
                 why = f"{type(problem).__name__}: {problem}"
             except Exception as problem:
-                self.counts.broke("pool-reader", problem)
+                self.metrics.report_internal_error("pool-reader", problem)
             self.sock = None
             sock.close()
-            self.counts.note("pool_link_lost", why=why, last=self.last)
-            self.module.tell(self.module.pool_lost)
+            self.metrics.log_sampled("pool_link_lost", why=why, last=self.last)
+            self.module.post(self.module.pool_lost)
             if address == self.address:
                 time.sleep(pause)
 
     def read(self, sock: socket.socket) -> None:
-        inbox = Inbox(2 * worker_pool_lines.MOST_LINE)
+        inbox = ReceiveBuffer(2 * worker_pool_lines.MOST_LINE)
         while count := sock.recv_into(inbox.space()):
             inbox.fed(count)
             while (line := worker_pool_lines.next_line(inbox)) is not None:
                 try:
                     message = worker_pool_lines.decode(line)
                 except worker_pool_lines.BadLineError as problem:
-                    self.counts.note("pool_bad_line", problem=str(problem))
+                    self.metrics.log_sampled("pool_bad_line", problem=str(problem))
                     self.once_more(self.last + 1)  # it may have been that one
                     continue
                 try:
                     self.take(*message)
                 except worker_pool_lines.BadLineError as problem:
-                    self.counts.note("pool_bad_line", problem=str(problem))
+                    self.metrics.log_sampled("pool_bad_line", problem=str(problem))
 
     def once_more(self, number: int) -> None:
         """Has the notice told again on a new link; one that stays missing or spoilt is passed over then."""
         if number > self.asked_again:
             self.asked_again = number
-            raise UnfollowableError(f"notice {number} did not arrive whole")
+            raise UnreadableStreamError(f"notice {number} did not arrive whole")
 
     def take(self, name: str, message: dict) -> None:
         module, number = self.module, message.get("n")
         fields: tuple[Any, ...] = ()
         if isinstance(number, int) and name in ("finished", "blocked", "chatter"):
             if number <= self.last:
-                self.counts.add("pool_notices_again")
+                self.metrics.increment("pool_notices_again")
                 return
             if number != self.last + 1:
                 # The pool keeps what it said. An end passed over would leave its run on a core for good.
-                self.counts.note("pool_notices_missed", after=self.last, number=number)
+                self.metrics.log_sampled("pool_notices_missed", after=self.last, number=number)
                 self.once_more(self.last + 1)
             try:
                 fields = worker_pool_lines.notice_fields(name, message)
@@ -135,19 +135,19 @@
                 self.last = number
                 if name == "finished":
                     # The run is over all the same: left as running it would hold a core's place for good.
-                    module.tell_when_room(module.run_ended, str(message.get("job")), "errored", 0.0, "")
+                    module.post_when_room(module.run_ended, str(message.get("job")), "errored", 0.0, "")
                 raise
             self.last = number
         if name == "finished":
-            module.tell_when_room(module.run_ended, *(fields or worker_pool_lines.finished_fields(message)))
+            module.post_when_room(module.run_ended, *(fields or worker_pool_lines.finished_fields(message)))
         elif name == "blocked":
-            module.tell_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
+            module.post_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
         elif name == "polled":
-            module.tell_when_room(module.polled, *worker_pool_lines.polled_fields(message))
+            module.post_when_room(module.polled, *worker_pool_lines.polled_fields(message))
         elif name == "bound":
-            module.tell(module.bound, self.link, *worker_pool_lines.bound_fields(message))
+            module.post(module.bound, self.link, *worker_pool_lines.bound_fields(message))
         elif name == "unknown":
             command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
-            module.tell_when_room(module.command_unknown, command, task)
+            module.post_when_room(module.command_unknown, command, task)
         elif name != "chatter":
-            self.counts.note("pool_bad_line", problem="field 'type' names no message")
+            self.metrics.log_sampled("pool_bad_line", problem="field 'type' names no message")
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -1,8 +1,8 @@
 """The sockets between programs: one port for datagrams and for streams, a reader and a writer for each
 stream.
 
-Host of `Peers`. All decisions are made on the thread of the actor that owns it; a peer that stalls holds up
-its own writer alone.
+Carries out what `SessionManager` decides. All decisions are made on the thread of the actor that owns it; a
+peer that stalls delays its own writer alone.
 """
 
 import contextlib
@@ -14,12 +14,12 @@
 
 import structlog
 
-from vetchford.runtime.actor import Actor, begin_thread
+from vetchford.runtime.actor import Actor, start_thread
 from vetchford.runtime.clock import clock
-from vetchford.runtime.metrics import Counts
+from vetchford.runtime.metrics import Metrics
 from vetchford.transport import framing
 from vetchford.transport.framing import Envelope, FrameError
-from vetchford.transport.session import Outbox, Peers
+from vetchford.transport.session import Outbox, SessionManager
 
 log = structlog.get_logger()
 
@@ -41,7 +41,7 @@
     def outlived(self, life: int, nonce: int) -> None: ...
 
 
-class Wire:
+class StreamWriter:
     """One stream: its socket, and what waits to be written."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -67,14 +67,14 @@
     return host, int(port)
 
 
-class Talk:
+class Transport:
     """Begun by `begin`; `woke` is called by its actor several times a second."""
 
     def __init__(
         self,
         actor: Actor,
         owner: Owner,
-        counts: Counts,
+        metrics: Metrics,
         fleet: str,
         name: str,
         listen: str,
@@ -85,9 +85,9 @@
         streams: bool = True,
     ) -> None:
         """`addresses`: where each peer is to be found from here. OSError where `listen` can't be had."""
-        self.actor, self.owner, self.counts = actor, owner, counts
+        self.actor, self.owner, self.metrics = actor, owner, metrics
         self.addresses = {peer: split(address) for peer, address in addresses.items() if peer != name}
-        self.decide = Peers(
+        self.decide = SessionManager(
             self,
             fleet,
             name,
@@ -97,7 +97,7 @@
             nonce,
             streams,
         )
-        self.wires: dict[int, Wire] = {}  # emptied as connections end
+        self.wires: dict[int, StreamWriter] = {}  # emptied as connections end
         self.bytes_out = self.datagrams_out = 0
         self.here = split(listen)
         self.listener = socket.create_server(self.here, backlog=64)
@@ -108,9 +108,9 @@
             self.listener.close()
             raise
 
-    def begin(self) -> None:
-        begin_thread(self.accept, "peers-door", self.counts)
-        begin_thread(self.read_datagrams, "peers-datagrams", self.counts)
+    def start(self) -> None:
+        start_thread(self.accept, "peers-door", self.metrics)
+        start_thread(self.read_datagrams, "peers-datagrams", self.metrics)
 
     def now(self) -> float:
         return clock.now()
@@ -132,13 +132,13 @@
         try:
             data = framing.packed(self.envelope(self.decide.next_datagram(), kind, body))
             if len(data) > framing.MOST_DATAGRAM:
-                self.counts.note("datagram_too_long", bytes=len(data))
+                self.metrics.log_sampled("datagram_too_long", bytes=len(data))
                 return
             self.bytes_out += len(data)
             self.datagrams_out += 1
             self.datagrams.sendto(data, socket.MSG_DONTWAIT, self.addresses[peer])
         except OSError as problem:  # nobody there, or no room: as if it were lost
-            self.counts.note("datagram_not_sent", problem=str(problem))
+            self.metrics.log_sampled("datagram_not_sent", problem=str(problem))
 
     def envelope(self, sequence: int, kind: str, body: Any) -> Envelope:
         decide = self.decide
@@ -153,11 +153,11 @@
                 sock.settimeout(None)
             except Exception as problem:  # whatever it is: a dial without an end would never be made again
                 why = getattr(problem, "strerror", None) or problem
-                self.actor.tell(self.ended, link, f"no connection: {why}")
+                self.actor.post(self.ended, link, f"no connection: {why}")
                 return
-            self.actor.tell(self.dialled, link, sock)
+            self.actor.post(self.dialled, link, sock)
 
-        begin_thread(act, "peers-dial", self.counts)
+        start_thread(act, "peers-dial", self.metrics)
 
     def write(self, link: int, kind: str, body: Any, sequence: int) -> bool:
         wire = self.wires.get(link)
@@ -166,12 +166,14 @@
         try:
             data = framing.packed(self.envelope(sequence, kind, body))
         except FrameError:
-            self.counts.note("peer_message_too_long", kind=kind)
-            self.actor.tell(self.ended, link, "a message of ours was too long")
+            self.metrics.log_sampled("peer_message_too_long", kind=kind)
+            self.actor.post(self.ended, link, "a message of ours was too long")
             return False
         self.bytes_out += len(data)
         if wire.put(kind, data):
-            self.counts.note("peer_behind", kind=kind)  # its oldest news went: the other side counts a gap
+            self.metrics.log_sampled(
+                "peer_behind", kind=kind
+            )  # its oldest news went: the other side counts a gap
         return True
 
     def shut(self, link: int) -> None:
@@ -196,7 +198,7 @@
     def count(self, name: str, **fields: Any) -> None:
         """By its reason, which are few: a crowd of one kind must not hide another."""
         why = fields.get("why", "")
-        count = self.counts.add(f"{name} {why}".rstrip())
+        count = self.metrics.increment(f"{name} {why}".rstrip())
         if count & (count - 1) == 0:
             log.warning(name, count=count, **fields)
 
@@ -223,9 +225,9 @@
             sock.close()
             self.ended(link, str(problem.strerror or problem))
             return False
-        wire = self.wires[link] = Wire(sock)
-        begin_thread(lambda: self.read(link, wire), "peers-read", self.counts)
-        begin_thread(lambda: self.write_out(link, wire), "peers-write", self.counts)
+        wire = self.wires[link] = StreamWriter(sock)
+        start_thread(lambda: self.read(link, wire), "peers-read", self.metrics)
+        start_thread(lambda: self.write_out(link, wire), "peers-write", self.metrics)
         return True
 
     def ended(self, link: int, why: str) -> None:
@@ -253,28 +255,28 @@
             try:
                 sock, (address, _) = self.listener.accept()
             except OSError as problem:  # descriptors ran out: they wait in the backlog
-                self.counts.note("accept_failed", problem=str(problem))
+                self.metrics.log_sampled("accept_failed", problem=str(problem))
                 time.sleep(0.1)
                 continue
-            self.actor.tell_when_room(self.taken, sock, address)
+            self.actor.post_when_room(self.taken, sock, address)
 
     def read_datagrams(self) -> None:
         while True:
             try:
                 data, (address, _) = self.datagrams.recvfrom(framing.MOST_DATAGRAM + 1)
-                self.actor.tell_when_room(self.thrown, address, framing.datagram(data))
+                self.actor.post_when_room(self.thrown, address, framing.datagram(data))
             except FrameError as problem:
                 self.count("peer_refused", why=str(problem))
             except OSError as problem:  # an answer of the system to one that we sent to nobody
-                self.counts.note("datagram_not_read", problem=str(problem))
+                self.metrics.log_sampled("datagram_not_read", problem=str(problem))
                 time.sleep(0.01)
 
-    def read(self, link: int, wire: Wire) -> None:
+    def read(self, link: int, wire: StreamWriter) -> None:
         stream, why = framing.Stream(), "closed by the other side"
         try:
             while more := wire.sock.recv(READ):
                 for envelope in stream.feed(more):
-                    self.actor.tell_when_room(self.arrived, link, envelope)
+                    self.actor.post_when_room(self.arrived, link, envelope)
         except FrameError as problem:
             self.count("peer_refused", why=str(problem))
             why = f"an unreadable message: {problem}"
@@ -282,9 +284,9 @@
             why = str(problem.strerror or problem)
         finally:
             wire.read_out.set()
-        self.actor.tell(self.ended, link, why)
+        self.actor.post(self.ended, link, why)
 
-    def write_out(self, link: int, wire: Wire) -> None:
+    def write_out(self, link: int, wire: StreamWriter) -> None:
         try:
             while True:
                 with wire.ready:
@@ -295,7 +297,7 @@
                     break
                 wire.sock.sendall(data)
         except OSError as problem:
-            self.actor.tell(self.ended, link, str(problem.strerror or problem))
+            self.actor.post(self.ended, link, str(problem.strerror or problem))
         wire.shut()  # wakes the reader
         wire.read_out.wait()  # closed under it, its number could be another connection's as it reads on
         wire.sock.close()
--- a/vetchford/transport/session.py
+++ b/vetchford/transport/session.py
@@ -146,7 +146,7 @@
     last: str = "not tried yet"  # why there is no link
 
 
-class Peers:
+class SessionManager:
     """All listed peers of one program."""
 
     def __init__(
