--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,23 +1,23 @@
-from helpers import Recorder, node, send, stage
+from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission import controller
+from vetchford.admission.request import Effect, RequestState
 
 
 def test_a_call_that_fails_after_its_task_was_given_up_gives_no_second_answer():
     host = Recorder()
-    server = node(host, share=4.0)
+    server = new_controller(host, share=4.0)
     send(server, 0.0, 0)
     server.run_blocked(10.0, 0)
     server.on_tick(4399.0, None, None)
     assert host.answers == {0: "fail"}
     server.call_ended(4400.0, 0, "errored", 4390.0)
     server.run_ended(4401.0, 0, "recalled", 4401.0)
-    assert server.counters.used == 0.0 and not server.tasks
+    assert server.workload.in_flight.used == 0.0 and not server.workload.requests
 
 
 def test_a_repeat_of_a_finished_fingerprinted_task_is_shared_never_run_or_turned_away():
     host = Recorder()
-    server = node(host, stages=[stage(effect=controller.FINGERPRINTED)])
+    server = new_controller(host, classes=[request_class(effect=Effect.IDEMPOTENT_BY_KEY)])
     send(server, 0.0, 0)
     server.run_ended(300.0, 0, "completed", 300.0)
     send(server, 400.0, 1, original=0)
@@ -27,13 +27,13 @@
 def test_a_server_that_shut_its_gate_in_a_slow_spell_opens_it_again_when_idle():
     # Nothing runs while all is rejected, so only idleness can unlearn the spell.
     host = Recorder()
-    server = node(host, stages=[stage()])
+    server = new_controller(host, classes=[request_class()])
     for q, took in enumerate([300.0] * 10 + [9000.0] * 60):
         send(server, 0.0, q)
         if host.names(q) == ["reject"]:
             break
         server.run_ended(0.0, q, "completed", took)
-    assert host.names(q) == ["reject"] and not server.running
+    assert host.names(q) == ["reject"] and not server.workload.running
     for at in range(1, 100):
         server.on_tick(at * 50.0, 0.0, 0.0)
     send(server, 5000.0, 101)
@@ -43,7 +43,7 @@
 def test_a_stage_whose_first_runs_were_very_long_is_let_in_again_to_learn():
     # One stage shut out by its own pace has no runs to correct it, however busy the other keeps the server.
     host = Recorder()
-    server = node(host, stages=[stage(), stage(utility=3.0)])
+    server = new_controller(host, classes=[request_class(), request_class(priority_weight=3.0)])
     send(server, 0.0, 0, kind=1)
     server.run_ended(9000.0, 0, "completed", 9000.0)
     send(server, 9100.0, 1, kind=1)
@@ -54,17 +54,17 @@
 
 def swept(server, until, busy=1.0, on_cores=None, start=0):
     for at in range(start + 50, until + 1, 50):
-        server.on_tick(float(at), busy, server.running if on_cores is None else on_cores)
+        server.on_tick(float(at), busy, server.workload.running if on_cores is None else on_cores)
 
 
 def test_idle_connections_are_closed_where_callers_hardly_come_back_and_kept_where_they_do():
     # A thousand callers fill a small server's table with connections that nobody uses again.
     for callers, kept in ((1000, False), (4, True)):
         host = Recorder()
-        server = node(host, callers=callers)
+        server = new_controller(host, clients=callers)
         for second in range(8):
             for q in range(5):
-                send(server, second * 1000.0, q, caller=(5 * second + q) % callers)
+                send(server, second * 1000.0, q, client=(5 * second + q) % callers)
                 server.run_ended(second * 1000.0, q, "completed", 100.0)
             swept(server, second * 1000 + 1000, start=second * 1000)
         told = [30_000.0] + [act[1] for act in host.acts if act[0] == "set_idle_timeout"]
@@ -74,10 +74,10 @@
 def test_a_server_that_reads_far_too_late_lets_its_table_fill():
     # Each new connection and read costs more than it brings there; a full table turns them away unread.
     host = Recorder()
-    server = node(host, callers=1000)
+    server = new_controller(host, clients=1000)
     swept(server, 2000)
     for q in range(60):
-        send(server, 2000.0, q, caller=q, queued_for=1900.0)
+        send(server, 2000.0, q, client=q, queued_for=1900.0)
     swept(server, 2100, on_cores=8, start=2000)
     assert [act[1] for act in host.acts if act[0] == "set_idle_timeout"][-1] == 30_000.0
 
@@ -85,72 +85,90 @@
 def test_with_many_callers_a_task_of_more_utility_still_takes_the_room_of_one_of_less():
     # A caller's part of the threshold is less than a task there: nobody is over it with one task alone.
     host = Recorder()
-    server = node(host, stages=[stage(), stage(utility=10.0)])
+    server = new_controller(host, classes=[request_class(), request_class(priority_weight=10.0)])
     swept(server, 50)
-    server.counters.clears = 100.0
+    server.workload.in_flight.clearable_bytes = 100.0
     for q in range(12):
-        send(server, 60.0, q, caller=q)
-    send(server, 61.0, 12, kind=1, caller=12)
+        send(server, 60.0, q, client=q)
+    send(server, 61.0, 12, kind=1, client=12)
     assert host.names(12) == [] and list(host.answers.values()).count("reject") > 0
 
 
 def test_a_further_try_that_tells_more_time_than_first_ones_is_as_old_as_the_rest_of_its_limit():
     # Its age is not told; run as if new it would finish too late. Callers may differ: 2.2 and 2.3 s are new.
     host = Recorder()
-    server = node(host, stages=[stage()], cores=40)
+    server = new_controller(host, classes=[request_class()], cores=40)
     for q in range(60):
-        send(server, 0.0, q, limit_at=2200.0 if q % 2 else 2300.0)
-    assert server.tasks[58].due == server.tasks[59].due == 1800.0 and not server.tasks[59].again
-    send(server, 0.0, 60, limit_at=2900.0)  # 1.5 s old
-    assert server.tasks[60].again and abs(server.tasks[60].due - 300.0) < 45.0
+        send(server, 0.0, q, deadline=2200.0 if q % 2 else 2300.0)
+    assert (
+        server.workload.requests[58].objective_at == server.workload.requests[59].objective_at == 1800.0
+        and not server.workload.requests[59].is_retry
+    )
+    send(server, 0.0, 60, deadline=2900.0)  # 1.5 s old
+    assert (
+        server.workload.requests[60].is_retry
+        and abs(server.workload.requests[60].objective_at - 300.0) < 45.0
+    )
 
 
 def test_two_cores_with_a_little_reading_run_two_and_in_a_jam_of_reading_still_one():
     for on_cores, runs in ((0.3, 2), (9, 1)):
         host = Recorder()
-        server = node(host, stages=[stage()])
+        server = new_controller(host, classes=[request_class()])
         swept(server, 1000, on_cores=on_cores)
         for q in range(4):
             send(server, 1000.0, q)
-        assert server.running == runs
+        assert server.workload.running == runs
 
 
 def test_the_limit_of_two_cores_grows_only_while_they_have_room_and_starts_higher_where_no_work_is_told():
     # Grown while half busy it stood at two runs a core, which lost their time to each other.
     for work, busy, expected in ((300.0, 0.6, 2.0), (None, 0.6, 3.0), (300.0, 0.3, 2.5)):
         host = Recorder()
-        server = node(host, stages=[stage()])
+        server = new_controller(host, classes=[request_class()])
         for step in range(40):
             for q in range(4):
                 send(server, step * 300.0, 4 * step + q, work=work)
-            for q in [q for q, task in server.tasks.items() if task.state == controller.RUNNING]:
+            for q in [
+                q for q, task in server.workload.requests.items() if task.state == RequestState.EXECUTING
+            ]:
                 server.run_ended(step * 300.0 + 290.0, q, "completed", 290.0)
             swept(server, step * 300 + 300, busy=busy, start=step * 300)
-        assert server.limit.limit == expected if busy > 0.5 else server.limit.limit > expected
+        assert (
+            server.workload.limit.limit == expected if busy > 0.5 else server.workload.limit.limit > expected
+        )
 
 
 def test_where_further_tries_abound_no_rejected_task_is_sent_on():
     host = Recorder()
-    server = node(host, stages=[stage()])
+    server = new_controller(host, classes=[request_class()])
     for q in range(40):
-        send(server, 0.0, q, again=q % 2 == 0, size=4000)  # memory is short
+        send(server, 0.0, q, is_retry=q % 2 == 0, size=4000)  # memory is short
     assert [act[2] for act in host.acts if act[0] == "reject"][-6:] == [True] * 6
 
 
 def test_what_the_fleet_tells_shuts_calls_gates_by_their_time_ends_walks_and_stretches_pauses():
     # At rest the numbers change nothing: tests/admission/test_recorded_decisions.py has the digests.
     host = Recorder()
-    server = node(host, stages=[stage(due=1000.0, limit=2000.0), stage(skip_utility=0.5)], share=4.0)
-    server.calls.base.add(0.0, 40.0)
-    server.stages[0].away = 40.0
-    server.stages[0].learnt_at = 0.0
-    assert server.calls.free(0.0)
+    server = new_controller(
+        host,
+        classes=[request_class(latency_objective=1000.0, timeout=2000.0), request_class(skip_fraction=0.5)],
+        share=4.0,
+    )
+    server.workload.dependency.base_time.add(0.0, 40.0)
+    server.workload.classes[0].dependency_wait = 40.0
+    server.workload.classes[0].learnt_at = 0.0
+    assert server.workload.dependency.may_call(0.0)
     server.apply_fleet_signals(1.0, 0.0, False, 1.0)  # dead
-    assert not server.calls.free(0.0)
+    assert not server.workload.dependency.may_call(0.0)
     send(server, 10.0, 1, 0)
     assert [act for act in host.acts if act[0] == "reject"]
     server.apply_fleet_signals(10.0, 1.0, True, 3.0)  # slow: 400 ms a call, and all turn away
-    assert server.calls.slow == 400.0 and server.calls.free(0.0) and server.calls.bound() == 4.0
+    assert (
+        server.workload.dependency.min_call_time == 400.0
+        and server.workload.dependency.may_call(0.0)
+        and server.workload.dependency.limit() == 4.0
+    )
     server.apply_fleet_signals(30.0, 1.0, True, 3.0)
     host.acts.clear()
     send(server, 20.0, 2, 0)
@@ -160,7 +178,7 @@
     host.acts.clear()
     send(server, 30.0, 3, 0)
     assert not [act for act in host.acts if act[0] == "reject"]
-    short = [server.advice.pause(10.0) for _ in range(50)]
-    server.advice.stretch = 3.0
-    long = [server.advice.pause(10.0) for _ in range(50)]
+    short = [server.advice.retry_delay(10.0) for _ in range(50)]
+    server.advice.retry_delay_factor = 3.0
+    long = [server.advice.retry_delay(10.0) for _ in range(50)]
     assert 2.0 < sum(long) / sum(short) < 4.0
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -8,9 +8,9 @@
 import random
 
 import pytest
-from helpers import Recorder, node, send, stage
+from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission import controller
+from vetchford.admission.request import Effect, LoadSignal
 from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
 
 GRACE, SLACK, CORES, MEMORY, MULTIPLE, ENTRY = 2000.0, 60.0, 2, 3000, 8.0, 50.0
@@ -56,7 +56,7 @@
         self.answer(q, "rejected")
         task["state"] = "done" if task["state"] == "held" else task["state"]
 
-    def abandon(self, q):
+    def fail(self, q):
         self.answer(q, "abandoned")
         task = self.tasks[q]
         task["state"] = "done" if task["state"] in ("held", "sharing") else task["state"]
@@ -119,24 +119,26 @@
 def day(seed, draw_out, edge=False, pooled=False):
     chance = random.Random(seed)
     stages = [
-        stage(late_utility=0.2, skip_utility=0.3),
-        stage(utility=3.0, effect=controller.FINGERPRINTED),
-        stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0),
+        request_class(late_fraction=0.2, skip_fraction=0.3),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
+        request_class(
+            priority_weight=2.0, effect=Effect.NON_IDEMPOTENT, latency_objective=900.0, timeout=2200.0
+        ),
     ]
     host, callers = Model(), 2000 if edge else 3
     host.slice = 1 if edge else 4  # edge: a slice far under one call, thousands of callers, waits told
-    server = node(
+    server = new_controller(
         host,
-        stages=stages,
+        classes=stages,
         cores=1 if edge else CORES,
         cold=seed % 2 == 0,
         memory=MEMORY,
-        callers=callers,
+        clients=callers,
         share=0.02 if edge else 4.0,
-        say="level",
+        signal=LoadSignal.UTILIZATION,
         quotas=[0.01, 0.02],
         can_stop=seed % 3 == 0,
-        pools=pools_of(seed) if pooled else None,
+        bulkheads=pools_of(seed) if pooled else None,
     )
     subject, killed = 0, float("inf")
     for step in range(3500):
@@ -157,7 +159,7 @@
             alike = [
                 t
                 for t in host.tasks.values()
-                if t["effect"] == controller.FINGERPRINTED
+                if t["effect"] == Effect.IDEMPOTENT_BY_KEY
                 and t["state"] != "sharing"
                 and t.get("entry", 0.0) > now - queued
                 and (t["state"] == "held" or t["ran"])
@@ -175,22 +177,22 @@
                 window=13000.0 if kind == 1 else 0.0,
                 skips=kind == 0,
                 stuck=chance.random() < 0.04,
-                limit=min(max(now, now - queued + stages[kind].limit), killed),
+                limit=min(max(now, now - queued + stages[kind].timeout), killed),
             )
             held, task = host.memory(), host.tasks[q]
-            until = max(now, now - queued + chance.choice((0.5, 0.5, 0.52, 0.8)) * stages[kind].limit)
+            until = max(now, now - queued + chance.choice((0.5, 0.5, 0.52, 0.8)) * stages[kind].timeout)
             task["limit"] = min(task["limit"], until) if edge else task["limit"]
             send(
                 server,
                 now,
                 q,
                 kind,
-                caller=chance.randrange(callers),
+                client=chance.randrange(callers),
                 tenant=chance.randrange(-1, 2),
                 size=size,
-                again=chance.random() < 0.2,
+                is_retry=chance.random() < 0.2,
                 queued_for=queued,
-                limit_at=until if edge else None,
+                deadline=until if edge else None,
                 original=first["q"] if first else None,
             )
             assert host.memory() <= max(MEMORY, held), "out of memory"
@@ -203,7 +205,7 @@
                 task["answered"] = task["answered"] or "finished"
                 code = chance.choice(("completed", "completed", "errored"))
                 server.run_ended(now, q, code, chance.uniform(20, 900))
-            elif task["state"] == "running" and luck < 0.04 and task["effect"] != controller.SIDE_EFFECTING:
+            elif task["state"] == "running" and luck < 0.04 and task["effect"] != Effect.NON_IDEMPOTENT:
                 task["state"], task["made"] = "parked", 0  # a new need, not a repeat of the last call
                 server.run_blocked(now, q)
             elif task["state"] == "calling" and luck < 0.06:
@@ -227,9 +229,9 @@
             host.timers.remove(at)
             server.on_tick(now, chance.random(), sum(t["state"] == "running" for t in host.tasks.values()))
         on_cores = sum(task["state"] == "running" for task in host.tasks.values())
-        assert on_cores == server.running and on_cores <= CORES * 8.0
+        assert on_cores == server.workload.running and on_cores <= CORES * 8.0
         unanswered = sum(task["size"] for task in host.tasks.values() if not task["answered"])
-        assert server.counters.unanswered == unanswered
+        assert server.workload.in_flight.unanswered == unanswered
     for task in host.seen:
         assert task["answered"], "a task lost"
     return host
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -7,9 +7,9 @@
 import random
 
 import pytest
-from helpers import Recorder, node, send, stage
+from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission import controller
+from vetchford.admission.request import Effect, LoadSignal, RequestState
 
 # The digests were recorded when these acts had other names.
 RECORDED_NAMES = {
@@ -43,19 +43,25 @@
     """One digest over each act, its arguments and its moment."""
     chance, host, acts = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
     stages = [
-        stage(skip_utility=0.3),
-        stage(utility=3.0, effect=controller.FINGERPRINTED),
-        stage(utility=2.0, effect=controller.SIDE_EFFECTING, due=900.0, limit=2200.0, late_utility=0.2),
+        request_class(skip_fraction=0.3),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
+        request_class(
+            priority_weight=2.0,
+            effect=Effect.NON_IDEMPOTENT,
+            latency_objective=900.0,
+            timeout=2200.0,
+            late_fraction=0.2,
+        ),
     ]
-    server = node(
+    server = new_controller(
         host,
-        stages=stages,
+        classes=stages,
         share=2.0 if crowded else None,
         memory=20_000.0 if crowded else 1e6,
         quotas=(0.01, 0.02),
-        say="credit",
+        signal=LoadSignal.CREDIT,
         cold=seed % 2 == 0,
-        callers=4,
+        clients=4,
     )
     count, told = 0, 0
     for step in range(3000):
@@ -66,45 +72,47 @@
         for _ in range(arrivals if step < 2800 else 0):
             kind, first = chance.randrange(3), None
             if kind == 1 and chance.random() < 0.2:
-                first = next((q for q, task in server.tasks.items() if task.entry_until > now), None)
+                first = next(
+                    (q for q, task in server.workload.requests.items() if task.key_expires_at > now), None
+                )
             count += 1
-            limit_at = now + 0.5 * stages[kind].limit if chance.random() < 0.5 else None
+            limit_at = now + 0.5 * stages[kind].timeout if chance.random() < 0.5 else None
             send(
                 server,
                 now,
                 count,
                 kind,
-                caller=chance.randrange(4),
+                client=chance.randrange(4),
                 tenant=chance.randrange(-1, 2),
-                limit_at=limit_at,
+                deadline=limit_at,
                 work=chance.choice((None, 5.0, 40.0, 200.0)),
                 size=chance.randint(5, 60),
-                again=chance.random() < 0.2,
+                is_retry=chance.random() < 0.2,
                 queued_for=chance.choice((0.0, 3.0, 400.0)),
                 original=first,
             )
-        for q, task in list(server.tasks.items()):
+        for q, task in list(server.workload.requests.items()):
             luck = chance.random()
-            if server.tasks.get(q) is not task:
+            if server.workload.requests.get(q) is not task:
                 continue
-            if task.state == controller.RUNNING and luck < 0.05:
+            if task.state == RequestState.EXECUTING and luck < 0.05:
                 server.run_ended(now, q, chance.choice(("completed", "errored")), chance.uniform(5.0, 400.0))
-            elif task.state == controller.RUNNING and luck < 0.08:
+            elif task.state == RequestState.EXECUTING and luck < 0.08:
                 server.run_blocked(now, q)
-            elif task.state == controller.CALLING and luck < 0.05:
+            elif task.state == RequestState.CALLING and luck < 0.05:
                 server.call_ended(
                     now,
                     q,
                     chance.choice(("completed", "saturated", "overdue", "errored")),
                     chance.uniform(5.0, 300.0),
                 )
-            elif task.state == controller.SHARING and luck < 0.05:
+            elif task.state == RequestState.SHARING and luck < 0.05:
                 server.run_ended(now, q, "completed", 0.0)
             elif not task.answered and luck > 0.9995:
                 server.client_gone(now, q)
         for at in sorted(at for at in host.timers if at <= now):
             host.timers.remove(at)
-            server.on_tick(now, chance.random(), server.running + chance.random())
+            server.on_tick(now, chance.random(), server.workload.running + chance.random())
         for act in host.acts:
             name, *arguments = act
             name = RECORDED_NAMES.get(name, name)
--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -91,7 +91,7 @@
     ]
     host, pools = Seen(), BulkheadSet(Seen(), terms, list(range(len(parts))))
     pools.host = host
-    pools.attach([SimpleNamespace(pool=0) for _ in parts], None)
+    pools.attach([SimpleNamespace(bulkhead=0) for _ in parts], None)
     slots, calls, reserve = PlainTurns(parts), PlainTurns(parts), [0] * len(parts)
     held, running, waiting, calling, now, admitted, count = [], [], [], [], 0, 0, 0
     unanswered, used = [0] * len(parts), [0.0] * len(parts)
@@ -103,12 +103,12 @@
         if act < 0.45:  # one comes
             count += 1
             task = SimpleNamespace(
-                q=count,
-                pool=chance.randrange(len(parts)),
+                index=count,
+                bulkhead=chance.randrange(len(parts)),
                 size=chance.choice((10, 40, 80)),
-                stage=SimpleNamespace(skip_utility=chance.choice((0.0, 0.5))),
+                request_class=SimpleNamespace(skip_fraction=chance.choice((0.0, 0.5))),
             )
-            p = task.pool
+            p = task.bulkhead
             pools.entered(p, task.size)
             unanswered[p], used[p] = unanswered[p] + task.size, used[p] + task.size
             total = sum(unanswered)
@@ -125,7 +125,7 @@
                 admitted += 1
                 continue
             over = [o for o in range(len(parts)) if unanswered[o] > parts[o] * clears]
-            rivals = [o for o in held if (o.pool in over if within else o.pool == p)]
+            rivals = [o for o in held if (o.bulkhead in over if within else o.bulkhead == p)]
             told = pools.gives_way(p, held if within else [*held, task], clears)
             assert told == (rivals if within else [*rivals, task])
             gone = chance.choice(told) if told else None
@@ -134,30 +134,33 @@
             if gone is not None:
                 if gone is not task:
                     held.remove(gone)
-                pools.answered(gone.pool, gone.size)
-                pools.left(gone.pool, gone.size)
-                unanswered[gone.pool] -= gone.size
-                used[gone.pool] -= gone.size
+                pools.answered(gone.bulkhead, gone.size)
+                pools.left(gone.bulkhead, gone.size)
+                unanswered[gone.bulkhead] -= gone.size
+                used[gone.bulkhead] -= gone.size
         elif act < 0.7:  # one may start
             lined = [
-                sum(o.pool == p and not o.stage.skip_utility for o in waiting) for p in range(len(parts))
+                sum(o.bulkhead == p and not o.request_class.skip_fraction for o in waiting)
+                for p in range(len(parts))
             ]
             able = [
                 o
                 for o in held
-                if o.stage.skip_utility or not lined[o.pool] or lined[o.pool] < pools.limits[o.pool].limit
+                if o.request_class.skip_fraction
+                or not lined[o.bulkhead]
+                or lined[o.bulkhead] < pools.limits[o.bulkhead].limit
             ]
-            wanting = sorted({o.pool for o in able})
+            wanting = sorted({o.bulkhead for o in able})
             taken = sum(slots.in_use(p) for p in range(len(parts)))
             main = [p for p in wanting if slots.free_for(p, whole, terms)] if taken + SPARE <= whole else []
             spare = [p for p in wanting if reserve[p] < terms[p].reserve] if len(running) + 1 <= 8 else []
             chosen = slots.next(now, main or spare)
             ready = pools.ready(float(now), held, waiting, len(running), whole, 8.0, set())
-            assert ready == [o for o in able if o.pool == chosen]
+            assert ready == [o for o in able if o.bulkhead == chosen]
             if not ready:
                 continue
             task, extra = ready[0], 3.0 * ready[0].size
-            p = task.pool
+            p = task.bulkhead
             kept = sum(
                 max(0.0, parts[o] * memory - used[o])
                 for o in range(len(parts))
@@ -178,7 +181,7 @@
                 reserve[p] += 1
         elif act < 0.85 and running:  # one leaves the cores: for a call, or for good
             task = running.pop(chance.randrange(len(running)))
-            p = task.pool
+            p = task.bulkhead
             pools.off_cores(float(now), p)
             if reserve[p]:
                 reserve[p] -= 1
@@ -193,24 +196,26 @@
                 unanswered[p] -= task.size
                 used[p] -= 4.0 * task.size
         elif act < 0.95 and waiting:  # a call may go out
-            must = [o for o in waiting if not o.stage.skip_utility] or waiting
+            must = [o for o in waiting if not o.request_class.skip_fraction] or waiting
             able = [
                 p
-                for p in sorted({o.pool for o in must})
+                for p in sorted({o.bulkhead for o in must})
                 if calls.in_use(p) + 1 <= pools.limits[p].limit + SPARE and calls.free_for(p, 4.0, terms)
             ]
             chosen = calls.next(now, able)
             told = pools.callable(float(now), waiting, 4.0)
-            assert told == [o for o in must if o.pool == chosen]
+            assert told == [o for o in must if o.bulkhead == chosen]
             if told and len(calling) < 4:
                 waiting.remove(told[0])
                 calling.append(told[0])
-                pools.call_began(float(now), told[0].pool, told[0].q, 4.0)
-                calls.moments.append((now, told[0].pool, 1, 4.0))
+                pools.call_began(float(now), told[0].bulkhead, told[0].index, 4.0)
+                calls.moments.append((now, told[0].bulkhead, 1, 4.0))
         elif calling:  # one is answered
             task = calling.pop(chance.randrange(len(calling)))
-            p = task.pool
-            pools.call_ended(float(now), p, task.q, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1)
+            p = task.bulkhead
+            pools.call_ended(
+                float(now), p, task.index, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1
+            )
             calls.moments.append((now, p, -1, 0.0))
             pools.resumed(float(now), p, whole)
             slots.moments.append((now, p, 1, whole))
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -3,9 +3,9 @@
 import math
 
 import pytest
-from helpers import Recorder, node, send, stage
+from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission import controller
+from vetchford.admission.request import Effect, RequestState
 from vetchford.bulkheads import builder
 from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
 
@@ -30,11 +30,13 @@
         Terms("charges", 0.5, 0.5, 0.5),
     ]
     stages = stages or [
-        stage(),
-        stage(utility=2.0, skip_utility=0.5),
-        stage(utility=3.0, effect=controller.FINGERPRINTED),
+        request_class(),
+        request_class(priority_weight=2.0, skip_fraction=0.5),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
-    return node(host, stages=stages, pools=BulkheadSet(seen or Seen(), terms, pool_of), **given)
+    return new_controller(
+        host, classes=stages, bulkheads=BulkheadSet(seen or Seen(), terms, pool_of), **given
+    )
 
 
 def started(host):
@@ -44,7 +46,7 @@
 def test_the_reserve_starts_a_check_at_once_whatever_runs_and_nobody_else_gets_it():
     host, seen = Recorder(), Seen()
     server = pooled(host, seen=seen)
-    server.ceiling = 8.0
+    server.workload.ceiling = 8.0
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
     assert started(host) == [0, 1]
@@ -91,15 +93,15 @@
     now, q, runs, used = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
         for kind in (QUOTE, CHARGE):
-            held = sum(task.pool == kind for task in server.held.values())
+            held = sum(task.bulkhead == kind for task in server.workload.queued.values())
             if held < 2:
                 q += 1
-                send(server, now, q, kind=kind, limit_at=now + 4000.0)
+                send(server, now, q, kind=kind, deadline=now + 4000.0)
         runs += [(now + 40.0, one) for one in started(host)]
         host.acts.clear()
         runs.sort()
         now, one = runs.pop(0)
-        used[server.tasks[one].pool] += 1
+        used[server.workload.requests[one].bulkhead] += 1
         server.run_ended(now, one, "completed", 40.0)
     assert used[QUOTE] / used[CHARGE] == pytest.approx(0.3 / 0.5, rel=0.05)
 
@@ -118,20 +120,22 @@
 def test_charges_that_fill_the_bytes_give_way_to_a_pool_within_its_part():
     host = Recorder()
     server = pooled(host)
-    server.counters.clears, server.ceiling = 100.0, 8.0
+    server.workload.in_flight.clearable_bytes, server.workload.ceiling = 100.0, 8.0
     for q in range(12):
-        send(server, 0.0, q, kind=CHARGE, caller=q, size=10)
-    held = len(server.held)
-    send(server, 1.0, 30, kind=CHECK, caller=30, size=10)
-    send(server, 1.0, 31, kind=CHECK, caller=31, size=10)
+        send(server, 0.0, q, kind=CHARGE, client=q, size=10)
+    held = len(server.workload.queued)
+    send(server, 1.0, 30, kind=CHECK, client=30, size=10)
+    send(server, 1.0, 31, kind=CHECK, client=31, size=10)
     assert not {30, 31} & set(
         host.answers
     )  # let in, one by its reserve, and a charge went for what was too much
-    assert len(server.held) == held + 1 and server.counters.unanswered == 100
+    assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered == 100
     before = set(host.answers)
-    send(server, 2.0, 40, kind=QUOTE, caller=40, size=10)  # within its part: a charge goes for it
-    assert 40 in server.held and len(set(host.answers) - before) == 1
-    assert server.counters.unanswered == 100 and all(answer == "reject" for answer in host.answers.values())
+    send(server, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its part: a charge goes for it
+    assert 40 in server.workload.queued and len(set(host.answers) - before) == 1
+    assert server.workload.in_flight.unanswered == 100 and all(
+        answer == "reject" for answer in host.answers.values()
+    )
 
 
 def test_charges_parked_on_a_dead_ledger_leave_the_memory_of_the_gate_alone():
@@ -139,9 +143,9 @@
     server = pooled(host, memory=2000.0, share=50.0)
     now, q = 0.0, 0
     for q in range(100):
-        send(server, now, q, kind=CHARGE, caller=q, size=10)
+        send(server, now, q, kind=CHARGE, client=q, size=10)
         for one in started(host):
-            if server.tasks[one].state == controller.RUNNING:
+            if server.workload.requests[one].state == RequestState.EXECUTING:
                 server.run_blocked(now, one)
         now += 1.0
     assert any(answer == "reject" for answer in host.answers.values())  # full
@@ -155,12 +159,12 @@
     for q in range(8):
         send(server, 0.0, q, kind=CHARGE)
     for q in (0, 1, 2, 3):
-        if server.tasks[q].state == controller.RUNNING:
+        if server.workload.requests[q].state == RequestState.EXECUTING:
             server.run_blocked(10.0, q)
-    assert len(server.waiting) <= 3 and server.running < 2
-    before = server.running
+    assert len(server.workload.waiting) <= 3 and server.workload.running < 2
+    before = server.workload.running
     send(server, 20.0, 20, kind=CHECK)
-    assert server.running == before + 1
+    assert server.workload.running == before + 1
 
 
 def test_a_quote_that_waits_longer_than_its_budget_goes_on_without_the_call():
@@ -185,7 +189,7 @@
         send(server, 0.0, q, kind=CHARGE, work=300.0)
         server.run_ended(0.0, q, "completed", 300.0)
     for q in range(40):
-        send(server, 0.0, q, kind=CHARGE, work=300.0, caller=q % 5)
+        send(server, 0.0, q, kind=CHARGE, work=300.0, client=q % 5)
     told = {act[1]: act[3] for act in host.acts if act[0] == "reject"}
     assert told and min(told.values()) > 400.0
     send(server, 1.0, 100, kind=QUOTE, size=200_000)  # more than the memory: nobody of its pool is in line
@@ -197,9 +201,9 @@
     server = pooled(host)
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
-    waits = next(iter(server.held))
+    waits = next(iter(server.workload.queued))
     send(server, 50.0, 50, kind=CHARGE, original=waits)
-    assert host.answers[waits] == "reject" and 50 in server.held
+    assert host.answers[waits] == "reject" and 50 in server.workload.queued
     send(server, 60.0, 51, kind=CHARGE, original=0)
     assert "share" in host.names(51) and started(host).count(0) == 1
 
@@ -209,7 +213,7 @@
     server = pooled(host, share=8.0)
     now = 0.0
     for q in range(30):
-        send(server, now, q, kind=CHARGE, limit_at=now + 1800.0)
+        send(server, now, q, kind=CHARGE, deadline=now + 1800.0)
         if q in started(host):
             server.run_blocked(now + 5.0, q)
             server.call_ended(now + 1700.0, q, "overdue", 1695.0)
@@ -222,19 +226,19 @@
     host = Recorder()
     server = pooled(host, share=2.0)
     for q in range(30):
-        send(server, 0.0, q, kind=q % 3, caller=q % 4)
+        send(server, 0.0, q, kind=q % 3, client=q % 4)
     for q in started(host)[:2]:
         server.run_blocked(20.0, q)
     server.start_draining(100.0, 2100.0)
     for at in range(150, 2100, 50):
         server.on_tick(float(at), 1.0, 2.0)
-    for q in list(server.tasks):
-        task = server.tasks[q]
-        if task.state in (controller.RUNNING, controller.PARKED, controller.CALLING):
+    for q in list(server.workload.requests):
+        task = server.workload.requests[q]
+        if task.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
             server.run_ended(2100.0, q, "recalled", 2000.0)
     server.on_tick(40_000.0, 0.0, 0.0)
-    pools = server.pools
-    assert set(host.answers) == set(range(30)) and not server.tasks
+    pools = server.capacity.bulkheads
+    assert set(host.answers) == set(range(30)) and not server.workload.requests
     assert pools.unanswered == [0, 0, 0] and pools.used == [0.0, 0.0, 0.0]
     assert pools.slots.in_use == pools.calls.in_use == pools.on_reserve == [0, 0, 0]
     assert not any(pools.out)
@@ -264,19 +268,23 @@
 
 def test_derived_pools_find_the_light_stage_by_its_runs_and_keep_to_it():
     host, seen = Recorder(), Seen()
-    stages = [stage(), stage(utility=2.0), stage(utility=3.0, effect=controller.FINGERPRINTED)]
+    stages = [
+        request_class(),
+        request_class(priority_weight=2.0),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
+    ]
     made = builder.derived(seen, [0, 0, 1], [1.0, 2.0, 3.0])
-    server = node(host, stages=stages, pools=made)
-    assert [kind.pool for kind in stages] == [2, 2, 1]  # nothing measured yet
+    server = new_controller(host, classes=stages, bulkheads=made)
+    assert [kind.bulkhead for kind in stages] == [2, 2, 1]  # nothing measured yet
     now = 0.0
     for q in range(90):
         send(server, now, q, kind=q % 3)
         server.run_ended(now + 5.0, q, "completed", (6.0, 40.0, 60.0)[q % 3])
         now += 10.0
     server.on_tick(6000.0, 1.0, 0.0)
-    assert [kind.pool for kind in stages] == [0, 2, 1] and seen.count("regrouped") == 1
+    assert [kind.bulkhead for kind in stages] == [0, 2, 1] and seen.count("regrouped") == 1
     for q in range(100, 190):  # now all are dear: none is light
         send(server, 7000.0 + q, q, kind=q % 3)
         server.run_ended(7005.0 + q, q, "completed", 60.0)
     server.on_tick(12_000.0, 1.0, 0.0)
-    assert [kind.pool for kind in stages] == [2, 2, 1]
+    assert [kind.bulkhead for kind in stages] == [2, 2, 1]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,13 +1,33 @@
-"""A recording host and a node built from few figures; the stand-ins are those of the benchmarks."""
+"""Recorded actions and a controller built from few figures; the fake peers are those of the benchmarks."""
 
 from pathlib import Path
 
 import vetchford
 from testkit.fakes.peers import TOLD, Balancer
 from testkit.fakes.server_process import Running
-from vetchford.admission import controller
-
-__all__ = ["GOOD", "ROOT", "TOLD", "Balancer", "Recorder", "Running", "node", "send", "stage"]
+from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit
+from vetchford.admission.controller import AdmissionController
+from vetchford.admission.health import Health
+from vetchford.admission.in_flight_bytes import InFlightBytes
+from vetchford.admission.load_advice import LoadAdvice
+from vetchford.admission.load_advice_state import AdviceSettings
+from vetchford.admission.request import AdmissionSettings, Effect, LoadSignal, RequestArrival, RequestClass
+from vetchford.admission.shared_capacity import SharedCapacity
+from vetchford.admission.tenant_quotas import TenantQuotas
+from vetchford.admission.workload import Workload
+from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
+
+__all__ = [
+    "GOOD",
+    "ROOT",
+    "TOLD",
+    "Balancer",
+    "Recorder",
+    "Running",
+    "new_controller",
+    "request_class",
+    "send",
+]
 
 ROOT = Path(vetchford.__file__).parent.parent
 GOOD = {
@@ -24,7 +44,7 @@
 
 
 class Recorder:
-    """A host that keeps each act as (name, *arguments) and the answers by task."""
+    """Actions that keep each act as (name, *arguments), and the answers by request."""
 
     def __init__(self):
         self.acts = []
@@ -52,64 +72,72 @@
         ]
 
 
-def stage(**given):
+def request_class(**given):
+    """A class of requests; times in milliseconds."""
     figures = dict(
-        due=1800.0,
-        limit=4400.0,
-        utility=1.0,
-        late_utility=0.0,
-        effect=controller.RESTARTABLE,
-        window=13000.0,
-        skip_utility=0.0,
+        latency_objective=1800.0,
+        timeout=4400.0,
+        priority_weight=1.0,
+        late_fraction=0.0,
+        effect=Effect.IDEMPOTENT,
+        key_window=13000.0,
+        skip_fraction=0.0,
     )
-    return controller.Stage(**{**figures, **given})
+    return RequestClass(**{**figures, **given})
 
 
-def node(
-    host,
-    stages=None,
+def new_controller(
+    actions,
+    classes=None,
     cores=2,
     cold=False,
     memory=100_000.0,
     share=None,
-    calls=True,
     quotas=(),
-    say="silent",
+    signal=LoadSignal.NONE,
     can_stop=False,
-    callers=2,
-    pools=None,
+    clients=2,
+    bulkheads=None,
 ):
-    return controller.AdmissionController(
-        host=host,
-        stages=stages or [stage(), stage(utility=3.0, effect=controller.FINGERPRINTED)],
-        cores=cores,
-        survives=8.0,
-        cold_from=0.24,
-        ramp=18000.0 if cold else 0.0,
-        counters=controller.InFlightBytes(memory, 8.0, 50.0),
-        calls=controller.DependencyConcurrencyLimit(share, 5000.0, 200.0, cores) if calls else None,
-        tenants=controller.TenantQuotas(list(quotas), 1, 0.05),
-        advice=controller.LoadAdvice(host, 7, say, 1000.0, callers, cores, 30_000.0),
-        by_work=False,
-        can_stop=can_stop,
-        grace=2000.0,
-        worst_weight=0.3,
-        pools=pools,
+    """A controller from few figures; `bulkheads`: a `BulkheadSet`, where capacity is divided."""
+    workload = Workload(
+        settings=AdmissionSettings(
+            cores=cores,
+            survivable_concurrency=8.0,
+            cold_fraction=0.24,
+            warm_up=18000.0 if cold else 0.0,
+            weight_by_work=False,
+            can_stop=can_stop,
+            drain_grace=2000.0,
+            worst_class_weight=0.3,
+        ),
+        classes=classes
+        or [request_class(), request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY)],
+        in_flight=InFlightBytes(memory, 8.0, 50.0),
+        dependency=DependencyConcurrencyLimit(share, 5000.0, 200.0, cores),
+        tenants=TenantQuotas(list(quotas), 1, 0.05),
     )
+    advice = LoadAdvice(actions, AdviceSettings(7, signal, 1000.0, clients, cores, 30_000.0))
+    capacity = SharedCapacity() if bulkheads is None else BulkheadCapacity(bulkheads)
+    return AdmissionController(actions, workload, capacity, advice, Health(actions, workload))
 
 
 def send(
     server,
     now,
-    q,
+    index,
     kind=0,
-    caller=0,
+    client=0,
     tenant=-1,
-    limit_at=None,
+    deadline=None,
     work=None,
     size=10,
-    again=False,
+    is_retry=False,
     queued_for=0.0,
     original=None,
 ):
-    server.request_arrived(now, q, kind, tenant, caller, limit_at, work, size, again, queued_for, original)
+    """Let a request of the class `kind` arrive."""
+    arrival = RequestArrival(
+        index, kind, tenant, client, deadline, work, size, is_retry, queued_for, original
+    )
+    server.request_arrived(now, arrival)
--- a/tests/runtime/test_actor_races.py
+++ b/tests/runtime/test_actor_races.py
@@ -7,7 +7,8 @@
 
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import Checkpoint, beside, until
-from vetchford.admission import controller, factory
+from vetchford.admission import factory
+from vetchford.admission.request import RequestArrival, RequestState
 from vetchford.runtime import actor
 from vetchford.runtime.actor import ThreadPool
 from vetchford.runtime.metrics import Metrics
@@ -64,11 +65,15 @@
         for step in range(400):
             now = 10.0 * step
             for node in nodes:
-                limit = now + node.stages[step % 2].limit
-                node.request_arrived(now, step, step % 2, -1, step % 3, limit, 20.0, 20_480, False, 0.0, None)
-                runs = [q for q, task in node.tasks.items() if task.state == controller.RUNNING]
+                limit = now + node.workload.classes[step % 2].timeout
+                node.request_arrived(
+                    now, RequestArrival(step, step % 2, -1, step % 3, limit, 20.0, 20_480, False, 0.0, None)
+                )
+                runs = [
+                    q for q, task in node.workload.requests.items() if task.state == RequestState.EXECUTING
+                ]
                 for q in runs[: step % 3 == 0]:
-                    node.run_ended(now, q, "completed", takes[node.cores])
+                    node.run_ended(now, q, "completed", takes[node.workload.cores])
                 if step % 5 == 0:
                     node.on_tick(now, 0.9, 2.0)
         return [host.acts for host in hosts]
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -87,7 +87,7 @@
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, cold, 5000.0)
     assert module.now() >= 5000.0  # what is left of the ramp is told to the node by its clock
-    assert module.controller.ramp == (18_000.0 if cold else 0.0)
+    assert module.controller.workload.settings.warm_up == (18_000.0 if cold else 0.0)
 
 
 def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
@@ -96,9 +96,9 @@
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, False, 5000.0)
-    module.controller.running = 2
+    module.controller.workload.running = 2
     module.polled("1-1", [0.9, 3.0])
-    module.controller.running = 1
+    module.controller.workload.running = 1
     told = []
     module.controller.on_tick = lambda now, busy, on_cores: told.append((busy, on_cores))
     module.sweep()
@@ -111,8 +111,8 @@
     peer.mailbox = queue.SimpleQueue()
     module.bound(1, False, 5000.0)
     module.request(peer, 1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1e9, 1e9, 1.0, None, "")
-    task = module.controller.tasks[0]
-    assert task.work == 60_000.0 and task.limit - task.arrived <= 60_000.1
+    task = module.controller.workload.requests[0]
+    assert task.work == 60_000.0 and task.deadline - task.arrived_at <= 60_000.1
 
 
 def test_a_task_that_the_decisions_lose_is_answered_all_the_same():
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -82,7 +82,13 @@
 ALLOWED_IMPORTS = {
     "admission": set(),
     "bench_adapter": {"admission", "server.index_allocator"},
-    "bulkheads": {"admission.factory", "runtime"},
+    "bulkheads": {
+        "admission.concurrency_limits",
+        "admission.factory",
+        "admission.request",
+        "admission.workload",
+        "runtime",
+    },
     "configuration": set(),
     "coordination": {"fleet", "gossip", "leases", "runtime", "subsetting", "transport"},
     "fleet": {"runtime", "transport"},
--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -1,49 +1,55 @@
-"""What the decision module acts through; each protocol put before it brings an implementation."""
+"""What the controller acts through; each adapter brings an implementation. No decisions."""
 
 from typing import Protocol
 
 
 class AdmissionActions(Protocol):
-    """Acts on tasks by their small index `q`; times and durations are milliseconds with fractions."""
+    """Acts on requests by their small index; times and durations are milliseconds with fractions.
 
-    def start(self, q: int) -> None:
-        """Run a held task."""
+    Called on the thread that delivered the event, before its method returns.
+    """
 
-    def stop(self, q: int) -> None:
-        """Stop running work; not an answer. Only where the start-up settings say how work is stopped."""
+    def start(self, index: int) -> None:
+        """Run a queued request."""
 
-    def reject(self, q: int, terminal: bool, pause: float) -> None:
-        """Final answer: turned away, never run. `pause` > 0 asks the caller to stay away that long."""
+    def stop(self, index: int) -> None:
+        """Stop a run; not an answer. Only where the settings say how runs are stopped."""
 
-    def fail(self, q: int) -> None:
+    def reject(self, index: int, terminal: bool, retry_delay: float) -> None:
+        """Final answer: rejected, never run.
+
+        `terminal`: not to be sent to another server; `retry_delay` > 0: not to be retried for that long.
+        """
+
+    def fail(self, index: int) -> None:
         """Final answer: an error, with no promise about effects."""
 
-    def share(self, q: int) -> None:
-        """Answer a held task with the result of the one it repeats."""
+    def share(self, index: int) -> None:
+        """Answer a request with the result of the one it repeats, once there is one."""
 
-    def call(self, q: int, cut_at: float) -> None:
-        """Make the call a task waits for, to be abandoned at the clock time `cut_at`."""
+    def call(self, index: int, cut_at: float) -> None:
+        """Make the call that a request waits for, to be abandoned at the clock time `cut_at`."""
 
-    def skip(self, q: int) -> None:
-        """Let a task that waits for a call go on without it."""
+    def skip(self, index: int) -> None:
+        """Let a request that waits for a call go on without it."""
 
-    def remember(self, q: int, keep_for: float) -> None:
-        """Keep the task's fingerprint, so that a repeat is known as one."""
+    def remember(self, index: int, keep_for: float) -> None:
+        """Keep the request's idempotency key for this long, so that a repeat is recognised."""
 
-    def forget(self, q: int) -> None:
-        """Drop the task's fingerprint."""
+    def forget(self, index: int) -> None:
+        """Drop the request's idempotency key."""
 
-    def release(self, q: int) -> None:
-        """The index is not referred to again and may be handed out anew."""
+    def release(self, index: int) -> None:
+        """The index is not referred to again and may be reused."""
 
-    def set_readiness(self, good: bool) -> None:
-        """What health checks are told from now on, answered from store."""
+    def set_readiness(self, ready: bool) -> None:
+        """What health checks answer from now on."""
 
     def publish_load(self, value: float) -> None:
-        """The free value sent back with each answer from now on."""
+        """The load value sent back with each answer from now on."""
 
-    def set_idle_timeout(self, keep_for: float) -> None:
-        """Close connections that were silent for this long."""
+    def set_idle_timeout(self, timeout: float) -> None:
+        """Close connections that were idle for this long."""
 
     def schedule_tick(self, delay: float) -> None:
-        """Ask for one `on_tick` after this long; there is no way to take it back."""
+        """Deliver one `on_tick` after this long; it can't be cancelled."""
--- /dev/null
+++ b/vetchford/admission/request.py
@@ -0,0 +1,188 @@
+"""Plain types of the admission decisions: requests, their classes, arrivals and outcomes. No decisions.
+
+All times are milliseconds with fractions on the controller's clock; durations are milliseconds.
+"""
+
+import math
+from dataclasses import dataclass, field
+from enum import Enum, IntEnum, StrEnum
+from typing import NamedTuple
+
+from vetchford.admission.concurrency_limits import RUNS_BY_COUNT, TimeWeightedAverage
+
+
+class Effect(IntEnum):
+    """Whether a request may run more than once."""
+
+    IDEMPOTENT = 0
+    IDEMPOTENT_BY_KEY = 1
+    """A repeat is recognised by its idempotency key, within the key window of its class."""
+    NON_IDEMPOTENT = 2
+
+
+class RequestState(IntEnum):
+    """Where a request is between its arrival and the release of its memory."""
+
+    QUEUED = 0
+    EXECUTING = 1
+    WAITING_FOR_CALL = 2
+    """Its run is blocked on a call to the dependency that is not out."""
+    CALLING = 3
+    SHARING = 4
+    """It waits for the result of the request that it repeats."""
+    DONE = 5
+
+
+class Outcome(StrEnum):
+    """How a run or a call to the dependency ended."""
+
+    COMPLETED = "completed"
+    ERRORED = "errored"
+    SATURATED = "saturated"
+    OVERDUE = "overdue"
+    REFUSED_CONNECTION = "refused_conn"
+    SEVERED = "severed"
+    RECALLED = "recalled"
+    SUPERSEDED = "superseded"
+
+
+class LoadSignal(Enum):
+    """What the value that is published with each answer means to the balancers."""
+
+    NONE = 0
+    UTILIZATION = 1
+    CREDIT = 2
+    WEIGHT = 3
+
+
+class RequestArrival(NamedTuple):
+    """One request as it was read from its client."""
+
+    request_index: int
+    """Small index that names the request until `AdmissionActions.release`."""
+    class_index: int
+    tenant: int
+    """Index of its tenant, or -1."""
+    client: int
+    deadline: float | None
+    """Clock time after which the client no longer waits; None where it does not say."""
+    work: float | None
+    """Expected work in ms on a standard core; None where the client does not say."""
+    size: int
+    """Bytes."""
+    is_retry: bool
+    queued_for: float
+    """Time between its arrival at the machine and now."""
+    original: int | None
+    """Index of the request it repeats, -1 for a repeat of an unknown one, None for no repeat."""
+
+
+@dataclass(slots=True)
+class RequestClass:
+    """What the settings say of a class of requests, and what was measured of it."""
+
+    latency_objective: float
+    timeout: float
+    priority_weight: float
+    late_fraction: float
+    """Fraction of the priority weight that an answer after the latency objective still earns."""
+    effect: Effect
+    key_window: float
+    """Duration within which a request that is idempotent by key may be repeated."""
+    skip_fraction: float
+    """Fraction of the priority weight left when its call is skipped; 0: it may not be skipped."""
+    service_time_per_unit: TimeWeightedAverage = field(
+        default_factory=lambda: TimeWeightedAverage(RUNS_BY_COUNT)
+    )
+    """Run time over expected work, of runs that did not compete for the cores."""
+    dependency_wait: float = 0.0
+    """Recent time that a run waits on calls."""
+    learnt_at: float = -math.inf
+    """When a run last completed."""
+    offered: float = 1e-9
+    """Priority weight of recent first attempts."""
+    achieved: float = 0.0
+    """Part of it that was answered within the latency objective."""
+    queue_weight: float = 0.0
+    """Priority weight by which the queue is ordered."""
+    mean_run_time: float = 0.0
+    """Recent mean, for bulkheads."""
+    bulkhead: int = 0
+
+
+@dataclass(slots=True)
+class Request:
+    """One request from its arrival until its index is released."""
+
+    index: int
+    request_class: RequestClass
+    tenant: int
+    client: int
+    arrived_at: float
+    objective_at: float
+    deadline: float
+    work: float
+    size: int
+    is_retry: bool
+    state: RequestState = RequestState.QUEUED
+    started: bool = False
+    answered: bool = False
+    concurrency_at_start: float = 0.0
+    """Runs and reads on the cores when its run started."""
+    dependency_wait: float = 0.0
+    """Time waited on calls so far, less the clock time when the wait began while it lasts."""
+    key_expires_at: float = 0.0
+    """When its idempotency key is dropped; 0: it has none."""
+    bulkhead: int = 0
+    """Bulkhead of its class when it arrived."""
+
+    @property
+    def has_key(self) -> bool:
+        """Whether repeats of it are recognised by their idempotency key."""
+        return self.request_class.effect == Effect.IDEMPOTENT_BY_KEY
+
+    @classmethod
+    def of(
+        cls,
+        arrival: RequestArrival,
+        request_class: RequestClass,
+        arrived_at: float,
+        objective_at: float,
+        deadline: float,
+        is_retry: bool,
+    ) -> "Request":
+        """The request of an arrival, with the times that were decided for it."""
+        return cls(
+            arrival.request_index,
+            request_class,
+            arrival.tenant,
+            arrival.client,
+            arrived_at,
+            objective_at,
+            deadline,
+            arrival.work or 1.0,
+            arrival.size,
+            is_retry,
+            bulkhead=request_class.bulkhead,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionSettings:
+    """Settings of the controller that belong to none of its parts."""
+
+    cores: int
+    survivable_concurrency: float
+    """Runs for each core that the server survives."""
+    cold_fraction: float
+    """Fraction of the survivable concurrency above one run a core that a cold server survives."""
+    warm_up: float
+    """Duration from the start after which the server is warm; 0: it is warm."""
+    weight_by_work: bool
+    """Whether a request's value grows with its work."""
+    can_stop: bool
+    """Whether a run can be stopped."""
+    drain_grace: float
+    """Duration after the termination notice in which arrivals are still admitted."""
+    worst_class_weight: float
+    """Weight of the worst-served class in the service goal over that of the rest."""
--- a/vetchford/bench_adapter/simulator_link.py
+++ b/vetchford/bench_adapter/simulator_link.py
@@ -8,6 +8,7 @@
 
 from vetchford.admission import controller, factory
 from vetchford.admission.factory import BYTES_PER_KB, NS_PER_MS
+from vetchford.admission.request import RequestArrival
 from vetchford.errors import MalformedInputError
 from vetchford.server.index_allocator import IndexAllocator
 
@@ -106,19 +107,19 @@
         until = event.get("validUntil")
         original = event.get("repeats")
         work = event.get("predicted")
-        self.controller.request_arrived(
-            now,
-            self.indices.add(name),
-            self.stages[kind],
-            self.tenants.get(event.get("project") or "", -1),
-            event.get("who") or 0,
-            self.ms(until) if until else None,
-            work / NS_PER_MS if work else None,
-            max(1, round((event.get("memKb") or 0.0) * BYTES_PER_KB)),
-            bool(event.get("resent")),
-            (event.get("queuedFor") or 0) / NS_PER_MS,
-            self.indices.by_name.get(original, UNKNOWN) if original else None,
+        arrival = RequestArrival(
+            request_index=self.indices.add(name),
+            class_index=self.stages[kind],
+            tenant=self.tenants.get(event.get("project") or "", -1),
+            client=event.get("who") or 0,
+            deadline=self.ms(until) if until else None,
+            work=work / NS_PER_MS if work else None,
+            size=max(1, round((event.get("memKb") or 0.0) * BYTES_PER_KB)),
+            is_retry=bool(event.get("resent")),
+            queued_for=(event.get("queuedFor") or 0) / NS_PER_MS,
+            original=self.indices.by_name.get(original, UNKNOWN) if original else None,
         )
+        self.controller.request_arrived(now, arrival)
 
     def notice(self, now: float, event: dict[str, Any]) -> None:
         self.controller.start_draining(now, self.ms(need(event, "validUntil", int)))
--- /dev/null
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -0,0 +1,143 @@
+"""The controller's `Capacity` where it is divided into bulkheads.
+
+Translates between requests and the bulkheads' indices and counts; `BulkheadSet` decides. Called on the thread
+that owns the controller; times are milliseconds.
+"""
+
+from collections.abc import Sequence
+
+from vetchford.admission.request import Request, RequestState
+from vetchford.admission.workload import Workload
+from vetchford.bulkheads.bulkheads import BulkheadSet
+
+
+class BulkheadCapacity:
+    """Implements `vetchford.admission.capacity.Capacity`, which says what each method is for."""
+
+    workload: Workload
+
+    def __init__(self, bulkheads: BulkheadSet) -> None:
+        self.bulkheads = bulkheads
+
+    def attach(self, workload: Workload) -> None:
+        """Assign each request class its bulkhead, and limit calls by bulkhead."""
+        self.workload = workload
+        self.bulkheads.attach(workload.classes, workload.dependency)
+
+    def arrived(self, request: Request) -> None:
+        """Count its bytes."""
+        self.bulkheads.entered(request.bulkhead, request.size)
+
+    def answered(self, request: Request) -> None:
+        """Count its bytes as answered."""
+        self.bulkheads.answered(request.bulkhead, request.size)
+
+    def released(self, request: Request) -> None:
+        """Count its memory as free."""
+        self.bulkheads.left(request.bulkhead, request.size)
+
+    def run_started(self, now: float, request: Request, slots: float) -> None:
+        """Take a slot, or a reserved one."""
+        self.bulkheads.started(now, request.bulkhead, slots, self._extra_memory(request))
+
+    def run_resumed(self, now: float, request: Request) -> None:
+        """Take a slot, whether or not one is free."""
+        self.bulkheads.resumed(now, request.bulkhead, self.workload.slots())
+
+    def run_blocked(self, now: float, request: Request) -> None:
+        """Give the slot back."""
+        self.bulkheads.off_cores(now, request.bulkhead)
+
+    def run_ended(self, now: float, request: Request) -> None:
+        """Give back its slot or its call, and its memory as an executing request."""
+        if request.state == RequestState.EXECUTING:
+            self.bulkheads.off_cores(now, request.bulkhead)
+        elif request.state == RequestState.CALLING:
+            self.bulkheads.call_ended(now, request.bulkhead, request.index, None, False)
+        called = request.dependency_wait != 0.0
+        self.bulkheads.ended(request.bulkhead, called, self._extra_memory(request))
+
+    def call_started(self, now: float, request: Request) -> None:
+        """Count the call."""
+        self.bulkheads.call_began(now, request.bulkhead, request.index, self._call_limit())
+
+    def call_ended(self, now: float, request: Request, took: float | None, rejected: bool) -> None:
+        """Count the call back and adapt the bulkhead's limit."""
+        self.bulkheads.call_ended(now, request.bulkhead, request.index, took, rejected)
+
+    def on_tick(self, now: float) -> None:
+        """Regroup derived bulkheads where it is time."""
+        self.bulkheads.woke(now)
+
+    def queue_delay(self, now: float, request: Request) -> float:
+        """Behind the requests of its own bulkhead with the same priority or a higher one."""
+        priority = self.workload.priority
+        own = priority(request)
+        return self._delay_behind(now, request, [o for o in self._queued(request) if priority(o) >= own])
+
+    def retry_delay(self, request: Request) -> float:
+        """Behind all queued requests of its own bulkhead."""
+        return self._delay_behind(self.bulkheads.slots.at, request, self._queued(request))
+
+    def has_room(self, request: Request) -> bool:
+        """By its bulkhead's part of the bytes, and what others lend."""
+        in_flight = self.workload.in_flight
+        return self.bulkheads.admits(request.bulkhead, in_flight.unanswered, in_flight.clearable_bytes)
+
+    def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
+        """Those of bulkheads beyond their part; the request itself only where its own is."""
+        clearable = self.workload.in_flight.clearable_bytes
+        within = self.bulkheads.within(request.bulkhead, clearable)
+        candidates = queued if within else [*queued, request]
+        return self.bulkheads.gives_way(request.bulkhead, candidates, clearable)
+
+    def memory_fits(self, request: Request, more: float) -> bool:
+        """By its bulkhead's part of the memory, and what others lend."""
+        in_flight = self.workload.in_flight
+        return self.bulkheads.fits(request.bulkhead, more, in_flight.used, in_flight.usable)
+
+    def startable(self, now: float, slots: float, blocked: set[int]) -> Sequence[Request]:
+        """The queued requests of the bulkhead whose turn it is."""
+        load = self.workload
+        queued, waiting = load.queued.values(), load.waiting.values()
+        return self.bulkheads.ready(now, queued, waiting, load.running, slots, load.ceiling, blocked)
+
+    def callable(self, now: float) -> Sequence[Request]:
+        """The waiting requests of the bulkhead whose turn it is."""
+        return self.bulkheads.callable(now, self.workload.waiting.values(), self._call_limit())
+
+    def call_deadline(self, now: float, request: Request) -> float:
+        """By its bulkhead's call budget, or when an answer would come too late."""
+        return self.bulkheads.call_until(now, request)
+
+    def should_skip(self, request: Request) -> bool:
+        """Where its bulkhead's queue for calls is long, or one that must call waits."""
+        return self.bulkheads.skips(request.bulkhead, self.workload.waiting.values())
+
+    def dependency_wait(self, now: float, request: Request) -> float:
+        """By the calls of its bulkhead."""
+        return self.bulkheads.away(now, request.bulkhead, self._queued_calls(request))
+
+    def _extra_memory(self, request: Request) -> float:
+        return request.size * self.workload.in_flight.running_extra
+
+    def _call_limit(self) -> float:
+        return self.workload.dependency.limit() if self.workload.dependency is not None else 0.0
+
+    def _queued(self, request: Request) -> list[Request]:
+        return [other for other in self.workload.queued.values() if other.bulkhead == request.bulkhead]
+
+    def _queued_calls(self, request: Request) -> int:
+        return sum(other.bulkhead == request.bulkhead for other in self.workload.waiting.values())
+
+    def _delay_behind(self, now: float, request: Request, ahead: list[Request]) -> float:
+        load = self.workload
+        return self.bulkheads.ahead(
+            now,
+            request.bulkhead,
+            sum(map(load.expected_run_time, ahead)),
+            len(ahead),
+            load.slots(),
+            {other.bulkhead for other in load.queued.values()},
+            self._queued_calls(request),
+        )
--- a/vetchford/bulkheads/bulkhead_metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -7,7 +7,7 @@
 
 from vetchford.admission import factory
 from vetchford.bulkheads import builder
-from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
 from vetchford.runtime.metrics import Metrics
 
 log = structlog.get_logger()
@@ -41,7 +41,7 @@
         log.info("pools_regrouped", stages=moved)
 
 
-def pools(told: dict[str, Any], declared: str | dict[str, Any], metrics: Metrics) -> BulkheadSet | None:
+def pools(told: dict[str, Any], declared: str | dict[str, Any], metrics: Metrics) -> BulkheadCapacity | None:
     """The pools of a server that was told these settings."""
     stages = told["requestClasses"]
     names = [entry.get("name") or "" for entry in stages]
@@ -51,4 +51,4 @@
     if made is not None:
         marks.names = [terms.name for terms in made.terms]
         log.info("pools", names=",".join(marks.names), stages=",".join(marks.names[p] for p in made.pool_of))
-    return made
+    return BulkheadCapacity(made) if made is not None else None
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from vetchford.admission.concurrency_limits import GradientConcurrencyLimit
 from vetchford.bulkheads.adaptive_limit import AdaptiveLimit
 
 CREDIT = (
@@ -151,9 +152,9 @@
         """The stages get their pools; the node's own gradient on calls makes way for the pools' limits."""
         self.stages = stages
         for stage, pool in zip(stages, self.pool_of, strict=True):
-            stage.pool = pool
+            stage.bulkhead = pool
         if calls is not None:
-            calls.gradient = Unbound()
+            calls.gradient = UnlimitedConcurrency()
             for limit in self.limits:
                 limit.most = min(limit.most, max(1.0, calls.share))
                 limit.limit, limit.aim = min(limit.limit, limit.most), limit.most
@@ -235,13 +236,13 @@
         """
         lined = [0] * len(self.terms)
         for task in waiting:
-            lined[task.pool] += not task.stage.skip_utility
+            lined[task.bulkhead] += not task.request_class.skip_fraction
         by_pool: dict[int, list[Any]] = {}
         for task in held:
-            p = task.pool
+            p = task.bulkhead
             if p in shut:
                 continue
-            if lined[p] and lined[p] >= self.limits[p].limit and not task.stage.skip_utility:
+            if lined[p] and lined[p] >= self.limits[p].limit and not task.request_class.skip_fraction:
                 self.limits[p].busy()
                 continue
             by_pool.setdefault(p, []).append(task)
@@ -293,9 +294,9 @@
         """
         if not self.within(p, clears):
             self.host.bound(p, "bytes")
-            return [task for task in held if task.pool == p]
+            return [task for task in held if task.bulkhead == p]
         over = {o for o in range(len(self.terms)) if not self.within(o, clears)}
-        return [task for task in held if task.pool in over]
+        return [task for task in held if task.bulkhead in over]
 
     def fits(self, p: int, more: float, used: float, memory: float) -> bool:
         """Memory, as the node's own guard, less what other pools keep of it."""
@@ -311,9 +312,9 @@
         """
         by_pool: dict[int, list[Any]] = {}
         waiting = list(waiting)
-        must = [task for task in waiting if not task.stage.skip_utility]
+        must = [task for task in waiting if not task.request_class.skip_fraction]
         for task in must or waiting:
-            by_pool.setdefault(task.pool, []).append(task)
+            by_pool.setdefault(task.bulkhead, []).append(task)
         self.calls.advance(now)
         free = []
         for p in by_pool:
@@ -326,16 +327,16 @@
 
     def call_until(self, now: float, task: Any) -> float:
         """When its call is to be cut: by the pool's budget, or when its answer would come too late."""
-        useful = task.limit if task.stage.late_utility else max(task.due, now + 1.0)
-        return min(now + self.terms[task.pool].call_budget, useful)
+        useful = task.deadline if task.request_class.late_fraction else max(task.objective_at, now + 1.0)
+        return min(now + self.terms[task.bulkhead].call_budget, useful)
 
     def skips(self, p: int, waiting: Iterable[Any]) -> bool:
         """Whether one that may skip does: its line is longer than its calls, or one that must call waits."""
         waiting = list(waiting)
-        if any(not task.stage.skip_utility for task in waiting):
+        if any(not task.request_class.skip_fraction for task in waiting):
             self.host.bound(p, "skip")
             return True
-        return sum(task.pool == p for task in waiting) > self.limits[p].limit
+        return sum(task.bulkhead == p for task in waiting) > self.limits[p].limit
 
     def call_time(self, now: float, p: int) -> float:
         """What a call takes just now; one that is out for longer tells more than those before it."""
@@ -362,31 +363,37 @@
 
     def regroup(self, stages: Sequence[Any]) -> None:
         """Light stages into the first pool, what has an effect into the second, the others into the third."""
-        means = [stage.mean for stage in stages if stage.mean > 0.0]
+        means = [stage.mean_run_time for stage in stages if stage.mean_run_time > 0.0]
         before = list(self.pool_of)
         for at, stage in enumerate(stages):
-            others = [other.mean for other in stages if other is not stage and other.mean > 0.0]
+            others = [
+                other.mean_run_time for other in stages if other is not stage and other.mean_run_time > 0.0
+            ]
             usual = sum(others) / len(others) if others else math.inf
             border = LIGHT_NO_MORE if self.pool_of[at] == 0 else LIGHT
-            light = stage.pace.seen >= SEEN_ENOUGH and len(means) > 1 and stage.mean <= border * usual
+            light = (
+                stage.service_time_per_unit.samples >= SEEN_ENOUGH
+                and len(means) > 1
+                and stage.mean_run_time <= border * usual
+            )
             if stage.effect == 0 and light:
                 self.pool_of[at] = 0
             else:
                 self.pool_of[at] = 1 if stage.effect else 2
         if before != self.pool_of:
             for stage, pool in zip(stages, self.pool_of, strict=True):
-                stage.pool = pool  # tasks that are here stay where they came in
+                stage.bulkhead = pool  # tasks that are here stay where they came in
             self.host.regrouped(self.pool_of)
 
 
-class Unbound:
-    """Stands where the node's own gradient on calls was."""
+class UnlimitedConcurrency(GradientConcurrencyLimit):
+    """Replaces the server's own gradient on calls: the limits of the bulkheads apply instead."""
 
-    limit = math.inf
-    in_use = False
+    def __init__(self) -> None:
+        super().__init__(math.inf, math.inf)
 
     def observe(self, base: float, measured: float) -> None:
-        """Seen by the pools' limits instead."""
+        """Observed by the limits of the bulkheads."""
 
     def step(self, now: float, ceiling: float, may_cut: bool, may_grow: bool) -> None:
-        """As above."""
+        """Never moves."""
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -15,6 +15,7 @@
 import structlog
 
 from vetchford.admission import controller, factory
+from vetchford.admission.request import Effect, RequestArrival, RequestState
 from vetchford.protocol import json_rpc, worker_pool_lines
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
@@ -30,7 +31,8 @@
 OVERDUE = 30.0  # ms past a task's limit: the sweep before it has answered, and the page allows 150
 SUMMARY = 10_000.0  # ms between summary lines
 Act, Given = Callable[..., None], tuple[Any, ...]
-RUNS, BEGUN = (controller.RUNNING,), (controller.RUNNING, controller.PARKED, controller.CALLING)
+RUNS = (RequestState.EXECUTING,)
+BEGUN = (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING)
 
 
 class AdmissionActor(Actor):
@@ -108,15 +110,15 @@
             )
             caller.answer(rpc_id, json_rpc.error(rpc_id, json_rpc.INVALID_PARAMS, "field 'txn' is in use"))
             return
-        now, arrived, told = self.now(), door - self.origin, self.controller.stages[stage]
+        now, arrived, told = self.now(), door - self.origin, self.controller.workload.classes[stage]
         # No caller waits for longer than the time limit, nor asks for more work than fits into it: one that
         # says so must neither be held for hours nor outweigh all others in what is learnt.
-        until = None if limit is None else arrived + min(limit, told.limit)
-        work = None if work is None else min(work, told.limit)
-        limit = max(now, arrived + told.limit if until is None else until)
+        until = None if limit is None else arrived + min(limit, told.timeout)
+        work = None if work is None else min(work, told.timeout)
+        limit = max(now, arrived + told.timeout if until is None else until)
         q = self.tasks.enter(RequestEntry(name, kind, caller, rpc_id, content, limit))
         original = None
-        if mark is not None and told.effect == controller.FINGERPRINTED:
+        if mark is not None and told.effect == Effect.IDEMPOTENT_BY_KEY:
             # All tries of a task carry the same body: under its key with another one this is no repeat of it.
             mark = f"{stage} {mark} {hashlib.blake2b(content.encode(), digest_size=16).hexdigest()}"
             original = self.prints.find(mark, door)
@@ -125,18 +127,9 @@
                 self.tasks[q].waits_for = original
         self.metrics.increment("read")
         self.arriving = q
+        size, queued_for = max(1, round(kb * factory.BYTES_PER_KB)), max(0.0, now - arrived)
         self.controller.request_arrived(
-            now,
-            q,
-            stage,
-            tenant,
-            lb,
-            until,
-            work,
-            max(1, round(kb * factory.BYTES_PER_KB)),
-            False,
-            max(0.0, now - arrived),
-            original,
+            now, RequestArrival(q, stage, tenant, lb, until, work, size, False, queued_for, original)
         )
         self.arriving = -1
 
@@ -167,7 +160,7 @@
         link, _, number = ref.partition("-")
         if link != str(self.link) or not number.isdigit():
             return
-        self.gauges, self.running_then = gauges, self.controller.running
+        self.gauges, self.running_then = gauges, self.controller.workload.running
         if not self.ready:  # the first answer on a link comes behind the replay
             self.ready = True
             self.send_again()
@@ -191,7 +184,11 @@
     def known(self, name: str, states: tuple[int, ...]) -> int | None:
         """The task of a notice; none where it can't be about its run: that is counted and changes nothing."""
         q = self.tasks.by_name.get(name)
-        if q is None or q not in self.controller.tasks or self.controller.tasks[q].state not in states:
+        if (
+            q is None
+            or q not in self.controller.workload.requests
+            or self.controller.workload.requests[q].state not in states
+        ):
             self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=q is not None)
             return None
         return q
@@ -208,7 +205,12 @@
     def refuse_held(self, caller: Any) -> None:
         """It sent what never came by the balancers: the rest of it is held for nobody."""
         for q, slot in enumerate(self.tasks.slots):
-            if slot is not None and slot.caller is caller and not slot.answered and q in self.controller.held:
+            if (
+                slot is not None
+                and slot.caller is caller
+                and not slot.answered
+                and q in self.controller.workload.queued
+            ):
                 self.answer(slot, json_rpc.rejected(slot.rpc_id, True, 0.0), "rejected_distrusted")
                 self.controller.client_gone(self.now(), q)
 
@@ -219,7 +221,7 @@
         slot = self.tasks[q]
         slot.command, slot.need = None, (notice, body)
         if (
-            self.controller.calls is None
+            self.controller.workload.dependency is None
         ):  # nothing is below: told of a call, the node would fail in each sweep
             self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=True)
             return
@@ -289,7 +291,7 @@
         on_cores = gauge("on_cores")
         if on_cores is not None:
             # Told as of now: a run that ended since the poll would pass for reading, and leave its core idle.
-            on_cores += self.controller.running - self.running_then
+            on_cores += self.controller.workload.running - self.running_then
         with contextlib.ExitStack() as whatever_it_does:  # called from the last to the first
             whatever_it_does.callback(self.leave_when_due)
             whatever_it_does.callback(self.let_idle_go)
@@ -307,7 +309,11 @@
     def last_resort(self, before: float) -> None:
         """Whatever went wrong above, no task is left without an answer."""
         for slot in self.tasks.slots:
-            if slot is not None and not slot.answered and min(slot.until, self.controller.kill) < before:
+            if (
+                slot is not None
+                and not slot.answered
+                and min(slot.until, self.controller.health.kill_at) < before
+            ):
                 self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=slot.name)
                 self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
 
@@ -318,8 +324,8 @@
         node = self.controller
         if node is None or self.watch is None:
             return
-        usual = node.calls.base.value if node.calls is not None else 0.0
-        counters = node.counters
+        dependency, counters = node.workload.dependency, node.workload.in_flight
+        usual = dependency.base_time.value if dependency is not None else 0.0
         metrics = self.metrics.by_name.copy()
         begun = self.begun.values()
         tell(self.watch.figures(self.now(), begun, usual, metrics, counters.used, counters.memory))
@@ -346,9 +352,7 @@
     def leave_without_pool(self) -> None:
         self.leave_step()
         if not self.stopped:
-            self.timers.at(
-                time.time() * 1000.0 + controller.AdmissionController.SWEEP, self.leave_without_pool
-            )
+            self.timers.at(time.time() * 1000.0 + controller.TICK, self.leave_without_pool)
 
     def leave_step(self) -> None:
         """Past the grace nothing new is taken; once all is answered and written, the end."""
@@ -407,7 +411,7 @@
 
     def start(self, q: int) -> None:
         slot = self.tasks[q]
-        once = self.controller.tasks[q].stage.effect != controller.RESTARTABLE
+        once = self.controller.workload.requests[q].request_class.effect != Effect.IDEMPOTENT
         self.command(slot, worker_pool_lines.spawn(slot.name, slot.kind, slot.content), once)
 
     def stop(self, q: int) -> None:
@@ -416,9 +420,9 @@
 
     def reject(self, q: int, terminal: bool, pause: float) -> None:
         slot = self.tasks[q]
-        if self.controller.notice < math.inf:
+        if self.controller.health.notice_at < math.inf:
             why = "draining"
-        elif self.controller.stalled:
+        elif self.controller.health.stalled:
             why = "stalled"
         else:
             why = "at_door" if q == self.arriving else "held"
@@ -441,7 +445,7 @@
         slot.call = self.call_count
         self.calls[slot.call], self.begun[slot.call] = q, self.now()
         until = self.origin + cut_at
-        once = self.controller.tasks[q].stage.effect != controller.RESTARTABLE
+        once = self.controller.workload.requests[q].request_class.effect != Effect.IDEMPOTENT
         self.records.op(slot.name, slot.call, until, slot.need[1], once)
         self.timers.at(until, self.call_cut, slot.call)
 
