--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -11,7 +11,8 @@
 from helpers import Recorder, new_controller, request_class, send
 
 from vetchford.admission.request import Effect, LoadSignal
-from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.settings import BulkheadSettings
 
 GRACE, SLACK, CORES, MEMORY, MULTIPLE, ENTRY = 2000.0, 60.0, 2, 3000, 8.0, 50.0
 
@@ -102,7 +103,7 @@
 
 def pools_of(seed):
     terms = [
-        Terms(
+        BulkheadSettings(
             name,
             part,
             part,
--- a/tests/bulkheads/test_adaptive_limit.py
+++ b/tests/bulkheads/test_adaptive_limit.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from vetchford.bulkheads.adaptive_limit import AdaptiveLimit
+from vetchford.bulkheads.adaptive_limit import AdaptiveLimit, LimitChange
 
 
 class Seen(list):
-    def __call__(self, why, limit):
-        self.append(why)
+    def __call__(self, reason, limit):
+        self.append(reason)
 
 
 def played(limit, seconds, takes, slots, start=0.0):
@@ -30,11 +30,11 @@
             else:
                 heapq.heappush(busy, ends)
                 heapq.heappush(out, (ends, order, now, True))
-        limit.busy()
+        limit.limit_reached()
         now, _, began, good = heapq.heappop(out)
         busy = [end for end in busy if end > now]
         heapq.heapify(busy)
-        limit.ended(now, now - began if good else None, False)
+        limit.call_ended(now, now - began if good else None, False)
         limits.append(limit.limit)
         second = int(now / 1000.0 - start)
         if good and second < len(counted):
@@ -55,7 +55,7 @@
     limit = AdaptiveLimit(32.0, seen)
     counted, limits = played(limit, 30, lambda at: 30.0, 4)
     assert sum(counted[10:]) >= 0.9 * 20 * 4 / 0.03  # nothing is lost by it
-    assert sum(limits[-200:]) / 200 < 16.0 and "kept" in seen
+    assert sum(limits[-200:]) / 200 < 16.0 and LimitChange.KEPT in seen
 
 
 def test_a_dead_ledger_is_asked_by_one_call_at_a_time_and_gets_all_soon_after_its_return():
@@ -63,7 +63,7 @@
     limit = AdaptiveLimit(8.0, seen)
     played(limit, 5, lambda at: 30.0, 8)
     _, dead = played(limit, 5, lambda at: None, 8, start=5)
-    assert dead[-1] == 1.0 and "silent" in seen
+    assert dead[-1] == 1.0 and LimitChange.UNANSWERED in seen
     back, _ = played(limit, 5, lambda at: 30.0, 8, start=10)
     assert back[-1] >= 0.95 * 8 / 0.03 and limit.limit == 8.0
 
@@ -71,11 +71,11 @@
 def test_calls_that_are_turned_away_cut_the_limit_without_a_trial_and_never_below_one():
     limit = AdaptiveLimit(16.0, Seen())
     for n in range(400):
-        limit.ended(n * 50.0, None, True)
+        limit.call_ended(n * 50.0, None, True)
     assert limit.limit == 1.0
     for n in range(400, 800):
-        limit.busy()
-        limit.ended(n * 50.0, 30.0, False)
+        limit.limit_reached()
+        limit.call_ended(n * 50.0, 30.0, False)
     assert limit.limit == 16.0
 
 
@@ -93,5 +93,5 @@
 def test_room_that_nobody_uses_does_not_grow():
     limit = AdaptiveLimit(64.0, Seen())
     for n in range(200):
-        limit.ended(n * 50.0, 30.0, False)
+        limit.call_ended(n * 50.0, 30.0, False)
     assert limit.limit == 4.0
--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from vetchford.bulkheads.bulkheads import CREDIT, SPARE, BulkheadSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.fair_share import MAX_CREDIT, ROUNDING
+from vetchford.bulkheads.settings import BulkheadSettings
 
 PARTS = ((0.25, 0.25, 0.5), (0.125, 0.375, 0.5), (0.5, 0.5), (0.25, 0.75), (0.125, 0.125, 0.25, 0.5))
 
@@ -38,7 +40,7 @@
         for ms in range(now + 1):
             if ms:
                 clocks = [c + n / s for c, n, s in zip(clocks, counts, self.shares, strict=True)]
-                clocks = [max(clock, max(clocks) - CREDIT) for clock in clocks]
+                clocks = [max(clock, max(clocks) - MAX_CREDIT) for clock in clocks]
             while left and left[0][0] == ms:
                 counts[left[0][1]] += left.pop(0)[2]
         return clocks
@@ -48,7 +50,7 @@
         for _, pool, step, whole in self.moments:
             if pool == p:
                 count += step
-                if step > 0 and count > max(1.0, self.shares[p] * whole) + SPARE:
+                if step > 0 and count > max(1.0, self.shares[p] * whole) + ROUNDING:
                     out += 1
                 elif step < 0 and out:
                     out -= 1
@@ -56,7 +58,7 @@
 
     def free_for(self, p, whole, terms):
         mine = self.in_use(p)
-        if mine + 1 <= max(1.0, self.shares[p] * whole) + SPARE:
+        if mine + 1 <= max(1.0, self.shares[p] * whole) + ROUNDING:
             return True
         if not terms[p].borrows:
             return False
@@ -66,7 +68,7 @@
             for o in range(len(terms))
             if o != p and not terms[o].lends
         )
-        return total + kept <= whole - SPARE
+        return total + kept <= whole - ROUNDING
 
     def next(self, now, candidates):
         clocks = self.clocks(now)
@@ -77,7 +79,7 @@
     chance = random.Random(seed)
     parts = PARTS[seed % len(PARTS)]
     terms = [
-        Terms(
+        BulkheadSettings(
             f"p{n}",
             part,
             part,
@@ -85,12 +87,12 @@
             reserve=chance.choice((0, 0, 1)),
             lends=chance.random() < 0.8,
             borrows=chance.random() < 0.8,
-            most_calls=4,
+            max_calls=4,
         )
         for n, part in enumerate(parts)
     ]
     host, pools = Seen(), BulkheadSet(Seen(), terms, list(range(len(parts))))
-    pools.host = host
+    pools.observer = host
     pools.attach([SimpleNamespace(bulkhead=0) for _ in parts], None)
     slots, calls, reserve = PlainTurns(parts), PlainTurns(parts), [0] * len(parts)
     held, running, waiting, calling, now, admitted, count = [], [], [], [], 0, 0, 0
@@ -109,7 +111,7 @@
                 request_class=SimpleNamespace(skip_fraction=chance.choice((0.0, 0.5))),
             )
             p = task.bulkhead
-            pools.entered(p, task.size)
+            pools.arrived(p, task.size)
             unanswered[p], used[p] = unanswered[p] + task.size, used[p] + task.size
             total = sum(unanswered)
             within = unanswered[p] <= parts[p] * clears
@@ -119,14 +121,14 @@
                 if o != p and (terms[o].reserve or not terms[o].lends)
             )
             room = total <= clears if within else terms[p].borrows and total <= clears - kept
-            assert pools.admits(p, total, clears) == room
+            assert pools.has_room(p, total, clears) == room
             if room:
                 held.append(task)
                 admitted += 1
                 continue
             over = [o for o in range(len(parts)) if unanswered[o] > parts[o] * clears]
             rivals = [o for o in held if (o.bulkhead in over if within else o.bulkhead == p)]
-            told = pools.gives_way(p, held if within else [*held, task], clears)
+            told = pools.eviction_candidates(p, held if within else [*held, task], clears)
             assert told == (rivals if within else [*rivals, task])
             gone = chance.choice(told) if told else None
             if gone is not task:
@@ -135,7 +137,7 @@
                 if gone is not task:
                     held.remove(gone)
                 pools.answered(gone.bulkhead, gone.size)
-                pools.left(gone.bulkhead, gone.size)
+                pools.released(gone.bulkhead, gone.size)
                 unanswered[gone.bulkhead] -= gone.size
                 used[gone.bulkhead] -= gone.size
         elif act < 0.7:  # one may start
@@ -152,10 +154,12 @@
             ]
             wanting = sorted({o.bulkhead for o in able})
             taken = sum(slots.in_use(p) for p in range(len(parts)))
-            main = [p for p in wanting if slots.free_for(p, whole, terms)] if taken + SPARE <= whole else []
+            main = (
+                [p for p in wanting if slots.free_for(p, whole, terms)] if taken + ROUNDING <= whole else []
+            )
             spare = [p for p in wanting if reserve[p] < terms[p].reserve] if len(running) + 1 <= 8 else []
             chosen = slots.next(now, main or spare)
-            ready = pools.ready(float(now), held, waiting, len(running), whole, 8.0, set())
+            ready = pools.startable(float(now), held, waiting, len(running), whole, 8.0, set())
             assert ready == [o for o in able if o.bulkhead == chosen]
             if not ready:
                 continue
@@ -168,13 +172,13 @@
             )
             more = sum(used) + extra
             fits = more <= memory and (used[p] + extra <= parts[p] * memory or more + kept <= memory)
-            assert pools.fits(p, extra, sum(used), memory) == fits
+            assert pools.memory_fits(p, extra, sum(used), memory) == fits
             if not fits:
                 continue
             held.remove(task)
             running.append(task)
             used[p] += extra
-            pools.started(float(now), p, whole, extra)
+            pools.run_started(float(now), p, whole, extra)
             if main:
                 slots.moments.append((now, p, 1, whole))
             else:
@@ -182,7 +186,7 @@
         elif act < 0.85 and running:  # one leaves the cores: for a call, or for good
             task = running.pop(chance.randrange(len(running)))
             p = task.bulkhead
-            pools.off_cores(float(now), p)
+            pools.run_left_cores(float(now), p)
             if reserve[p]:
                 reserve[p] -= 1
             else:
@@ -190,9 +194,9 @@
             if chance.random() < 0.5:
                 waiting.append(task)
             else:
-                pools.ended(p, False, 3.0 * task.size)
+                pools.run_ended(p, False, 3.0 * task.size)
                 pools.answered(p, task.size)
-                pools.left(p, task.size)
+                pools.released(p, task.size)
                 unanswered[p] -= task.size
                 used[p] -= 4.0 * task.size
         elif act < 0.95 and waiting:  # a call may go out
@@ -200,7 +204,7 @@
             able = [
                 p
                 for p in sorted({o.bulkhead for o in must})
-                if calls.in_use(p) + 1 <= pools.limits[p].limit + SPARE and calls.free_for(p, 4.0, terms)
+                if calls.in_use(p) + 1 <= pools.limits[p].limit + ROUNDING and calls.free_for(p, 4.0, terms)
             ]
             chosen = calls.next(now, able)
             told = pools.callable(float(now), waiting, 4.0)
@@ -208,7 +212,7 @@
             if told and len(calling) < 4:
                 waiting.remove(told[0])
                 calling.append(told[0])
-                pools.call_began(float(now), told[0].bulkhead, told[0].index, 4.0)
+                pools.call_started(float(now), told[0].bulkhead, told[0].index, 4.0)
                 calls.moments.append((now, told[0].bulkhead, 1, 4.0))
         elif calling:  # one is answered
             task = calling.pop(chance.randrange(len(calling)))
@@ -217,7 +221,7 @@
                 float(now), p, task.index, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1
             )
             calls.moments.append((now, p, -1, 0.0))
-            pools.resumed(float(now), p, whole)
+            pools.run_resumed(float(now), p, whole)
             slots.moments.append((now, p, 1, whole))
             running.append(task)
         for p in range(len(parts)):
@@ -234,4 +238,4 @@
         more, count = history(seed)
         told, admitted = told + more, admitted + count
     acted = {entry[0] for entry in told}
-    assert admitted > 100 and {"borrowed", "returned", "reserve_used", "bound"} <= acted
+    assert admitted > 100 and {"borrowed", "returned", "reserve_used", "limit_reached"} <= acted
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -7,7 +7,8 @@
 
 from vetchford.admission.request import Effect, RequestState
 from vetchford.bulkheads import builder
-from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.settings import BulkheadSettings
 
 CHECK, QUOTE, CHARGE = range(3)
 
@@ -23,11 +24,11 @@
         return sum(entry[: len(wanted)] == wanted for entry in self.told)
 
 
-def pooled(host, terms=None, seen=None, pool_of=(0, 1, 2), stages=None, **given):
+def pooled(host, terms=None, seen=None, bulkhead_of_class=(0, 1, 2), stages=None, **given):
     terms = terms or [
-        Terms("gate", 0.2, 0.2, 0.2, reserve=1),
-        Terms("quotes", 0.3, 0.3, 0.3),
-        Terms("charges", 0.5, 0.5, 0.5),
+        BulkheadSettings("gate", 0.2, 0.2, 0.2, reserve=1),
+        BulkheadSettings("quotes", 0.3, 0.3, 0.3),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
     stages = stages or [
         request_class(),
@@ -35,7 +36,7 @@
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
     return new_controller(
-        host, classes=stages, bulkheads=BulkheadSet(seen or Seen(), terms, pool_of), **given
+        host, classes=stages, bulkheads=BulkheadSet(seen or Seen(), terms, bulkhead_of_class), **given
     )
 
 
@@ -88,7 +89,11 @@
 
 def test_two_busy_pools_share_the_slots_by_their_parts_over_time():
     host = Recorder()
-    terms = [Terms("gate", 0.2, 0.5, 0.5), Terms("quotes", 0.3, 0.5, 0.5), Terms("charges", 0.5, 0.5, 0.5)]
+    terms = [
+        BulkheadSettings("gate", 0.2, 0.5, 0.5),
+        BulkheadSettings("quotes", 0.3, 0.5, 0.5),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
+    ]
     server = pooled(host, terms=terms, memory=1e9)
     now, q, runs, used = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
@@ -108,8 +113,8 @@
 
 def test_a_pool_of_one_slot_and_one_that_does_not_lend_keep_theirs_free():
     host = Recorder()
-    terms = [Terms("gate", 0.5, 0.2, 0.2, lends=False), Terms("rest", 0.5, 0.8, 0.8)]
-    server = pooled(host, terms=terms, pool_of=(0, 1, 1))
+    terms = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
+    server = pooled(host, terms=terms, bulkhead_of_class=(0, 1, 1))
     for q in range(4):
         send(server, 0.0, q, kind=CHARGE)
     assert started(host) == [0]  # the other slot is the gate's
@@ -170,9 +175,9 @@
 def test_a_quote_that_waits_longer_than_its_budget_goes_on_without_the_call():
     host = Recorder()
     terms = [
-        Terms("gate", 0.2, 0.2, 0.2),
-        Terms("quotes", 0.3, 0.3, 0.3, call_budget=600.0),
-        Terms("charges", 0.5, 0.5, 0.5),
+        BulkheadSettings("gate", 0.2, 0.2, 0.2),
+        BulkheadSettings("quotes", 0.3, 0.3, 0.3, call_budget=600.0),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
     server = pooled(host, terms=terms, share=4.0)
     send(server, 0.0, 1, kind=QUOTE)
@@ -241,7 +246,7 @@
     assert set(host.answers) == set(range(30)) and not server.workload.requests
     assert pools.unanswered == [0, 0, 0] and pools.used == [0.0, 0.0, 0.0]
     assert pools.slots.in_use == pools.calls.in_use == pools.on_reserve == [0, 0, 0]
-    assert not any(pools.out)
+    assert not any(pools.call_starts)
 
 
 def test_stages_that_no_pool_names_share_the_rest_and_unknown_parts_shut_nobody_out():
@@ -261,8 +266,8 @@
         [0, 0, 1],
         [1.0, 2.0, 3.0],
     )
-    assert [made.terms[p].name for p in made.pool_of] == ["gate", "rest", "rest"]
-    assert made.slots.shares[1] > 0.05 and made.terms[0].call_budget == math.inf
+    assert [made.settings[p].name for p in made.bulkhead_of_class] == ["gate", "rest", "rest"]
+    assert made.slots.shares[1] > 0.05 and made.settings[0].call_budget == math.inf
     assert builder.build(Seen(), "none", ["check"], [0], [1.0]) is None
 
 
--- a/vetchford/bulkheads/__init__.py
+++ b/vetchford/bulkheads/__init__.py
@@ -1,5 +1,5 @@
-"""Class pools: work divided by stage, with slots, bytes and calls of its own, lent while idle, and a reserve.
+"""Bulkheads: request classes isolated by slots, bytes and calls of their own, lent while idle, and a reserve.
 
-`decide.py` and `adapt.py` decide, without I/O; `building.py` makes them from a declared record. A server
-without pools imports none of it.
+`bulkheads` and its parts decide, without I/O; `builder` makes them from a declared record,
+`bulkhead_capacity` puts them under the admission controller. A server without bulkheads imports none of it.
 """
--- a/vetchford/bulkheads/builder.py
+++ b/vetchford/bulkheads/builder.py
@@ -1,53 +1,83 @@
-"""A `BulkheadSet` from the checked record and the stages that a server was told."""
+"""Builds a `BulkheadSet` from the declared record of the operators and the server's request classes."""
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from typing import Any
 
-from vetchford.bulkheads import bulkheads
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.classification import LIGHT_RESERVE, LIGHT_SHARE, REST, WITH_EFFECT
+from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings
 
-REST = "rest"  # the pool of stages that no pool of the file names
-LEAST_REST = 0.1  # of all parts, where the named pools' parts leave less over: nothing is shut out
+REST_NAME = "rest"
+"""The bulkhead of the classes that no bulkhead of the file names."""
+MIN_REST_SHARE = 0.1
+"""Of all shares, where the named bulkheads leave less over: no class is shut out."""
+NO_BULKHEADS = "none"
+FIELDS = {
+    "share": "slot_share",
+    "bytes": "byte_share",
+    "calls": "call_share",
+    "reserve": "reserve",
+    "lends": "lends",
+    "borrows": "borrows",
+    "most_calls": "max_calls",
+    "call_budget": "call_budget",
+}
+"""Keys of a declared record, and the fields of `BulkheadSettings` that they set."""
 
 
 def build(
-    host: bulkheads.PoolHost,
-    pools: str | dict[str, dict[str, Any]],
+    observer: BulkheadObserver,
+    declared: str | Mapping[str, Mapping[str, Any]],
     names: Sequence[str],
     effects: Sequence[int],
-    utilities: Sequence[float],
-) -> bulkheads.BulkheadSet | None:
-    """`names`, `effects` and `utilities` of the stages, by index. None where there are to be no pools."""
-    if pools == "none" or not pools:
+    weights: Sequence[float],
+) -> BulkheadSet | None:
+    """The declared bulkheads; None where there are to be none.
+
+    Args:
+        observer: Notified when a limit acts.
+        declared: The word for none, the word for derived ones, or a checked record by name.
+        names: Of the request classes, by index; `effects` and priority `weights` alike.
+    """
+    if declared == NO_BULKHEADS or not declared:
         return None
-    if isinstance(pools, str):
-        return derived(host, effects, utilities)
-    terms, owner = [], {}
-    for at, (name, told) in enumerate(pools.items()):
-        given = {key: value for key, value in told.items() if key != "stages" and value is not None}
-        terms.append(bulkheads.Terms(name=name, **given))
-        owner |= dict.fromkeys(told["stages"], at)
-    if any(name not in owner for name in names):
-        left = {
-            key: max(LEAST_REST, 1.0 - sum(getattr(each, key) for each in terms))
-            for key in ("share", "bytes", "calls")
-        }
-        terms.append(bulkheads.Terms(name=REST if REST not in pools else REST + "-unnamed", **left))
-    return bulkheads.BulkheadSet(host, terms, [owner.get(name, len(terms) - 1) for name in names])
-
-
-def derived(
-    host: bulkheads.PoolHost, effects: Sequence[int], utilities: Sequence[float]
-) -> bulkheads.BulkheadSet:
-    """Light work, work with an effect, and the rest. What is light shows by its runs alone (`regroup`)."""
-    total = sum(utilities) or 1.0
-    heavy = 1.0 - bulkheads.LIGHT_SHARE
-    with_effect = sum(utility for utility, effect in zip(utilities, effects, strict=True) if effect) / total
-    parts = (bulkheads.LIGHT_SHARE, heavy * min(0.9, max(0.1, with_effect)), 0.0)
-    parts = (*parts[:2], heavy - parts[1])
-    terms = [
-        bulkheads.Terms(name, part, part, part, reserve)
-        for name, part, reserve in zip(
-            ("light", "effect", REST), parts, (bulkheads.LIGHT_RESERVE, 0, 0), strict=True
-        )
+    if isinstance(declared, str):
+        return derived(observer, effects, weights)
+    settings = [_settings(name, record) for name, record in declared.items()]
+    owners = {name: at for at, record in enumerate(declared.values()) for name in record["stages"]}
+    if any(name not in owners for name in names):
+        settings.append(_rest(settings, declared))
+    return BulkheadSet(observer, settings, [owners.get(name, len(settings) - 1) for name in names])
+
+
+def _settings(name: str, record: Mapping[str, Any]) -> BulkheadSettings:
+    given = {FIELDS[key]: value for key, value in record.items() if key != "stages" and value is not None}
+    return BulkheadSettings(name=name, **given)
+
+
+def _rest(settings: Sequence[BulkheadSettings], declared: Mapping[str, Any]) -> BulkheadSettings:
+    return BulkheadSettings(
+        name=REST_NAME if REST_NAME not in declared else REST_NAME + "-unnamed",
+        slot_share=max(MIN_REST_SHARE, 1.0 - sum(each.slot_share for each in settings)),
+        byte_share=max(MIN_REST_SHARE, 1.0 - sum(each.byte_share for each in settings)),
+        call_share=max(MIN_REST_SHARE, 1.0 - sum(each.call_share for each in settings)),
+    )
+
+
+def derived(observer: BulkheadObserver, effects: Sequence[int], weights: Sequence[float]) -> BulkheadSet:
+    """Light work, work with an effect, and the rest. What is light shows by its runs alone."""
+    total = sum(weights) or 1.0
+    heavy_share = 1.0 - LIGHT_SHARE
+    with_effect = sum(weight for weight, effect in zip(weights, effects, strict=True) if effect) / total
+    effect_share = heavy_share * min(0.9, max(0.1, with_effect))
+    settings = [
+        _evenly("light", LIGHT_SHARE, LIGHT_RESERVE),
+        _evenly("effect", effect_share, 0),
+        _evenly(REST_NAME, heavy_share - effect_share, 0),
     ]
-    return bulkheads.BulkheadSet(host, terms, [1 if effect else 2 for effect in effects], derive=True)
+    bulkhead_of_class = [WITH_EFFECT if effect else REST for effect in effects]
+    return BulkheadSet(observer, settings, bulkhead_of_class, derive=True)
+
+
+def _evenly(name: str, share: float, reserve: int) -> BulkheadSettings:
+    return BulkheadSettings(name, slot_share=share, byte_share=share, call_share=share, reserve=reserve)
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -17,6 +17,7 @@
     workload: Workload
 
     def __init__(self, bulkheads: BulkheadSet) -> None:
+        """Use these bulkheads, which no other controller uses."""
         self.bulkheads = bulkheads
 
     def attach(self, workload: Workload) -> None:
@@ -26,7 +27,7 @@
 
     def arrived(self, request: Request) -> None:
         """Count its bytes."""
-        self.bulkheads.entered(request.bulkhead, request.size)
+        self.bulkheads.arrived(request.bulkhead, request.size)
 
     def answered(self, request: Request) -> None:
         """Count its bytes as answered."""
@@ -34,32 +35,32 @@
 
     def released(self, request: Request) -> None:
         """Count its memory as free."""
-        self.bulkheads.left(request.bulkhead, request.size)
+        self.bulkheads.released(request.bulkhead, request.size)
 
     def run_started(self, now: float, request: Request, slots: float) -> None:
         """Take a slot, or a reserved one."""
-        self.bulkheads.started(now, request.bulkhead, slots, self._extra_memory(request))
+        self.bulkheads.run_started(now, request.bulkhead, slots, self._extra_memory(request))
 
     def run_resumed(self, now: float, request: Request) -> None:
         """Take a slot, whether or not one is free."""
-        self.bulkheads.resumed(now, request.bulkhead, self.workload.slots())
+        self.bulkheads.run_resumed(now, request.bulkhead, self.workload.slots())
 
     def run_blocked(self, now: float, request: Request) -> None:
         """Give the slot back."""
-        self.bulkheads.off_cores(now, request.bulkhead)
+        self.bulkheads.run_left_cores(now, request.bulkhead)
 
     def run_ended(self, now: float, request: Request) -> None:
         """Give back its slot or its call, and its memory as an executing request."""
         if request.state == RequestState.EXECUTING:
-            self.bulkheads.off_cores(now, request.bulkhead)
+            self.bulkheads.run_left_cores(now, request.bulkhead)
         elif request.state == RequestState.CALLING:
             self.bulkheads.call_ended(now, request.bulkhead, request.index, None, False)
         called = request.dependency_wait != 0.0
-        self.bulkheads.ended(request.bulkhead, called, self._extra_memory(request))
+        self.bulkheads.run_ended(request.bulkhead, called, self._extra_memory(request))
 
     def call_started(self, now: float, request: Request) -> None:
         """Count the call."""
-        self.bulkheads.call_began(now, request.bulkhead, request.index, self._call_limit())
+        self.bulkheads.call_started(now, request.bulkhead, request.index, self._call_limit())
 
     def call_ended(self, now: float, request: Request, took: float | None, rejected: bool) -> None:
         """Count the call back and adapt the bulkhead's limit."""
@@ -67,7 +68,7 @@
 
     def on_tick(self, now: float) -> None:
         """Regroup derived bulkheads where it is time."""
-        self.bulkheads.woke(now)
+        self.bulkheads.on_tick(now)
 
     def queue_delay(self, now: float, request: Request) -> float:
         """Behind the requests of its own bulkhead with the same priority or a higher one."""
@@ -77,30 +78,30 @@
 
     def retry_delay(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
-        return self._delay_behind(self.bulkheads.slots.at, request, self._queued(request))
+        return self._delay_behind(self.bulkheads.slots.updated_at, request, self._queued(request))
 
     def has_room(self, request: Request) -> bool:
         """By its bulkhead's part of the bytes, and what others lend."""
         in_flight = self.workload.in_flight
-        return self.bulkheads.admits(request.bulkhead, in_flight.unanswered, in_flight.clearable_bytes)
+        return self.bulkheads.has_room(request.bulkhead, in_flight.unanswered, in_flight.clearable_bytes)
 
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
         """Those of bulkheads beyond their part; the request itself only where its own is."""
         clearable = self.workload.in_flight.clearable_bytes
-        within = self.bulkheads.within(request.bulkhead, clearable)
+        within = self.bulkheads.is_within_share(request.bulkhead, clearable)
         candidates = queued if within else [*queued, request]
-        return self.bulkheads.gives_way(request.bulkhead, candidates, clearable)
+        return self.bulkheads.eviction_candidates(request.bulkhead, candidates, clearable)
 
     def memory_fits(self, request: Request, more: float) -> bool:
         """By its bulkhead's part of the memory, and what others lend."""
         in_flight = self.workload.in_flight
-        return self.bulkheads.fits(request.bulkhead, more, in_flight.used, in_flight.usable)
+        return self.bulkheads.memory_fits(request.bulkhead, more, in_flight.used, in_flight.usable)
 
     def startable(self, now: float, slots: float, blocked: set[int]) -> Sequence[Request]:
         """The queued requests of the bulkhead whose turn it is."""
         load = self.workload
         queued, waiting = load.queued.values(), load.waiting.values()
-        return self.bulkheads.ready(now, queued, waiting, load.running, slots, load.ceiling, blocked)
+        return self.bulkheads.startable(now, queued, waiting, load.running, slots, load.ceiling, blocked)
 
     def callable(self, now: float) -> Sequence[Request]:
         """The waiting requests of the bulkhead whose turn it is."""
@@ -108,15 +109,15 @@
 
     def call_deadline(self, now: float, request: Request) -> float:
         """By its bulkhead's call budget, or when an answer would come too late."""
-        return self.bulkheads.call_until(now, request)
+        return self.bulkheads.call_deadline(now, request)
 
     def should_skip(self, request: Request) -> bool:
         """Where its bulkhead's queue for calls is long, or one that must call waits."""
-        return self.bulkheads.skips(request.bulkhead, self.workload.waiting.values())
+        return self.bulkheads.should_skip(request.bulkhead, self.workload.waiting.values())
 
     def dependency_wait(self, now: float, request: Request) -> float:
         """By the calls of its bulkhead."""
-        return self.bulkheads.away(now, request.bulkhead, self._queued_calls(request))
+        return self.bulkheads.dependency_wait(now, request.bulkhead, self._queued_calls(request))
 
     def _extra_memory(self, request: Request) -> float:
         return request.size * self.workload.in_flight.running_extra
@@ -132,7 +133,7 @@
 
     def _delay_behind(self, now: float, request: Request, ahead: list[Request]) -> float:
         load = self.workload
-        return self.bulkheads.ahead(
+        return self.bulkheads.queue_delay(
             now,
             request.bulkhead,
             sum(map(load.expected_run_time, ahead)),
--- a/vetchford/bulkheads/bulkhead_metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -1,54 +1,80 @@
-"""What the pools' limits did, as counts on the summary line and as log events."""
+"""What the bulkheads' limits did, as counts on the summary line and as log events.
 
-from collections.abc import Sequence
+The names of the counts and events, and the keys of the settings, are the operators'.
+"""
+
+from collections.abc import Mapping, Sequence
 from typing import Any
 
 import structlog
 
 from vetchford.admission import factory
 from vetchford.bulkheads import builder
+from vetchford.bulkheads.adaptive_limit import LimitChange
 from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
 from vetchford.runtime.metrics import Metrics
 
 log = structlog.get_logger()
 
 
-class Marks:
-    """The host of a `BulkheadSet`: counts by pool's name, of which there are 17 at most."""
+class BulkheadMetrics:
+    """Observes a `BulkheadSet`: counts by the bulkhead's name, of which there are 17 at most."""
+
+    def __init__(self, metrics: Metrics, class_names: Sequence[str]) -> None:
+        """`names` is to be set before the first event: the bulkheads' names, by index."""
+        self.metrics, self.class_names = metrics, class_names
+        self.names: list[str] = []
 
-    def __init__(self, metrics: Metrics, stages: Sequence[str]) -> None:
-        self.metrics, self.stages, self.names = metrics, stages, []
+    def _increment(self, bulkhead: int, event: str) -> int:
+        return self.metrics.increment(f"pool_{self.names[bulkhead]}_{event}")
 
-    def borrowed(self, pool: int, what: str) -> None:
-        self.metrics.increment(f"pool_{self.names[pool]}_borrowed_{what}")
+    def borrowed(self, bulkhead: int, resource: str) -> None:
+        """Counted as `borrowed_...`."""
+        self._increment(bulkhead, f"borrowed_{resource}")
 
-    def returned(self, pool: int, what: str) -> None:
-        self.metrics.increment(f"pool_{self.names[pool]}_returned_{what}")
+    def returned(self, bulkhead: int, resource: str) -> None:
+        """Counted as `returned_...`."""
+        self._increment(bulkhead, f"returned_{resource}")
 
-    def reserve_used(self, pool: int) -> None:
-        self.metrics.increment(f"pool_{self.names[pool]}_reserve_used")
+    def reserve_used(self, bulkhead: int) -> None:
+        """Counted as `reserve_used`."""
+        self._increment(bulkhead, "reserve_used")
 
-    def bound(self, pool: int, what: str) -> None:
-        self.metrics.increment(f"pool_{self.names[pool]}_bound_{what}")
+    def limit_reached(self, bulkhead: int, resource: str) -> None:
+        """Counted as `bound_...`."""
+        self._increment(bulkhead, f"bound_{resource}")
 
-    def limit_moved(self, pool: int, why: str, limit: float) -> None:
-        count = self.metrics.increment(f"pool_{self.names[pool]}_calls_{why}")
-        if count & (count - 1) == 0:  # the 1st, 2nd, 4th, 8th ..., as for all that a peer can provoke
-            log.info("pool_limit_moved", pool=self.names[pool], why=why, limit=round(limit, 1), count=count)
+    def call_limit_changed(self, bulkhead: int, reason: LimitChange, limit: float) -> None:
+        """Counted as `calls_...`; logged the 1st, 2nd, 4th ... time, as all that a peer can provoke."""
+        count = self._increment(bulkhead, f"calls_{reason.value}")
+        if count & (count - 1) == 0:
+            log.info(
+                "pool_limit_moved",
+                pool=self.names[bulkhead],
+                why=reason.value,
+                limit=round(limit, 1),
+                count=count,
+            )
 
-    def regrouped(self, pools: Sequence[int]) -> None:
-        moved = ",".join(f"{name}:{self.names[pool]}" for name, pool in zip(self.stages, pools, strict=True))
-        log.info("pools_regrouped", stages=moved)
+    def regrouped(self, bulkhead_of_class: Sequence[int]) -> None:
+        """Logged."""
+        pairs = zip(self.class_names, bulkhead_of_class, strict=True)
+        log.info("pools_regrouped", stages=",".join(f"{name}:{self.names[at]}" for name, at in pairs))
 
 
-def pools(told: dict[str, Any], declared: str | dict[str, Any], metrics: Metrics) -> BulkheadCapacity | None:
-    """The pools of a server that was told these settings."""
-    stages = told["requestClasses"]
-    names = [entry.get("name") or "" for entry in stages]
-    marks = Marks(metrics, names)
-    effects = [factory.EFFECTS[entry["effect"]] for entry in stages]
-    made = builder.build(marks, declared, names, effects, [entry.get("worth") or 0.0 for entry in stages])
-    if made is not None:
-        marks.names = [terms.name for terms in made.terms]
-        log.info("pools", names=",".join(marks.names), stages=",".join(marks.names[p] for p in made.pool_of))
-    return BulkheadCapacity(made) if made is not None else None
+def capacity(
+    settings: Mapping[str, Any], declared: str | Mapping[str, Any], metrics: Metrics
+) -> BulkheadCapacity | None:
+    """The divided capacity of a server with these settings; None where it is not divided."""
+    classes = settings["requestClasses"]
+    names = [entry.get("name") or "" for entry in classes]
+    observer = BulkheadMetrics(metrics, names)
+    effects = [factory.EFFECTS[entry["effect"]] for entry in classes]
+    weights = [entry.get("worth") or 0.0 for entry in classes]
+    bulkheads = builder.build(observer, declared, names, effects, weights)
+    if bulkheads is None:
+        return None
+    observer.names = [each.name for each in bulkheads.settings]
+    by_class = ",".join(observer.names[at] for at in bulkheads.bulkhead_of_class)
+    log.info("pools", names=",".join(observer.names), stages=by_class)
+    return BulkheadCapacity(bulkheads)
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -1,389 +1,313 @@
-"""Which pool's task starts, calls, gets room or gives way. No I/O; times in ms, from whoever tells.
+"""Which bulkhead's request starts, calls, gets room or gives way. No I/O; times in ms, given by the caller.
 
-Three resources are divided, each by the pools' parts of it:
+Three resources are divided, each by the bulkheads' shares of it:
 
-  slots  who has had the least of them for its part, by time used, starts next (`Turns`); what one leaves
-         idle others use, and it is the next in line when it comes back. On top, each pool may have a reserve:
-         slots beyond the node's own limit that no other pool ever uses.
-  bytes  a pool is always let in up to its part; beyond it only into what others leave, and whoever is beyond
-         gives way first. Pools with a reserve, or that do not lend, keep their part free.
-  calls  as the slots, and each pool has a limit of its own that follows what is answered (`adapt`).
+  slots  The bulkhead that has used the least time for its share starts next (`FairShare`); what one leaves
+         idle others use, and it is next when it returns. On top, each may have a reserve: slots beyond the
+         server's own limit that no other bulkhead ever uses.
+  bytes  A bulkhead is always admitted up to its share; beyond it only into what others leave, and whoever is
+         beyond gives way first. Bulkheads with a reserve, or that do not lend, keep their share free.
+  calls  As the slots, and each has a limit of its own that follows what is answered (`AdaptiveLimit`).
 """
 
 import math
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
-from typing import Any, Protocol
-
-from vetchford.admission.concurrency_limits import GradientConcurrencyLimit
-from vetchford.bulkheads.adaptive_limit import AdaptiveLimit
-
-CREDIT = (
-    500.0  # ms of a whole resource: what a pool that was idle may be behind, so that it catches up within
-)
-# a second but a pool idle for an hour does not take everything for an hour
-SPARE = 0.2  # of a slot may be missing when one is taken, as the node rounds its own
-MOST_PAUSE_SERVICE = 60_000.0  # ms: no estimate of a backlog is told beyond
-LIGHT = 1 / 3  # of the mean run of the other stages: a stage is light below it,
-LIGHT_NO_MORE = 1 / 2  # and stays so up to this, so that chance does not move it to and fro
-SEEN_ENOUGH = 8  # runs of a stage before it is called light
-REGROUP = 5000.0  # ms between looks at what the stages turned out to be
-LIGHT_SHARE, LIGHT_RESERVE = 0.2, 1  # of the derived light pool: light work needs few slots, but at once
-
-
-class PoolHost(Protocol):
-    """Told of each time that a limit of a pool acted."""
-
-    def borrowed(self, pool: int, what: str) -> None: ...
-
-    def returned(self, pool: int, what: str) -> None: ...
-
-    def reserve_used(self, pool: int) -> None: ...
-
-    def bound(self, pool: int, what: str) -> None: ...
-
-    def limit_moved(self, pool: int, why: str, limit: float) -> None: ...
-
-    def regrouped(self, pools: Sequence[int]) -> None: ...
-
-
-@dataclass(frozen=True, slots=True)
-class Terms:
-    """What the operators say of one pool. Parts count against the sum of all pools' parts."""
-
-    name: str
-    share: float
-    bytes: float
-    calls: float
-    reserve: int = 0
-    lends: bool = True
-    borrows: bool = True
-    most_calls: int = 64
-    call_budget: float = math.inf  # ms
-
-
-class Turns:
-    """One resource by turns: each pool's clock runs by its use over its part; the furthest back is next."""
-
-    def __init__(self, shares: Sequence[float]) -> None:
-        total = sum(shares)
-        self.shares = [share / total for share in shares]
-        self.clocks = [0.0] * len(shares)
-        self.in_use = [0] * len(shares)
-        self.borrowed = [0] * len(shares)
-        self.at = 0.0
-
-    def advance(self, now: float) -> None:
-        if now > self.at:
-            passed, self.at = now - self.at, now
-            for p, count in enumerate(self.in_use):
-                if count:
-                    self.clocks[p] += passed * count / self.shares[p]
-            back = max(self.clocks) - CREDIT
-            for p, clock in enumerate(self.clocks):
-                if clock < back:
-                    self.clocks[p] = back
-
-    def own(self, p: int, whole: float) -> float:
-        """Its part of so many; one at least, or a small pool would never have any."""
-        return max(1.0, self.shares[p] * whole)
-
-    def next(self, candidates: Iterable[int]) -> int:
-        return min(candidates, key=lambda p: (self.clocks[p], p))
-
-    def take(self, now: float, p: int, whole: float) -> bool:
-        """Whether it was borrowed."""
-        self.advance(now)
-        self.in_use[p] += 1
-        loan = self.in_use[p] > self.own(p, whole) + SPARE
-        self.borrowed[p] += loan
-        return loan
-
-    def give(self, now: float, p: int) -> bool:
-        """Whether it gave back what was borrowed."""
-        self.advance(now)
-        self.in_use[p] -= 1
-        loan = self.borrowed[p] > 0
-        self.borrowed[p] -= loan
-        return loan
-
-    def open_to(self, p: int, whole: float, terms: Sequence[Terms]) -> bool:
-        """Whether its terms and those of the others leave it one more, where one is free."""
-        if self.in_use[p] + 1.0 <= self.own(p, whole) + SPARE:
-            return True
-        kept = sum(
-            max(0.0, self.shares[o] * whole - self.in_use[o])
-            for o, other in enumerate(terms)
-            if o != p and not other.lends
-        )
-        return terms[p].borrows and sum(self.in_use) + 1.0 + kept <= whole + 1.0 - SPARE
+from collections.abc import Callable, Iterable, Sequence
+
+from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit, GradientConcurrencyLimit
+from vetchford.admission.request import Request, RequestClass
+from vetchford.bulkheads.adaptive_limit import AdaptiveLimit, LimitChange
+from vetchford.bulkheads.classification import regrouped
+from vetchford.bulkheads.fair_share import ROUNDING, FairShare
+from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings
+
+REGROUP_PERIOD = 5000.0  # ms between looks at what the request classes turned out to be
+RECENT = 0.05  # weight of a run in the recent means, as the server's own
+MIN_SLOTS = 0.05  # lowest estimate of a bulkhead's slots, so that delays stay finite
 
 
 class BulkheadSet:
-    """All pools of one server. The node tells it what happens and asks before it acts."""
+    """All bulkheads of one server. The controller reports events to it and asks before it acts."""
 
     def __init__(
-        self, host: PoolHost, terms: Sequence[Terms], pool_of: Sequence[int], derive: bool = False
+        self,
+        observer: BulkheadObserver,
+        settings: Sequence[BulkheadSettings],
+        bulkhead_of_class: Sequence[int],
+        derive: bool = False,
     ) -> None:
-        """`pool_of`: the pool of each stage by its index; `derive` moves stages by what they turn out."""
-        self.host, self.terms, self.pool_of, self.derive = host, list(terms), list(pool_of), derive
-        count, total = len(self.terms), sum(each.bytes for each in self.terms)
-        self.slots = Turns([each.share for each in self.terms])
-        self.calls = Turns([each.calls for each in self.terms])
-        self.parts = [each.bytes / total for each in self.terms]
-        self.keeps = [not each.lends or each.reserve > 0 for each in self.terms]
+        """`bulkhead_of_class`: by class index; `derive`: classes move by what their runs turn out to be."""
+        self.observer, self.settings, self.derive = observer, list(settings), derive
+        self.bulkhead_of_class = list(bulkhead_of_class)
+        count, total = len(self.settings), sum(each.byte_share for each in self.settings)
+        self.slots = FairShare([each.slot_share for each in self.settings])
+        self.calls = FairShare([each.call_share for each in self.settings])
+        self.byte_shares = [each.byte_share / total for each in self.settings]
+        self.keeps_bytes = [not each.lends or each.reserve > 0 for each in self.settings]
         self.on_reserve = [0] * count
         self.unanswered = [0] * count  # bytes
         self.used = [0.0] * count  # bytes, running ones at the multiple
-        self.asks, self.runs = [0.0] * count, [0] * count  # calls a run, of late; runs ended
-        self.out: list[dict[int, float]] = [
-            {} for _ in self.terms
-        ]  # when calls went out; emptied as they end
+        self.calls_per_run = [0.0] * count  # recent mean
+        self.runs_ended = [0] * count
+        # Start times of calls that are out, by request; emptied as they end.
+        self.call_starts: list[dict[int, float]] = [{} for _ in self.settings]
         self.limits = [
-            AdaptiveLimit(float(each.most_calls), self.telling(p)) for p, each in enumerate(self.terms)
+            AdaptiveLimit(float(each.max_calls), self._limit_observer(bulkhead))
+            for bulkhead, each in enumerate(self.settings)
         ]
-        self.looked = 0.0
-        self.stages: list[Any] = []
-
-    def telling(self, p: int) -> Any:
-        return lambda why, limit: self.host.limit_moved(p, why, limit)
-
-    def attach(self, stages: list[Any], calls: Any) -> None:
-        """The stages get their pools; the node's own gradient on calls makes way for the pools' limits."""
-        self.stages = stages
-        for stage, pool in zip(stages, self.pool_of, strict=True):
-            stage.bulkhead = pool
-        if calls is not None:
-            calls.gradient = UnlimitedConcurrency()
+        self.regrouped_at = 0.0
+        self.classes: Sequence[RequestClass] = ()
+
+    def _limit_observer(self, bulkhead: int) -> Callable[[LimitChange, float], None]:
+        return lambda reason, limit: self.observer.call_limit_changed(bulkhead, reason, limit)
+
+    def attach(self, classes: Sequence[RequestClass], dependency: DependencyConcurrencyLimit | None) -> None:
+        """Assign the classes; the server's own gradient on calls is replaced by the bulkheads' limits."""
+        self.classes = classes
+        for kind, bulkhead in zip(classes, self.bulkhead_of_class, strict=True):
+            kind.bulkhead = bulkhead
+        if dependency is not None:
+            dependency.gradient = UnlimitedConcurrency()
             for limit in self.limits:
-                limit.most = min(limit.most, max(1.0, calls.share))
-                limit.limit, limit.aim = min(limit.limit, limit.most), limit.most
+                limit.maximum = min(limit.maximum, max(1.0, dependency.share))
+                limit.limit, limit.slow_start_threshold = min(limit.limit, limit.maximum), limit.maximum
 
-    # -- what happens
+    # -- events
 
-    def entered(self, p: int, size: int) -> None:
-        self.unanswered[p] += size
-        self.used[p] += size
+    def arrived(self, bulkhead: int, size: int) -> None:
+        """A request of so many bytes was read."""
+        self.unanswered[bulkhead] += size
+        self.used[bulkhead] += size
 
-    def answered(self, p: int, size: int) -> None:
-        self.unanswered[p] -= size
+    def answered(self, bulkhead: int, size: int) -> None:
+        """It needs no answer any more."""
+        self.unanswered[bulkhead] -= size
 
-    def left(self, p: int, size: float) -> None:
+    def released(self, bulkhead: int, size: float) -> None:
         """Its memory is free."""
-        self.used[p] -= size
-
-    def started(self, now: float, p: int, whole: float, extra: float) -> None:
-        """On a slot where one was free, else on its reserve."""
-        self.used[p] += extra
-        main = sum(self.slots.in_use) + SPARE <= whole and self.slots.open_to(p, whole, self.terms)
-        if not main and self.on_reserve[p] < self.terms[p].reserve:
-            self.on_reserve[p] += 1
-            self.host.reserve_used(p)
-        elif self.slots.take(now, p, whole):
-            self.host.borrowed(p, "slots")
-
-    def resumed(self, now: float, p: int, whole: float) -> None:
+        self.used[bulkhead] -= size
+
+    def run_started(self, now: float, bulkhead: int, slots: float, extra: float) -> None:
+        """On a slot where one was free, else on its reserve; `extra` bytes are used on top."""
+        self.used[bulkhead] += extra
+        is_free = sum(self.slots.in_use) + ROUNDING <= slots
+        shared = is_free and self.slots.may_acquire(bulkhead, slots, self.settings)
+        if not shared and self.on_reserve[bulkhead] < self.settings[bulkhead].reserve:
+            self.on_reserve[bulkhead] += 1
+            self.observer.reserve_used(bulkhead)
+        elif self.slots.acquire(now, bulkhead, slots):
+            self.observer.borrowed(bulkhead, "slots")
+
+    def run_resumed(self, now: float, bulkhead: int, slots: float) -> None:
         """A run that had waited for a call is on the cores again, whoever else is."""
-        if self.slots.take(now, p, whole):
-            self.host.borrowed(p, "slots")
+        if self.slots.acquire(now, bulkhead, slots):
+            self.observer.borrowed(bulkhead, "slots")
 
-    def off_cores(self, now: float, p: int) -> None:
-        """Runs of a pool are alike: the reserve is free again first."""
-        if self.on_reserve[p]:
-            self.on_reserve[p] -= 1
-        elif self.slots.give(now, p):
-            self.host.returned(p, "slots")
+    def run_left_cores(self, now: float, bulkhead: int) -> None:
+        """Runs of a bulkhead are alike: the reserve is free again first."""
+        if self.on_reserve[bulkhead]:
+            self.on_reserve[bulkhead] -= 1
+        elif self.slots.release(now, bulkhead):
+            self.observer.returned(bulkhead, "slots")
 
-    def ended(self, p: int, called: bool, extra: float) -> None:
+    def run_ended(self, bulkhead: int, called: bool, extra: float) -> None:
         """A run is over: its memory, and whether it had asked for a call."""
-        self.used[p] -= extra
-        self.runs[p] += 1
-        self.asks[p] += max(0.05, 1.0 / self.runs[p]) * (
-            called - self.asks[p]
-        )  # the last twenty, as the node's means
-
-    def call_began(self, now: float, p: int, q: int, whole: float) -> None:
-        self.out[p][q] = now
-        if self.calls.take(now, p, whole):
-            self.host.borrowed(p, "calls")
-
-    def call_ended(self, now: float, p: int, q: int, took: float | None, turned_away: bool) -> None:
-        self.out[p].pop(q, None)
-        if self.calls.give(now, p):
-            self.host.returned(p, "calls")
-        self.limits[p].ended(now, took, turned_away)
-
-    def woke(self, now: float) -> None:
-        if self.derive and now - self.looked >= REGROUP:
-            self.looked = now
-            self.regroup(self.stages)
+        self.used[bulkhead] -= extra
+        self.runs_ended[bulkhead] += 1
+        weight = max(RECENT, 1.0 / self.runs_ended[bulkhead])
+        self.calls_per_run[bulkhead] += weight * (called - self.calls_per_run[bulkhead])
+
+    def call_started(self, now: float, bulkhead: int, index: int, calls: float) -> None:
+        """A call goes out, where so many may be out for all bulkheads."""
+        self.call_starts[bulkhead][index] = now
+        if self.calls.acquire(now, bulkhead, calls):
+            self.observer.borrowed(bulkhead, "calls")
+
+    def call_ended(self, now: float, bulkhead: int, index: int, took: float | None, rejected: bool) -> None:
+        """A call ended after `took` ms, or unanswered (None); `rejected`: it never ran."""
+        self.call_starts[bulkhead].pop(index, None)
+        if self.calls.release(now, bulkhead):
+            self.observer.returned(bulkhead, "calls")
+        self.limits[bulkhead].call_ended(now, took, rejected)
+
+    def on_tick(self, now: float) -> None:
+        """Regroup the classes where that is wanted and due."""
+        if not self.derive or now - self.regrouped_at < REGROUP_PERIOD:
+            return
+        self.regrouped_at = now
+        bulkheads = regrouped(self.classes, self.bulkhead_of_class)
+        if bulkheads != self.bulkhead_of_class:
+            self.bulkhead_of_class = bulkheads
+            for kind, bulkhead in zip(self.classes, bulkheads, strict=True):
+                kind.bulkhead = bulkhead  # requests that are here stay in the bulkhead they came into
+            self.observer.regrouped(bulkheads)
 
     # -- slots
 
-    def ready(
+    def startable(
         self,
         now: float,
-        held: Iterable[Any],
-        waiting: Iterable[Any],
+        queued: Iterable[Request],
+        waiting: Iterable[Request],
         running: int,
-        whole: float,
+        slots: float,
         ceiling: float,
-        shut: set[int],
-    ) -> list[Any]:
-        """The held tasks of the pool that is to start one now; none where no pool may, or only `shut` ones.
+        blocked: set[int],
+    ) -> list[Request]:
+        """The queued requests of the bulkhead that is to start one now; none where no bulkhead may.
 
-        What must call is not started into a line as long as its pool's calls: it would only wait there.
+        `running` of at most `ceiling` runs are on the cores, reserves included; `blocked` bulkheads are
+        passed over.
         """
-        lined = [0] * len(self.terms)
-        for task in waiting:
-            lined[task.bulkhead] += not task.request_class.skip_fraction
-        by_pool: dict[int, list[Any]] = {}
-        for task in held:
-            p = task.bulkhead
-            if p in shut:
-                continue
-            if lined[p] and lined[p] >= self.limits[p].limit and not task.request_class.skip_fraction:
-                self.limits[p].busy()
-                continue
-            by_pool.setdefault(p, []).append(task)
+        candidates = self._startable_by_bulkhead(queued, waiting, blocked)
         self.slots.advance(now)
-        if sum(self.slots.in_use) + SPARE <= whole:
-            open_to = [p for p in by_pool if self.slots.open_to(p, whole, self.terms)]
-            if open_to:
-                return by_pool[self.slots.next(open_to)]
+        if sum(self.slots.in_use) + ROUNDING <= slots:
+            allowed = [each for each in candidates if self.slots.may_acquire(each, slots, self.settings)]
+            if allowed:
+                return candidates[self.slots.next(allowed)]
         if running + 1.0 <= ceiling:
-            reserved = [p for p in by_pool if self.on_reserve[p] < self.terms[p].reserve]
+            reserved = [each for each in candidates if self.on_reserve[each] < self.settings[each].reserve]
             if reserved:
-                return by_pool[self.slots.next(reserved)]
-        for p in by_pool:
-            self.host.bound(p, "slots")
+                return candidates[self.slots.next(reserved)]
+        for bulkhead in candidates:
+            self.observer.limit_reached(bulkhead, "slots")
         return []
 
-    def rate(self, p: int, whole: float, active: Iterable[int]) -> float:
-        """Slots that it can count on while the `active` pools want theirs."""
+    def _startable_by_bulkhead(
+        self, queued: Iterable[Request], waiting: Iterable[Request], blocked: set[int]
+    ) -> dict[int, list[Request]]:
+        """What must call is not started into a queue as long as its bulkhead's limit: it would only wait."""
+        queued_calls = [0] * len(self.settings)
+        for request in waiting:
+            queued_calls[request.bulkhead] += not request.request_class.skip_fraction
+        candidates: dict[int, list[Request]] = {}
+        for request in queued:
+            bulkhead, must_call = request.bulkhead, not request.request_class.skip_fraction
+            if bulkhead in blocked:
+                continue
+            if must_call and queued_calls[bulkhead] and queued_calls[bulkhead] >= self.limits[bulkhead].limit:
+                self.limits[bulkhead].limit_reached()
+                continue
+            candidates.setdefault(bulkhead, []).append(request)
+        return candidates
+
+    def _available_slots(self, bulkhead: int, slots: float, active: Iterable[int]) -> float:
+        """Slots that it can count on while the `active` bulkheads want theirs."""
         shares = self.slots.shares
-        among = sum(shares[o] for o in {p, *active})
-        return max(whole * shares[p] / among, float(self.terms[p].reserve), 0.05)
+        among = sum(shares[other] for other in {bulkhead, *active})
+        return max(slots * shares[bulkhead] / among, float(self.settings[bulkhead].reserve), MIN_SLOTS)
 
     # -- bytes
 
-    def within(self, p: int, clears: float) -> bool:
-        return self.unanswered[p] <= self.parts[p] * clears
+    def is_within_share(self, bulkhead: int, clearable: float) -> bool:
+        """Whether its unanswered bytes are within its share of the clearable ones."""
+        return self.unanswered[bulkhead] <= self.byte_shares[bulkhead] * clearable
 
-    def kept(self, p: int, whole: float, taken: Sequence[float]) -> float:
+    def _kept_by_others(self, bulkhead: int, total: float, taken: Sequence[float]) -> float:
         """What others have of so many bytes, do not use and do not lend."""
         return sum(
-            max(0.0, self.parts[o] * whole - taken[o])
-            for o in range(len(self.terms))
-            if o != p and self.keeps[o]
+            max(0.0, self.byte_shares[other] * total - taken[other])
+            for other in range(len(self.settings))
+            if other != bulkhead and self.keeps_bytes[other]
         )
 
-    def admits(self, p: int, total: float, clears: float) -> bool:
-        """Whether its newest task, counted already, has room; if not, one of `gives_way` must go."""
-        if self.within(p, clears):
-            return total <= clears
-        if self.terms[p].borrows and total <= clears - self.kept(p, clears, self.unanswered):
-            self.host.borrowed(p, "bytes")
+    def has_room(self, bulkhead: int, unanswered: float, clearable: float) -> bool:
+        """Whether its newest request, counted already, has room; if not, an eviction candidate must go."""
+        if self.is_within_share(bulkhead, clearable):
+            return unanswered <= clearable
+        kept = self._kept_by_others(bulkhead, clearable, self.unanswered)
+        if self.settings[bulkhead].borrows and unanswered <= clearable - kept:
+            self.observer.borrowed(bulkhead, "bytes")
             return True
         return False
 
-    def gives_way(self, p: int, held: Iterable[Any], clears: float) -> list[Any]:
-        """The held tasks of which one makes room: of pools beyond their part, or of its own where it is one.
+    def eviction_candidates(
+        self, bulkhead: int, queued: Iterable[Request], clearable: float
+    ) -> list[Request]:
+        """The queued requests of which one makes room: of bulkheads beyond their share, its own first.
 
-        Empty where it is within its part and nobody else is beyond: it is let in.
+        Empty where it is within its share and nobody else is beyond: it is admitted.
         """
-        if not self.within(p, clears):
-            self.host.bound(p, "bytes")
-            return [task for task in held if task.bulkhead == p]
-        over = {o for o in range(len(self.terms)) if not self.within(o, clears)}
-        return [task for task in held if task.bulkhead in over]
-
-    def fits(self, p: int, more: float, used: float, memory: float) -> bool:
-        """Memory, as the node's own guard, less what other pools keep of it."""
-        own = self.used[p] + more <= self.parts[p] * memory
-        return used + more <= memory and (own or used + more + self.kept(p, memory, self.used) <= memory)
+        if not self.is_within_share(bulkhead, clearable):
+            self.observer.limit_reached(bulkhead, "bytes")
+            return [request for request in queued if request.bulkhead == bulkhead]
+        over = {each for each in range(len(self.settings)) if not self.is_within_share(each, clearable)}
+        return [request for request in queued if request.bulkhead in over]
+
+    def memory_fits(self, bulkhead: int, more: float, used: float, memory: float) -> bool:
+        """As the server's own guard, less what other bulkheads keep of the memory."""
+        if used + more > memory:
+            return False
+        own = self.used[bulkhead] + more <= self.byte_shares[bulkhead] * memory
+        return own or used + more + self._kept_by_others(bulkhead, memory, self.used) <= memory
 
     # -- calls
 
-    def callable(self, now: float, waiting: Iterable[Any], whole: float) -> list[Any]:
-        """The waiting tasks of the pool whose call goes out next; none where each pool has its number out.
+    def callable(self, now: float, waiting: Iterable[Request], calls: float) -> list[Request]:
+        """The waiting requests of the bulkhead whose call goes out next; none where all are at their limits.
 
-        What may skip calls only while nothing waits that must: the ledger's time is worth more to the latter.
+        What may skip calls only while nothing waits that must, to which the dependency's time is worth more.
         """
-        by_pool: dict[int, list[Any]] = {}
+        candidates: dict[int, list[Request]] = {}
         waiting = list(waiting)
-        must = [task for task in waiting if not task.request_class.skip_fraction]
-        for task in must or waiting:
-            by_pool.setdefault(task.bulkhead, []).append(task)
+        must = [request for request in waiting if not request.request_class.skip_fraction]
+        for request in must or waiting:
+            candidates.setdefault(request.bulkhead, []).append(request)
         self.calls.advance(now)
-        free = []
-        for p in by_pool:
-            if self.calls.in_use[p] + 1.0 > self.limits[p].limit + SPARE:
-                self.limits[p].busy()
-                self.host.bound(p, "calls")
-            elif self.calls.open_to(p, max(1.0, whole), self.terms):
-                free.append(p)
-        return by_pool[self.calls.next(free)] if free else []
-
-    def call_until(self, now: float, task: Any) -> float:
-        """When its call is to be cut: by the pool's budget, or when its answer would come too late."""
-        useful = task.deadline if task.request_class.late_fraction else max(task.objective_at, now + 1.0)
-        return min(now + self.terms[task.bulkhead].call_budget, useful)
-
-    def skips(self, p: int, waiting: Iterable[Any]) -> bool:
-        """Whether one that may skip does: its line is longer than its calls, or one that must call waits."""
+        allowed = []
+        for bulkhead in candidates:
+            if self.calls.in_use[bulkhead] + 1.0 > self.limits[bulkhead].limit + ROUNDING:
+                self.limits[bulkhead].limit_reached()
+                self.observer.limit_reached(bulkhead, "calls")
+            elif self.calls.may_acquire(bulkhead, max(1.0, calls), self.settings):
+                allowed.append(bulkhead)
+        return candidates[self.calls.next(allowed)] if allowed else []
+
+    def call_deadline(self, now: float, request: Request) -> float:
+        """When its call is to be abandoned: by the call budget, or when its answer would come too late."""
+        objective = max(request.objective_at, now + 1.0)
+        useful_until = request.deadline if request.request_class.late_fraction else objective
+        return min(now + self.settings[request.bulkhead].call_budget, useful_until)
+
+    def should_skip(self, bulkhead: int, waiting: Iterable[Request]) -> bool:
+        """Whether one that may skip does: more wait than may call, or one that must call waits."""
         waiting = list(waiting)
-        if any(not task.request_class.skip_fraction for task in waiting):
-            self.host.bound(p, "skip")
+        if any(not request.request_class.skip_fraction for request in waiting):
+            self.observer.limit_reached(bulkhead, "skip")
             return True
-        return sum(task.bulkhead == p for task in waiting) > self.limits[p].limit
+        return sum(request.bulkhead == bulkhead for request in waiting) > self.limits[bulkhead].limit
 
-    def call_time(self, now: float, p: int) -> float:
+    def _expected_call_time(self, now: float, bulkhead: int) -> float:
         """What a call takes just now; one that is out for longer tells more than those before it."""
-        oldest = min(self.out[p].values(), default=now)
-        return max(self.limits[p].recent, now - oldest)
+        oldest = min(self.call_starts[bulkhead].values(), default=now)
+        return max(self.limits[bulkhead].recent_time, now - oldest)
 
-    def away(self, now: float, p: int, lined: int) -> float:
-        """How long a run of it will wait on calls: for its own, and for those in line before it.
+    def dependency_wait(self, now: float, bulkhead: int, queued_calls: int) -> float:
+        """How long a run of it will wait on calls: for its own, and for those queued before it.
 
         Nothing where none of its calls is out: whatever was seen before, the next one tries anew.
         """
-        if not self.out[p] and not lined:
+        if not self.call_starts[bulkhead] and not queued_calls:
             return 0.0
-        return self.asks[p] * self.call_time(now, p) * (1.0 + lined / self.limits[p].limit)
+        turns = 1.0 + queued_calls / self.limits[bulkhead].limit
+        return self.calls_per_run[bulkhead] * self._expected_call_time(now, bulkhead) * turns
 
-    def ahead(
-        self, now: float, p: int, work: float, count: int, whole: float, active: Iterable[int], lined: int
+    def queue_delay(
+        self,
+        now: float,
+        bulkhead: int,
+        work: float,
+        count: int,
+        slots: float,
+        active: Iterable[int],
+        queued_calls: int,
     ) -> float:
-        """How long until one behind `count` held ones of its pool, `work` ms together, has what it needs."""
-        calls = self.asks[p] * (count + lined) * self.call_time(now, p) / self.limits[p].limit
-        return max(work / self.rate(p, whole, active), calls if self.out[p] else 0.0)
-
-    # -- pools that nobody named
-
-    def regroup(self, stages: Sequence[Any]) -> None:
-        """Light stages into the first pool, what has an effect into the second, the others into the third."""
-        means = [stage.mean_run_time for stage in stages if stage.mean_run_time > 0.0]
-        before = list(self.pool_of)
-        for at, stage in enumerate(stages):
-            others = [
-                other.mean_run_time for other in stages if other is not stage and other.mean_run_time > 0.0
-            ]
-            usual = sum(others) / len(others) if others else math.inf
-            border = LIGHT_NO_MORE if self.pool_of[at] == 0 else LIGHT
-            light = (
-                stage.service_time_per_unit.samples >= SEEN_ENOUGH
-                and len(means) > 1
-                and stage.mean_run_time <= border * usual
-            )
-            if stage.effect == 0 and light:
-                self.pool_of[at] = 0
-            else:
-                self.pool_of[at] = 1 if stage.effect else 2
-        if before != self.pool_of:
-            for stage, pool in zip(stages, self.pool_of, strict=True):
-                stage.bulkhead = pool  # tasks that are here stay where they came in
-            self.host.regrouped(self.pool_of)
+        """How long until one behind `count` queued ones of its bulkhead (`work` ms in all) may run, call."""
+        call_time = self._expected_call_time(now, bulkhead)
+        calls = (
+            self.calls_per_run[bulkhead] * (count + queued_calls) * call_time / self.limits[bulkhead].limit
+        )
+        running = work / self._available_slots(bulkhead, slots, active)
+        return max(running, calls if self.call_starts[bulkhead] else 0.0)
 
 
 class UnlimitedConcurrency(GradientConcurrencyLimit):
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -110,7 +110,7 @@
         return None
     from vetchford.bulkheads import bulkhead_metrics  # a server without pools does without it
 
-    return partial(bulkhead_metrics.pools, told["settings"], declared["pools"], metrics)
+    return partial(bulkhead_metrics.capacity, told["settings"], declared["pools"], metrics)
 
 
 def neighbours_from(told: dict[str, Any], module: AdmissionActor, metrics: Metrics) -> list[Any]:
