--- a/tests/bench_adapter/test_simulator_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from vetchford.bench_adapter.simulator_link import Link, MalformedInputError
+from vetchford.bench_adapter.simulator_link import SimulatorLink
+from vetchford.errors import MalformedInputError
 
 TOLD = {
     "familyInfo": {
@@ -52,11 +53,11 @@
 
 
 def test_a_batch_with_nothing_in_it_gets_a_reply_with_nothing_in_it():
-    assert Link().exchange(b'{"time":5,"happened":[]}') == b'{"decisions":[]}\n'
+    assert SimulatorLink().exchange(b'{"time":5,"happened":[]}') == b'{"decisions":[]}\n'
 
 
 def test_a_life_that_exits_and_attaches_in_one_batch_starts_clean():
-    link = Link()
+    link = SimulatorLink()
     exchange(link, 10, attach())
     first = exchange(link, 20, ingress("a" * 16, kind="pay"))
     assert of(first, "execute") and of(first, "recordKey")[0]["keepFor"] >= 13_000_000_000
@@ -68,24 +69,24 @@
 
 
 def test_zero_and_null_are_the_same_as_absent():
-    link = Link()
+    link = SimulatorLink()
     exchange(link, 10, attach())
     fields = {"validUntil": 0, "repeats": 0, "predicted": None, "project": 0, "resent": None}
     assert of(exchange(link, 20, ingress("a" * 16, **fields)), "execute")
 
 
 def test_word_of_tasks_long_forgotten_changes_nothing():
-    link = Link()
+    link = SimulatorLink()
     exchange(link, 10, attach())
     assert exchange(link, 20, {"t": "lapsed", "i": 0, "call": "f" * 16}) == []
 
 
 def test_two_instances_in_one_process_act_as_each_would_alone():
     events = [ingress(f"{n:016x}", queuedFor=n * 1000) for n in range(9)]
-    alone = Link()
+    alone = SimulatorLink()
     exchange(alone, 10, attach(7))
     expected = exchange(alone, 20, *[{**event, "i": 7} for event in events])
-    both = Link()
+    both = SimulatorLink()
     exchange(both, 10, attach(3), attach(7))
     mixed = [{**event, "i": i} for event in events for i in (3, 7)]
     assert [action for action in exchange(both, 20, *mixed) if action["i"] == 7] == expected
@@ -107,12 +108,12 @@
 )
 def test_malformed_input_is_refused_by_name(line, names):
     with pytest.raises(MalformedInputError, match=names):
-        Link().exchange(line)
+        SimulatorLink().exchange(line)
 
 
 def test_an_exception_in_the_module_becomes_a_crash_that_says_where(monkeypatch):
-    link = Link()
+    link = SimulatorLink()
     exchange(link, 10, attach())
-    monkeypatch.setattr(link.instances[0].controller, "request_arrived", lambda *given: 1 / 0)
+    monkeypatch.setattr(link.servers[0].controller, "request_arrived", lambda *given: 1 / 0)
     (crash,) = exchange(link, 20, ingress("a" * 16))
     assert crash["t"] == "crash" and crash["text"].startswith("ZeroDivisionError")
--- a/vetchford/bench_adapter/__init__.py
+++ b/vetchford/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire put before the decision module; holds no decisions."""
+"""The simulator's wire in front of the admission controller; holds no decisions."""
--- a/vetchford/bench_adapter/__main__.py
+++ b/vetchford/bench_adapter/__main__.py
@@ -2,11 +2,13 @@
 
 import sys
 
-from vetchford.bench_adapter.simulator_link import Link, MalformedInputError
+from vetchford.bench_adapter.simulator_link import SimulatorLink
+from vetchford.errors import MalformedInputError
 
 
 def main() -> int:
-    link = Link()
+    """Answer the batches on standard input; 1 where one is malformed, which ends it."""
+    link = SimulatorLink()
     read, write = sys.stdin.buffer, sys.stdout.buffer
     for number, line in enumerate(read, 1):
         try:
