--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -3,7 +3,7 @@
 from vetchford.admission.request import Effect, RequestState
 
 
-def test_a_call_that_fails_after_its_task_was_given_up_gives_no_second_answer():
+def test_a_call_that_fails_after_its_request_was_failed_gives_no_second_answer():
     host = Recorder()
     server = new_controller(host, share=4.0)
     send(server, 0.0, 0)
@@ -15,7 +15,7 @@
     assert server.workload.in_flight.used == 0.0 and not server.workload.requests
 
 
-def test_a_repeat_of_a_finished_fingerprinted_task_is_shared_never_run_or_turned_away():
+def test_a_repeat_of_a_completed_request_with_a_key_is_shared_never_run_or_rejected():
     host = Recorder()
     server = new_controller(host, classes=[request_class(effect=Effect.IDEMPOTENT_BY_KEY)])
     send(server, 0.0, 0)
@@ -24,7 +24,7 @@
     assert host.names(1) == ["share"]
 
 
-def test_a_server_that_shut_its_gate_in_a_slow_spell_opens_it_again_when_idle():
+def test_a_server_that_rejected_all_in_a_slow_spell_admits_again_when_idle():
     # Nothing runs while all is rejected, so only idleness can unlearn the spell.
     host = Recorder()
     server = new_controller(host, classes=[request_class()])
@@ -40,7 +40,7 @@
     assert host.names(101) == ["start"]
 
 
-def test_a_stage_whose_first_runs_were_very_long_is_let_in_again_to_learn():
+def test_a_class_whose_first_runs_were_very_long_is_admitted_again_to_learn():
     # One stage shut out by its own pace has no runs to correct it, however busy the other keeps the server.
     host = Recorder()
     server = new_controller(host, classes=[request_class(), request_class(priority_weight=3.0)])
@@ -57,7 +57,7 @@
         server.on_tick(float(at), busy, server.workload.running if on_cores is None else on_cores)
 
 
-def test_idle_connections_are_closed_where_callers_hardly_come_back_and_kept_where_they_do():
+def test_idle_connections_are_closed_where_clients_hardly_come_back_and_kept_where_they_do():
     # A thousand callers fill a small server's table with connections that nobody uses again.
     for callers, kept in ((1000, False), (4, True)):
         host = Recorder()
@@ -71,7 +71,7 @@
         assert (told[-1] == 30_000.0) is kept and (kept or told[-1] < 1000.0)
 
 
-def test_a_server_that_reads_far_too_late_lets_its_table_fill():
+def test_a_server_that_reads_far_too_late_lets_its_connection_table_fill():
     # Each new connection and read costs more than it brings there; a full table turns them away unread.
     host = Recorder()
     server = new_controller(host, clients=1000)
@@ -82,8 +82,8 @@
     assert [act[1] for act in host.acts if act[0] == "set_idle_timeout"][-1] == 30_000.0
 
 
-def test_with_many_callers_a_task_of_more_utility_still_takes_the_room_of_one_of_less():
-    # A caller's part of the threshold is less than a task there: nobody is over it with one task alone.
+def test_with_many_clients_a_request_of_higher_priority_still_evicts_one_of_lower():
+    # A caller's part of the threshold is less than a request there: nobody is over it with one request alone.
     host = Recorder()
     server = new_controller(host, classes=[request_class(), request_class(priority_weight=10.0)])
     swept(server, 50)
@@ -94,7 +94,7 @@
     assert host.names(12) == [] and list(host.answers.values()).count("reject") > 0
 
 
-def test_a_further_try_that_tells_more_time_than_first_ones_is_as_old_as_the_rest_of_its_limit():
+def test_a_retry_with_a_later_deadline_than_first_attempts_is_as_old_as_the_rest_of_its_timeout():
     # Its age is not told; run as if new it would finish too late. Callers may differ: 2.2 and 2.3 s are new.
     host = Recorder()
     server = new_controller(host, classes=[request_class()], cores=40)
@@ -111,7 +111,7 @@
     )
 
 
-def test_two_cores_with_a_little_reading_run_two_and_in_a_jam_of_reading_still_one():
+def test_two_cores_with_a_little_reading_run_two_and_overloaded_with_reading_still_one():
     for on_cores, runs in ((0.3, 2), (9, 1)):
         host = Recorder()
         server = new_controller(host, classes=[request_class()])
@@ -121,7 +121,7 @@
         assert server.workload.running == runs
 
 
-def test_the_limit_of_two_cores_grows_only_while_they_have_room_and_starts_higher_where_no_work_is_told():
+def test_the_limit_of_two_cores_grows_only_while_they_have_room_and_starts_higher_without_expected_work():
     # Grown while half busy it stood at two runs a core, which lost their time to each other.
     for work, busy, expected in ((300.0, 0.6, 2.0), (None, 0.6, 3.0), (300.0, 0.3, 2.5)):
         host = Recorder()
@@ -130,7 +130,9 @@
             for q in range(4):
                 send(server, step * 300.0, 4 * step + q, work=work)
             for q in [
-                q for q, task in server.workload.requests.items() if task.state == RequestState.EXECUTING
+                q
+                for q, request in server.workload.requests.items()
+                if request.state == RequestState.EXECUTING
             ]:
                 server.run_ended(step * 300.0 + 290.0, q, "completed", 290.0)
             swept(server, step * 300 + 300, busy=busy, start=step * 300)
@@ -139,7 +141,7 @@
         )
 
 
-def test_where_further_tries_abound_no_rejected_task_is_sent_on():
+def test_where_retries_abound_every_rejection_is_terminal():
     host = Recorder()
     server = new_controller(host, classes=[request_class()])
     for q in range(40):
@@ -147,7 +149,7 @@
     assert [act[2] for act in host.acts if act[0] == "reject"][-6:] == [True] * 6
 
 
-def test_what_the_fleet_tells_shuts_calls_gates_by_their_time_ends_walks_and_stretches_pauses():
+def test_fleet_signals_stop_calls_reject_late_ones_make_rejections_terminal_and_lengthen_retry_delays():
     # At rest the numbers change nothing: tests/admission/test_recorded_decisions.py has the digests.
     host = Recorder()
     server = new_controller(
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -240,7 +240,7 @@
 
 @pytest.mark.parametrize(("edge", "pooled"), [(False, False), (True, False), (False, True), (True, True)])
 @pytest.mark.parametrize("seed", range(12))
-def test_the_module_keeps_to_the_plain_model_of_the_rules(seed, edge, pooled):
+def test_the_controller_agrees_with_the_plain_model_of_the_rules(seed, edge, pooled):
     host = day(seed, draw_out=seed % 4 == 1, edge=edge, pooled=pooled)
     kinds = {act["answered"] for act in host.seen}
     assert {"finished", "rejected", "abandoned"} <= kinds  # the day reached what it was drawn for
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -1,4 +1,4 @@
-"""With no pools set, the node acts as it did before there were any: digests of all its acts, recorded then.
+"""Without bulkheads the controller acts as it did before there were any: digests of its acts, recorded then.
 
 The histories are generated, with fixed seeds. A change of decisions on purpose records them anew and says so.
 """
@@ -73,7 +73,8 @@
             kind, first = chance.randrange(3), None
             if kind == 1 and chance.random() < 0.2:
                 first = next(
-                    (q for q, task in server.workload.requests.items() if task.key_expires_at > now), None
+                    (q for q, request in server.workload.requests.items() if request.key_expires_at > now),
+                    None,
                 )
             count += 1
             limit_at = now + 0.5 * stages[kind].timeout if chance.random() < 0.5 else None
@@ -91,24 +92,24 @@
                 queued_for=chance.choice((0.0, 3.0, 400.0)),
                 original=first,
             )
-        for q, task in list(server.workload.requests.items()):
+        for q, request in list(server.workload.requests.items()):
             luck = chance.random()
-            if server.workload.requests.get(q) is not task:
+            if server.workload.requests.get(q) is not request:
                 continue
-            if task.state == RequestState.EXECUTING and luck < 0.05:
+            if request.state == RequestState.EXECUTING and luck < 0.05:
                 server.run_ended(now, q, chance.choice(("completed", "errored")), chance.uniform(5.0, 400.0))
-            elif task.state == RequestState.EXECUTING and luck < 0.08:
+            elif request.state == RequestState.EXECUTING and luck < 0.08:
                 server.run_blocked(now, q)
-            elif task.state == RequestState.CALLING and luck < 0.05:
+            elif request.state == RequestState.CALLING and luck < 0.05:
                 server.call_ended(
                     now,
                     q,
                     chance.choice(("completed", "saturated", "overdue", "errored")),
                     chance.uniform(5.0, 300.0),
                 )
-            elif task.state == RequestState.SHARING and luck < 0.05:
+            elif request.state == RequestState.SHARING and luck < 0.05:
                 server.run_ended(now, q, "completed", 0.0)
-            elif not task.answered and luck > 0.9995:
+            elif not request.answered and luck > 0.9995:
                 server.client_gone(now, q)
         for at in sorted(at for at in host.timers if at <= now):
             host.timers.remove(at)
@@ -124,5 +125,5 @@
 
 
 @pytest.mark.parametrize(("seed", "crowded"), RECORDED)
-def test_without_pools_every_act_is_as_before(seed, crowded):
+def test_without_bulkheads_every_act_is_as_recorded(seed, crowded):
     assert digest_of_a_history(seed, crowded) == RECORDED[seed, crowded]
--- a/tests/bench_adapter/test_simulator_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -56,7 +56,7 @@
     assert SimulatorLink().exchange(b'{"time":5,"happened":[]}') == b'{"decisions":[]}\n'
 
 
-def test_a_life_that_exits_and_attaches_in_one_batch_starts_clean():
+def test_a_server_that_exits_and_attaches_in_one_batch_starts_clean():
     link = SimulatorLink()
     exchange(link, 10, attach())
     first = exchange(link, 20, ingress("a" * 16, kind="pay"))
@@ -75,7 +75,7 @@
     assert of(exchange(link, 20, ingress("a" * 16, **fields)), "execute")
 
 
-def test_word_of_tasks_long_forgotten_changes_nothing():
+def test_events_of_released_requests_change_nothing():
     link = SimulatorLink()
     exchange(link, 10, attach())
     assert exchange(link, 20, {"t": "lapsed", "i": 0, "call": "f" * 16}) == []
@@ -111,7 +111,7 @@
         SimulatorLink().exchange(line)
 
 
-def test_an_exception_in_the_module_becomes_a_crash_that_says_where(monkeypatch):
+def test_an_exception_in_the_controller_becomes_a_crash_that_says_where(monkeypatch):
     link = SimulatorLink()
     exchange(link, 10, attach())
     monkeypatch.setattr(link.servers[0].controller, "request_arrived", lambda *given: 1 / 0)
--- a/tests/bulkheads/test_adaptive_limit.py
+++ b/tests/bulkheads/test_adaptive_limit.py
@@ -42,7 +42,7 @@
     return counted[: int(seconds)], limits
 
 
-def test_a_ledger_that_slowed_by_itself_gets_as_many_calls_as_it_can_serve():
+def test_a_dependency_that_slowed_by_itself_gets_as_many_calls_as_it_can_serve():
     limit = AdaptiveLimit(8.0, Seen())
     played(limit, 5, lambda at: 30.0, 8)
     slow, limits = played(limit, 20, lambda at: 300.0, 8, start=5)
@@ -50,7 +50,7 @@
     assert min(limits) >= 1.0
 
 
-def test_calls_that_crowd_each_other_are_cut_to_what_is_answered_as_fast():
+def test_calls_that_compete_with_each_other_are_cut_to_what_is_answered_as_fast():
     seen = Seen()
     limit = AdaptiveLimit(32.0, seen)
     counted, limits = played(limit, 30, lambda at: 30.0, 4)
@@ -58,7 +58,7 @@
     assert sum(limits[-200:]) / 200 < 16.0 and LimitChange.KEPT in seen
 
 
-def test_a_dead_ledger_is_asked_by_one_call_at_a_time_and_gets_all_soon_after_its_return():
+def test_a_dead_dependency_gets_one_call_at_a_time_and_all_soon_after_its_recovery():
     seen = Seen()
     limit = AdaptiveLimit(8.0, seen)
     played(limit, 5, lambda at: 30.0, 8)
@@ -68,7 +68,7 @@
     assert back[-1] >= 0.95 * 8 / 0.03 and limit.limit == 8.0
 
 
-def test_calls_that_are_turned_away_cut_the_limit_without_a_trial_and_never_below_one():
+def test_rejected_calls_cut_the_limit_without_a_trial_and_never_below_one():
     limit = AdaptiveLimit(16.0, Seen())
     for n in range(400):
         limit.call_ended(n * 50.0, None, True)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_steady_ledger_sees_no_swings(seed):
+def test_a_steady_dependency_causes_no_swings(seed):
     import random
 
     chance = random.Random(seed)
@@ -90,7 +90,7 @@
     assert sum(value < 5.0 for value in limits[400:]) < 0.02 * len(limits)
 
 
-def test_room_that_nobody_uses_does_not_grow():
+def test_a_limit_that_is_not_reached_does_not_grow():
     limit = AdaptiveLimit(64.0, Seen())
     for n in range(200):
         limit.call_ended(n * 50.0, 30.0, False)
--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -104,15 +104,15 @@
         act = chance.random()
         if act < 0.45:  # one comes
             count += 1
-            task = SimpleNamespace(
+            request = SimpleNamespace(
                 index=count,
                 bulkhead=chance.randrange(len(parts)),
                 size=chance.choice((10, 40, 80)),
                 request_class=SimpleNamespace(skip_fraction=chance.choice((0.0, 0.5))),
             )
-            p = task.bulkhead
-            pools.arrived(p, task.size)
-            unanswered[p], used[p] = unanswered[p] + task.size, used[p] + task.size
+            p = request.bulkhead
+            pools.arrived(p, request.size)
+            unanswered[p], used[p] = unanswered[p] + request.size, used[p] + request.size
             total = sum(unanswered)
             within = unanswered[p] <= parts[p] * clears
             kept = sum(
@@ -123,18 +123,18 @@
             room = total <= clears if within else terms[p].borrows and total <= clears - kept
             assert pools.has_room(p, total, clears) == room
             if room:
-                held.append(task)
+                held.append(request)
                 admitted += 1
                 continue
             over = [o for o in range(len(parts)) if unanswered[o] > parts[o] * clears]
             rivals = [o for o in held if (o.bulkhead in over if within else o.bulkhead == p)]
-            told = pools.eviction_candidates(p, held if within else [*held, task], clears)
-            assert told == (rivals if within else [*rivals, task])
+            told = pools.eviction_candidates(p, held if within else [*held, request], clears)
+            assert told == (rivals if within else [*rivals, request])
             gone = chance.choice(told) if told else None
-            if gone is not task:
-                held.append(task)
+            if gone is not request:
+                held.append(request)
             if gone is not None:
-                if gone is not task:
+                if gone is not request:
                     held.remove(gone)
                 pools.answered(gone.bulkhead, gone.size)
                 pools.released(gone.bulkhead, gone.size)
@@ -163,8 +163,8 @@
             assert ready == [o for o in able if o.bulkhead == chosen]
             if not ready:
                 continue
-            task, extra = ready[0], 3.0 * ready[0].size
-            p = task.bulkhead
+            request, extra = ready[0], 3.0 * ready[0].size
+            p = request.bulkhead
             kept = sum(
                 max(0.0, parts[o] * memory - used[o])
                 for o in range(len(parts))
@@ -175,8 +175,8 @@
             assert pools.memory_fits(p, extra, sum(used), memory) == fits
             if not fits:
                 continue
-            held.remove(task)
-            running.append(task)
+            held.remove(request)
+            running.append(request)
             used[p] += extra
             pools.run_started(float(now), p, whole, extra)
             if main:
@@ -184,21 +184,21 @@
             else:
                 reserve[p] += 1
         elif act < 0.85 and running:  # one leaves the cores: for a call, or for good
-            task = running.pop(chance.randrange(len(running)))
-            p = task.bulkhead
+            request = running.pop(chance.randrange(len(running)))
+            p = request.bulkhead
             pools.run_left_cores(float(now), p)
             if reserve[p]:
                 reserve[p] -= 1
             else:
                 slots.moments.append((now, p, -1, 0.0))
             if chance.random() < 0.5:
-                waiting.append(task)
+                waiting.append(request)
             else:
-                pools.run_ended(p, False, 3.0 * task.size)
-                pools.answered(p, task.size)
-                pools.released(p, task.size)
-                unanswered[p] -= task.size
-                used[p] -= 4.0 * task.size
+                pools.run_ended(p, False, 3.0 * request.size)
+                pools.answered(p, request.size)
+                pools.released(p, request.size)
+                unanswered[p] -= request.size
+                used[p] -= 4.0 * request.size
         elif act < 0.95 and waiting:  # a call may go out
             must = [o for o in waiting if not o.request_class.skip_fraction] or waiting
             able = [
@@ -215,15 +215,15 @@
                 pools.call_started(float(now), told[0].bulkhead, told[0].index, 4.0)
                 calls.moments.append((now, told[0].bulkhead, 1, 4.0))
         elif calling:  # one is answered
-            task = calling.pop(chance.randrange(len(calling)))
-            p = task.bulkhead
+            request = calling.pop(chance.randrange(len(calling)))
+            p = request.bulkhead
             pools.call_ended(
-                float(now), p, task.index, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1
+                float(now), p, request.index, chance.choice((None, 20.0, 200.0)), chance.random() < 0.1
             )
             calls.moments.append((now, p, -1, 0.0))
             pools.run_resumed(float(now), p, whole)
             slots.moments.append((now, p, 1, whole))
-            running.append(task)
+            running.append(request)
         for p in range(len(parts)):
             assert pools.slots.borrowed[p] == slots.loans(p) and pools.calls.borrowed[p] == calls.loans(p)
             assert pools.slots.in_use[p] == slots.in_use(p) and pools.on_reserve[p] == reserve[p]
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -1,4 +1,4 @@
-"""The node with pools: whose task starts, has room, calls and hears when to come back."""
+"""The controller with bulkheads: whose request starts, has room, calls, and its retry delay."""
 
 import math
 
@@ -44,7 +44,7 @@
     return [act[1] for act in host.acts if act[0] == "start"]
 
 
-def test_the_reserve_starts_a_check_at_once_whatever_runs_and_nobody_else_gets_it():
+def test_the_reserve_starts_a_check_at_once_whatever_runs_and_no_other_bulkhead_gets_it():
     host, seen = Recorder(), Seen()
     server = pooled(host, seen=seen)
     server.workload.ceiling = 8.0
@@ -59,7 +59,7 @@
     assert started(host) == [0, 1, 10, 11]
 
 
-def test_a_pool_alone_has_all_slots_and_its_owner_is_next_the_moment_it_comes_back():
+def test_a_bulkhead_alone_has_all_slots_and_their_owner_is_next_when_it_returns():
     host, seen = Recorder(), Seen()
     server = pooled(host, seen=seen, cores=4)
     for q in range(12):
@@ -87,7 +87,7 @@
             assert started(host)[-1] == 20
 
 
-def test_two_busy_pools_share_the_slots_by_their_parts_over_time():
+def test_two_busy_bulkheads_share_the_slots_by_their_shares_over_time():
     host = Recorder()
     terms = [
         BulkheadSettings("gate", 0.2, 0.5, 0.5),
@@ -98,7 +98,7 @@
     now, q, runs, used = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
         for kind in (QUOTE, CHARGE):
-            held = sum(task.bulkhead == kind for task in server.workload.queued.values())
+            held = sum(request.bulkhead == kind for request in server.workload.queued.values())
             if held < 2:
                 q += 1
                 send(server, now, q, kind=kind, deadline=now + 4000.0)
@@ -111,7 +111,7 @@
     assert used[QUOTE] / used[CHARGE] == pytest.approx(0.3 / 0.5, rel=0.05)
 
 
-def test_a_pool_of_one_slot_and_one_that_does_not_lend_keep_theirs_free():
+def test_a_bulkhead_that_does_not_lend_keeps_its_slot_free():
     host = Recorder()
     terms = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
     server = pooled(host, terms=terms, bulkhead_of_class=(0, 1, 1))
@@ -122,7 +122,7 @@
     assert started(host) == [0, 10]
 
 
-def test_charges_that_fill_the_bytes_give_way_to_a_pool_within_its_part():
+def test_charges_that_fill_the_bytes_give_way_to_a_bulkhead_within_its_share():
     host = Recorder()
     server = pooled(host)
     server.workload.in_flight.clearable_bytes, server.workload.ceiling = 100.0, 8.0
@@ -143,7 +143,7 @@
     )
 
 
-def test_charges_parked_on_a_dead_ledger_leave_the_memory_of_the_gate_alone():
+def test_charges_that_wait_for_a_dead_dependency_leave_the_memory_of_other_bulkheads_free():
     host = Recorder()
     server = pooled(host, memory=2000.0, share=50.0)
     now, q = 0.0, 0
@@ -158,7 +158,7 @@
     assert 500 in started(host)
 
 
-def test_what_must_call_is_not_started_into_its_pool_s_line_and_others_go_on():
+def test_what_must_call_is_not_started_into_a_full_queue_for_calls_and_others_go_on():
     host = Recorder()
     server = pooled(host, share=1.0)
     for q in range(8):
@@ -187,7 +187,7 @@
     assert ("skip", 1) in host.acts
 
 
-def test_who_is_turned_away_hears_the_backlog_of_its_own_pool():
+def test_the_retry_delay_is_the_backlog_of_the_request_s_own_bulkhead():
     host = Recorder()
     server = pooled(host)
     for q in range(200, 208):
@@ -201,7 +201,7 @@
     assert ("reject", 100, False, 0.0) in host.acts
 
 
-def test_a_repeat_of_a_charge_that_waits_in_a_full_pool_takes_its_place_and_runs_once():
+def test_a_repeat_of_a_charge_that_is_queued_in_a_full_bulkhead_takes_its_place_and_runs_once():
     host = Recorder()
     server = pooled(host)
     for q in range(6):
@@ -213,7 +213,7 @@
     assert "share" in host.names(51) and started(host).count(0) == 1
 
 
-def test_the_gate_on_a_pool_whose_ledger_was_dead_lets_one_in_to_try_as_soon_as_none_is_out():
+def test_a_bulkhead_whose_dependency_was_dead_admits_one_to_try_as_soon_as_no_call_is_out():
     host = Recorder()
     server = pooled(host, share=8.0)
     now = 0.0
@@ -227,7 +227,7 @@
     assert 99 in started(host)
 
 
-def test_drain_with_full_pools_answers_everything_and_empties_every_table():
+def test_draining_with_full_bulkheads_answers_everything_and_empties_every_table():
     host = Recorder()
     server = pooled(host, share=2.0)
     for q in range(30):
@@ -238,8 +238,8 @@
     for at in range(150, 2100, 50):
         server.on_tick(float(at), 1.0, 2.0)
     for q in list(server.workload.requests):
-        task = server.workload.requests[q]
-        if task.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
+        request = server.workload.requests[q]
+        if request.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
             server.run_ended(2100.0, q, "recalled", 2000.0)
     server.on_tick(40_000.0, 0.0, 0.0)
     pools = server.capacity.bulkheads
@@ -249,7 +249,7 @@
     assert not any(pools.call_starts)
 
 
-def test_stages_that_no_pool_names_share_the_rest_and_unknown_parts_shut_nobody_out():
+def test_classes_that_no_bulkhead_names_share_the_rest_and_always_have_a_share():
     made = builder.build(
         Seen(),
         {
@@ -271,7 +271,7 @@
     assert builder.build(Seen(), "none", ["check"], [0], [1.0]) is None
 
 
-def test_derived_pools_find_the_light_stage_by_its_runs_and_keep_to_it():
+def test_derived_bulkheads_find_the_light_class_by_its_runs_and_keep_to_it():
     host, seen = Recorder(), Seen()
     stages = [
         request_class(),
--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -1,4 +1,4 @@
-"""The whole server with pools, in a process of its own, against stand-ins."""
+"""The whole server with bulkheads, in a process of its own, against fake peers."""
 
 import re
 import signal
@@ -26,7 +26,7 @@
         yield running
 
 
-def test_a_read_has_its_reserve_among_pays_and_the_log_tells_of_it(server):
+def test_a_read_has_its_reserve_among_pays_and_the_log_counts_it(server):
     caller = server.balancer()
     pays = [caller.ask(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
     server.pool.take("spawn")
@@ -44,7 +44,7 @@
     assert "event=pools" in log and "pool_light_reserve_used=1" in log and "must_hold_broken" not in log
 
 
-def test_sighup_amid_full_pools_keeps_them_and_says_that_they_wait_for_the_next_start(server):
+def test_sighup_with_full_bulkheads_keeps_them_and_logs_that_changes_wait_for_the_next_start(server):
     caller = server.balancer()
     jobs = [caller.ask(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
     server.pool.take("spawn")
@@ -62,7 +62,7 @@
     assert re.search("configuration_(renewed.*declared|refused.*pools.heavy.share)", log)
 
 
-def test_drain_with_full_pools_answers_everything(server):
+def test_draining_with_full_bulkheads_answers_everything(server):
     caller = server.balancer()
     for n in range(1, 9):
         caller.ask(n, "pay", unique=f"{n:032x}", limit=3000)
@@ -78,7 +78,7 @@
     assert heard == set(range(1, 9)) and server.process.returncode == 0
 
 
-def test_a_server_without_our_files_imports_no_part_of_them():
+def test_a_server_without_declared_files_imports_no_part_of_their_reader():
     code = (
         "import sys, vetchford.cli, vetchford.server.server_process\n"
         "parts = ('vetchford.bulkheads', 'vetchford.configuration', 'lark', 'msgspec')\n"
