--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -1,13 +1,14 @@
-"""The node with pools: whose task starts, has room, calls and hears when to come back."""
+"""The controller with bulkheads: whose request starts, has room, calls, and its retry delay."""
 
 import math
 
 import pytest
-from helpers import Recorder, node, send, stage
+from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission import controller
+from vetchford.admission.request import Effect, RequestState
 from vetchford.bulkheads import builder
-from vetchford.bulkheads.bulkheads import BulkheadSet, Terms
+from vetchford.bulkheads.bulkheads import BulkheadSet
+from vetchford.bulkheads.settings import BulkheadSettings
 
 CHECK, QUOTE, CHARGE = range(3)
 
@@ -23,28 +24,30 @@
         return sum(entry[: len(wanted)] == wanted for entry in self.told)
 
 
-def pooled(host, terms=None, seen=None, pool_of=(0, 1, 2), stages=None, **given):
+def pooled(host, terms=None, seen=None, bulkhead_of_class=(0, 1, 2), stages=None, **given):
     terms = terms or [
-        Terms("gate", 0.2, 0.2, 0.2, reserve=1),
-        Terms("quotes", 0.3, 0.3, 0.3),
-        Terms("charges", 0.5, 0.5, 0.5),
+        BulkheadSettings("gate", 0.2, 0.2, 0.2, reserve=1),
+        BulkheadSettings("quotes", 0.3, 0.3, 0.3),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
     stages = stages or [
-        stage(),
-        stage(utility=2.0, skip_utility=0.5),
-        stage(utility=3.0, effect=controller.FINGERPRINTED),
+        request_class(),
+        request_class(priority_weight=2.0, skip_fraction=0.5),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
-    return node(host, stages=stages, pools=BulkheadSet(seen or Seen(), terms, pool_of), **given)
+    return new_controller(
+        host, classes=stages, bulkheads=BulkheadSet(seen or Seen(), terms, bulkhead_of_class), **given
+    )
 
 
 def started(host):
     return [act[1] for act in host.acts if act[0] == "start"]
 
 
-def test_the_reserve_starts_a_check_at_once_whatever_runs_and_nobody_else_gets_it():
+def test_the_reserve_starts_a_check_at_once_whatever_runs_and_no_other_bulkhead_gets_it():
     host, seen = Recorder(), Seen()
     server = pooled(host, seen=seen)
-    server.ceiling = 8.0
+    server.workload.ceiling = 8.0
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
     assert started(host) == [0, 1]
@@ -56,7 +59,7 @@
     assert started(host) == [0, 1, 10, 11]
 
 
-def test_a_pool_alone_has_all_slots_and_its_owner_is_next_the_moment_it_comes_back():
+def test_a_bulkhead_alone_has_all_slots_and_their_owner_is_next_when_it_returns():
     host, seen = Recorder(), Seen()
     server = pooled(host, seen=seen, cores=4)
     for q in range(12):
@@ -84,30 +87,34 @@
             assert started(host)[-1] == 20
 
 
-def test_two_busy_pools_share_the_slots_by_their_parts_over_time():
+def test_two_busy_bulkheads_share_the_slots_by_their_shares_over_time():
     host = Recorder()
-    terms = [Terms("gate", 0.2, 0.5, 0.5), Terms("quotes", 0.3, 0.5, 0.5), Terms("charges", 0.5, 0.5, 0.5)]
+    terms = [
+        BulkheadSettings("gate", 0.2, 0.5, 0.5),
+        BulkheadSettings("quotes", 0.3, 0.5, 0.5),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
+    ]
     server = pooled(host, terms=terms, memory=1e9)
     now, q, runs, used = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
         for kind in (QUOTE, CHARGE):
-            held = sum(task.pool == kind for task in server.held.values())
+            held = sum(request.bulkhead == kind for request in server.workload.queued.values())
             if held < 2:
                 q += 1
-                send(server, now, q, kind=kind, limit_at=now + 4000.0)
+                send(server, now, q, kind=kind, deadline=now + 4000.0)
         runs += [(now + 40.0, one) for one in started(host)]
         host.acts.clear()
         runs.sort()
         now, one = runs.pop(0)
-        used[server.tasks[one].pool] += 1
+        used[server.workload.requests[one].bulkhead] += 1
         server.run_ended(now, one, "completed", 40.0)
     assert used[QUOTE] / used[CHARGE] == pytest.approx(0.3 / 0.5, rel=0.05)
 
 
-def test_a_pool_of_one_slot_and_one_that_does_not_lend_keep_theirs_free():
+def test_a_bulkhead_that_does_not_lend_keeps_its_slot_free():
     host = Recorder()
-    terms = [Terms("gate", 0.5, 0.2, 0.2, lends=False), Terms("rest", 0.5, 0.8, 0.8)]
-    server = pooled(host, terms=terms, pool_of=(0, 1, 1))
+    terms = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
+    server = pooled(host, terms=terms, bulkhead_of_class=(0, 1, 1))
     for q in range(4):
         send(server, 0.0, q, kind=CHARGE)
     assert started(host) == [0]  # the other slot is the gate's
@@ -115,33 +122,35 @@
     assert started(host) == [0, 10]
 
 
-def test_charges_that_fill_the_bytes_give_way_to_a_pool_within_its_part():
+def test_charges_that_fill_the_bytes_give_way_to_a_bulkhead_within_its_share():
     host = Recorder()
     server = pooled(host)
-    server.counters.clears, server.ceiling = 100.0, 8.0
+    server.workload.in_flight.clearable_bytes, server.workload.ceiling = 100.0, 8.0
     for q in range(12):
-        send(server, 0.0, q, kind=CHARGE, caller=q, size=10)
-    held = len(server.held)
-    send(server, 1.0, 30, kind=CHECK, caller=30, size=10)
-    send(server, 1.0, 31, kind=CHECK, caller=31, size=10)
+        send(server, 0.0, q, kind=CHARGE, client=q, size=10)
+    held = len(server.workload.queued)
+    send(server, 1.0, 30, kind=CHECK, client=30, size=10)
+    send(server, 1.0, 31, kind=CHECK, client=31, size=10)
     assert not {30, 31} & set(
         host.answers
     )  # let in, one by its reserve, and a charge went for what was too much
-    assert len(server.held) == held + 1 and server.counters.unanswered == 100
+    assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered == 100
     before = set(host.answers)
-    send(server, 2.0, 40, kind=QUOTE, caller=40, size=10)  # within its part: a charge goes for it
-    assert 40 in server.held and len(set(host.answers) - before) == 1
-    assert server.counters.unanswered == 100 and all(answer == "reject" for answer in host.answers.values())
+    send(server, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its part: a charge goes for it
+    assert 40 in server.workload.queued and len(set(host.answers) - before) == 1
+    assert server.workload.in_flight.unanswered == 100 and all(
+        answer == "reject" for answer in host.answers.values()
+    )
 
 
-def test_charges_parked_on_a_dead_ledger_leave_the_memory_of_the_gate_alone():
+def test_charges_that_wait_for_a_dead_dependency_leave_the_memory_of_other_bulkheads_free():
     host = Recorder()
     server = pooled(host, memory=2000.0, share=50.0)
     now, q = 0.0, 0
     for q in range(100):
-        send(server, now, q, kind=CHARGE, caller=q, size=10)
+        send(server, now, q, kind=CHARGE, client=q, size=10)
         for one in started(host):
-            if server.tasks[one].state == controller.RUNNING:
+            if server.workload.requests[one].state == RequestState.EXECUTING:
                 server.run_blocked(now, one)
         now += 1.0
     assert any(answer == "reject" for answer in host.answers.values())  # full
@@ -149,26 +158,26 @@
     assert 500 in started(host)
 
 
-def test_what_must_call_is_not_started_into_its_pool_s_line_and_others_go_on():
+def test_what_must_call_is_not_started_into_a_full_queue_for_calls_and_others_go_on():
     host = Recorder()
     server = pooled(host, share=1.0)
     for q in range(8):
         send(server, 0.0, q, kind=CHARGE)
     for q in (0, 1, 2, 3):
-        if server.tasks[q].state == controller.RUNNING:
+        if server.workload.requests[q].state == RequestState.EXECUTING:
             server.run_blocked(10.0, q)
-    assert len(server.waiting) <= 3 and server.running < 2
-    before = server.running
+    assert len(server.workload.waiting) <= 3 and server.workload.running < 2
+    before = server.workload.running
     send(server, 20.0, 20, kind=CHECK)
-    assert server.running == before + 1
+    assert server.workload.running == before + 1
 
 
 def test_a_quote_that_waits_longer_than_its_budget_goes_on_without_the_call():
     host = Recorder()
     terms = [
-        Terms("gate", 0.2, 0.2, 0.2),
-        Terms("quotes", 0.3, 0.3, 0.3, call_budget=600.0),
-        Terms("charges", 0.5, 0.5, 0.5),
+        BulkheadSettings("gate", 0.2, 0.2, 0.2),
+        BulkheadSettings("quotes", 0.3, 0.3, 0.3, call_budget=600.0),
+        BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
     server = pooled(host, terms=terms, share=4.0)
     send(server, 0.0, 1, kind=QUOTE)
@@ -178,38 +187,38 @@
     assert ("skip", 1) in host.acts
 
 
-def test_who_is_turned_away_hears_the_backlog_of_its_own_pool():
+def test_the_retry_delay_is_the_backlog_of_the_request_s_own_bulkhead():
     host = Recorder()
     server = pooled(host)
     for q in range(200, 208):
         send(server, 0.0, q, kind=CHARGE, work=300.0)
         server.run_ended(0.0, q, "completed", 300.0)
     for q in range(40):
-        send(server, 0.0, q, kind=CHARGE, work=300.0, caller=q % 5)
+        send(server, 0.0, q, kind=CHARGE, work=300.0, client=q % 5)
     told = {act[1]: act[3] for act in host.acts if act[0] == "reject"}
     assert told and min(told.values()) > 400.0
     send(server, 1.0, 100, kind=QUOTE, size=200_000)  # more than the memory: nobody of its pool is in line
     assert ("reject", 100, False, 0.0) in host.acts
 
 
-def test_a_repeat_of_a_charge_that_waits_in_a_full_pool_takes_its_place_and_runs_once():
+def test_a_repeat_of_a_charge_that_is_queued_in_a_full_bulkhead_takes_its_place_and_runs_once():
     host = Recorder()
     server = pooled(host)
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
-    waits = next(iter(server.held))
+    waits = next(iter(server.workload.queued))
     send(server, 50.0, 50, kind=CHARGE, original=waits)
-    assert host.answers[waits] == "reject" and 50 in server.held
+    assert host.answers[waits] == "reject" and 50 in server.workload.queued
     send(server, 60.0, 51, kind=CHARGE, original=0)
     assert "share" in host.names(51) and started(host).count(0) == 1
 
 
-def test_the_gate_on_a_pool_whose_ledger_was_dead_lets_one_in_to_try_as_soon_as_none_is_out():
+def test_a_bulkhead_whose_dependency_was_dead_admits_one_to_try_as_soon_as_no_call_is_out():
     host = Recorder()
     server = pooled(host, share=8.0)
     now = 0.0
     for q in range(30):
-        send(server, now, q, kind=CHARGE, limit_at=now + 1800.0)
+        send(server, now, q, kind=CHARGE, deadline=now + 1800.0)
         if q in started(host):
             server.run_blocked(now + 5.0, q)
             server.call_ended(now + 1700.0, q, "overdue", 1695.0)
@@ -218,29 +227,29 @@
     assert 99 in started(host)
 
 
-def test_drain_with_full_pools_answers_everything_and_empties_every_table():
+def test_draining_with_full_bulkheads_answers_everything_and_empties_every_table():
     host = Recorder()
     server = pooled(host, share=2.0)
     for q in range(30):
-        send(server, 0.0, q, kind=q % 3, caller=q % 4)
+        send(server, 0.0, q, kind=q % 3, client=q % 4)
     for q in started(host)[:2]:
         server.run_blocked(20.0, q)
     server.start_draining(100.0, 2100.0)
     for at in range(150, 2100, 50):
         server.on_tick(float(at), 1.0, 2.0)
-    for q in list(server.tasks):
-        task = server.tasks[q]
-        if task.state in (controller.RUNNING, controller.PARKED, controller.CALLING):
+    for q in list(server.workload.requests):
+        request = server.workload.requests[q]
+        if request.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
             server.run_ended(2100.0, q, "recalled", 2000.0)
     server.on_tick(40_000.0, 0.0, 0.0)
-    pools = server.pools
-    assert set(host.answers) == set(range(30)) and not server.tasks
+    pools = server.capacity.bulkheads
+    assert set(host.answers) == set(range(30)) and not server.workload.requests
     assert pools.unanswered == [0, 0, 0] and pools.used == [0.0, 0.0, 0.0]
     assert pools.slots.in_use == pools.calls.in_use == pools.on_reserve == [0, 0, 0]
-    assert not any(pools.out)
+    assert not any(pools.call_starts)
 
 
-def test_stages_that_no_pool_names_share_the_rest_and_unknown_parts_shut_nobody_out():
+def test_classes_that_no_bulkhead_names_share_the_rest_and_always_have_a_share():
     made = builder.build(
         Seen(),
         {
@@ -257,26 +266,30 @@
         [0, 0, 1],
         [1.0, 2.0, 3.0],
     )
-    assert [made.terms[p].name for p in made.pool_of] == ["gate", "rest", "rest"]
-    assert made.slots.shares[1] > 0.05 and made.terms[0].call_budget == math.inf
+    assert [made.settings[p].name for p in made.bulkhead_of_class] == ["gate", "rest", "rest"]
+    assert made.slots.shares[1] > 0.05 and made.settings[0].call_budget == math.inf
     assert builder.build(Seen(), "none", ["check"], [0], [1.0]) is None
 
 
-def test_derived_pools_find_the_light_stage_by_its_runs_and_keep_to_it():
+def test_derived_bulkheads_find_the_light_class_by_its_runs_and_keep_to_it():
     host, seen = Recorder(), Seen()
-    stages = [stage(), stage(utility=2.0), stage(utility=3.0, effect=controller.FINGERPRINTED)]
+    stages = [
+        request_class(),
+        request_class(priority_weight=2.0),
+        request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
+    ]
     made = builder.derived(seen, [0, 0, 1], [1.0, 2.0, 3.0])
-    server = node(host, stages=stages, pools=made)
-    assert [kind.pool for kind in stages] == [2, 2, 1]  # nothing measured yet
+    server = new_controller(host, classes=stages, bulkheads=made)
+    assert [kind.bulkhead for kind in stages] == [2, 2, 1]  # nothing measured yet
     now = 0.0
     for q in range(90):
         send(server, now, q, kind=q % 3)
         server.run_ended(now + 5.0, q, "completed", (6.0, 40.0, 60.0)[q % 3])
         now += 10.0
     server.on_tick(6000.0, 1.0, 0.0)
-    assert [kind.pool for kind in stages] == [0, 2, 1] and seen.count("regrouped") == 1
+    assert [kind.bulkhead for kind in stages] == [0, 2, 1] and seen.count("regrouped") == 1
     for q in range(100, 190):  # now all are dear: none is light
         send(server, 7000.0 + q, q, kind=q % 3)
         server.run_ended(7005.0 + q, q, "completed", 60.0)
     server.on_tick(12_000.0, 1.0, 0.0)
-    assert [kind.pool for kind in stages] == [2, 2, 1]
+    assert [kind.bulkhead for kind in stages] == [2, 2, 1]
