--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -8,6 +8,7 @@
 import pytest
 from helpers import TOLD, Recorder
 
+from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import timers
 from vetchford.runtime.metrics import Metrics
 from vetchford.server import admission_actor as under_test
@@ -91,20 +92,22 @@
         name = f"{rpc_id:016x}"
         self.requests[rpc_id] = {"name": name, "mark": mark, "door": door, "body": f"body {mark or name}"}
         self.do(
-            self.module.request,
+            self.module.request_arrived,
             self,
-            rpc_id,
-            name,
-            kind,
-            CLASSES[kind]["name"],
-            0,
-            rpc_id % 3,
-            door,
-            LIMIT,
-            50.0,
-            20.0,
-            mark,
-            base64.b64encode(f"body {mark or name}".encode()).decode(),
+            IncomingRequest(
+                rpc_id=rpc_id,
+                request_id=name,
+                request_class=kind,
+                method=CLASSES[kind]["name"],
+                tenant=0,
+                balancer=rpc_id % 3,
+                arrived_at=door,
+                time_limit=LIMIT,
+                cpu_time=50.0,
+                memory_kb=20.0,
+                idempotency_key=mark,
+                content=base64.b64encode(f"body {mark or name}".encode()).decode(),
+            ),
         )
 
     def do(self, act, *given):
@@ -156,7 +159,7 @@
                 self.command(self.to_pool.pop(0))
             if chance.random() < 0.01:
                 self.up, self.to_pool, self.to_server = False, [], []
-                self.do(self.module.pool_lost)
+                self.do(self.module.worker_pool_lost)
         elif chance.random() < 0.2:
             self.up, self.pool.link = True, self.pool.link + 1
             self.to_server = [
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -28,7 +28,8 @@
 
     def request(self):
         """The connection and the id of the next task that the module is told of."""
-        return self.module.take("request")[:2]
+        connection, request = self.module.take("request_arrived")
+        return connection, request.rpc_id
 
     def finish(self, connection, rpc_id):
         connection.answer(rpc_id, json_rpc.finished(rpc_id, "b2s="))
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -17,6 +17,7 @@
 
 import vetchford
 from vetchford.errors import MalformedInputError
+from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import log_setup
 from vetchford.runtime.actor import ThreadPool, start_thread
 from vetchford.runtime.metrics import Metrics
@@ -85,7 +86,7 @@
     peer = Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
-    module.bound(1, cold, 5000.0)
+    module.worker_pool_bound(1, cold, 5000.0)
     assert module.now() >= 5000.0  # what is left of the ramp is told to the node by its clock
     assert module.controller.ramp == (18_000.0 if cold else 0.0)
 
@@ -95,9 +96,9 @@
     module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
-    module.bound(1, False, 5000.0)
+    module.worker_pool_bound(1, False, 5000.0)
     module.controller.running = 2
-    module.polled("1-1", [0.9, 3.0])
+    module.poll_answered("1-1", [0.9, 3.0])
     module.controller.running = 1
     told = []
     module.controller.on_tick = lambda now, busy, on_cores: told.append((busy, on_cores))
@@ -109,8 +110,11 @@
     module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
-    module.bound(1, False, 5000.0)
-    module.request(peer, 1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1e9, 1e9, 1.0, None, "")
+    module.worker_pool_bound(1, False, 5000.0)
+    module.request_arrived(
+        peer,
+        IncomingRequest(1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1e9, 1e9, 1.0, None, ""),
+    )
     task = module.controller.tasks[0]
     assert task.work == 60_000.0 and task.limit - task.arrived <= 60_000.1
 
@@ -119,8 +123,11 @@
     module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
-    module.bound(1, False, 5000.0)
-    module.request(peer, 1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1000.0, 20.0, 1.0, None, "")
+    module.worker_pool_bound(1, False, 5000.0)
+    module.request_arrived(
+        peer,
+        IncomingRequest(1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1000.0, 20.0, 1.0, None, ""),
+    )
     module.controller.on_tick = lambda *given: None
     module.sweep()
     assert "answer" not in [act[0] for act in peer.acts]
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -16,6 +16,7 @@
 
 from vetchford.admission import controller, factory
 from vetchford.protocol import json_rpc, worker_pool_lines
+from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers
@@ -82,22 +83,19 @@
 
     # -- what can happen
 
-    def request(
-        self,
-        caller: Any,
-        rpc_id: int,
-        name: str,
-        stage: int,
-        kind: str,
-        tenant: int,
-        lb: int,
-        door: float,
-        limit: float | None,
-        work: float | None,
-        kb: float,
-        mark: str | None,
-        content: str,
-    ) -> None:
+    def request_arrived(self, caller: Any, request: IncomingRequest) -> None:
+        rpc_id, name, stage, content = (
+            request.rpc_id,
+            request.request_id,
+            request.request_class,
+            request.content,
+        )
+        door, limit, work, mark = (
+            request.arrived_at,
+            request.time_limit,
+            request.cpu_time,
+            request.idempotency_key,
+        )
         if self.controller is None:  # the pool is not up: it never ran
             self.metrics.increment("rejected_no_pool")
             caller.answer(rpc_id, json_rpc.rejected(rpc_id, False, 0.0))
@@ -114,7 +112,7 @@
         until = None if limit is None else arrived + min(limit, told.limit)
         work = None if work is None else min(work, told.limit)
         limit = max(now, arrived + told.limit if until is None else until)
-        q = self.tasks.enter(RequestEntry(name, kind, caller, rpc_id, content, limit))
+        q = self.tasks.enter(RequestEntry(name, request.method, caller, rpc_id, content, limit))
         original = None
         if mark is not None and told.effect == controller.FINGERPRINTED:
             # All tries of a task carry the same body: under its key with another one this is no repeat of it.
@@ -129,18 +127,18 @@
             now,
             q,
             stage,
-            tenant,
-            lb,
+            request.tenant,
+            request.balancer,
             until,
             work,
-            max(1, round(kb * factory.BYTES_PER_KB)),
+            max(1, round(request.memory_kb * factory.BYTES_PER_KB)),
             False,
             max(0.0, now - arrived),
             original,
         )
         self.arriving = -1
 
-    def caller_gone(self, caller: Any) -> None:
+    def client_gone(self, caller: Any) -> None:
         for q in [q for q, slot in enumerate(self.tasks.slots) if slot and slot.caller is caller]:
             slot = self.tasks.slots[q]
             if slot is not None and not slot.answered:
@@ -148,7 +146,7 @@
                 self.metrics.increment("callers_gone")
                 self.controller.client_gone(self.now(), q)
 
-    def bound(self, link: int, cold: bool, ago: float) -> None:
+    def worker_pool_bound(self, link: int, cold: bool, ago: float) -> None:
         self.link, self.ready = link, False
         if self.controller is None and self.drain.begun():
             return  # it leaves: a node would report itself fit, and what came before was turned away
@@ -160,10 +158,10 @@
             self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
         self.poll()  # what is read before its answer is the replay
 
-    def pool_lost(self) -> None:
+    def worker_pool_lost(self) -> None:
         self.ready = False
 
-    def polled(self, ref: str, gauges: list[float]) -> None:
+    def poll_answered(self, ref: str, gauges: list[float]) -> None:
         link, _, number = ref.partition("-")
         if link != str(self.link) or not number.isdigit():
             return
@@ -313,7 +311,7 @@
 
     # -- the fleet
 
-    def survey(self, tell: Callable[[dict[str, float]], None]) -> None:
+    def sample_load(self, tell: Callable[[dict[str, float]], None]) -> None:
         """Figures for the others; see `neighbours.measure`."""
         node = self.controller
         if node is None or self.watch is None:
@@ -324,13 +322,13 @@
         begun = self.begun.values()
         tell(self.watch.figures(self.now(), begun, usual, metrics, counters.used, counters.memory))
 
-    def fleet(self, numbers: Any) -> None:
+    def fleet_signals_changed(self, numbers: Any) -> None:
         if self.controller is not None:
             self.controller.apply_fleet_signals(numbers.pace, numbers.room, numbers.full, numbers.stretch)
 
     # -- drain
 
-    def notice(self, at: float, stop_ms: float, grace: float) -> None:
+    def shutdown_requested(self, at: float, stop_ms: float, grace: float) -> None:
         """`at`: Unix ms of the signal; grace and kill count from there, however far the mailbox is behind."""
         log.info("drain_begins", stop_ms=stop_ms, open=self.open_tasks())
         until = self.drain.begin(at, stop_ms, grace)
--- a/vetchford/server/client_connections.py
+++ b/vetchford/server/client_connections.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 from vetchford.protocol import json_rpc
+from vetchford.protocol.messages import IncomingRequest
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.runtime.actor import PooledActor, ThreadPool
 from vetchford.runtime.metrics import Metrics
@@ -166,7 +167,7 @@
 
     def read_to_end(self) -> None:
         if self.broken:
-            self.module.post(self.module.caller_gone, self)
+            self.module.post(self.module.client_gone, self)
         self.run_or_post(self.read_out)
 
     def take(self, body: memoryview) -> None:
@@ -216,20 +217,11 @@
             raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
         self.open.add(rpc_id)
         self.module.post_when_room(
-            self.module.request,
+            self.module.request_arrived,
             self,
-            rpc_id,
-            name,
-            stage,
-            method,
-            tenant,
-            caller,
-            door,
-            limit,
-            work,
-            kb,
-            mark,
-            content,
+            IncomingRequest(
+                rpc_id, name, stage, method, tenant, caller, door, limit, work, kb, mark, content
+            ),
         )
 
     def reply(self, parts: list[bytes]) -> None:
@@ -257,7 +249,7 @@
     def lost(self) -> None:
         self.broken, self.out = True, []
         shut(self.sock)
-        self.module.post(self.module.caller_gone, self)
+        self.module.post(self.module.client_gone, self)
 
     def flush_nonblocking(self) -> None:
         self.used = time.monotonic()
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -90,7 +90,7 @@
     grace = (told["settings"].get("rules") or {}).get("drainGrace") or 0
     for part in neighbours:
         part.post(part.leave)
-    module.post(module.notice, at, stop_ms, grace / factory.NS_PER_MS)
+    module.post(module.shutdown_requested, at, stop_ms, grace / factory.NS_PER_MS)
     try:
         threading.Thread(
             target=partial(signals.heed_for_good, renewals.ask), name="signals", daemon=True
@@ -126,8 +126,8 @@
             together,
             platform_config.seed(told),
             metrics,
-            partial(module.post, module.survey),
-            partial(module.post, module.fleet),
+            partial(module.post, module.sample_load),
+            partial(module.post, module.fleet_signals_changed),
         )
     ]
 
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -91,7 +91,7 @@
             self.sock = None
             sock.close()
             self.metrics.log_sampled("pool_link_lost", why=why, last=self.last)
-            self.module.post(self.module.pool_lost)
+            self.module.post(self.module.worker_pool_lost)
             if address == self.address:
                 time.sleep(pause)
 
@@ -143,9 +143,9 @@
         elif name == "blocked":
             module.post_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
         elif name == "polled":
-            module.post_when_room(module.polled, *worker_pool_lines.polled_fields(message))
+            module.post_when_room(module.poll_answered, *worker_pool_lines.polled_fields(message))
         elif name == "bound":
-            module.post(module.bound, self.link, *worker_pool_lines.bound_fields(message))
+            module.post(module.worker_pool_bound, self.link, *worker_pool_lines.bound_fields(message))
         elif name == "unknown":
             command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
             module.post_when_room(module.command_unknown, command, task)
