--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -73,7 +73,7 @@
     assert not clocked.stops and ("close",) in clocked.doors.acts
     clocked.module.worker_pool_bound(1, False, 5.0)  # it comes up all the same
     assert clocked.module.controller is None
-    reports = [act[2] for act in clocked.peer.acts if act[0] == "tell" and len(act) == 3]
+    reports = [act[2] for act in clocked.peer.acts if act[0] == "post" and len(act) == 3]
     assert reports == [False]
     clocked.all_out = True
     clocked.at(clocked.now + 60.0)
@@ -92,4 +92,4 @@
         clocked.peer, IncomingRequest(1, "ab", 0, "read", -1, 0, door, 500.0, 20.0, 1.0, None, "")
     )
     assert clocked.module.metrics.by_name["rejected_draining"] == 1
-    assert not [act for act in clocked.peer.acts if act[0] == "do" and b"spawn" in str(act).encode()]
+    assert not [act for act in clocked.peer.acts if act[0] == "run_or_post" and b"spawn" in str(act).encode()]
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -181,7 +181,8 @@
 
 def test_every_event_stands_on_the_on_call_page_and_the_other_way_round():
     code = "".join(path.read_text() for path in sorted((ROOT / "vetchford").rglob("*.py")))
-    said = set(re.findall(r"(?:log\.\w+|\.note|host\.count|talk\.count|self\.count)\(\s*\"(\w+)\"", code))
+    calls = r"(?:log\.\w+|\.log_sampled|\.note|host\.count|talk\.count|self\.count)"
+    said = set(re.findall(calls + r"\(\s*\"(\w+)\"", code))
     table = (ROOT / "docs" / "on-call.md").read_text().split("## Log events")[1].split("\n## ")[0]
     assert said == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(said) > 15
 
@@ -232,10 +233,10 @@
 
 def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
-        Metrics().must(False, "one_answer")
+        Metrics().check_invariant(False, "one_answer")
     release = (
-        "from vetchford.runtime.metrics import Counts\nc = Counts()\nc.must(False, 'one_answer')\n"
-        "print(c.by_name)"
+        "from vetchford.runtime.metrics import Metrics\nm = Metrics()\n"
+        "m.check_invariant(False, 'one_answer')\nprint(m.by_name)"
     )
     ran = subprocess.run([sys.executable, "-O", "-c", release], capture_output=True, text=True, cwd=ROOT)
     assert "'must_hold_broken': 1" in ran.stdout
