--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -11,7 +11,6 @@
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import timers
 from vetchford.runtime.metrics import Metrics
-from vetchford.server import admission_actor as under_test
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.worker_pool import WorkerPoolClient
 
@@ -41,8 +40,7 @@
 
     def __init__(self, seed, monkeypatch):
         self.chance, self.now = random.Random(seed), 1_764_576_000_000.0
-        for part in (under_test, timers):
-            monkeypatch.setattr(part, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
+        monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
         self.module = AdmissionActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Metrics())
         self.pool = WorkerPoolClient(("", 0), self.module, Metrics())
         self.pool.run_or_post = self.sent
@@ -150,7 +148,9 @@
             for _ in range(chance.randrange(len(self.to_pool) + 1)):
                 self.command(self.to_pool.pop(0))
             # The replay's end, and what is sent again upon it, cross in under a ms: no run ends meanwhile.
-            ends = not self.module.ready and any(message["type"] == "polled" for message in self.to_server)
+            ends = not self.module.commands.ready and any(
+                message["type"] == "polled" for message in self.to_server
+            )
             for _ in range(len(self.to_server) if ends else chance.randrange(len(self.to_server) + 1)):
                 message = self.to_server.pop(0)
                 self.pool.take(message["type"], message)
@@ -213,4 +213,4 @@
     # Links broke at the wrong time, and results were shared.
     assert day.module.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
     assert all("must_hold" not in name and "broke" not in name for name in day.module.metrics.by_name)
-    assert not day.module.calls and not day.module.prints.sharing
+    assert not day.module.calls.in_flight and not day.module.idempotency_cache.followers
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -9,7 +9,6 @@
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import timers
 from vetchford.runtime.metrics import Metrics
-from vetchford.server import admission_actor as module_file
 from vetchford.server.admission_actor import AdmissionActor
 
 
@@ -18,8 +17,7 @@
 
     def __init__(self, monkeypatch, bound=True):
         self.now = 1_764_576_000_000.0
-        for part in (module_file, timers):
-            monkeypatch.setattr(part, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
+        monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
         self.stops, self.peer, self.doors = [], Recorder(), Recorder()
         self.module = AdmissionActor(7, TOLD, Metrics())
         self.peer.mailbox = queue.SimpleQueue()
@@ -44,11 +42,11 @@
     clocked.module.shutdown_requested(clocked.now, 1000.0, 100.0)
     clocked.now += 200.0
     with pytest.raises(ZeroDivisionError):
-        clocked.module.sweep()
+        clocked.module.tick()
     assert [act for act in clocked.doors.acts if act[0] == "close"] and not clocked.stops
     clocked.all_out = True
     with pytest.raises(ZeroDivisionError):
-        clocked.module.sweep()
+        clocked.module.tick()
     assert clocked.stops
 
 
@@ -60,7 +58,7 @@
     heap = clocked.module.timers.heap
     heap[:] = sorted(entry for entry in heap if entry[0] > kill - 100.0)  # all sweeps before are over
     clocked.now = kill - 45.0
-    clocked.module.sweep()
+    clocked.module.tick()
     assert not clocked.stops
     while not clocked.stops and clocked.now < kill + 10.0:
         clocked.at(clocked.now + 1.0)
@@ -86,7 +84,7 @@
     signalled = clocked.now
     clocked.now += 300.0
     clocked.module.shutdown_requested(signalled, 1000.0, 100.0)
-    assert clocked.module.drain.kill == signalled + 1000.0
+    assert clocked.module.shutdown.schedule.kill == signalled + 1000.0
     door = signalled + 150.0  # past the grace: the page forbids to run it
     clocked.module.request_arrived(
         clocked.peer, IncomingRequest(1, "ab", 0, "read", -1, 0, door, 500.0, 20.0, 1.0, None, "")
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -23,7 +23,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.server import client_connections, platform_config
 from vetchford.server.admission_actor import AdmissionActor
-from vetchford.server.idempotency_cache import IdempotencyCache
+from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
 
 
 def command(*given, **environment):
@@ -87,7 +87,7 @@
     module.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     module.worker_pool_bound(1, cold, 5000.0)
-    assert module.now() >= 5000.0  # what is left of the ramp is told to the node by its clock
+    assert module.clock.now() >= 5000.0  # what is left of the ramp is told to the node by its clock
     assert module.controller.ramp == (18_000.0 if cold else 0.0)
 
 
@@ -102,7 +102,7 @@
     module.controller.running = 1
     told = []
     module.controller.on_tick = lambda now, busy, on_cores: told.append((busy, on_cores))
-    module.sweep()
+    module.tick()
     assert told == [(0.9, 2.0)]  # one reads, as at the poll
 
 
@@ -113,7 +113,9 @@
     module.worker_pool_bound(1, False, 5000.0)
     module.request_arrived(
         peer,
-        IncomingRequest(1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1e9, 1e9, 1.0, None, ""),
+        IncomingRequest(
+            1, "ab", 0, "read", -1, 0, module.clock.origin + module.clock.now(), 1e9, 1e9, 1.0, None, ""
+        ),
     )
     task = module.controller.tasks[0]
     assert task.work == 60_000.0 and task.limit - task.arrived <= 60_000.1
@@ -126,14 +128,16 @@
     module.worker_pool_bound(1, False, 5000.0)
     module.request_arrived(
         peer,
-        IncomingRequest(1, "ab", 0, "read", -1, 0, module.origin + module.now(), 1000.0, 20.0, 1.0, None, ""),
+        IncomingRequest(
+            1, "ab", 0, "read", -1, 0, module.clock.origin + module.clock.now(), 1000.0, 20.0, 1.0, None, ""
+        ),
     )
     module.controller.on_tick = lambda *given: None
-    module.sweep()
+    module.tick()
     assert "answer" not in [act[0] for act in peer.acts]
-    module.origin -= 2000.0  # its limit has passed
-    module.sweep()
-    module.sweep()
+    module.clock.origin -= 2000.0  # its limit has passed
+    module.tick()
+    module.tick()
     assert [act[0] for act in peer.acts].count("answer") == 1
     assert module.metrics.by_name["must_hold_broken"] == 1
 
@@ -242,36 +246,36 @@
     assert "'must_hold_broken': 1" in ran.stdout
 
 
-def test_fingerprints_agree_with_a_plain_list_of_what_was_kept():
+def test_idempotency_keys_agree_with_a_plain_list_of_what_was_kept():
     for seed in range(50):
-        chance, prints, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
+        chance, cache, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
         for q in range(200):
             mark, door = chance.choice("abcde"), float(10 * q)
             live = [entry for entry in plain if entry[0] == mark]
             expected = live[-1][1] if live and door <= live[-1][2] else None
-            assert prints.find(mark, door) == expected
+            assert cache.find_original(mark, door) == expected
             if expected is None:
                 plain = [entry for entry in plain if entry[0] != mark]
                 plain.append((mark, q, door + 45.0))
-                prints.keep(mark, q, door + 45.0)
+                cache.remember(mark, q, door + 45.0)
             else:
                 if expected in ended:
-                    assert prints.results[expected] == (True, str(expected))
+                    assert cache.results[expected] == (True, str(expected))
                 else:
-                    prints.wait(expected, q)
+                    cache.add_follower(expected, q)
             if chance.random() < 0.5:
                 _, done, _ = chance.choice(plain)
                 if done not in ended:
-                    waiting = prints.end(done, True, str(done))
-                    assert waiting == sorted(waiting) and done not in prints.sharing
+                    waiting = cache.run_ended(done, RunResult(True, str(done)))
+                    assert waiting == sorted(waiting) and done not in cache.followers
                     ended[done] = True
             if chance.random() < 0.2:
                 gone = chance.choice(plain)
                 plain.remove(gone)
-                chance.choice((prints.drop, prints.release))(gone[1])
+                chance.choice((cache.forget, cache.release))(gone[1])
         for _, q, _ in plain:
-            prints.release(q)
-        assert not prints.entries and not prints.marks
+            cache.release(q)
+        assert not cache.entries and not cache.keys
 
 
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
--- a/vetchford/runtime/timers.py
+++ b/vetchford/runtime/timers.py
@@ -3,30 +3,46 @@
 import heapq
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
-A_TURN = 64  # fired before the mailbox is looked at again
+MAX_FIRED_AT_ONCE = 64  # timers, before the mailbox is read again
+
+
+def unix_time_ms() -> float:
+    """Now, in milliseconds since the Unix epoch."""
+    return time.time() * 1000.0
+
+
+class ScheduledCall(NamedTuple):
+    """An entry of the heap; ordered by its time, and among equal times by its number."""
+
+    due: float  # Unix ms
+    number: int
+    method: Callable[..., None]
+    arguments: tuple[Any, ...]
 
 
 class Timers:
-    """A heap, emptied as its entries fall due; only its actor's thread touches it."""
+    """A heap of calls, emptied as they fall due; only the thread of its actor may use it."""
 
     def __init__(self) -> None:
-        self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = 0  # among equals the first set is the first to fire
+        """Start without timers."""
+        self.heap: list[ScheduledCall] = []
+        self.scheduled_count = 0
 
-    def at(self, when: float, act: Callable[..., None], *given: Any) -> None:
-        """`when` in Unix ms."""
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, act, given))
+    def schedule(self, due: float, method: Callable[..., None], *arguments: Any) -> None:
+        """Call `method` with `arguments` at `due`, in Unix ms; there is no way to take it back."""
+        self.scheduled_count += 1
+        heapq.heappush(self.heap, ScheduledCall(due, self.scheduled_count, method, arguments))
 
     def next_timeout(self) -> float | None:
-        """Seconds until the next is due; None while there is none."""
-        return max(0.0, self.heap[0][0] / 1000.0 - time.time()) if self.heap else None
+        """Return the seconds until the next timer is due; None while there is none."""
+        return max(0.0, self.heap[0].due / 1000.0 - time.time()) if self.heap else None
 
-    def fire(self, guarded: Callable[..., None]) -> None:
-        for _ in range(A_TURN):
-            if not self.heap or self.heap[0][0] > time.time() * 1000.0:
+    def fire_due(self, run: Callable[..., None]) -> None:
+        """Hand each call that is due to `run`, which must not raise; at most `MAX_FIRED_AT_ONCE` of them."""
+        for _ in range(MAX_FIRED_AT_ONCE):
+            if not self.heap or self.heap[0].due > unix_time_ms():
                 return
-            _, _, act, given = heapq.heappop(self.heap)
-            guarded(act, *given)
+            _, _, method, arguments = heapq.heappop(self.heap)
+            run(method, *arguments)
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -1,482 +1,402 @@
-"""The actor that owns the admission controller, and carries out its actions on sockets.
+"""The actor that owns the admission controller and all that is kept of requests.
 
-It alone touches the controller, the request table and the idempotency cache. The actors of the peers
-post events to it, one method each. Nothing here blocks on a socket.
+The actors of the peers post events to it, one method each. It hands them to the controller, whose decisions
+come back as calls of `ServerActions`. Nothing here blocks on a socket. What is kept lies in parts of one job
+each, which only the thread of this actor uses:
+
+- `requests`, `answers` and `idempotency_cache`: the requests, their answers, and whose result is shared
+- `commands` and `gauges`: what the worker pool is sent, and what it reports
+- `calls`: the calls to the records service in flight
+- `shutdown`: from the termination notice to the end
+- `clock` and `timers`: the time that decisions are made by, and what is due at a time
 """
 
 import contextlib
 import hashlib
 import math
-import time
-from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 import structlog
 
-from vetchford.admission import controller, factory
-from vetchford.protocol import json_rpc, worker_pool_lines
+from vetchford.admission import controller as admission
+from vetchford.admission import factory
+from vetchford.admission.controller import AdmissionController
+from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.timers import Timers
-from vetchford.server.idempotency_cache import IdempotencyCache
-from vetchford.server.request_table import RequestEntry, RequestTable
-from vetchford.server.shutdown import ShutdownSchedule
+from vetchford.runtime.timers import Timers, unix_time_ms
+from vetchford.server.client_connections import Listener
+from vetchford.server.dependency_calls import DependencyCalls
+from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
+from vetchford.server.records_client import RecordsClient
+from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.request_answers import RequestAnswers
+from vetchford.server.request_table import Client, RequestEntry, RequestTable
+from vetchford.server.server_actions import ServerActions, SharedResult
+from vetchford.server.server_clock import ServerClock
+from vetchford.server.shutdown import GracefulShutdown
+from vetchford.server.worker_pool import WorkerPoolClient
+from vetchford.server.worker_pool_commands import WorkerPoolCommands
+from vetchford.server.worker_pool_gauges import WorkerPoolGauges
+
+if TYPE_CHECKING:
+    from vetchford.coordination.load_sampler import LoadSampler
 
 log = structlog.get_logger()
 
-POLL_AHEAD = 6.0  # ms before a wake: the gauges come back in under one, a busy machine takes a few
-MOST_BEHIND = 64  # entries in the pool's mailbox: far more than a sweep brings
-OVERDUE = 30.0  # ms past a task's limit: the sweep before it has answered, and the page allows 150
-SUMMARY = 10_000.0  # ms between summary lines
-Act, Given = Callable[..., None], tuple[Any, ...]
-RUNS, BEGUN = (controller.RUNNING,), (controller.RUNNING, controller.PARKED, controller.CALLING)
+OVERDUE = 30.0  # ms past an answer's due time: the tick before it has answered, and 150 are allowed
+SUMMARY_INTERVAL = 10_000.0  # ms
+MAX_LOGGED_ID = 64  # characters
+KEY_DIGEST_SIZE = 16  # bytes
+EXECUTING_STATES = (admission.RUNNING,)
+STARTED_STATES = (admission.RUNNING, admission.PARKED, admission.CALLING)
+
+
+class FleetSignals(Protocol):
+    """What the servers of a fleet see together; see `vetchford.gossip.fleet_signals`."""
+
+    pace: float
+    room: float
+    full: bool
+    stretch: float
 
 
 class AdmissionActor(Actor):
+    """Takes the events of a server and hands them to its admission controller.
+
+    There is no controller until the worker pool is bound; requests that are read before are rejected.
+    """
+
+    requests: RequestTable
+    answers: RequestAnswers
+    commands: WorkerPoolCommands
+    calls: DependencyCalls
+    actions: ServerActions
+    shutdown: GracefulShutdown
+
     def __init__(
-        self, seed: int, told: dict[str, Any], metrics: Metrics, pools: Callable[[], Any] | None = None
+        self,
+        seed: int,
+        settings: dict[str, Any],
+        metrics: Metrics,
+        make_bulkheads: Callable[[], Any] | None = None,
     ) -> None:
-        """`pools` makes the class pools; without it there are none."""
+        """Take the platform's `settings`; without `make_bulkheads` request classes share all capacity."""
         super().__init__("module", metrics)
-        self.seed, self.told, self.make_pools = seed, told, pools
-        self.gauge_places = factory.indices(told)[2]
-        self.tasks, self.prints = RequestTable(), IdempotencyCache()
-        self.marks: dict[int, str] = {}  # fingerprints of tasks; emptied by `release`
-        self.calls: dict[int, int] = {}  # tasks by the number of their call; emptied as calls end or are cut
-        self.begun: dict[int, float] = {}  # when they went out; emptied alike
-        self.call_count = 0
-        self.timers, self.drain = Timers(), ShutdownSchedule()
-        self.later: deque[tuple[Act, Given]] = deque()  # until the node's method returns
-        self.controller: controller.AdmissionController | None = None
-        self.origin = 0.0  # Unix ms that the node's clock starts at
-        self.link, self.ready = 0, False  # the pool's link; whether its replay was read
-        self.arriving = -1  # the task that the node is told of just now
-        self.polls, self.confirmed = 0, (0, 0)  # sent; link and number of the last that was answered
-        self.gauges: list[float] = []
-        self.running_then = 0  # the module's runs when the gauges were read
-        self.idle_for = math.inf
-        self.stopped = False
-        self.watch: Any = None  # measures for the fleet, where neighbours are told of
-
-    def attach(self, pool: Any, records: Any, members: Any, doors: Any, stopped: Callable[[], None]) -> None:
-        self.pool, self.records, self.members, self.doors = pool, records, members, doors
-        self.when_stopped = stopped
-
-    # -- the clock and its timers
-
-    def now(self) -> float:
-        return time.time() * 1000.0 - self.origin
+        self.seed, self.settings, self.make_bulkheads = seed, settings, make_bulkheads
+        self.clock, self.timers = ServerClock(), Timers()
+        self.requests, self.idempotency_cache = RequestTable(), IdempotencyCache()
+        self.answers = RequestAnswers(self.requests, metrics)
+        self.gauges = WorkerPoolGauges(factory.indices(settings)[2])
+        self.controller: AdmissionController | None = None
+        self.load_sampler: LoadSampler | None = None  # set for a server that is part of a fleet
+
+    def attach(
+        self,
+        worker_pool: WorkerPoolClient,
+        records: RecordsClient,
+        registry: RegistryReporter,
+        listener: Listener,
+        on_stopped: Callable[[], None],
+    ) -> None:
+        """Set the peers, before the start; `on_stopped` is called on this actor's thread at the end."""
+        self.listener, self.registry = listener, registry
+        self.commands = WorkerPoolCommands(worker_pool, self.requests, self.metrics)
+        self.calls = DependencyCalls(records, self.timers, self.call_timed_out)
+        self.shutdown = GracefulShutdown(listener, self.answers, self.timers, self.log_summary, on_stopped)
+        self.actions = ServerActions(
+            metrics=self.metrics,
+            clock=self.clock,
+            timers=self.timers,
+            requests=self.requests,
+            idempotency_cache=self.idempotency_cache,
+            answers=self.answers,
+            commands=self.commands,
+            calls=self.calls,
+            listener=listener,
+            registry=registry,
+            on_tick=self.tick,
+        )
+
+    # -- the mailbox and the timers
 
     def next_timeout(self) -> float | None:
+        """Return the seconds until the next timer."""
         return self.timers.next_timeout()
 
     def on_idle(self) -> None:
-        self.timers.fire(self.run_guarded)
+        """Fire the timers that are due."""
+        self.timers.fire_due(self.run_guarded)
 
     def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
+        """Run one event, then what the controller's actions have deferred."""
         super().run_guarded(act, *given)
-        while self.later:
-            later, its = self.later.popleft()
-            super().run_guarded(later, *its)
+        while self.actions.deferred:
+            super().run_guarded(self._deliver_shared_result, self.actions.deferred.popleft())
 
-    # -- what can happen
+    # -- requests
 
-    def request_arrived(self, caller: Any, request: IncomingRequest) -> None:
-        rpc_id, name, stage, content = (
-            request.rpc_id,
-            request.request_id,
-            request.request_class,
-            request.content,
-        )
-        door, limit, work, mark = (
-            request.arrived_at,
-            request.time_limit,
-            request.cpu_time,
-            request.idempotency_key,
-        )
-        if self.controller is None:  # the pool is not up: it never ran
+    def request_arrived(self, client: Client, request: IncomingRequest) -> None:
+        """Take a request that was read from a client's connection."""
+        if self.controller is None:  # the worker pool is not up: it never ran
             self.metrics.increment("rejected_no_pool")
-            caller.answer(rpc_id, json_rpc.rejected(rpc_id, False, 0.0))
-            return
-        if name in self.tasks.by_name:
-            self.metrics.log_sampled(
-                "balancer_bad_message", code=json_rpc.INVALID_PARAMS, problem="field 'txn' is in use"
-            )
-            caller.answer(rpc_id, json_rpc.error(rpc_id, json_rpc.INVALID_PARAMS, "field 'txn' is in use"))
-            return
-        now, arrived, told = self.now(), door - self.origin, self.controller.stages[stage]
-        # No caller waits for longer than the time limit, nor asks for more work than fits into it: one that
-        # says so must neither be held for hours nor outweigh all others in what is learnt.
-        until = None if limit is None else arrived + min(limit, told.limit)
-        work = None if work is None else min(work, told.limit)
-        limit = max(now, arrived + told.limit if until is None else until)
-        q = self.tasks.enter(RequestEntry(name, request.method, caller, rpc_id, content, limit))
+            client.answer(request.rpc_id, json_rpc.rejected(request.rpc_id, False, 0.0))
+        elif self.requests.find(request.request_id) is not None:
+            self._refuse_duplicate_id(client, request)
+        else:
+            self._admit(self.controller, client, request)
+
+    def client_gone(self, client: Client) -> None:
+        """Give up what is unanswered of a client whose connection broke."""
+        indices = [index for index, entry in self.requests.unanswered() if entry.client is client]
+        for index in indices:
+            if self.requests.is_unanswered(index):
+                self.requests[index].answered = True
+                self.metrics.increment("callers_gone")
+                self._bound_controller().client_gone(self.clock.now(), index)
+
+    def _refuse_duplicate_id(self, client: Client, request: IncomingRequest) -> None:
+        code, problem = json_rpc.INVALID_PARAMS, "field 'txn' is in use"
+        self.metrics.log_sampled("balancer_bad_message", code=code, problem=problem)
+        client.answer(request.rpc_id, json_rpc.error(request.rpc_id, code, problem))
+
+    def _admit(self, controller: AdmissionController, client: Client, request: IncomingRequest) -> None:
+        now, arrived_at = self.clock.now(), request.arrived_at - self.clock.origin
+        request_class = controller.stages[request.request_class]
+        # No client waits for longer than the limit of the class, nor asks for more work than fits into it: a
+        # request that claims so must neither be queued for hours nor outweigh all others in what is learnt.
+        deadline = None
+        if request.time_limit is not None:
+            deadline = arrived_at + min(request.time_limit, request_class.limit)
+        work = None if request.cpu_time is None else min(request.cpu_time, request_class.limit)
+        answer_due = max(now, arrived_at + request_class.limit if deadline is None else deadline)
+        entry = RequestEntry(
+            request.request_id, request.method, client, request.rpc_id, request.content, answer_due
+        )
         original = None
-        if mark is not None and told.effect == controller.FINGERPRINTED:
-            # All tries of a task carry the same body: under its key with another one this is no repeat of it.
-            mark = f"{stage} {mark} {hashlib.blake2b(content.encode(), digest_size=16).hexdigest()}"
-            original = self.prints.find(mark, door)
-            self.marks[q] = mark
-            if original is not None:
-                self.tasks[q].waits_for = original
+        if request.idempotency_key is not None and request_class.effect == admission.FINGERPRINTED:
+            entry.idempotency_key = qualified_key(request)
+            original = self.idempotency_cache.find_original(entry.idempotency_key, request.arrived_at)
+            entry.original = -1 if original is None else original
+        index = self.requests.add(entry)
         self.metrics.increment("read")
-        self.arriving = q
-        self.controller.request_arrived(
+        self.actions.arriving = index
+        controller.request_arrived(
             now,
-            q,
-            stage,
+            index,
+            request.request_class,
             request.tenant,
             request.balancer,
-            until,
+            deadline,
             work,
             max(1, round(request.memory_kb * factory.BYTES_PER_KB)),
             False,
-            max(0.0, now - arrived),
+            max(0.0, now - arrived_at),
             original,
         )
-        self.arriving = -1
+        self.actions.arriving = -1
 
-    def client_gone(self, caller: Any) -> None:
-        for q in [q for q, slot in enumerate(self.tasks.slots) if slot and slot.caller is caller]:
-            slot = self.tasks.slots[q]
-            if slot is not None and not slot.answered:
-                slot.answered = True
-                self.metrics.increment("callers_gone")
-                self.controller.client_gone(self.now(), q)
+    def _deliver_shared_result(self, shared: SharedResult) -> None:
+        index, result = shared
+        if not self.requests.is_unanswered(index):
+            return
+        code = "completed" if result.completed else "errored"
+        self.answers.run_ended(self.requests[index], code, result.content)
+        self._bound_controller().run_ended(self.clock.now(), index, code, 0.0)
 
-    def worker_pool_bound(self, link: int, cold: bool, ago: float) -> None:
-        self.link, self.ready = link, False
-        if self.controller is None and self.drain.begun():
-            return  # it leaves: a node would report itself fit, and what came before was turned away
+    # -- the worker pool
+
+    def worker_pool_bound(self, link: int, cold: bool, started_ago: float) -> None:
+        """Use a new link; `cold`: speed still rises from the worker pool's start, `started_ago` ms ago."""
+        self.commands.link_bound(link)
         if self.controller is None:
-            self.origin = time.time() * 1000.0 - ago
-            pools = self.make_pools() if self.make_pools else None
-            self.controller = factory.build(self, self.seed, self.told, cold, pools)
-            log.info("pool_bound", cold=cold, started_ms_ago=round(ago))
-            self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
-        self.poll()  # what is read before its answer is the replay
+            if self.shutdown.schedule.started():
+                return  # a controller would report readiness, and what came before was rejected
+            self._start_controller(cold, started_ago)
+        self.commands.poll()  # what is read before its answer is the replay
 
     def worker_pool_lost(self) -> None:
-        self.ready = False
-
-    def poll_answered(self, ref: str, gauges: list[float]) -> None:
-        link, _, number = ref.partition("-")
-        if link != str(self.link) or not number.isdigit():
+        """Keep commands until another link is bound."""
+        self.commands.link_lost()
+
+    def poll_answered(self, reference: str, gauges: list[float]) -> None:
+        """Take the gauges, and that all commands before the poll have arrived."""
+        number = self.commands.poll_number(reference)
+        if number is not None:
+            self.gauges.update(gauges, self._bound_controller().running)
+            self.commands.poll_answered(number)
+
+    def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
+        """Take that a run waits for a dependency call, by notice number `notice`."""
+        index = self._find_run(request_id, EXECUTING_STATES)
+        if index is None:
             return
-        self.gauges, self.running_then = gauges, self.controller.running
-        if not self.ready:  # the first answer on a link comes behind the replay
-            self.ready = True
-            self.send_again()
-        self.confirmed = (self.link, int(number))
-
-    def send_again(self) -> None:
-        """What may not have arrived on the last link, and is answered by no notice.
-
-        An answered poll proves that all before it arrived. A reply sent twice would pass for a later call's.
-        """
-        for slot in self.tasks.slots:
-            if slot is None or slot.command is None:
-                continue
-            link, polls = slot.commanded
-            if link == self.confirmed[0] and polls < self.confirmed[1]:
-                slot.command = None  # it arrived: the link after the next knows nothing of this one's polls
-                continue
-            self.metrics.increment("commands_sent_again")
-            self.command(slot, slot.command)
-
-    def known(self, name: str, states: tuple[int, ...]) -> int | None:
-        """The task of a notice; none where it can't be about its run: that is counted and changes nothing."""
-        q = self.tasks.by_name.get(name)
-        if q is None or q not in self.controller.tasks or self.controller.tasks[q].state not in states:
-            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=q is not None)
-            return None
-        return q
-
-    def command_unknown(self, command: str, name: str) -> None:
-        self.metrics.log_sampled("pool_unknown", command=command, task=name)
-        q = self.tasks.by_name.get(name)
-        if command == "spawn" and q is not None:  # no end of this run will ever be told
-            caller = self.tasks[q].caller
-            self.refuse_held(caller)  # before this end frees a core for the next of its like
-            self.run_ended(name, "superseded", 0.0, "")
-            caller.run_or_post(caller.distrust)
-
-    def refuse_held(self, caller: Any) -> None:
-        """It sent what never came by the balancers: the rest of it is held for nobody."""
-        for q, slot in enumerate(self.tasks.slots):
-            if slot is not None and slot.caller is caller and not slot.answered and q in self.controller.held:
-                self.answer(slot, json_rpc.rejected(slot.rpc_id, True, 0.0), "rejected_distrusted")
-                self.controller.client_gone(self.now(), q)
-
-    def run_blocked(self, name: str, notice: int, body: bytes) -> None:
-        q = self.known(name, RUNS)
-        if q is None:
+        entry = self.requests[index]
+        entry.command, entry.blocked_notice, entry.call_body = None, notice, body
+        controller = self._bound_controller()
+        if controller.calls is None:  # there is no dependency: the controller would fail in each tick
+            self._count_odd_notice(request_id, known=True)
+            return
+        controller.run_blocked(self.clock.now(), index)
+
+    def run_ended(self, request_id: str, code: str, duration: float, content: str) -> None:
+        """Take the end of a run: its outcome, the ms it took and its result in base64."""
+        index = self._find_run(request_id, STARTED_STATES)
+        if index is None:
             return
-        slot = self.tasks[q]
-        slot.command, slot.need = None, (notice, body)
-        if (
-            self.controller.calls is None
-        ):  # nothing is below: told of a call, the node would fail in each sweep
-            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=True)
+        entry = self.requests[index]
+        entry.command, entry.content = None, ""
+        self.calls.cancel(entry)
+        if code == "superseded":  # it never ran: a request with its key is no repeat of it
+            self.idempotency_cache.forget(index)
+        self.answers.run_ended(entry, code, content)
+        result = RunResult(code == "completed", content)
+        followers = self.idempotency_cache.run_ended(index, result)
+        self._bound_controller().run_ended(self.clock.now(), index, code, duration)
+        for follower in followers:
+            self._deliver_shared_result(SharedResult(follower, result))
+
+    def command_unknown(self, command: str, request_id: str) -> None:
+        """Take that the worker pool did not carry out a command."""
+        self.metrics.log_sampled("pool_unknown", command=command, task=request_id)
+        index = self.requests.find(request_id)
+        if command != "spawn" or index is None:
             return
-        self.controller.run_blocked(self.now(), q)
+        # No end of this run will ever be reported.
+        client = self.requests[index].client
+        self._reject_queued_of(client)  # before this end frees a core for its next request
+        self.run_ended(request_id, "superseded", 0.0, "")
+        client.run_or_post(client.distrust)
+
+    def _start_controller(self, cold: bool, started_ago: float) -> None:
+        self.clock.start(started_ago)
+        bulkheads = self.make_bulkheads() if self.make_bulkheads else None
+        self.controller = factory.build(self.actions, self.seed, self.settings, cold, bulkheads)
+        self.actions.controller = self.controller
+        log.info("pool_bound", cold=cold, started_ms_ago=round(started_ago))
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
+
+    def _find_run(self, request_id: str, states: tuple[int, ...]) -> int | None:
+        """Return the request of a notice; None, counted, where the notice can't be about a run of it."""
+        index = self.requests.find(request_id)
+        tasks = self._bound_controller().tasks
+        if index is None or index not in tasks or tasks[index].state not in states:
+            self._count_odd_notice(request_id, known=index is not None)
+            return None
+        return index
+
+    def _count_odd_notice(self, request_id: str, known: bool) -> None:
+        self.metrics.log_sampled("pool_odd_notice", task=request_id[:MAX_LOGGED_ID], known=known)
+
+    def _reject_queued_of(self, client: Client) -> None:
+        """Reject what is queued of a client whose requests did not come by the balancers."""
+        controller = self._bound_controller()
+        for index, entry in self.requests.unanswered():
+            if entry.client is client and index in controller.held:
+                self.answers.reject(entry, True, 0.0, "rejected_distrusted")
+                controller.client_gone(self.clock.now(), index)
+
+    # -- dependency calls
 
     def call_ended(self, number: int, code: str, reply: bytes) -> None:
-        q = self.calls.pop(number, None)
-        if q is None:
+        """Take the outcome of a call to the records service."""
+        call = self.calls.end(number)
+        if call is None:
             self.metrics.increment("calls_late")
             return
-        slot, took = self.tasks[q], self.now() - self.begun.pop(number)
-        slot.call = 0
+        entry, duration = self.requests[call.request_index], self.clock.now() - call.started_at
+        entry.call_number = 0
         self.metrics.increment("calls_" + code)
-        if self.watch is not None:
-            self.watch.call_ended(self.now(), code, took)
+        if self.load_sampler is not None:
+            self.load_sampler.call_ended(self.clock.now(), code, duration)
         if code == "completed":
-            self.command(slot, worker_pool_lines.supply(slot.name, reply))
-        self.controller.call_ended(self.now(), q, code, took)
-
-    def call_cut(self, number: int) -> None:
-        q = self.calls.get(number)
-        if q is not None:
-            self.records.unop(self.tasks[q].name, number)
+            self.commands.supply_reply(entry, reply)
+        self._bound_controller().call_ended(self.clock.now(), call.request_index, code, duration)
+
+    def call_timed_out(self, number: int) -> None:
+        """Give up a call at its deadline, if it is still in flight."""
+        index = self.calls.find(number)
+        if index is not None:
+            self.calls.records.unop(self.requests[index].request_id, number)
             self.call_ended(number, "overdue", b"")
 
-    def run_ended(self, name: str, code: str, took: float, content: str) -> None:
-        q = self.known(name, BEGUN)
-        if q is None:
+    # -- ticks
+
+    def tick(self) -> None:
+        """Let the controller look at the time and the gauges; then what must happen whatever it does."""
+        controller = self._bound_controller()
+        now, on_cores = self.clock.now(), self.gauges.on_cores(controller.running)
+        # The callbacks run from the last to the first, also if `on_tick` or one of them raises.
+        with contextlib.ExitStack() as always:
+            always.callback(self.shutdown.advance_if_closing)
+            always.callback(self._close_idle_connections)
+            always.callback(self._fail_overdue, now - OVERDUE)
+            controller.on_tick(self.clock.now(), self.gauges.core_use(), on_cores)
+
+    def _fail_overdue(self, before: float) -> None:
+        self.answers.fail_overdue(before, self._bound_controller().kill)
+
+    def _close_idle_connections(self) -> None:
+        if self.actions.idle_timeout < math.inf:
+            self.listener.close_idle(self.actions.idle_timeout)
+
+    # -- shutdown
+
+    def shutdown_requested(self, signalled_at: float, stop_ms: float, grace: float) -> None:
+        """Start a graceful shutdown that counts from Unix ms `signalled_at`, however late this is read."""
+        answers_due = self.shutdown.start(signalled_at, stop_ms, grace)
+        if self.controller is None:  # no ticks come, and nothing can be run: only what was read is answered
+            self.registry.post(self.registry.judge, False)
+            self.shutdown.advance_repeatedly()
             return
-        slot = self.tasks[q]
-        slot.command, slot.content = None, ""
-        if slot.call:
-            self.records.unop(name, slot.call)
-            del self.calls[slot.call], self.begun[slot.call]
-            slot.call = 0
-        if code == "superseded":  # never ran: a true task under its fingerprint is no repeat of it
-            self.prints.drop(q)
-        self.finish(q, code, content)
-        followers = self.prints.end(q, code == "completed", content)
-        self.controller.run_ended(self.now(), q, code, took)
-        for follower in followers:
-            self.share_ended(follower, code == "completed", content)
+        origin = self.clock.origin
+        self.controller.start_draining(signalled_at - origin, answers_due - origin)
 
-    def share_ended(self, q: int, completed: bool, content: str) -> None:
-        slot = self.tasks.slots[q]
-        if slot is None or slot.answered:
-            return
-        self.finish(q, "completed" if completed else "errored", content)
-        self.controller.run_ended(self.now(), q, "completed" if completed else "errored", 0.0)
-
-    def finish(self, q: int, code: str, content: str) -> None:
-        slot = self.tasks[q]
-        if slot.answered:
-            self.metrics.increment("runs_unwanted")
-        elif code == "completed":
-            self.answer(slot, json_rpc.finished(slot.rpc_id, content), "finished")
-        else:
-            self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
-
-    def sweep(self) -> None:
-        places = self.gauge_places
-
-        def gauge(name: str) -> float | None:
-            at = places.get(name, len(self.gauges))
-            return self.gauges[at] if at < len(self.gauges) else None
-
-        on_cores = gauge("on_cores")
-        if on_cores is not None:
-            # Told as of now: a run that ended since the poll would pass for reading, and leave its core idle.
-            on_cores += self.controller.running - self.running_then
-        with contextlib.ExitStack() as whatever_it_does:  # called from the last to the first
-            whatever_it_does.callback(self.leave_when_due)
-            whatever_it_does.callback(self.let_idle_go)
-            whatever_it_does.callback(self.last_resort, self.now() - OVERDUE)
-            self.controller.on_tick(self.now(), gauge("core_use"), on_cores)
-
-    def let_idle_go(self) -> None:
-        if self.idle_for < math.inf:
-            self.doors.close_idle(self.idle_for)
-
-    def leave_when_due(self) -> None:
-        if self.drain.closes(time.time() * 1000.0):
-            self.leave_step()
-
-    def last_resort(self, before: float) -> None:
-        """Whatever went wrong above, no task is left without an answer."""
-        for slot in self.tasks.slots:
-            if slot is not None and not slot.answered and min(slot.until, self.controller.kill) < before:
-                self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=slot.name)
-                self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
-
-    # -- the fleet
-
-    def sample_load(self, tell: Callable[[dict[str, float]], None]) -> None:
-        """Figures for the others; see `neighbours.measure`."""
-        node = self.controller
-        if node is None or self.watch is None:
+    # -- load reports and the summary
+
+    def sample_load(self, report: Callable[[dict[str, float]], None]) -> None:
+        """Call `report` with figures for the other servers of the fleet; see `LoadSampler.figures`."""
+        controller = self.controller
+        if controller is None or self.load_sampler is None:
             return
-        usual = node.calls.base.value if node.calls is not None else 0.0
-        counters = node.counters
-        metrics = self.metrics.by_name.copy()
-        begun = self.begun.values()
-        tell(self.watch.figures(self.now(), begun, usual, metrics, counters.used, counters.memory))
+        usual_duration = controller.calls.base.value if controller.calls is not None else 0.0
+        counters = controller.counters
+        figures = self.load_sampler.figures(
+            self.clock.now(),
+            self.calls.start_times(),
+            usual_duration,
+            self.metrics.by_name.copy(),
+            counters.used,
+            counters.memory,
+        )
+        report(figures)
 
-    def fleet_signals_changed(self, numbers: Any) -> None:
+    def fleet_signals_changed(self, signals: FleetSignals) -> None:
+        """Hand what the fleet sees to the controller."""
         if self.controller is not None:
-            self.controller.apply_fleet_signals(numbers.pace, numbers.room, numbers.full, numbers.stretch)
-
-    # -- drain
-
-    def shutdown_requested(self, at: float, stop_ms: float, grace: float) -> None:
-        """`at`: Unix ms of the signal; grace and kill count from there, however far the mailbox is behind."""
-        log.info("drain_begins", stop_ms=stop_ms, open=self.open_tasks())
-        until = self.drain.begin(at, stop_ms, grace)
-        self.timers.at(self.drain.last_moment(), self.leave_step)  # sweeps may fall around it
-        if (
-            self.controller is None
-        ):  # no sweeps come, and nothing could be run: only what is read is to be answered
-            self.members.post(self.members.judge, False)
-            self.leave_without_pool()
-            return
-        self.controller.start_draining(at - self.origin, until - self.origin)
-
-    def leave_without_pool(self) -> None:
-        self.leave_step()
-        if not self.stopped:
-            self.timers.at(
-                time.time() * 1000.0 + controller.AdmissionController.SWEEP, self.leave_without_pool
-            )
-
-    def leave_step(self) -> None:
-        """Past the grace nothing new is taken; once all is answered and written, the end."""
-        last = self.drain.ends(time.time() * 1000.0, False)
-        try:
-            if last:
-                self.last_resort(math.inf)  # a program that was paused past its sweeps still says what it can
-            self.doors.close()
-        finally:
-            # Whatever goes wrong on the way, the program ends before it is killed.
-            if last or self.doors.done() and not self.open_tasks():
-                self.end()
-
-    def end(self) -> None:
-        if not self.stopped:
-            self.stopped = True
-            try:
-                self.metrics.check_invariant(not self.open_tasks(), "answered_before_the_stop")
-                self.summarise()
-            finally:
-                self.when_stopped()
-
-    def open_tasks(self) -> int:
-        return sum(slot is not None and not slot.answered for slot in self.tasks.slots)
-
-    def summarise(self) -> None:
+            self.controller.apply_fleet_signals(signals.pace, signals.room, signals.full, signals.stretch)
+
+    def log_summary(self) -> None:
+        """Log all counts, now and each `SUMMARY_INTERVAL` from now on."""
         self.metrics.log_summary(
-            open=self.open_tasks(), connections=len(self.doors.connections), known=len(self.tasks.by_name)
+            open=self.answers.count_unanswered(),
+            connections=len(self.listener.connections),
+            known=len(self.requests),
         )
-        self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
-
-    # -- the host
-
-    def answer(self, slot: RequestEntry, parts: list[bytes], outcome: str) -> None:
-        if self.metrics.check_invariant(not slot.answered, "one_answer", task=slot.name):
-            slot.answered = True
-            self.metrics.increment(outcome)
-            slot.caller.answer(slot.rpc_id, parts)
-
-    def command(self, slot: RequestEntry, parts: list[bytes], once: bool = False) -> None:
-        slot.command, slot.commanded = parts, (0, 0)  # not sent
-        if self.ready:
-            slot.commanded = (self.link, self.polls)
-            if once:
-                # A poll behind it is answered in well under a ms. What is not confirmed when a link breaks is
-                # sent again, and might start anew a run that ends just then; others may run anew.
-                self.polls += 1
-                parts = parts + worker_pool_lines.poll(f"{self.link}-{self.polls}")
-            self.pool.run_or_post(self.pool.send, self.link, parts)
-
-    def poll(self) -> None:
-        if self.pool.mailbox.qsize() > MOST_BEHIND:  # a paused pool gets no heap of polls
-            return
-        self.polls += 1
-        self.pool.run_or_post(self.pool.send, self.link, worker_pool_lines.poll(f"{self.link}-{self.polls}"))
-
-    def start(self, q: int) -> None:
-        slot = self.tasks[q]
-        once = self.controller.tasks[q].stage.effect != controller.RESTARTABLE
-        self.command(slot, worker_pool_lines.spawn(slot.name, slot.kind, slot.content), once)
-
-    def stop(self, q: int) -> None:
-        """The protocol has no command for it yet: the run goes on to its end, which changes no answer."""
-        self.metrics.increment("stops_not_sent")
-
-    def reject(self, q: int, terminal: bool, pause: float) -> None:
-        slot = self.tasks[q]
-        if self.controller.notice < math.inf:
-            why = "draining"
-        elif self.controller.stalled:
-            why = "stalled"
-        else:
-            why = "at_door" if q == self.arriving else "held"
-        self.answer(slot, json_rpc.rejected(slot.rpc_id, terminal, pause), "rejected_" + why)
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
 
-    def fail(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
+    def _bound_controller(self) -> AdmissionController:
+        """Return the controller, in events that come only after the worker pool was bound."""
+        assert self.controller is not None
+        return self.controller
 
-    def share(self, q: int) -> None:
-        first = self.tasks[q].waits_for
-        if first in self.prints.results:
-            self.later.append((self.share_ended, (q, *self.prints.results[first])))
-        else:
-            self.prints.wait(first, q)
-
-    def call(self, q: int, cut_at: float) -> None:
-        slot = self.tasks[q]
-        self.call_count += 1
-        slot.call = self.call_count
-        self.calls[slot.call], self.begun[slot.call] = q, self.now()
-        until = self.origin + cut_at
-        once = self.controller.tasks[q].stage.effect != controller.RESTARTABLE
-        self.records.op(slot.name, slot.call, until, slot.need[1], once)
-        self.timers.at(until, self.call_cut, slot.call)
-
-    def skip(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.command(slot, worker_pool_lines.skip(slot.name, slot.need[0]))
-
-    def remember(self, q: int, keep_for: float) -> None:
-        mark = self.marks.get(q)
-        if mark is not None:
-            self.prints.keep(mark, q, math.ceil(self.origin + self.now() + keep_for))
-
-    def forget(self, q: int) -> None:
-        self.prints.drop(q)
-
-    def release(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.metrics.check_invariant(slot.answered, "released_after_its_answer", task=slot.name)
-        self.marks.pop(q, None)
-        if slot.waits_for >= 0:
-            self.prints.leave(slot.waits_for, q)
-        for follower in self.prints.release(q):
-            self.later.append((self.share_ended, (follower, False, "")))
-        self.tasks.release(q)
-
-    def set_readiness(self, good: bool) -> None:
-        self.doors.fit = good
-        self.members.post(self.members.judge, good)
-        log.info("fitness", good=good)
-
-    def publish_load(self, value: float) -> None:
-        """The protocol has no place for a free value."""
-
-    def set_idle_timeout(self, keep_for: float) -> None:
-        self.idle_for = keep_for
-
-    def schedule_tick(self, delay: float) -> None:
-        when = time.time() * 1000.0 + delay
-        self.timers.at(when - POLL_AHEAD, self.poll)
-        self.timers.at(when, self.sweep)
+
+def qualified_key(request: IncomingRequest) -> str:
+    """Return the key of a request with its class and a digest of its body.
+
+    All attempts of a request carry the same body: the same key with another one is no repeat.
+    """
+    digest = hashlib.blake2b(request.content.encode(), digest_size=KEY_DIGEST_SIZE).hexdigest()
+    return f"{request.request_class} {request.idempotency_key} {digest}"
--- a/vetchford/server/idempotency_cache.py
+++ b/vetchford/server/idempotency_cache.py
@@ -1,49 +1,75 @@
-"""Fingerprints with their windows, and the results kept for repeats."""
+"""Idempotency keys with their windows, and the results kept for repeated requests."""
+
+from typing import NamedTuple
+
+
+class RunResult(NamedTuple):
+    """How the run of a request ended."""
+
+    completed: bool
+    content: str  # base64; empty unless completed
+
+
+class KeyEntry(NamedTuple):
+    """The request that holds a key."""
+
+    request_index: int
+    until: float  # Unix ms: a request that arrives later is no repeat of it
 
 
 class IdempotencyCache:
-    """Emptied by `drop` (never ran) and `release` (the window and a time limit are over); times in ms."""
+    """Which request holds a key, and which others wait for its result.
+
+    Emptied by `forget` (it never ran) and by `release` (its window and one time limit are over). Used by the
+    thread of the admission actor alone.
+    """
 
     def __init__(self) -> None:
-        self.entries: dict[str, tuple[int, float]] = {}  # index of the task and end of the window
-        self.marks: dict[int, str] = {}  # the other way round
-        self.results: dict[int, tuple[bool, str]] = {}  # of ended runs that have an entry
-        self.sharing: dict[int, list[int]] = {}  # tasks that wait for another's run
-
-    def keep(self, mark: str, q: int, until: float) -> None:
-        before = self.entries.get(mark)
-        if before is not None:
-            self.marks.pop(before[0], None)
-        self.entries[mark], self.marks[q] = (q, until), mark
-
-    def find(self, mark: str, door: float) -> int | None:
-        """The task that one which came at `door` repeats; however late it is read."""
-        entry = self.entries.get(mark)
-        return entry[0] if entry is not None and door <= entry[1] else None
-
-    def drop(self, q: int) -> None:
-        mark = self.marks.pop(q, None)
-        if mark is not None and self.entries[mark][0] == q:
-            del self.entries[mark]
-
-    def end(self, q: int, completed: bool, content: str) -> list[int]:
-        """Keeps the end of a run for as long as it may be repeated; returns those that wait for it."""
-        if q in self.marks:
-            self.results[q] = (completed, content)
-        return self.sharing.pop(q, [])
-
-    def wait(self, first: int, q: int) -> None:
-        self.sharing.setdefault(first, []).append(q)
-
-    def leave(self, first: int, q: int) -> None:
-        """A task that waited has got another answer."""
-        waiting = self.sharing.get(first, [])
-        if q in waiting:
-            waiting.remove(q)
+        """Start without keys."""
+        self.entries: dict[str, KeyEntry] = {}
+        self.keys: dict[int, str] = {}  # the same entries, key by index
+        self.results: dict[int, RunResult] = {}  # of ended runs whose request holds a key
+        self.followers: dict[int, list[int]] = {}  # requests that wait for the run of another
+
+    def remember(self, key: str, index: int, until: float) -> None:
+        """Let the request hold `key` until Unix ms `until`, in place of whichever held it before."""
+        previous = self.entries.get(key)
+        if previous is not None:
+            self.keys.pop(previous.request_index, None)
+        self.entries[key] = KeyEntry(index, until)
+        self.keys[index] = key
+
+    def find_original(self, key: str, arrived_at: float) -> int | None:
+        """Return the request that one which arrived at `arrived_at` repeats, however late it is read."""
+        entry = self.entries.get(key)
+        return entry.request_index if entry is not None and arrived_at <= entry.until else None
+
+    def forget(self, index: int) -> None:
+        """Take its key from a request; later ones with this key are no repeats of it."""
+        key = self.keys.pop(index, None)
+        if key is not None and self.entries[key].request_index == index:
+            del self.entries[key]
+
+    def run_ended(self, index: int, result: RunResult) -> list[int]:
+        """Keep the result for as long as it may be repeated; return the requests that wait for it."""
+        if index in self.keys:
+            self.results[index] = result
+        return self.followers.pop(index, [])
+
+    def add_follower(self, original: int, index: int) -> None:
+        """Let a request wait for the run of `original`."""
+        self.followers.setdefault(original, []).append(index)
+
+    def remove_follower(self, original: int, index: int) -> None:
+        """Let a request that may have waited for `original` wait no longer."""
+        waiting = self.followers.get(original, [])
+        if index in waiting:
+            waiting.remove(index)
         if not waiting:
-            self.sharing.pop(first, None)
+            self.followers.pop(original, None)
 
-    def release(self, q: int) -> list[int]:
-        self.drop(q)
-        self.results.pop(q, None)
-        return self.sharing.pop(q, [])
+    def release(self, index: int) -> list[int]:
+        """Forget all about a request; return those that still waited for it."""
+        self.forget(index)
+        self.results.pop(index, None)
+        return self.followers.pop(index, [])
--- a/vetchford/server/index_allocator.py
+++ b/vetchford/server/index_allocator.py
@@ -1,24 +1,27 @@
-"""Small indices for ids."""
+"""Small indices for names."""
 
 
 class IndexAllocator:
-    """Handed out anew once released, so the table is as long as the most ids known at once."""
+    """Gives each name the index of a released one, or the next: as many as names were known at once."""
 
     def __init__(self) -> None:
+        """Start without names."""
         self.by_name: dict[str, int] = {}  # emptied by `release`
-        self.names: list[str] = []  # by index; reused through `spare`
-        self.spare: list[int] = []
+        self.names: list[str] = []  # by index
+        self.released: list[int] = []
 
     def add(self, name: str) -> int:
-        if self.spare:
-            q = self.spare.pop()
-            self.names[q] = name
+        """Return the index of a name that has none yet."""
+        if self.released:
+            index = self.released.pop()
+            self.names[index] = name
         else:
-            q = len(self.names)
+            index = len(self.names)
             self.names.append(name)
-        self.by_name[name] = q
-        return q
+        self.by_name[name] = index
+        return index
 
-    def release(self, q: int) -> None:
-        del self.by_name[self.names[q]]
-        self.spare.append(q)
+    def release(self, index: int) -> None:
+        """Forget the name; its index may be given to another."""
+        del self.by_name[self.names[index]]
+        self.released.append(index)
--- /dev/null
+++ b/vetchford/server/request_answers.py
@@ -0,0 +1,56 @@
+"""The one final answer of each request."""
+
+import math
+
+from vetchford.protocol import json_rpc
+from vetchford.runtime.metrics import Metrics
+from vetchford.server.request_table import RequestEntry, RequestTable
+
+
+class RequestAnswers:
+    """Sends answers to clients and counts them. Used by the thread of the admission actor alone."""
+
+    def __init__(self, requests: RequestTable, metrics: Metrics) -> None:
+        """Answer the requests of this table."""
+        self.requests, self.metrics = requests, metrics
+
+    def complete(self, entry: RequestEntry, content: str) -> None:
+        """Answer with the result of a run, in base64."""
+        self._send(entry, json_rpc.finished(entry.rpc_id, content), "finished")
+
+    def fail(self, entry: RequestEntry) -> None:
+        """Answer with an error that promises nothing about effects."""
+        self._send(entry, json_rpc.abandoned(entry.rpc_id), "abandoned")
+
+    def reject(self, entry: RequestEntry, terminal: bool, retry_after: float, counter: str) -> None:
+        """Answer that it never ran: `retry_after` in ms, 0 for none; `terminal`: not to be sent again."""
+        self._send(entry, json_rpc.rejected(entry.rpc_id, terminal, retry_after), counter)
+
+    def run_ended(self, entry: RequestEntry, code: str, content: str) -> None:
+        """Answer by how the run ended, unless another answer was sent before."""
+        if entry.answered:
+            self.metrics.increment("runs_unwanted")
+        elif code == "completed":
+            self.complete(entry, content)
+        else:
+            self.fail(entry)
+
+    def fail_overdue(self, before: float, deadline: float = math.inf) -> None:
+        """Fail what was due before `before`, in ms by the server's clock; all of it is due by `deadline`.
+
+        The controller answers in time. This holds whatever goes wrong there.
+        """
+        for _, entry in self.requests.unanswered():
+            if min(entry.answer_due, deadline) < before:
+                self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=entry.request_id)
+                self.fail(entry)
+
+    def count_unanswered(self) -> int:
+        """Return the number of requests without an answer."""
+        return sum(1 for _ in self.requests.unanswered())
+
+    def _send(self, entry: RequestEntry, parts: list[bytes], counter: str) -> None:
+        if self.metrics.check_invariant(not entry.answered, "one_answer", task=entry.request_id):
+            entry.answered = True
+            self.metrics.increment(counter)
+            entry.client.answer(entry.rpc_id, parts)
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -1,59 +1,89 @@
-"""The tasks a server knows, by small index."""
+"""The requests that a server knows, by small index."""
 
-from typing import Any
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from vetchford.server.index_allocator import IndexAllocator
 
 
+class Client(Protocol):
+    """The connection that a request came by; its methods may be called from any thread."""
+
+    def answer(self, rpc_id: int, parts: list[bytes]) -> None:
+        """Send the final answer of a request, as parts of one message."""
+
+    def distrust(self) -> None:
+        """Read nothing more, and close once all is answered."""
+
+    def run_or_post(self, act: Callable[..., None], *given: Any) -> None:
+        """Run one of its methods on the actor of the connection."""
+
+
+@dataclass(slots=True, eq=False)
 class RequestEntry:
-    """What is kept of one task: where its answer goes, and what the worker pool was told last."""
-
-    __slots__ = (
-        "answered",
-        "call",
-        "caller",
-        "commanded",
-        "command",
-        "content",
-        "kind",
-        "name",
-        "need",
-        "rpc_id",
-        "until",
-        "waits_for",
-    )
-
-    def __init__(self, name: str, kind: str, caller: Any, rpc_id: int, content: str, until: float) -> None:
-        self.name, self.kind, self.caller, self.rpc_id, self.content = name, kind, caller, rpc_id, content
-        self.until = until  # ms by the node's clock: its answer is due by then
-        self.answered = False
-        self.command: list[bytes] | None = None  # to the pool, which may not have arrived yet
-        self.commanded: tuple[int, int] = (0, 0)  # link and poll that it was sent before
-        self.need: tuple[int, bytes] = (0, b"")  # notice and body of the call it waits for
-        self.call = 0  # number of the call that is out; 0: none
-        self.waits_for = -1  # index of the task whose result it shares
-
-
-class RequestTable(IndexAllocator):
-    """Slots by index; a released index has none."""
+    """What is kept of one request: where its answer goes, and what the worker pool was sent for it last."""
+
+    request_id: str
+    method: str  # name of the request class on the wire
+    client: Client
+    rpc_id: int
+    content: str  # base64; emptied once the run has ended
+    answer_due: float  # ms by the server's clock
+    idempotency_key: str | None = None  # with its class and a digest of the body; None: not idempotent by key
+    answered: bool = False
+    command: list[bytes] | None = None  # last command to the worker pool, while it may not have arrived
+    command_link: int = 0  # number of the link that the command was sent on; 0: not sent
+    command_poll: int = 0  # number of the last poll sent before it
+    blocked_notice: int = 0  # number of the notice that the run waits for a dependency call
+    call_body: bytes = b""  # body of that call
+    call_number: int = 0  # number of the dependency call in flight; 0: none
+    original: int = -1  # index of the request whose result this one shares; -1: none
+
+
+class RequestTable:
+    """Entries by index; a released index has none. Used by the thread of the admission actor alone."""
 
     def __init__(self) -> None:
-        super().__init__()
-        self.slots: list[RequestEntry | None] = []
+        """Start without requests."""
+        self.indices = IndexAllocator()
+        self.entries: list[RequestEntry | None] = []
+
+    def __len__(self) -> int:
+        """Return the number of requests that are known, answered ones included."""
+        return len(self.indices.by_name)
 
-    def enter(self, slot: RequestEntry) -> int:
-        q = self.add(slot.name)
-        if q == len(self.slots):
-            self.slots.append(slot)
+    def __getitem__(self, index: int) -> RequestEntry:
+        """Return the entry of an index that is in use."""
+        entry = self.entries[index]
+        assert entry is not None
+        return entry
+
+    def add(self, entry: RequestEntry) -> int:
+        """Return the index of a request whose `request_id` is not known yet."""
+        index = self.indices.add(entry.request_id)
+        if index == len(self.entries):
+            self.entries.append(entry)
         else:
-            self.slots[q] = slot
-        return q
+            self.entries[index] = entry
+        return index
+
+    def find(self, request_id: str) -> int | None:
+        """Return the index of a request by its id; None where it is not known."""
+        return self.indices.by_name.get(request_id)
+
+    def is_unanswered(self, index: int) -> bool:
+        """Whether the index is in use and its request has no answer yet."""
+        entry = self.entries[index]
+        return entry is not None and not entry.answered
 
-    def __getitem__(self, q: int) -> RequestEntry:
-        slot = self.slots[q]
-        assert slot is not None
-        return slot
+    def unanswered(self) -> Iterator[tuple[int, RequestEntry]]:
+        """Yield the requests without an answer, each looked at as its turn comes."""
+        for index, entry in enumerate(self.entries):
+            if entry is not None and not entry.answered:
+                yield index, entry
 
-    def release(self, q: int) -> None:
-        super().release(q)
-        self.slots[q] = None
+    def release(self, index: int) -> None:
+        """Forget the request; its index may be given to another."""
+        self.indices.release(index)
+        self.entries[index] = None
--- /dev/null
+++ b/vetchford/server/server_actions.py
@@ -0,0 +1,144 @@
+"""The actions of the admission controller, carried out on the peers of a real server."""
+
+import math
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import structlog
+
+from vetchford.admission.actions import AdmissionActions
+from vetchford.admission.controller import RESTARTABLE, AdmissionController
+from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.timers import Timers, unix_time_ms
+from vetchford.server.client_connections import Listener
+from vetchford.server.dependency_calls import DependencyCalls
+from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
+from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.request_answers import RequestAnswers
+from vetchford.server.request_table import RequestTable
+from vetchford.server.server_clock import ServerClock
+from vetchford.server.worker_pool_commands import WorkerPoolCommands
+
+log = structlog.get_logger()
+
+POLL_AHEAD = 6.0  # ms before a tick: the gauges come back in under one, a busy machine takes a few
+NOT_COMPLETED = RunResult(False, "")
+
+
+class SharedResult(NamedTuple):
+    """The result that a repeated request is to be answered with."""
+
+    request_index: int
+    result: RunResult
+
+
+@dataclass(eq=False)
+class ServerActions(AdmissionActions):
+    """Answers clients, commands the worker pool and calls the records service as the controller decides.
+
+    The controller calls these methods from within its own, on the thread of the admission actor. What would
+    call the controller again is put in `deferred`, for the actor to do once the controller has returned.
+    """
+
+    metrics: Metrics
+    clock: ServerClock
+    timers: Timers
+    requests: RequestTable
+    idempotency_cache: IdempotencyCache
+    answers: RequestAnswers
+    commands: WorkerPoolCommands
+    calls: DependencyCalls
+    listener: Listener
+    registry: RegistryReporter
+    on_tick: Callable[[], None]
+    controller: AdmissionController = field(init=False)  # set once it is built, before requests are admitted
+    deferred: deque[SharedResult] = field(init=False, default_factory=deque)
+    arriving: int = field(init=False, default=-1)  # index of the request that is just being admitted
+    idle_timeout: float = field(init=False, default=math.inf)  # ms that a silent connection is kept
+
+    def start(self, q: int) -> None:
+        """Start the run of a queued request."""
+        self.commands.start_run(self.requests[q], self._is_idempotent(q))
+
+    def stop(self, q: int) -> None:
+        """Count only: the protocol has no such command yet. The run ends by itself and changes no answer."""
+        self.metrics.increment("stops_not_sent")
+
+    def reject(self, q: int, terminal: bool, pause: float) -> None:
+        """Answer that the request was rejected and never ran."""
+        if self.controller.notice < math.inf:
+            counter = "rejected_draining"
+        elif self.controller.stalled:
+            counter = "rejected_stalled"
+        elif q == self.arriving:
+            counter = "rejected_at_door"
+        else:
+            counter = "rejected_held"
+        self.answers.reject(self.requests[q], terminal, pause, counter)
+
+    def fail(self, q: int) -> None:
+        """Answer with an error."""
+        self.answers.fail(self.requests[q])
+
+    def share(self, q: int) -> None:
+        """Answer with the result of the original request, now or as it ends."""
+        original = self.requests[q].original
+        result = self.idempotency_cache.results.get(original)
+        if result is not None:
+            self.deferred.append(SharedResult(q, result))
+        else:
+            self.idempotency_cache.add_follower(original, q)
+
+    def call(self, q: int, cut_at: float) -> None:
+        """Make the dependency call that the run waits for."""
+        deadline = self.clock.origin + cut_at
+        self.calls.start(q, self.requests[q], self.clock.now(), deadline, self._is_idempotent(q))
+
+    def skip(self, q: int) -> None:
+        """Let the run continue without its dependency call."""
+        self.commands.skip_call(self.requests[q])
+
+    def remember(self, q: int, keep_for: float) -> None:
+        """Let the request hold its idempotency key, if it has one, for `keep_for` ms from now."""
+        key = self.requests[q].idempotency_key
+        if key is not None:
+            until = math.ceil(self.clock.origin + self.clock.now() + keep_for)
+            self.idempotency_cache.remember(key, q, until)
+
+    def forget(self, q: int) -> None:
+        """Take the idempotency key from the request."""
+        self.idempotency_cache.forget(q)
+
+    def release(self, q: int) -> None:
+        """Forget the request."""
+        entry = self.requests[q]
+        self.metrics.check_invariant(entry.answered, "released_after_its_answer", task=entry.request_id)
+        if entry.original >= 0:
+            self.idempotency_cache.remove_follower(entry.original, q)
+        for follower in self.idempotency_cache.release(q):
+            self.deferred.append(SharedResult(follower, NOT_COMPLETED))
+        self.requests.release(q)
+
+    def set_readiness(self, good: bool) -> None:
+        """Answer health checks, and report to the registry, by this."""
+        self.listener.fit = good
+        self.registry.post(self.registry.judge, good)
+        log.info("fitness", good=good)
+
+    def publish_load(self, value: float) -> None:
+        """Do nothing: the protocol has no place for a load report."""
+
+    def set_idle_timeout(self, keep_for: float) -> None:
+        """Close connections that were silent for `keep_for` ms, as of the next tick."""
+        self.idle_timeout = keep_for
+
+    def schedule_tick(self, delay: float) -> None:
+        """Call `on_tick` after `delay` ms, with gauges polled shortly before."""
+        due = unix_time_ms() + delay
+        self.timers.schedule(due - POLL_AHEAD, self.commands.poll)
+        self.timers.schedule(due, self.on_tick)
+
+    def _is_idempotent(self, index: int) -> bool:
+        return self.controller.tasks[index].stage.effect == RESTARTABLE
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -120,7 +120,7 @@
         return []
     from vetchford.coordination import fleet_member  # a server alone does without it
 
-    module.watch = fleet_member.measure()
+    module.load_sampler = fleet_member.measure()
     return [
         fleet_member.FleetMember(
             together,
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -1,32 +1,113 @@
-"""When a server that was told to leave takes nothing new, and when it may end."""
+"""Graceful shutdown: when nothing new is taken any more, when all is answered, and when the program ends."""
 
 import math
+from collections.abc import Callable
 
-EXIT_TAKES = 120.0  # ms: from the last answers to the sweep that sees them written, and the exit itself
-LEAVE_BEFORE = 40.0  # ms before the kill: what is not written by then will not be
+import structlog
+
+from vetchford.admission.controller import AdmissionController
+from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.timers import Timers, unix_time_ms
+from vetchford.server.client_connections import Listener
+from vetchford.server.request_answers import RequestAnswers
+
+log = structlog.get_logger()
+
+EXIT_TIME = 120.0  # ms from the last answers to the tick that sees them written, and the exit itself
+EXIT_BEFORE_KILL = 40.0  # ms before the kill: what is not written by then will not be
+MAX_GRACE_SHARE = 0.6  # of the time to stop: a short one must still leave time for what is unanswered
 
 
 class ShutdownSchedule:
-    """Times in Unix ms; infinite until the notice."""
+    """The times of a graceful shutdown, in Unix ms; infinite until it starts."""
 
     def __init__(self) -> None:
-        self.kill = self.leave_at = math.inf
+        """Expect no shutdown."""
+        self.kill = self.close_at = math.inf
+
+    def start(self, signalled_at: float, stop_ms: float, grace: float) -> float:
+        """Count from the termination notice; return by when all must be answered.
 
-    def begin(self, now: float, stop_ms: float, grace: float) -> float:
-        """Returns by when all must be answered."""
-        # Nothing that comes past the grace is run; a short stop must still leave time for what is open.
-        self.kill, self.leave_at = now + stop_ms, now + min(grace, 0.6 * stop_ms)
-        return self.kill - EXIT_TAKES
+        `stop_ms`: until the program is killed. `grace`: what arrives later is not run.
+        """
+        self.kill = signalled_at + stop_ms
+        self.close_at = signalled_at + min(grace, MAX_GRACE_SHARE * stop_ms)
+        return self.kill - EXIT_TIME
 
-    def begun(self) -> bool:
+    def started(self) -> bool:
+        """Whether the termination notice has come."""
         return self.kill < math.inf
 
-    def last_moment(self) -> float:
-        """When the program leaves, whatever is open: a moment later it would be killed."""
-        return self.kill - LEAVE_BEFORE
+    def last_exit(self) -> float:
+        """Return when the program exits, whatever is unanswered: a moment later it would be killed."""
+        return self.kill - EXIT_BEFORE_KILL
 
     def closes(self, now: float) -> bool:
-        return now >= self.leave_at
+        """Whether nothing new is taken any more."""
+        return now >= self.close_at
+
+    def must_exit(self, now: float) -> bool:
+        """Whether the program can wait no longer."""
+        return now >= self.last_exit()
+
+
+class GracefulShutdown:
+    """Closes the listener, waits for the last answers and ends the server.
+
+    Used by the thread of the admission actor alone.
+    """
+
+    def __init__(
+        self,
+        listener: Listener,
+        answers: RequestAnswers,
+        timers: Timers,
+        log_summary: Callable[[], None],
+        on_stopped: Callable[[], None],
+    ) -> None:
+        """Call `log_summary` and then `on_stopped` once, at the end."""
+        self.listener, self.answers, self.timers = listener, answers, timers
+        self.log_summary, self.on_stopped = log_summary, on_stopped
+        self.metrics: Metrics = answers.metrics
+        self.schedule = ShutdownSchedule()
+        self.stopped = False
+
+    def start(self, signalled_at: float, stop_ms: float, grace: float) -> float:
+        """Start the schedule; return by when all must be answered, in Unix ms."""
+        log.info("drain_begins", stop_ms=stop_ms, open=self.answers.count_unanswered())
+        answers_due = self.schedule.start(signalled_at, stop_ms, grace)
+        self.timers.schedule(self.schedule.last_exit(), self.advance)  # ticks may fall on either side of it
+        return answers_due
+
+    def advance_repeatedly(self) -> None:
+        """Advance at the interval of ticks, where there is no controller that asks for them."""
+        self.advance()
+        if not self.stopped:
+            self.timers.schedule(unix_time_ms() + AdmissionController.SWEEP, self.advance_repeatedly)
+
+    def advance_if_closing(self) -> None:
+        """Advance if the grace is over."""
+        if self.schedule.closes(unix_time_ms()):
+            self.advance()
+
+    def advance(self) -> None:
+        """Take nothing new; end the server once all is answered and written, or time is up."""
+        time_is_up = self.schedule.must_exit(unix_time_ms())
+        try:
+            if time_is_up:  # a program that was paused past its ticks still answers what it can
+                self.answers.fail_overdue(math.inf)
+            self.listener.close()
+        finally:
+            # Whatever goes wrong above, the program ends before it is killed.
+            if time_is_up or (self.listener.done() and not self.answers.count_unanswered()):
+                self._stop()
 
-    def ends(self, now: float, all_out: bool) -> bool:
-        return all_out or now >= self.last_moment()
+    def _stop(self) -> None:
+        if self.stopped:
+            return
+        self.stopped = True
+        try:
+            self.metrics.check_invariant(not self.answers.count_unanswered(), "answered_before_the_stop")
+            self.log_summary()
+        finally:
+            self.on_stopped()
