--- a/tests/runtime/test_actor_races.py
+++ b/tests/runtime/test_actor_races.py
@@ -8,9 +8,9 @@
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import Checkpoint, beside, until
 from vetchford.admission import controller, factory
-from vetchford.runtime import actor
-from vetchford.runtime.actor import ThreadPool
+from vetchford.runtime import thread_pool as thread_pools
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server.reload import ConfigurationReloader
 
 
@@ -25,13 +25,13 @@
     def none(*given):
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(actor._thread, "start_new_thread", none)
+    monkeypatch.setattr(thread_pools._thread, "start_new_thread", none)
     thread_pool.run(done.set)
     assert not done.is_set() and thread_pool.metrics.by_name["no_thread"] == 1
     held.set()
     assert done.wait(PATIENCE)
     time.sleep(0)  # past its rest the thread is still there for the next
-    monkeypatch.setattr(actor, "IDLE_THREAD_TIMEOUT", 0.01)
+    monkeypatch.setattr(thread_pools, "IDLE_THREAD_TIMEOUT", 0.01)
     again = threading.Event()
     thread_pool.run(again.set)
     assert again.wait(PATIENCE)
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -11,8 +11,8 @@
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, Wrapped, beside, until
 from vetchford.protocol import json_rpc
-from vetchford.runtime.actor import ThreadPool
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server import client_connections
 from vetchford.server.client_connections import Listener
 from vetchford.server.idle_poller import IdleConnectionPoller
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -19,8 +19,8 @@
 from vetchford.errors import MalformedInputError
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import log_setup
-from vetchford.runtime.actor import ThreadPool, start_thread
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import ThreadPool, start_thread
 from vetchford.server import client_connections, platform_config
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
@@ -200,7 +200,7 @@
     assert metrics.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
     for _ in range(20_000):
         metrics.log_summary(text="x" * 200)
-    assert writer.lines.qsize() <= log_setup.MOST_WAITING and writer.dropped > 0
+    assert writer.lines.qsize() <= log_setup.MAX_QUEUED_LINES and writer.dropped > 0
     read.close()
     write.close()
     log_setup.start("error", "text", io.StringIO())
@@ -214,7 +214,7 @@
     writer.close()
     writer.end_by(time.time() - 1.0)
     writer.close()
-    assert waited == [log_setup.FLUSH, 0.0]
+    assert waited == [log_setup.FLUSH_TIMEOUT, 0.0]
     read.close()
     write.close()
     log_setup.start("error", "text", io.StringIO())
@@ -291,7 +291,7 @@
         part.close()
 
 
-def test_a_crew_takes_no_more_threads_than_it_may_and_does_all_it_is_given():
+def test_a_thread_pool_takes_no_more_threads_than_it_may_and_does_all_it_is_given():
     thread_pool, done, hold = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
     for n in range(50):
         thread_pool.run(lambda n=n: (hold.wait(20), done.put(n)))
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -60,7 +60,7 @@
     except DocoptExit:
         return complain("wrong usage; `vetchford --help` tells how")
     asked["--with"] = list(dict.fromkeys(asked["--with"]))  # the options' library repeats a repeated option
-    for option, known in (("--log-level", tuple(log_setup.LEVELS)), ("--log-form", log_setup.FORMS)):
+    for option, known in (("--log-level", tuple(log_setup.LEVELS)), ("--log-form", log_setup.FORMATS)):
         if asked[option] not in known:
             return complain(f"{option} must be one of {', '.join(known)}")
     if asked["version"]:
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -24,9 +24,10 @@
 from vetchford.fleet import supervisor
 from vetchford.fleet.history_store import Store, StoreError
 from vetchford.fleet.rollout import ALIVE, ENDED, RefusedError, Rollout, RolloutController, Terms
-from vetchford.runtime.actor import Actor, ThreadPool
+from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import ThreadPool
 
 log = structlog.get_logger()
 
--- a/vetchford/runtime/__init__.py
+++ b/vetchford/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every program here runs on: mailboxes and the threads that empty them, timers, counts, logs."""
+"""What every program here runs on: actors, threads, timers, clocks, sockets, metrics and the log."""
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -1,38 +1,49 @@
-"""The clock of programs that speak with others, which a test may set wrong.
+"""The clock of programs that decide together, which a test may set wrong.
 
-Nothing that several programs decide together may rest on their clocks agreeing. So that it can be shown,
-VETCHFORD_CLOCK="OFFSET RATE" (seconds, and seconds a second) makes this program's clocks lie: by the offset
-from its start on, and faster or slower by the rate. Waits on sockets and mailboxes stay as they are.
+Nothing that several programs decide together may rest on their clocks agreeing. So that this can be tested,
+VETCHFORD_CLOCK="OFFSET RATE" (seconds, and seconds a second) makes the clocks of this program wrong: by the
+offset from its start on, and faster or slower by the rate. Timeouts of sockets and mailboxes stay right.
 """
 
 import os
 import sys
 import time
 
+VARIABLE = "VETCHFORD_CLOCK"
+TRUE_CLOCK = "0 1"
+
 
 class Clock:
-    """Monotonic time in ms, and the time of day in s, as this program believes them."""
+    """Monotonic and Unix time as this program believes them; may be read from any thread."""
+
+    def __init__(self, error: str = "") -> None:
+        """Be wrong by `error`: an offset and a rate as in VETCHFORD_CLOCK; empty for right.
 
-    def __init__(self, told: str = "") -> None:
-        """ValueError where `told` is neither empty nor two numbers, the second above 0."""
-        offset, rate = (float(word) for word in (told or "0 1").split())
+        ValueError where it is not two numbers, the second above 0.
+        """
+        offset, rate = (float(figure) for figure in (error or TRUE_CLOCK).split())
         if rate <= 0.0:
             raise ValueError("the rate of a clock must be above 0")
         self.rate = rate
-        self.began, self.began_day = time.monotonic(), time.time() + offset
+        self.started, self.started_unix = time.monotonic(), time.time() + offset
         # As on a machine that was started so long ago: monotonic clocks differ between machines, and begin
         # at 0.
-        self.passed = abs(offset) if told else self.began
+        self.uptime_at_start = abs(offset) if error else self.started
 
     def now(self) -> float:
-        return (self.passed + (time.monotonic() - self.began) * self.rate) * 1000.0
+        """Return monotonic milliseconds."""
+        return (self.uptime_at_start + self._elapsed()) * 1000.0
 
     def day(self) -> float:
-        return self.began_day + (time.monotonic() - self.began) * self.rate
+        """Return the Unix time in seconds."""
+        return self.started_unix + self._elapsed()
+
+    def _elapsed(self) -> float:
+        return (time.monotonic() - self.started) * self.rate
 
 
 try:
-    clock = Clock(os.environ.get("VETCHFORD_CLOCK", ""))
+    clock = Clock(os.environ.get(VARIABLE, ""))
 except ValueError as problem:
-    print(f"vetchford: VETCHFORD_CLOCK is to be an offset and a rate: {problem}", file=sys.stderr)
+    print(f"vetchford: {VARIABLE} is to be an offset and a rate: {problem}", file=sys.stderr)
     sys.exit(2)
--- a/vetchford/runtime/log_setup.py
+++ b/vetchford/runtime/log_setup.py
@@ -7,31 +7,31 @@
 import threading
 import time
 from queue import SimpleQueue
-from typing import TextIO
+from typing import Any, TextIO
 
 import structlog
 
-MOST_WAITING = (
-    1000  # lines; a few hundred bytes each. More than that are dropped, and counted in the next one
-)
-FLUSH = 0.2  # s at the end: what the log's reader has not taken by then is given up
+MAX_QUEUED_LINES = 1000  # a few hundred bytes each; more are dropped, and counted in the next one
+FLUSH_TIMEOUT = 0.2  # s at the end: what the log's reader has not taken by then is dropped
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-FORMS = ("text", "json")
+FORMATS = ("text", "json")
 
 
 class LogWriter:
-    """What structlog calls a logger: takes finished lines, at any level."""
+    """The logger that structlog hands finished lines to, at any level and from any thread."""
 
     def __init__(self, file: TextIO) -> None:
+        """Write to `file`, on a thread that runs until `close`."""
         self.file = file
-        self.ends_by = math.inf  # Unix s
+        self.close_by = math.inf  # Unix s
         self.lines: SimpleQueue[str | None] = SimpleQueue()
         self.dropped = 0
         self.thread = threading.Thread(target=self.write, name="log", daemon=True)
         self.thread.start()
 
     def line(self, text: str) -> None:
-        if self.lines.qsize() >= MOST_WAITING:
+        """Queue one line; never blocks."""
+        if self.lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         if self.dropped:
@@ -41,37 +41,39 @@
     debug = info = warning = error = msg = line
 
     def write(self) -> None:
+        """Write lines until `close`; the body of the thread."""
         while (text := self.lines.get()) is not None:
             with contextlib.suppress(OSError, ValueError):  # nobody reads the log any more
                 self.file.write(text + "\n")
                 self.file.flush()
 
-    def end_by(self, at: float) -> None:
-        """Unix s: `close` does not wait beyond it, as a kill is next."""
-        self.ends_by = at
+    def end_by(self, deadline: float) -> None:
+        """Let `close` not wait beyond this Unix time in seconds, as a kill is next."""
+        self.close_by = deadline
 
     def close(self) -> None:
+        """Wait until all is written, for `FLUSH_TIMEOUT` at most."""
         self.lines.put(None)
-        self.thread.join(max(0.0, min(FLUSH, self.ends_by - time.time())))
+        self.thread.join(max(0.0, min(FLUSH_TIMEOUT, self.close_by - time.time())))
 
 
-def start(level: str, form: str, file: TextIO = sys.stderr) -> LogWriter:
+def start(level: str, log_format: str, file: TextIO = sys.stderr) -> LogWriter:
+    """Send all structlog events of `level` and above to `file`, in one of `FORMATS`."""
     writer = LogWriter(file)
-    last = (
-        structlog.processors.JSONRenderer()
-        if form == "json"
-        else structlog.processors.LogfmtRenderer(
-            key_order=["timestamp", "level", "event"], bool_as_flag=False
-        )
-    )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            last,
+            _renderer(log_format),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=lambda *given: writer,
+        logger_factory=lambda *arguments: writer,
         cache_logger_on_first_use=False,
     )
     return writer
+
+
+def _renderer(log_format: str) -> Any:
+    if log_format == "json":
+        return structlog.processors.JSONRenderer()
+    return structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False)
--- a/vetchford/runtime/sockets.py
+++ b/vetchford/runtime/sockets.py
@@ -1,23 +1,28 @@
-"""Gathered writes on blocking sockets, and their end."""
+"""Blocking sockets: connecting, gathered writes and the end of a connection."""
 
 import contextlib
 import socket
 import struct
 
-MOST_PARTS = 512  # half of what the system takes in one call
+MAX_PARTS = 512  # in one system call; half of what the system takes
+MICROSECONDS = 1e6  # a second
 
 
 def time_limit(sock: socket.socket, option: int, seconds: float) -> None:
-    """The system's own limit for one way of a blocking socket; past it a call raises BlockingIOError."""
-    sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", int(seconds), int(seconds % 1.0 * 1e6)))
+    """Set SO_RCVTIMEO or SO_SNDTIMEO of a blocking socket; a call past it raises BlockingIOError."""
+    timeval = struct.pack("ll", int(seconds), int(seconds % 1.0 * MICROSECONDS))
+    sock.setsockopt(socket.SOL_SOCKET, option, timeval)
 
 
 def connected(address: tuple[str, int], seconds: float) -> socket.socket:
-    """A new connection; a third of the standard library's cost, which asks for names and polls."""
+    """Return a new TCP connection; OSError if there is none within `seconds`.
+
+    It costs a third of `socket.create_connection`, which looks names up and polls.
+    """
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        time_limit(sock, socket.SO_SNDTIMEO, seconds)  # for connecting as well
+        time_limit(sock, socket.SO_SNDTIMEO, seconds)  # holds for connecting as well
         sock.connect(address)
     except OSError:
         sock.close()
@@ -26,31 +31,32 @@
 
 
 def send_parts(sock: socket.socket, parts: list[bytes]) -> None:
-    """Writes all of it; a short write goes on where it ended."""
-    at = 0
-    while at < len(parts):
-        sent = sock.sendmsg(parts[at : at + MOST_PARTS])
-        while at < len(parts) and sent >= len(parts[at]):
-            sent -= len(parts[at])
-            at += 1
-        if sent:
-            parts[at] = memoryview(parts[at])[sent:]
+    """Write all parts, one behind the other; blocks until the system has taken them."""
+    while parts:
+        parts = unsent(parts, sock.sendmsg(parts[:MAX_PARTS]))
 
 
 def send_now(sock: socket.socket, parts: list[bytes]) -> list[bytes]:
-    """Writes what the system takes without waiting; returns the rest."""
+    """Write what the system takes without blocking; return the rest."""
     try:
-        sent = sock.sendmsg(parts[:MOST_PARTS], [], socket.MSG_DONTWAIT)
+        sent = sock.sendmsg(parts[:MAX_PARTS], [], socket.MSG_DONTWAIT)
     except BlockingIOError:
         return parts
-    at = 0
-    while at < len(parts) and sent >= len(parts[at]):
-        sent -= len(parts[at])
-        at += 1
-    return [memoryview(parts[at])[sent:], *parts[at + 1 :]] if sent else parts[at:]
+    return unsent(parts, sent)
+
+
+def unsent(parts: list[bytes], sent: int) -> list[bytes]:
+    """Return what is left of the parts after their first `sent` bytes."""
+    position = 0
+    while position < len(parts) and sent >= len(parts[position]):
+        sent -= len(parts[position])
+        position += 1
+    if sent:
+        return [parts[position][sent:], *parts[position + 1 :]]
+    return parts[position:]
 
 
 def shut(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """Ends both ways at once and wakes whoever reads it; the other side may have been first."""
+    """Shut a connection down, which wakes whoever reads it; the other side may have been first."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/vetchford/server/client_connections.py
+++ b/vetchford/server/client_connections.py
@@ -10,9 +10,10 @@
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.actor import PooledActor, ThreadPool
+from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut, time_limit
+from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 MOST_OPEN = 64  # tasks: twice the page's 32, as one that nobody waits for is open here until it is answered
--- a/vetchford/server/idle_poller.py
+++ b/vetchford/server/idle_poller.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from vetchford.runtime.actor import ThreadPool
+from vetchford.runtime.thread_pool import ThreadPool
 
 EVERY = 0.05  # s between looks at what overstays; the shortest stay is twice that
 A_TURN = 64  # connections that spoke, before the next look
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -9,9 +9,10 @@
 
 from vetchford.protocol import records_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.actor import PooledActor, ThreadPool
+from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import connected, send_parts, shut
+from vetchford.runtime.thread_pool import ThreadPool
 
 FRESH = 0.5  # s since its last reply that a connection is used again: idle ones are closed or forgotten early
 KEPT = 4  # of its connections one in so many may wait for the next call; the others are there for calls
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -10,8 +10,8 @@
 import structlog
 
 from vetchford.admission import factory
-from vetchford.runtime.actor import start_thread
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import start_thread
 from vetchford.server import platform_config, signals
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.client_connections import Listener
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -7,9 +7,10 @@
 
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.actor import PooledActor, ThreadPool, start_thread
+from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
+from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
 AGAIN = 0.02  # s between attempts; runs go on meanwhile, and the pool is on the same machine
 AGAIN_MOST = 0.5  # s: while nobody is there
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -14,9 +14,10 @@
 
 import structlog
 
-from vetchford.runtime.actor import Actor, start_thread
+from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.thread_pool import start_thread
 from vetchford.transport import framing
 from vetchford.transport.framing import Envelope, FrameError
 from vetchford.transport.session import Outbox, SessionManager
