--- a/tests/runtime/test_actor_races.py
+++ b/tests/runtime/test_actor_races.py
@@ -90,12 +90,12 @@
             raise OSError("the disk")
         return {"stop_ms": len(served)}
 
-    renewals = ConfigurationReloader({"stop_ms": 0}, renew, lambda act: beside(act))
-    renewals.ask()
+    reloader = ConfigurationReloader({"stop_ms": 0}, renew, lambda act: beside(act))
+    reloader.request()
     gate.wait()
-    renewals.ask()
+    reloader.request()
     gate.open()
-    until(lambda: not renewals.at_work, "both are served")
-    assert served == [{"stop_ms": 0}] * 2 and renewals.told == {"stop_ms": 2}
-    renewals.ask()
-    until(lambda: renewals.told == {"stop_ms": 3}, "one more")
+    until(lambda: not reloader.reloading, "both are served")
+    assert served == [{"stop_ms": 0}] * 2 and reloader.configuration == {"stop_ms": 2}
+    reloader.request()
+    until(lambda: reloader.configuration == {"stop_ms": 3}, "one more")
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -76,7 +76,7 @@
         {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
     )
     assert (told["name"], told["listen"]) == ("n9", "127.0.0.1:9")
-    assert platform_config.understood(told)["stages"][1]["limit_ms"] == 60_000.0
+    assert platform_config.summary(told)["stages"][1]["limit_ms"] == 60_000.0
 
 
 @pytest.mark.parametrize("cold", [False, True])
@@ -310,7 +310,7 @@
     platform_config.check(told)
     del told["records"]
     platform_config.check(told)
-    assert platform_config.records(told) is None and platform_config.understood(told)["records"] is None
+    assert platform_config.records_address(told) is None and platform_config.summary(told)["records"] is None
     told["records"] = "nowhere"
     with pytest.raises(MalformedInputError, match="'records'"):
         platform_config.check(told)
--- a/vetchford/__main__.py
+++ b/vetchford/__main__.py
@@ -4,9 +4,9 @@
 
 if "serve" in sys.argv[1:] and sys.argv[1] != "fleet":
     # Before all else is loaded: a SIGHUP in the first tenths of a second would end the program.
-    from vetchford.server.signals import leave_until_held
+    from vetchford.server.signals import exit_on_termination
 
-    leave_until_held()
+    exit_on_termination()
 
 from vetchford.cli import main
 
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -88,9 +88,9 @@
         print(f"{told['name']}: configuration is good")
         return 0
     if asked["settings"]:
-        print(json.dumps(platform_config.understood(told), indent=2))
+        print(json.dumps(platform_config.summary(told), indent=2))
         return 0
-    signals.hold_signals()
+    signals.block_signals()
     writer = log_setup.start(asked["--log-level"], asked["--log-form"])
     try:
         return server_process.serve(told, load, writer.end_by)
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -1,129 +1,168 @@
-"""What a server is told: environment and configuration file, checked key by key."""
+"""The configuration of one server: environment and configuration file, checked key by key.
+
+The names of keys are those of the platform's page; `Configuration` keeps them as they are.
+"""
 
 import ipaddress
 import json
 import os
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from vetchford.admission import factory
 from vetchford.errors import MalformedInputError
-from vetchford.server import settings_schema as platform
+from vetchford.server import settings_schema
+
+Configuration = dict[str, Any]
+Address = tuple[str, int]  # numeric host, and port
 
+FILE_VARIABLE = "ROUTER_CONFIG"
+OVERRIDES = (("ROUTER_NAME", "name"), ("ROUTER_LISTEN", "listen"))  # environment variable and key
+OWN_SETTINGS = "declared"  # key that our own files go under; not the platform's to set
+MAX_NUMBER = 1e12
+MAX_PORT = 65_535
+LEAST_SOCKETS = 32
+SHOWN_KEYS = ("name", "listen", "pool", "members", "stop_ms", "limits")
 
-def address(told: Mapping[str, Any], key: str) -> tuple[str, int]:
-    host, _, port = str(told.get(key) or "").rpartition(":")
+
+def address(configuration: Mapping[str, Any], key: str) -> Address:
+    """Return the address of a peer, or to listen on; MalformedInputError where it is none."""
+    host, _, port = str(configuration.get(key) or "").rpartition(":")
     try:
         ipaddress.ip_address(host)
-        if not 0 <= int(port) < 65536:
+        if not 0 <= int(port) <= MAX_PORT:
             raise ValueError
     except ValueError:
         raise MalformedInputError(f"key '{key}' must be an address and a port") from None
     return host, int(port)
 
 
-def records(told: Mapping[str, Any]) -> tuple[str, int] | None:
-    """Where calls go; None where the settings have nothing below, and so name no service."""
-    if told.get("records") or factory.calls_below(told.get("settings")):
-        return address(told, "records")
+def records_address(configuration: Mapping[str, Any]) -> Address | None:
+    """Return where dependency calls go; None where the settings have none, and so name no service."""
+    if configuration.get("records") or factory.calls_below(configuration.get("settings")):
+        return address(configuration, "records")
     return None
 
 
-def number(told: Mapping[str, Any], key: str, least: float, where: str = "") -> float:
-    value = told.get(key)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e12:
-        raise MalformedInputError(f"key '{where}{key}' must be a number of {least:g} or more")
-    return value
+def seed(configuration: Mapping[str, Any]) -> int:
+    """Return the seed of random choices; ValueError where it is no hexadecimal number."""
+    return int(str(configuration.get("seed")), 16)
 
 
-class Silent:
-    """A host that does nothing, to try the settings with."""
+class NoActions:
+    """Actions of an admission controller that do nothing, to try settings with."""
 
-    def __getattr__(self, name: str) -> Any:
-        return lambda *given: None
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        """Return an action that does nothing."""
+        return lambda *arguments: None
 
 
 def load(
     environment: Mapping[str, str] = os.environ, path: str | None = None, ours: list[str] | None = None
-) -> dict[str, Any]:
-    """The configuration file with what the environment adds, and what our own files declare under `declared`.
+) -> Configuration:
+    """Return the configuration file with what the environment adds and our own files declare.
 
-    MalformedError has a line for each key at fault.
+    `path` goes before the environment's ROUTER_CONFIG. MalformedInputError has a line for each key at fault.
     """
-    path = path or environment.get("ROUTER_CONFIG")
+    path = path or environment.get(FILE_VARIABLE)
     if not path:
-        raise MalformedInputError("ROUTER_CONFIG names no configuration file")
+        raise MalformedInputError(f"{FILE_VARIABLE} names no configuration file")
+    configuration = read_file(path)
+    for variable, key in OVERRIDES:
+        if environment.get(variable):
+            configuration[key] = environment[variable]
+    check(configuration)
+    configuration.pop(OWN_SETTINGS, None)
+    if ours:
+        from vetchford.configuration import isolated_reader  # a server without such files does without it
+
+        request_classes = list(factory.indices(configuration["settings"])[0])
+        configuration[OWN_SETTINGS] = isolated_reader.read(ours, request_classes)
+    return configuration
+
+
+def read_file(path: str) -> Configuration:
+    """Return what a configuration file holds, unchecked; MalformedInputError where it is no JSON object."""
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            configuration = json.load(file)
     except OSError as problem:
         raise MalformedInputError(f"configuration file {path}: {problem.strerror}") from None
     except (ValueError, RecursionError) as problem:  # the second: brackets in brackets without end
         raise MalformedInputError(f"configuration file {path}: no JSON: {problem}") from None
-    if not isinstance(told, dict):
+    if not isinstance(configuration, dict):
         raise MalformedInputError(f"configuration file {path}: not an object")
-    for variable, key in (("ROUTER_NAME", "name"), ("ROUTER_LISTEN", "listen")):
-        if environment.get(variable):
-            told[key] = environment[variable]
-    check(told)
-    told.pop("declared", None)  # not the platform's to set
-    if ours:
-        from vetchford.configuration import isolated_reader  # a server without such files does without it
-
-        told["declared"] = isolated_reader.read(ours, list(factory.indices(told["settings"])[0]))
-    return told
+    return configuration
 
 
-def check(told: dict[str, Any]) -> None:
-    name = told.get("name")
-    if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
-        raise MalformedInputError("key 'name' must be a word")
+def check(configuration: Configuration) -> None:
+    """Raise MalformedInputError unless a server can be built from the configuration."""
+    check_name(configuration.get("name"))
     for key in ("listen", "pool", "members"):
-        address(told, key)
-    records(told)
+        address(configuration, key)
+    records_address(configuration)
     try:
-        seed(told)
+        seed(configuration)
     except (TypeError, ValueError):
         raise MalformedInputError("key 'seed' must be a number in hex digits") from None
-    number(told, "stop_ms", 1)
-    if not isinstance(told.get("limits"), dict):
-        raise MalformedInputError("key 'limits' must be an object")
-    number(told["limits"], "sockets", 32, "limits.")
-    if not isinstance(told.get("settings"), dict):
-        raise MalformedInputError("key 'settings' must be an object")
-    wrong = list(platform.problems(told["settings"]))
-    if wrong:
-        raise MalformedInputError("\n".join(wrong))
+    check_number(configuration, "stop_ms", 1)
+    check_object(configuration, "limits")
+    check_number(configuration["limits"], "sockets", LEAST_SOCKETS, "limits.")
+    check_object(configuration, "settings")
+    check_settings(configuration)
+
+
+def check_name(name: Any) -> None:
+    """Raise MalformedInputError unless the name is printable ASCII without a space."""
+    if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
+        raise MalformedInputError("key 'name' must be a word")
+
+
+def check_object(configuration: Configuration, key: str) -> None:
+    """Raise MalformedInputError unless the value of `key` is an object."""
+    if not isinstance(configuration.get(key), dict):
+        raise MalformedInputError(f"key '{key}' must be an object")
+
+
+def check_number(values: Mapping[str, Any], key: str, least: float, prefix: str = "") -> None:
+    """Raise MalformedInputError unless the value of `key` is a number of `least` or more."""
+    value = values.get(key)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < MAX_NUMBER:
+        raise MalformedInputError(f"key '{prefix}{key}' must be a number of {least:g} or more")
+
+
+def check_settings(configuration: Configuration) -> None:
+    """Raise MalformedInputError unless a controller can be built from the platform's settings."""
+    settings = configuration["settings"]
+    problems = list(settings_schema.problems(settings))
+    if problems:
+        raise MalformedInputError("\n".join(problems))
     try:
-        factory.indices(told["settings"])
-        factory.build(Silent(), seed(told), told["settings"], False)
+        factory.indices(settings)
+        factory.build(NoActions(), seed(configuration), settings, False)
     except (TypeError, AttributeError, ValueError) as problem:
         raise MalformedInputError(f"key 'settings' holds a value of the wrong kind: {problem}") from None
 
 
-def understood(told: Mapping[str, Any]) -> dict[str, Any]:
-    """What on-call staff want to see of it: addresses, limits and the stages by the project's words."""
-    settings = told["settings"]
-    stages = settings.get("requestClasses") or []
-    millis = factory.NS_PER_MS
+def summary(configuration: Mapping[str, Any]) -> dict[str, Any]:
+    """Return what operators want to see of it, as `vetchford settings` prints it."""
+    settings = configuration["settings"]
     return {
-        **{key: told[key] for key in ("name", "listen", "pool", "members", "stop_ms", "limits")},
-        "records": told.get("records"),
+        **{key: configuration[key] for key in SHOWN_KEYS},
+        "records": configuration.get("records"),
         "cores": (settings.get("familyInfo") or {}).get("cores"),
-        **({"declared": told["declared"]} if "declared" in told else {}),
+        **({OWN_SETTINGS: configuration[OWN_SETTINGS]} if OWN_SETTINGS in configuration else {}),
         "tenants": list(factory.indices(settings)[1]),
-        "stages": [
-            {
-                "name": entry.get("name"),
-                "effect": factory.EFFECTS[entry["effect"]],
-                "due_ms": (entry.get("promise") or entry["deadline"]) / millis,
-                "limit_ms": entry["deadline"] / millis,
-                "utility": entry.get("worth"),
-            }
-            for entry in stages
-        ],
+        "stages": [request_class_summary(entry) for entry in settings.get("requestClasses") or []],
     }
 
 
-def seed(told: Mapping[str, Any]) -> int:
-    return int(str(told.get("seed")), 16)
+def request_class_summary(entry: Mapping[str, Any]) -> dict[str, Any]:
+    """Return what operators want to see of one request class."""
+    return {
+        "name": entry.get("name"),
+        "effect": factory.EFFECTS[entry["effect"]],
+        "due_ms": (entry.get("promise") or entry["deadline"]) / factory.NS_PER_MS,
+        "limit_ms": entry["deadline"] / factory.NS_PER_MS,
+        "utility": entry.get("worth"),
+    }
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -3,157 +3,221 @@
 import gc
 import threading
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import structlog
 
 from vetchford.admission import factory
+from vetchford.errors import VetchfordError
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
 from vetchford.server import platform_config, signals
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.client_connections import Listener
+from vetchford.server.platform_config import Address, Configuration
 from vetchford.server.records_client import RecordsClient
 from vetchford.server.registry_reporter import RegistryReporter
-from vetchford.server.reload import ConfigurationReloader
+from vetchford.server.reload import ConfigurationReloader, reload_configuration
 from vetchford.server.worker_pool import WorkerPoolClient
 
+if TYPE_CHECKING:
+    from vetchford.coordination.fleet_member import FleetMember
+
 log = structlog.get_logger()
 
-STACK = 256 * 1024  # bytes a thread; no call here nests deeply, and untouched pages cost nothing
-OTHERS = 8  # descriptors for listening, waiting, the pool's link, reports and the standard three
-FOR_NEIGHBOURS = 4  # descriptors: datagrams, a door that takes nobody in, one that knocks there, one spare
-MOST_CALLS = 56  # descriptors for calls: three times the calls that a server of twelve cores may have out
-EXITS_IN = 0.02  # s from the last line of the log to the process's end; half of drain.LEAVE_BEFORE
-MOVABLE = ("pool", "records", "members")  # keys of addresses that a running server can go over to
-# Keys that it can't change; they wait for the next start.
-FIXED = ("name", "listen", "limits", "settings", "declared")
+STACK_SIZE = 256 * 1024  # bytes a thread; no call here nests deeply, and untouched pages cost nothing
+OTHER_DESCRIPTORS = 8  # listener, poller, the worker pool's link, registry reports and the standard three
+FLEET_DESCRIPTORS = 4  # datagrams, a listener that accepts nobody, a connection to it, one spare
+MIN_CALL_DESCRIPTORS = 8
+MAX_CALL_DESCRIPTORS = 56  # three times the calls that a server of twelve cores may have in flight
+CALL_DESCRIPTORS_SHARE = 4  # one descriptor in so many is for calls, before the others are taken off
+PROCESS_EXIT_TIME = 0.02  # s from the last line of the log; half of shutdown.EXIT_BEFORE_KILL
+
+
+class CannotListenError(VetchfordError):
+    """An address to listen on is taken, or is none of this machine."""
+
+    def __init__(self, address: str, reason: str | None) -> None:
+        """Name the address as the configuration does, and the system's reason."""
+        super().__init__(f"cannot listen on {address}: {reason}")
+        self.address, self.reason = address, reason
+
+
+@dataclass(frozen=True)
+class DescriptorBudget:
+    """How the file descriptors of one server are shared out."""
+
+    calls: int
+    clients: int
+
+    @classmethod
+    def share(cls, total: int, in_fleet: bool) -> "DescriptorBudget":
+        """Share `total` descriptors between dependency calls and client connections."""
+        calls = max(MIN_CALL_DESCRIPTORS, total // CALL_DESCRIPTORS_SHARE - OTHER_DESCRIPTORS)
+        calls = min(MAX_CALL_DESCRIPTORS, calls)
+        reserved = OTHER_DESCRIPTORS + (FLEET_DESCRIPTORS if in_fleet else 0)
+        return cls(calls, total - calls - reserved)
+
+
+class Server:
+    """The actors of one server, which it starts. They end with the process."""
+
+    def __init__(self, configuration: Configuration, metrics: Metrics) -> None:
+        """Create the actors and listen; CannotListenError where that fails."""
+        self.configuration = configuration
+        settings = configuration["settings"]
+        self.admission = AdmissionActor(
+            platform_config.seed(configuration), settings, metrics, bulkheads_maker(configuration, metrics)
+        )
+        self.stopped = threading.Event()  # set once a graceful shutdown has ended
+        in_fleet = fleet_settings(configuration) is not None
+        budget = DescriptorBudget.share(int(configuration["limits"]["sockets"]), in_fleet)
+        self.worker_pool = WorkerPoolClient(
+            platform_config.address(configuration, "pool"), self.admission, metrics
+        )
+        self.records = RecordsClient(
+            platform_config.records_address(configuration), budget.calls, self.admission, metrics
+        )
+        self.registry = RegistryReporter(
+            platform_config.address(configuration, "members"), configuration["name"], metrics
+        )
+        self.fleet_member = self._join_fleet(metrics)
+        self.listener = self._listen(budget.clients, metrics)
+        self.admission.attach(self.worker_pool, self.records, self.registry, self.listener, self.stopped.set)
+
+    def start(self) -> None:
+        """Start all actors; the listener accepts from now on."""
+        self.admission.start()
+        self.registry.start()
+        self.worker_pool.start()
+        self.records.start()
+        self.listener.start()
+        if self.fleet_member is not None:
+            self.fleet_member.start()
+
+    def reload(self, current: Configuration, read: Callable[[], Configuration]) -> Configuration:
+        """Apply the configuration as `read` returns it now; return what holds from now on."""
+        move_peer: dict[str, Callable[[Address | None], None]] = {
+            "pool": partial(self.worker_pool.post, self.worker_pool.move),
+            "records": self.records.move,
+            "members": partial(self.registry.post, self.registry.move),
+        }
+        return reload_configuration(current, read, move_peer, self._change_own_settings)
+
+    def start_shutdown(self, signalled_at: float, stop_ms: float) -> None:
+        """Start a graceful shutdown.
+
+        `signalled_at`: Unix ms of the termination notice; `stop_ms` later the process is killed.
+        """
+        grace = (self.configuration["settings"].get("rules") or {}).get("drainGrace") or 0
+        if self.fleet_member is not None:
+            self.fleet_member.post(self.fleet_member.leave)
+        self.admission.post(
+            self.admission.shutdown_requested, signalled_at, stop_ms, grace / factory.NS_PER_MS
+        )
+
+    def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
+        """Create the actor that speaks to the other servers; None where none are configured."""
+        settings = fleet_settings(self.configuration)
+        if settings is None:
+            return None
+        from vetchford.coordination import fleet_member  # a server alone does without it
+
+        admission = self.admission
+        admission.load_sampler = fleet_member.measure()
+        try:
+            return fleet_member.FleetMember(
+                settings,
+                platform_config.seed(self.configuration),
+                metrics,
+                partial(admission.post, admission.sample_load),
+                partial(admission.post, admission.fleet_signals_changed),
+            )
+        except OSError as problem:
+            raise CannotListenError(settings["listen"], problem.strerror) from problem
+
+    def _listen(self, max_connections: int, metrics: Metrics) -> Listener:
+        request_classes, tenants, _ = factory.indices(self.configuration["settings"])
+        try:
+            return Listener(
+                platform_config.address(self.configuration, "listen"),
+                max_connections,
+                request_classes,
+                tenants,
+                self.admission,
+                metrics,
+            )
+        except OSError as problem:
+            raise CannotListenError(self.configuration["listen"], problem.strerror) from problem
+
+    def _change_own_settings(self, declared: dict[str, Any]) -> None:
+        settings = declared.get("together")
+        if self.fleet_member is not None and settings:
+            self.fleet_member.post(self.fleet_member.allow, settings)
 
 
 def serve(
-    told: dict[str, Any], reread: Callable[[], dict[str, Any]], log_ends_by: Callable[[float], None]
+    configuration: Configuration, read: Callable[[], Configuration], log_ends_by: Callable[[float], None]
 ) -> int:
-    """Runs until a signal asks it to leave and all is answered; `reread` gives the configuration anew.
+    """Run one server until a termination signal has come and all is answered; return the exit status.
 
-    `log_ends_by` is told until when, in Unix s, the log may hold up the end.
+    `read` returns the configuration anew. `log_ends_by` is called with the Unix time in seconds until which
+    the log may hold up the end. Called on the main thread, with signals blocked.
     """
-    threading.stack_size(STACK)
+    threading.stack_size(STACK_SIZE)
     metrics = Metrics()
-    module = AdmissionActor(platform_config.seed(told), told["settings"], metrics, pools_from(told, metrics))
-    pool = WorkerPoolClient(platform_config.address(told, "pool"), module, metrics)
-    sockets = int(told["limits"]["sockets"])
-    for_calls = min(MOST_CALLS, max(8, sockets // 4 - OTHERS))  # the rest is for balancers
-    records = RecordsClient(platform_config.records(told), for_calls, module, metrics)
-    members = RegistryReporter(platform_config.address(told, "members"), told["name"], metrics)
-    stages, tenants, _ = factory.indices(told["settings"])
-    try:
-        neighbours = neighbours_from(told, module, metrics)
-    except OSError as problem:
-        log.error("cannot_listen", address=told["declared"]["together"]["listen"], problem=problem.strerror)
-        return 1
     try:
-        doors = Listener(
-            platform_config.address(told, "listen"),
-            sockets - for_calls - OTHERS - (FOR_NEIGHBOURS if neighbours else 0),
-            stages,
-            tenants,
-            module,
-            metrics,
-        )
-    except OSError as problem:
-        log.error("cannot_listen", address=told["listen"], problem=problem.strerror)
+        server = Server(configuration, metrics)
+    except CannotListenError as problem:
+        log.error("cannot_listen", address=problem.address, problem=problem.reason)
         return 1
-    stopped = threading.Event()
-    module.attach(pool, records, members, doors, stopped.set)
     gc.collect()
     gc.freeze()
-    for part in (module, members, pool, records, doors, *neighbours):
-        part.start()
-    log.info("serving", name=told["name"], listen=":".join(map(str, doors.sock.getsockname())))
-    moves = {
-        "pool": partial(pool.post, pool.move),
-        "records": records.move,
-        "members": partial(members.post, members.move),
-    }
-    renewals = ConfigurationReloader(
-        told,
-        lambda before: renew(before, reread, moves, neighbours),
-        lambda act: start_thread(act, "renewal", metrics),
+    server.start()
+    listening_on = ":".join(map(str, server.listener.sock.getsockname()))
+    log.info("serving", name=configuration["name"], listen=listening_on)
+    reloader = ConfigurationReloader(
+        configuration,
+        lambda current: server.reload(current, read),
+        lambda run: start_thread(run, "configuration-reload", metrics),
     )
-    caught = signals.until_told_to_leave(renewals.ask)
-    at = time.time() * 1000.0
-    log.info("signal", number=caught)
-    stop_ms = float(renewals.told["stop_ms"])
-    log_ends_by((at + stop_ms) / 1000.0 - EXITS_IN)
-    grace = (told["settings"].get("rules") or {}).get("drainGrace") or 0
-    for part in neighbours:
-        part.post(part.leave)
-    module.post(module.shutdown_requested, at, stop_ms, grace / factory.NS_PER_MS)
-    try:
-        threading.Thread(
-            target=partial(signals.heed_for_good, renewals.ask), name="signals", daemon=True
-        ).start()
-    except RuntimeError as problem:  # the end goes before what may still move
-        metrics.log_sampled("no_thread", part="signals", problem=str(problem))
-    if not stopped.wait(max(0.0, (at + stop_ms) / 1000.0 - time.time())):
-        log.error("stop_overrun", stop_ms=stop_ms)  # the module's thread is stuck; a kill is next
+    number = signals.wait_for_termination(reloader.request)
+    signalled_at = time.time() * 1000.0
+    log.info("signal", number=number)
+    stop_ms = float(reloader.configuration["stop_ms"])
+    log_ends_by((signalled_at + stop_ms) / 1000.0 - PROCESS_EXIT_TIME)
+    server.start_shutdown(signalled_at, stop_ms)
+    handle_further_signals(reloader, metrics)
+    if not server.stopped.wait(max(0.0, (signalled_at + stop_ms) / 1000.0 - time.time())):
+        log.error("stop_overrun", stop_ms=stop_ms)  # the admission actor's thread is stuck; a kill is next
         return 1
     log.info("stopped")
     return 0
 
 
-def pools_from(told: dict[str, Any], metrics: Metrics) -> Callable[[], Any] | None:
-    declared = told.get("declared") or {}
+def handle_further_signals(reloader: ConfigurationReloader, metrics: Metrics) -> None:
+    """Reload on SIGHUP during the shutdown too: peers may still move."""
+    run = partial(signals.handle_reloads, reloader.request)
+    try:
+        threading.Thread(target=run, name="signals", daemon=True).start()
+    except RuntimeError as problem:  # the shutdown goes before what may still move
+        metrics.log_sampled("no_thread", part="signals", problem=str(problem))
+
+
+def fleet_settings(configuration: Configuration) -> dict[str, Any] | None:
+    """Return what our own files declare of the fleet; None for a server alone."""
+    settings: dict[str, Any] | None = (configuration.get("declared") or {}).get("together")
+    return settings or None
+
+
+def bulkheads_maker(configuration: Configuration, metrics: Metrics) -> Callable[[], Any] | None:
+    """Return what makes the bulkheads that our own files declare; None where there are none."""
+    declared = configuration.get("declared") or {}
     if not declared.get("pools") or declared["pools"] == "none":
         return None
-    from vetchford.bulkheads import bulkhead_metrics  # a server without pools does without it
-
-    return partial(bulkhead_metrics.pools, told["settings"], declared["pools"], metrics)
-
-
-def neighbours_from(told: dict[str, Any], module: AdmissionActor, metrics: Metrics) -> list[Any]:
-    """The actor that speaks to the other servers; none where they are not told of."""
-    together = (told.get("declared") or {}).get("together")
-    if not together:
-        return []
-    from vetchford.coordination import fleet_member  # a server alone does without it
-
-    module.load_sampler = fleet_member.measure()
-    return [
-        fleet_member.FleetMember(
-            together,
-            platform_config.seed(told),
-            metrics,
-            partial(module.post, module.sample_load),
-            partial(module.post, module.fleet_signals_changed),
-        )
-    ]
-
+    from vetchford.bulkheads import bulkhead_metrics  # a server without bulkheads does without it
 
-def renew(
-    told: dict[str, Any],
-    reread: Callable[[], dict[str, Any]],
-    moves: dict[str, Callable[..., None]],
-    neighbours: Sequence[Any] = (),
-) -> dict[str, Any]:
-    """Goes over to the addresses of the file as it is now; one that is wrong leaves all as it was."""
-    try:
-        fresh = reread()
-        moved = [key for key in MOVABLE if fresh.get(key) != told.get(key)]
-        addresses = {
-            key: platform_config.records(fresh) if key == "records" else platform_config.address(fresh, key)
-            for key in moved
-        }
-    except Exception as problem:  # whatever is wrong with the file, the server goes on
-        log.error("configuration_refused", problem=str(problem))
-        return told
-    for key in moved:
-        moves[key](addresses[key])
-    together = (fresh.get("declared") or {}).get("together")
-    for part in neighbours if together else ():
-        part.post(part.allow, together)
-    kept = [key for key in FIXED if fresh.get(key) != told.get(key)]
-    log.info("configuration_renewed", moved=",".join(moved), not_changed=",".join(kept))
-    return {**told, "stop_ms": fresh["stop_ms"], **{key: fresh.get(key) for key in MOVABLE}}
+    return partial(bulkhead_metrics.pools, configuration["settings"], declared["pools"], metrics)
--- a/vetchford/server/signals.py
+++ b/vetchford/server/signals.py
@@ -1,4 +1,4 @@
-"""The signals of a server, held from its first line on and taken where it waits for them.
+"""The signals of a server: blocked before any thread starts, and taken where it waits for them.
 
 Loaded before all else, so it loads nothing itself that takes time.
 """
@@ -7,34 +7,34 @@
 import signal
 from collections.abc import Callable
 
-TO_LEAVE = {signal.SIGTERM, signal.SIGINT}
-SIGNALS = {*TO_LEAVE, signal.SIGHUP}
+TERMINATION_SIGNALS = {signal.SIGTERM, signal.SIGINT}
+SIGNALS = {*TERMINATION_SIGNALS, signal.SIGHUP}
 
 
-def leave_until_held() -> None:
-    """While nothing has begun there is nothing to drain: told to leave, the program ends at once.
+def exit_on_termination() -> None:
+    """Until `block_signals` let a termination signal end the program at once, and block SIGHUP.
 
-    Held like the others a SIGTERM would wait for as long as the configuration takes to be read, and a file
-    that never comes would have the start killed.
+    While nothing is open there is nothing to wait for. Blocked like the others a SIGTERM would wait for as
+    long as the configuration takes to be read, and a file that never comes would have the start killed.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    for number in sorted(TO_LEAVE):
-        signal.signal(number, lambda *given: os._exit(0))
+    for number in sorted(TERMINATION_SIGNALS):
+        signal.signal(number, lambda *arguments: os._exit(0))
 
 
-def hold_signals() -> None:
-    """Before any thread begins: through one that doesn't hold them a second signal would end the program."""
+def block_signals() -> None:
+    """Block all; before any thread starts, as one that doesn't block them would end the program."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def until_told_to_leave(renew: Callable[[], None]) -> int:
-    """Waits; `renew` on each SIGHUP. Returns the signal that asks to leave."""
-    while (caught := signal.sigwait(SIGNALS)) == signal.SIGHUP:
-        renew()
-    return int(caught)
+def wait_for_termination(on_reload: Callable[[], None]) -> int:
+    """Return the termination signal once it comes; call `on_reload` on each SIGHUP until then."""
+    while (number := signal.sigwait(SIGNALS)) == signal.SIGHUP:
+        on_reload()
+    return int(number)
 
 
-def heed_for_good(renew: Callable[[], None]) -> None:
-    """During a drain addresses may move as well; a further wish to leave changes nothing."""
+def handle_reloads(on_reload: Callable[[], None]) -> None:
+    """Call `on_reload` on each SIGHUP for good; for a shutdown, which a further signal does not change."""
     while True:
-        until_told_to_leave(renew)
+        wait_for_termination(on_reload)
