--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -163,7 +163,7 @@
         file = tmp_path / "config.json"
         file.write_text(json.dumps({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
         ran = command("--log-form", "json", "serve", "--config", str(file))
-    assert ran.returncode == 1 and json.loads(ran.stderr)["event"] == "cannot_listen"
+    assert ran.returncode == 1 and json.loads(ran.stderr)["event"] == "listen_failed"
 
 
 def test_good_commands_exit_with_0(tmp_path):
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -40,7 +40,7 @@
         if was_idle:
             self.start_thread(self.run)
         else:
-            log.warning("configuration_waits")
+            log.warning("configuration_reload_queued")
 
     def run(self) -> None:
         """Reload until no request is left; the body of the thread."""
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -125,7 +125,7 @@
         """Answer health checks, and report to the registry, by this."""
         self.listener.fit = good
         self.registry.post(self.registry.judge, good)
-        log.info("fitness", good=good)
+        log.info("readiness_changed", good=good)
 
     def publish_load(self, value: float) -> None:
         """Do nothing: the protocol has no place for a load report."""
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -172,7 +172,7 @@
     try:
         server = Server(configuration, metrics)
     except CannotListenError as problem:
-        log.error("cannot_listen", address=problem.address, problem=problem.reason)
+        log.error("listen_failed", address=problem.address, problem=problem.reason)
         return 1
     gc.collect()
     gc.freeze()
@@ -186,13 +186,14 @@
     )
     number = signals.wait_for_termination(reloader.request)
     signalled_at = time.time() * 1000.0
-    log.info("signal", number=number)
+    log.info("signal_received", number=number)
     stop_ms = float(reloader.configuration["stop_ms"])
     log_ends_by((signalled_at + stop_ms) / 1000.0 - PROCESS_EXIT_TIME)
     server.start_shutdown(signalled_at, stop_ms)
     handle_further_signals(reloader, metrics)
     if not server.stopped.wait(max(0.0, (signalled_at + stop_ms) / 1000.0 - time.time())):
-        log.error("stop_overrun", stop_ms=stop_ms)  # the admission actor's thread is stuck; a kill is next
+        # The thread of the admission actor is stuck; a kill is next.
+        log.error("shutdown_timed_out", stop_ms=stop_ms)
         return 1
     log.info("stopped")
     return 0
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -74,7 +74,7 @@
 
     def start(self, signalled_at: float, stop_ms: float, grace: float) -> float:
         """Start the schedule; return by when all must be answered, in Unix ms."""
-        log.info("drain_begins", stop_ms=stop_ms, open=self.answers.count_unanswered())
+        log.info("shutdown_started", stop_ms=stop_ms, open=self.answers.count_unanswered())
         answers_due = self.schedule.start(signalled_at, stop_ms, grace)
         self.timers.schedule(self.schedule.last_exit(), self.advance)  # ticks may fall on either side of it
         return answers_due
