--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -148,7 +148,7 @@
             for _ in range(chance.randrange(len(self.to_pool) + 1)):
                 self.command(self.to_pool.pop(0))
             # The replay's end, and what is sent again upon it, cross in under a ms: no run ends meanwhile.
-            ends = not self.module.commands.ready and any(
+            ends = not self.module.state.commands.ready and any(
                 message["type"] == "polled" for message in self.to_server
             )
             for _ in range(len(self.to_server) if ends else chance.randrange(len(self.to_server) + 1)):
@@ -213,4 +213,4 @@
     # Links broke at the wrong time, and results were shared.
     assert day.module.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
     assert all("must_hold" not in name and "broke" not in name for name in day.module.metrics.by_name)
-    assert not day.module.calls.in_flight and not day.module.idempotency_cache.followers
+    assert not day.module.state.calls.in_flight and not day.module.state.idempotency_cache.followers
--- /dev/null
+++ b/vetchford/server/request_admission.py
@@ -0,0 +1,118 @@
+"""Requests that arrive and clients that leave, handed to the admission controller."""
+
+import hashlib
+
+from vetchford.admission.controller import FINGERPRINTED, AdmissionController
+from vetchford.admission.factory import BYTES_PER_KB
+from vetchford.protocol import json_rpc
+from vetchford.protocol.messages import IncomingRequest
+from vetchford.server.request_table import Client, RequestEntry
+from vetchford.server.server_actions import ServerActions, SharedResult
+from vetchford.server.server_state import ServerState
+
+KEY_DIGEST_SIZE = 16  # bytes
+
+
+class RequestAdmission:
+    """Enters requests and answers those that a controller need not see.
+
+    Used by the thread of the admission actor alone.
+    """
+
+    def __init__(self, state: ServerState, actions: ServerActions) -> None:
+        """Enter requests in the table of `state`; `actions` are those of the controller."""
+        self.actions, self.metrics, self.clock = actions, state.metrics, state.clock
+        self.requests, self.answers = state.requests, state.answers
+        self.idempotency_cache = state.idempotency_cache
+
+    def reject_unready(self, client: Client, request: IncomingRequest) -> None:
+        """Reject a request while the worker pool is not up: it never ran."""
+        self.metrics.increment("rejected_no_pool")
+        client.answer(request.rpc_id, json_rpc.rejected(request.rpc_id, False, 0.0))
+
+    def request_arrived(
+        self, controller: AdmissionController, client: Client, request: IncomingRequest
+    ) -> None:
+        """Enter a request and have it admitted or rejected; one whose id is in use is refused."""
+        if self.requests.find(request.request_id) is None:
+            self._admit(controller, client, request)
+            return
+        code, problem = json_rpc.INVALID_PARAMS, "field 'txn' is in use"
+        self.metrics.log_sampled("balancer_bad_message", code=code, problem=problem)
+        client.answer(request.rpc_id, json_rpc.error(request.rpc_id, code, problem))
+
+    def client_gone(self, controller: AdmissionController, client: Client) -> None:
+        """Give up what is unanswered of a client whose connection broke."""
+        indices = [index for index, entry in self.requests.unanswered() if entry.client is client]
+        for index in indices:
+            if self.requests.is_unanswered(index):
+                self.requests[index].answered = True
+                self.metrics.increment("callers_gone")
+                controller.client_gone(self.clock.now(), index)
+
+    def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
+        """Reject what is queued of a client whose requests did not come by the balancers."""
+        for index, entry in self.requests.unanswered():
+            if entry.client is client and index in controller.held:
+                self.answers.reject(entry, True, 0.0, "rejected_distrusted")
+                controller.client_gone(self.clock.now(), index)
+
+    def deliver_shared_result(self, controller: AdmissionController, shared: SharedResult) -> None:
+        """Answer a repeated request with the result of its original."""
+        index, result = shared
+        if not self.requests.is_unanswered(index):
+            return
+        code = "completed" if result.completed else "errored"
+        self.answers.run_ended(self.requests[index], code, result.content)
+        controller.run_ended(self.clock.now(), index, code, 0.0)
+
+    def _admit(self, controller: AdmissionController, client: Client, request: IncomingRequest) -> None:
+        now, arrived_at = self.clock.now(), request.arrived_at - self.clock.origin
+        request_class = controller.stages[request.request_class]
+        # No client waits for longer than the limit of the class, nor asks for more work than fits into it: a
+        # request that claims so must neither be queued for hours nor outweigh all others in what is learnt.
+        deadline = None
+        if request.time_limit is not None:
+            deadline = arrived_at + min(request.time_limit, request_class.limit)
+        work = None if request.cpu_time is None else min(request.cpu_time, request_class.limit)
+        answer_due = max(now, arrived_at + request_class.limit if deadline is None else deadline)
+        entry = RequestEntry(
+            request.request_id, request.method, client, request.rpc_id, request.content, answer_due
+        )
+        original = None
+        if request.idempotency_key is not None and request_class.effect == FINGERPRINTED:
+            original = self._find_original(entry, request)
+        index = self.requests.add(entry)
+        self.metrics.increment("read")
+        self.actions.arriving = index
+        controller.request_arrived(
+            now,
+            index,
+            request.request_class,
+            request.tenant,
+            request.balancer,
+            deadline,
+            work,
+            max(1, round(request.memory_kb * BYTES_PER_KB)),
+            False,
+            max(0.0, now - arrived_at),
+            original,
+        )
+        self.actions.arriving = -1
+
+    def _find_original(self, entry: RequestEntry, request: IncomingRequest) -> int | None:
+        """Set the key of an entry, and return the request that it repeats, if any."""
+        entry.idempotency_key = qualified_key(request)
+        original = self.idempotency_cache.find_original(entry.idempotency_key, request.arrived_at)
+        if original is not None:
+            entry.original = original
+        return original
+
+
+def qualified_key(request: IncomingRequest) -> str:
+    """Return the key of a request with its class and a digest of its body.
+
+    All attempts of a request carry the same body: the same key with another one is no repeat.
+    """
+    digest = hashlib.blake2b(request.content.encode(), digest_size=KEY_DIGEST_SIZE).hexdigest()
+    return f"{request.request_class} {request.idempotency_key} {digest}"
--- /dev/null
+++ b/vetchford/server/run_events.py
@@ -0,0 +1,113 @@
+"""What happens to runs and to their dependency calls, handed to the admission controller."""
+
+from typing import TYPE_CHECKING
+
+from vetchford.admission.controller import CALLING, PARKED, RUNNING, AdmissionController
+from vetchford.server.idempotency_cache import RunResult
+from vetchford.server.request_admission import RequestAdmission
+from vetchford.server.server_actions import SharedResult
+from vetchford.server.server_state import ServerState
+
+if TYPE_CHECKING:
+    from vetchford.coordination.load_sampler import LoadSampler
+
+EXECUTING_STATES = (RUNNING,)
+STARTED_STATES = (RUNNING, PARKED, CALLING)
+MAX_LOGGED_ID = 64  # characters
+
+
+class RunEvents:
+    """Takes notices of the worker pool and outcomes of calls.
+
+    Used by the thread of the admission actor alone.
+    """
+
+    def __init__(
+        self, state: ServerState, admission: RequestAdmission, load_sampler: "LoadSampler | None"
+    ) -> None:
+        """Take events about the requests of `state`; `load_sampler` is shown the outcomes of calls."""
+        self.admission, self.metrics, self.clock = admission, state.metrics, state.clock
+        self.requests, self.answers = state.requests, state.answers
+        self.idempotency_cache = state.idempotency_cache
+        self.commands, self.calls = state.commands, state.calls
+        self.load_sampler = load_sampler
+
+    def run_blocked(self, controller: AdmissionController, request_id: str, notice: int, body: bytes) -> None:
+        """Take that a run waits for a dependency call, by notice number `notice`."""
+        index = self._find_run(controller, request_id, EXECUTING_STATES)
+        if index is None:
+            return
+        entry = self.requests[index]
+        entry.command, entry.blocked_notice, entry.call_body = None, notice, body
+        if controller.calls is None:  # there is no dependency: the controller would fail in each tick
+            self._count_odd_notice(request_id, known=True)
+            return
+        controller.run_blocked(self.clock.now(), index)
+
+    def run_ended(
+        self, controller: AdmissionController, request_id: str, code: str, duration: float, content: str
+    ) -> None:
+        """Take the end of a run: its outcome, the ms it took and its result in base64."""
+        index = self._find_run(controller, request_id, STARTED_STATES)
+        if index is None:
+            return
+        entry = self.requests[index]
+        entry.command, entry.content = None, ""
+        self.calls.cancel(entry)
+        if code == "superseded":  # it never ran: a request with its key is no repeat of it
+            self.idempotency_cache.forget(index)
+        self.answers.run_ended(entry, code, content)
+        result = RunResult(code == "completed", content)
+        followers = self.idempotency_cache.run_ended(index, result)
+        controller.run_ended(self.clock.now(), index, code, duration)
+        for follower in followers:
+            self.admission.deliver_shared_result(controller, SharedResult(follower, result))
+
+    def command_unknown(self, controller: AdmissionController, command: str, request_id: str) -> None:
+        """Take that the worker pool did not carry out a command."""
+        self.metrics.log_sampled("pool_unknown", command=command, task=request_id)
+        index = self.requests.find(request_id)
+        if command != "spawn" or index is None:
+            return
+        # No end of this run will ever be reported.
+        client = self.requests[index].client
+        # Before this end frees a core for its next request.
+        self.admission.reject_queued_of(controller, client)
+        self.run_ended(controller, request_id, "superseded", 0.0, "")
+        client.run_or_post(client.distrust)
+
+    def call_ended(self, controller: AdmissionController, number: int, code: str, reply: bytes) -> None:
+        """Take the outcome of a call to the records service."""
+        call = self.calls.end(number)
+        if call is None:
+            self.metrics.increment("calls_late")
+            return
+        index = call.request_index
+        entry, duration = self.requests[index], self.clock.now() - call.started_at
+        entry.call_number = 0
+        self.metrics.increment("calls_" + code)
+        if self.load_sampler is not None:
+            self.load_sampler.call_ended(self.clock.now(), code, duration)
+        if code == "completed":
+            self.commands.supply_reply(entry, reply)
+        controller.call_ended(self.clock.now(), index, code, duration)
+
+    def call_timed_out(self, controller: AdmissionController, number: int) -> None:
+        """Give up a call at its deadline, if it is still in flight."""
+        index = self.calls.find(number)
+        if index is not None:
+            self.calls.records.unop(self.requests[index].request_id, number)
+            self.call_ended(controller, number, "overdue", b"")
+
+    def _find_run(
+        self, controller: AdmissionController, request_id: str, states: tuple[int, ...]
+    ) -> int | None:
+        """Return the request of a notice; None, counted, where the notice can't be about a run of it."""
+        index, tasks = self.requests.find(request_id), controller.tasks
+        if index is None or index not in tasks or tasks[index].state not in states:
+            self._count_odd_notice(request_id, known=index is not None)
+            return None
+        return index
+
+    def _count_odd_notice(self, request_id: str, known: bool) -> None:
+        self.metrics.log_sampled("pool_odd_notice", task=request_id[:MAX_LOGGED_ID], known=known)
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -3,23 +3,17 @@
 import math
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
 import structlog
 
 from vetchford.admission.actions import AdmissionActions
 from vetchford.admission.controller import RESTARTABLE, AdmissionController
-from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.timers import Timers, unix_time_ms
+from vetchford.runtime.timers import unix_time_ms
 from vetchford.server.client_connections import Listener
-from vetchford.server.dependency_calls import DependencyCalls
-from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
+from vetchford.server.idempotency_cache import RunResult
 from vetchford.server.registry_reporter import RegistryReporter
-from vetchford.server.request_answers import RequestAnswers
-from vetchford.server.request_table import RequestTable
-from vetchford.server.server_clock import ServerClock
-from vetchford.server.worker_pool_commands import WorkerPoolCommands
+from vetchford.server.server_state import ServerState
 
 log = structlog.get_logger()
 
@@ -34,7 +28,6 @@
     result: RunResult
 
 
-@dataclass(eq=False)
 class ServerActions(AdmissionActions):
     """Answers clients, commands the worker pool and calls the records service as the controller decides.
 
@@ -42,21 +35,24 @@
     call the controller again is put in `deferred`, for the actor to do once the controller has returned.
     """
 
-    metrics: Metrics
-    clock: ServerClock
-    timers: Timers
-    requests: RequestTable
-    idempotency_cache: IdempotencyCache
-    answers: RequestAnswers
-    commands: WorkerPoolCommands
-    calls: DependencyCalls
-    listener: Listener
-    registry: RegistryReporter
-    on_tick: Callable[[], None]
-    controller: AdmissionController = field(init=False)  # set once it is built, before requests are admitted
-    deferred: deque[SharedResult] = field(init=False, default_factory=deque)
-    arriving: int = field(init=False, default=-1)  # index of the request that is just being admitted
-    idle_timeout: float = field(init=False, default=math.inf)  # ms that a silent connection is kept
+    controller: AdmissionController  # set once it is built, before requests are admitted
+
+    def __init__(
+        self,
+        state: ServerState,
+        listener: Listener,
+        registry: RegistryReporter,
+        on_tick: Callable[[], None],
+    ) -> None:
+        """Act on the requests of `state`; `on_tick` is called as the controller asks for it."""
+        self.metrics, self.clock, self.timers = state.metrics, state.clock, state.timers
+        self.requests, self.answers = state.requests, state.answers
+        self.idempotency_cache = state.idempotency_cache
+        self.commands, self.calls = state.commands, state.calls
+        self.listener, self.registry, self.on_tick = listener, registry, on_tick
+        self.deferred: deque[SharedResult] = deque()
+        self.arriving = -1  # index of the request that is just being admitted
+        self.idle_timeout = math.inf  # ms that a silent connection is kept
 
     def start(self, q: int) -> None:
         """Start the run of a queued request."""
