--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -26,18 +26,18 @@
         self.mailbox: SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = SimpleQueue()
         self.running = True
 
-    def post(self, act: Callable[..., None], *given: Any) -> None:
-        """Let the actor's thread call `act` with the arguments; never blocks."""
-        self.mailbox.put((act, given))
+    def post(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Let the actor's thread call `method` with the arguments; never blocks."""
+        self.mailbox.put((method, arguments))
 
-    def post_when_room(self, act: Callable[..., None], *given: Any) -> None:
+    def post_when_room(self, method: Callable[..., None], *arguments: Any) -> None:
         """Like `post`, after a wait while the mailbox is far behind.
 
         For readers of sockets: they stop reading then, and so stop those who write to them.
         """
         while self.mailbox.qsize() > MAILBOX_HIGH_WATER:
             time.sleep(HIGH_WATER_INTERVAL)
-        self.mailbox.put((act, given))
+        self.mailbox.put((method, arguments))
 
     def start(self) -> None:
         """Start the thread."""
@@ -55,13 +55,13 @@
         """
         take, count = self.mailbox.get, 0
         try:
-            act, given = take(timeout=timeout)
+            method, arguments = take(timeout=timeout)
             while True:
                 count += 1
-                self.run_guarded(act, *given)
+                self.run_guarded(method, *arguments)
                 if count == BATCH_SIZE:
                     break
-                act, given = take(False)
+                method, arguments = take(False)
         except Empty:
             pass
         self.run_guarded(self.on_idle)
@@ -74,10 +74,10 @@
     def on_idle(self) -> None:
         """Do what is due; called after each batch of entries and as `next_timeout` has passed."""
 
-    def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
+    def run_guarded(self, method: Callable[..., None], *arguments: Any) -> None:
         """Run one entry; one that goes wrong must not end the thread, and with it the server."""
         try:
-            act(*given)
+            method(*arguments)
         except Exception as problem:
             self.metrics.report_internal_error(self.name, problem)
 
@@ -96,18 +96,18 @@
         self.lock = threading.Lock()
         self.awake = False  # whether a thread is the actor's just now
 
-    def post(self, act: Callable[..., None], *given: Any) -> None:
-        """Let a thread of the pool call `act` with the arguments; never blocks."""
-        self.mailbox.put((act, given))
+    def post(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Let a thread of the pool call `method` with the arguments; never blocks."""
+        self.mailbox.put((method, arguments))
         if not self.awake and self._wake():
             self.thread_pool.run(self.run)
 
-    def run_or_post(self, act: Callable[..., None], *given: Any) -> None:
-        """Call `act` here if the actor is asleep, else like `post`; for entries that don't block."""
+    def run_or_post(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Call `method` here if the actor is asleep, else like `post`; for entries that don't block."""
         if self.awake or not self._wake():
-            self.post(act, *given)
+            self.post(method, *arguments)
             return
-        self.run_guarded(act, *given)
+        self.run_guarded(method, *arguments)
         self.run_guarded(self.flush_nonblocking)
         if not self.try_sleep():
             self.thread_pool.run(self.run)
@@ -120,7 +120,7 @@
         return False
 
     def try_sleep(self) -> bool:
-        """Give the actor's place up, unless there is more to do; return whether it was given up."""
+        """Give the actor's place up, unless there is more to do; return whether it was arguments up."""
         with self.lock:
             self.awake = False  # before the last look: whoever puts an entry now wakes it again
             more = self.running and (self.has_unwritten() or not self.mailbox.empty())
--- a/vetchford/runtime/thread_pool.py
+++ b/vetchford/runtime/thread_pool.py
@@ -1,4 +1,4 @@
-"""Threads that are started with patience: one by one, and as a pool that grows and shrinks with its jobs."""
+"""Starting threads where the system may have none left, and a pool that grows and shrinks with its jobs."""
 
 import _thread
 import contextlib
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -124,9 +124,9 @@
         """Fire the timers that are due."""
         self.timers.fire_due(self.run_guarded)
 
-    def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
+    def run_guarded(self, method: Callable[..., None], *arguments: Any) -> None:
         """Run one event, then what the controller's actions have deferred."""
-        super().run_guarded(act, *given)
+        super().run_guarded(method, *arguments)
         while self.actions.deferred:
             shared = self.actions.deferred.popleft()
             super().run_guarded(self.admission.deliver_shared_result, self._bound_controller(), shared)
@@ -154,7 +154,7 @@
             if self.shutdown.schedule.started():
                 return  # a controller would report readiness, and what came before was rejected
             self._start_controller(cold, started_ago)
-        self.state.commands.poll()  # what is read before its answer is the replay
+        self.state.commands.poll()  # notices that come before the answer are the replay
 
     def worker_pool_lost(self) -> None:
         """Keep commands until another link is bound."""
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -16,7 +16,7 @@
     def distrust(self) -> None:
         """Read nothing more, and close once all is answered."""
 
-    def run_or_post(self, act: Callable[..., None], *given: Any) -> None:
+    def run_or_post(self, method: Callable[..., None], *arguments: Any) -> None:
         """Run one of its methods on the actor of the connection."""
 
 
@@ -84,6 +84,6 @@
                 yield index, entry
 
     def release(self, index: int) -> None:
-        """Forget the request; its index may be given to another."""
+        """Forget the request; its index may be arguments to another."""
         self.indices.release(index)
         self.entries[index] = None
