--- /dev/null
+++ b/tests/admission/test_factory.py
@@ -0,0 +1,47 @@
+"""Controllers built from settings, beside each other."""
+
+from helpers import TOLD, Recorder
+
+from vetchford.admission import controller, factory
+
+
+def test_two_configurations_beside_each_other_decide_as_each_alone():
+    short = {"promise": 900_000_000, "deadline": 1_500_000_000}
+    told = {**TOLD, "requestClasses": [{**entry, **short} for entry in TOLD["requestClasses"]]}
+    other = {
+        **TOLD,
+        "requestClasses": [
+            {
+                "name": "pay",
+                "worth": 9.0,
+                "promise": 300_000_000,
+                "deadline": 900_000_000,
+                "effect": "read_like",
+            },
+            {"name": "read", "worth": 1.0, "deadline": 700_000_000, "effect": "non_idempotent"},
+        ],
+        "customers": [],
+        "familyInfo": {"cores": 1, "ramKb": 300.0, "blowup": 2.0, "ownStats": ["core_use"]},
+    }
+
+    takes = {2: 60.0, 1: 400.0}  # ms of a run, by the cores: what one learns is not what the other does
+
+    def play(*tolds):
+        hosts = [Recorder() for _ in tolds]
+        nodes = [factory.build(host, 7, its, False) for host, its in zip(hosts, tolds, strict=True)]
+        for step in range(400):
+            now = 10.0 * step
+            for node in nodes:
+                limit = now + node.stages[step % 2].limit
+                node.request_arrived(now, step, step % 2, -1, step % 3, limit, 20.0, 20_480, False, 0.0, None)
+                runs = [q for q, task in node.tasks.items() if task.state == controller.RUNNING]
+                for q in runs[: step % 3 == 0]:
+                    node.run_ended(now, q, "completed", takes[node.cores])
+                if step % 5 == 0:
+                    node.on_tick(now, 0.9, 2.0)
+        return [host.acts for host in hosts]
+
+    alone = [*play(told), *play(other)]
+    for acts in alone:  # enough is decided for a difference to show
+        assert {"start", "reject"} <= {act[0] for act in acts}
+    assert play(told, other) == alone
--- /dev/null
+++ b/tests/runtime/test_log_setup.py
@@ -0,0 +1,38 @@
+"""The log: what a peer can provoke, a reader that is stuck, and the end."""
+
+import io
+import socket
+import time
+from types import SimpleNamespace
+
+from vetchford.runtime import log_setup
+from vetchford.runtime.metrics import Metrics
+
+
+def test_what_a_peer_can_provoke_is_logged_ever_more_rarely_and_a_stuck_log_stops_nobody():
+    read, write = socket.socketpair()
+    writer = log_setup.start("info", "json", write.makefile("w"))
+    metrics = Metrics()
+    for _ in range(1000):
+        metrics.log_sampled("balancer_bad_message", code=1)
+    assert metrics.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
+    for _ in range(20_000):
+        metrics.log_summary(text="x" * 200)
+    assert writer.lines.qsize() <= log_setup.MAX_QUEUED_LINES and writer.dropped > 0
+    read.close()
+    write.close()
+    log_setup.start("error", "text", io.StringIO())
+
+
+def test_the_log_s_end_is_waited_for_no_longer_than_it_was_told():
+    read, write = socket.socketpair()
+    writer = log_setup.start("info", "json", write.makefile("w"))
+    waited = []
+    writer.thread = SimpleNamespace(join=waited.append)
+    writer.close()
+    writer.end_by(time.time() - 1.0)
+    writer.close()
+    assert waited == [log_setup.FLUSH_TIMEOUT, 0.0]
+    read.close()
+    write.close()
+    log_setup.start("error", "text", io.StringIO())
--- /dev/null
+++ b/tests/server/test_platform_config.py
@@ -0,0 +1,67 @@
+"""The configuration of one server: which keys are refused, and what is understood."""
+
+import json
+
+import pytest
+from helpers import GOOD
+
+from vetchford.errors import MalformedInputError
+from vetchford.server import platform_config
+
+
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("name", None),
+        ("name", "two words"),
+        ("listen", "here"),
+        ("listen", "127.0.0.1:x"),
+        ("pool", None),
+        ("records", "localhost:5"),
+        ("members", 7),
+        ("seed", "xyz"),
+        ("seed", None),
+        ("stop_ms", 0),
+        ("stop_ms", "3200"),
+        ("limits", None),
+        ("limits.sockets", 3),
+        ("settings", []),
+        ("settings.requestClasses", []),
+        ("settings.familyInfo.cores", 0),
+        ("settings.requestClasses", [5]),
+    ],
+)
+def test_a_wrong_configuration_is_named_by_its_key(key, value):
+    told = json.loads(json.dumps(GOOD))
+    inner, *path = told, *key.split(".")
+    for step in path[:-1]:
+        inner = inner[step]
+    inner[path[-1]] = value
+    with pytest.raises(MalformedInputError, match="settings" if key.startswith("settings") else key):
+        platform_config.check(told)
+
+
+def test_a_good_configuration_is_understood_and_the_environment_goes_before_it(tmp_path):
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(GOOD))
+    told = platform_config.load(
+        {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
+    )
+    assert (told["name"], told["listen"]) == ("n9", "127.0.0.1:9")
+    assert platform_config.summary(told)["stages"][1]["limit_ms"] == 60_000.0
+
+
+def test_where_nothing_is_below_no_records_service_need_be_named():
+    told = json.loads(json.dumps(GOOD))
+    for records in (None, ""):
+        told["records"] = records
+        with pytest.raises(MalformedInputError, match="'records'"):
+            platform_config.check(told)  # its runs may call
+    told["settings"]["familyInfo"]["below"] = "silent"
+    platform_config.check(told)
+    del told["records"]
+    platform_config.check(told)
+    assert platform_config.records_address(told) is None and platform_config.summary(told)["records"] is None
+    told["records"] = "nowhere"
+    with pytest.raises(MalformedInputError, match="'records'"):
+        platform_config.check(told)
--- /dev/null
+++ b/tests/server/test_reload_races.py
@@ -0,0 +1,26 @@
+"""Reloads that meet. Rows and their state: docs/crossings.md."""
+
+from testkit.faults.checkpoints import Checkpoint, beside, until
+from vetchford.server.reload import ConfigurationReloader
+
+
+def test_a_renewal_that_raises_keeps_no_later_one_from_its_turn():
+    """The second wish comes while the first is served, and that one ends in an error."""
+    gate, served = Checkpoint(), []
+
+    def renew(told):
+        served.append(told)
+        gate.come()
+        if len(served) == 1:
+            raise OSError("the disk")
+        return {"stop_ms": len(served)}
+
+    reloader = ConfigurationReloader({"stop_ms": 0}, renew, lambda act: beside(act))
+    reloader.request()
+    gate.wait()
+    reloader.request()
+    gate.open()
+    until(lambda: not reloader.reloading, "both are served")
+    assert served == [{"stop_ms": 0}] * 2 and reloader.configuration == {"stop_ms": 2}
+    reloader.request()
+    until(lambda: reloader.configuration == {"stop_ms": 3}, "one more")
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -1,29 +1,16 @@
-"""Configuration, command line, counts, log; the fingerprints' table; events against the on-call page."""
+"""The command line and its exit statuses; log events against the on-call page; a listener that is filling."""
 
-import io
 import json
-import queue
-import random
 import re
 import socket
 import subprocess
 import sys
-import threading
-import time
-from types import SimpleNamespace
 
-import pytest
-from helpers import GOOD, ROOT, TOLD, Recorder
+from helpers import GOOD, ROOT, Recorder
 
 import vetchford
-from vetchford.errors import MalformedInputError
-from vetchford.protocol.messages import IncomingRequest
-from vetchford.runtime import log_setup
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.thread_pool import ThreadPool, start_thread
-from vetchford.server import client_connections, platform_config
-from vetchford.server.admission_actor import AdmissionActor
-from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
+from vetchford.server import client_connections
 
 
 def command(*given, **environment):
@@ -37,111 +24,6 @@
     )
 
 
-@pytest.mark.parametrize(
-    ("key", "value"),
-    [
-        ("name", None),
-        ("name", "two words"),
-        ("listen", "here"),
-        ("listen", "127.0.0.1:x"),
-        ("pool", None),
-        ("records", "localhost:5"),
-        ("members", 7),
-        ("seed", "xyz"),
-        ("seed", None),
-        ("stop_ms", 0),
-        ("stop_ms", "3200"),
-        ("limits", None),
-        ("limits.sockets", 3),
-        ("settings", []),
-        ("settings.requestClasses", []),
-        ("settings.familyInfo.cores", 0),
-        ("settings.requestClasses", [5]),
-    ],
-)
-def test_a_wrong_configuration_is_named_by_its_key(key, value):
-    told = json.loads(json.dumps(GOOD))
-    inner, *path = told, *key.split(".")
-    for step in path[:-1]:
-        inner = inner[step]
-    inner[path[-1]] = value
-    with pytest.raises(MalformedInputError, match="settings" if key.startswith("settings") else key):
-        platform_config.check(told)
-
-
-def test_a_good_configuration_is_understood_and_the_environment_goes_before_it(tmp_path):
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
-    told = platform_config.load(
-        {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
-    )
-    assert (told["name"], told["listen"]) == ("n9", "127.0.0.1:9")
-    assert platform_config.summary(told)["stages"][1]["limit_ms"] == 60_000.0
-
-
-@pytest.mark.parametrize("cold", [False, True])
-def test_the_ramp_of_a_cold_pool_counts_from_the_pool_s_start(cold):
-    told = {**TOLD, "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000}}
-    module = AdmissionActor(7, told, Metrics())
-    peer = Recorder()
-    module.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
-    module.worker_pool_bound(1, cold, 5000.0)
-    assert module.clock.now() >= 5000.0  # what is left of the ramp is told to the node by its clock
-    assert module.controller.ramp == (18_000.0 if cold else 0.0)
-
-
-def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
-    # It would be taken off the slots, and a core would stand idle for what nobody reads.
-    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
-    module.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
-    module.worker_pool_bound(1, False, 5000.0)
-    module.controller.running = 2
-    module.poll_answered("1-1", [0.9, 3.0])
-    module.controller.running = 1
-    told = []
-    module.controller.on_tick = lambda now, busy, on_cores: told.append((busy, on_cores))
-    module.tick()
-    assert told == [(0.9, 2.0)]  # one reads, as at the poll
-
-
-def test_figures_that_no_caller_can_mean_neither_hold_a_task_for_hours_nor_outweigh_the_others():
-    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
-    module.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
-    module.worker_pool_bound(1, False, 5000.0)
-    module.request_arrived(
-        peer,
-        IncomingRequest(
-            1, "ab", 0, "read", -1, 0, module.clock.origin + module.clock.now(), 1e9, 1e9, 1.0, None, ""
-        ),
-    )
-    task = module.controller.tasks[0]
-    assert task.work == 60_000.0 and task.limit - task.arrived <= 60_000.1
-
-
-def test_a_task_that_the_decisions_lose_is_answered_all_the_same():
-    module, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
-    module.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
-    module.worker_pool_bound(1, False, 5000.0)
-    module.request_arrived(
-        peer,
-        IncomingRequest(
-            1, "ab", 0, "read", -1, 0, module.clock.origin + module.clock.now(), 1000.0, 20.0, 1.0, None, ""
-        ),
-    )
-    module.controller.on_tick = lambda *given: None
-    module.tick()
-    assert "answer" not in [act[0] for act in peer.acts]
-    module.clock.origin -= 2000.0  # its limit has passed
-    module.tick()
-    module.tick()
-    assert [act[0] for act in peer.acts].count("answer") == 1
-    assert module.metrics.by_name["must_hold_broken"] == 1
-
-
 def test_wrong_usage_and_configuration_are_one_line_and_2_and_nothing_listens(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps({**GOOD, "pool": "?"}))
@@ -191,93 +73,6 @@
     assert said == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(said) > 15
 
 
-def test_what_a_peer_can_provoke_is_logged_ever_more_rarely_and_a_stuck_log_stops_nobody():
-    read, write = socket.socketpair()
-    writer = log_setup.start("info", "json", write.makefile("w"))
-    metrics = Metrics()
-    for _ in range(1000):
-        metrics.log_sampled("balancer_bad_message", code=1)
-    assert metrics.by_name["balancer_bad_message"] == 1000 and writer.lines.qsize() <= 10
-    for _ in range(20_000):
-        metrics.log_summary(text="x" * 200)
-    assert writer.lines.qsize() <= log_setup.MAX_QUEUED_LINES and writer.dropped > 0
-    read.close()
-    write.close()
-    log_setup.start("error", "text", io.StringIO())
-
-
-def test_the_log_s_end_is_waited_for_no_longer_than_it_was_told():
-    read, write = socket.socketpair()
-    writer = log_setup.start("info", "json", write.makefile("w"))
-    waited = []
-    writer.thread = SimpleNamespace(join=waited.append)
-    writer.close()
-    writer.end_by(time.time() - 1.0)
-    writer.close()
-    assert waited == [log_setup.FLUSH_TIMEOUT, 0.0]
-    read.close()
-    write.close()
-    log_setup.start("error", "text", io.StringIO())
-
-
-def test_where_there_is_no_thread_the_next_try_takes_the_connection(monkeypatch):
-    metrics, begun, tries = Metrics(), [], []
-
-    class Scarce(threading.Thread):
-        def start(self):
-            tries.append(self.name)
-            if len(tries) < 3:
-                raise RuntimeError("can't start new thread")
-            begun.append(self.name)
-
-    monkeypatch.setattr(threading, "Thread", Scarce)
-    start_thread(lambda: None, "reader", metrics)
-    assert begun == ["reader"] and metrics.by_name["no_thread"] == 2
-
-
-def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds():
-    with pytest.raises(AssertionError):
-        Metrics().check_invariant(False, "one_answer")
-    release = (
-        "from vetchford.runtime.metrics import Metrics\nm = Metrics()\n"
-        "m.check_invariant(False, 'one_answer')\nprint(m.by_name)"
-    )
-    ran = subprocess.run([sys.executable, "-O", "-c", release], capture_output=True, text=True, cwd=ROOT)
-    assert "'must_hold_broken': 1" in ran.stdout
-
-
-def test_idempotency_keys_agree_with_a_plain_list_of_what_was_kept():
-    for seed in range(50):
-        chance, cache, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
-        for q in range(200):
-            mark, door = chance.choice("abcde"), float(10 * q)
-            live = [entry for entry in plain if entry[0] == mark]
-            expected = live[-1][1] if live and door <= live[-1][2] else None
-            assert cache.find_original(mark, door) == expected
-            if expected is None:
-                plain = [entry for entry in plain if entry[0] != mark]
-                plain.append((mark, q, door + 45.0))
-                cache.remember(mark, q, door + 45.0)
-            else:
-                if expected in ended:
-                    assert cache.results[expected] == (True, str(expected))
-                else:
-                    cache.add_follower(expected, q)
-            if chance.random() < 0.5:
-                _, done, _ = chance.choice(plain)
-                if done not in ended:
-                    waiting = cache.run_ended(done, RunResult(True, str(done)))
-                    assert waiting == sorted(waiting) and done not in cache.followers
-                    ended[done] = True
-            if chance.random() < 0.2:
-                gone = chance.choice(plain)
-                plain.remove(gone)
-                chance.choice((cache.forget, cache.release))(gone[1])
-        for _, q, _ in plain:
-            cache.release(q)
-        assert not cache.entries and not cache.keys
-
-
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
     doors = client_connections.Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
@@ -289,28 +84,3 @@
         assert connection.overstays(connection.used + stays + 0.15)
     for part in (ours, theirs, doors.sock):
         part.close()
-
-
-def test_a_thread_pool_takes_no_more_threads_than_it_may_and_does_all_it_is_given():
-    thread_pool, done, hold = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
-    for n in range(50):
-        thread_pool.run(lambda n=n: (hold.wait(20), done.put(n)))
-    assert thread_pool.threads == 3
-    hold.set()
-    assert sorted(done.get(timeout=20) for _ in range(50)) == list(range(50))
-
-
-def test_where_nothing_is_below_no_records_service_need_be_named():
-    told = json.loads(json.dumps(GOOD))
-    for records in (None, ""):
-        told["records"] = records
-        with pytest.raises(MalformedInputError, match="'records'"):
-            platform_config.check(told)  # its runs may call
-    told["settings"]["familyInfo"]["below"] = "silent"
-    platform_config.check(told)
-    del told["records"]
-    platform_config.check(told)
-    assert platform_config.records_address(told) is None and platform_config.summary(told)["records"] is None
-    told["records"] = "nowhere"
-    with pytest.raises(MalformedInputError, match="'records'"):
-        platform_config.check(told)
