--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -1,4 +1,4 @@
-"""The module's actor on generated days with links that break, against a plain model of what is allowed."""
+"""The admission actor on generated days with links that break, against a plain model of what is allowed."""
 
 import base64
 import json
@@ -36,28 +36,28 @@
 
 
 class Day:
-    """Pool, records service and balancers in plain tables; every command is checked as it arrives."""
+    """Worker pool, records service and clients in plain tables; every command is checked as it arrives."""
 
     def __init__(self, seed, monkeypatch):
         self.chance, self.now = random.Random(seed), 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
-        self.module = AdmissionActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Metrics())
-        self.pool = WorkerPoolClient(("", 0), self.module, Metrics())
+        self.actor = AdmissionActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Metrics())
+        self.pool = WorkerPoolClient(("", 0), self.actor, Metrics())
         self.pool.run_or_post = self.sent
-        self.module.attach(self.pool, self, Recorder(), self, lambda: None)
+        self.actor.attach(self.pool, self, Recorder(), self, lambda: None)
         self.requests, self.runs, self.notices = {}, {}, []
         self.to_pool, self.to_server, self.calls = [], [], {}
         self.up, self.fit, self.connections = False, False, ()
         self.results = {}  # by fingerprint: when its run came, and its result once it has one
 
-    # -- the peers that the actor tells
+    # -- the peers that the actor acts on
 
     def sent(self, _, link, parts):
         if self.up and link == self.pool.link:
             self.to_pool += [json.loads(line) for line in b"".join(parts).splitlines()]
 
-    def post(self, act, *given):
-        act(*given)
+    def post(self, method, *arguments):
+        method(*arguments)
 
     def op(self, name, number, until, body, once):
         run = self.runs[name]
@@ -79,18 +79,23 @@
         request["answer"] = message
         if "result" in message:
             content = base64.b64decode(message["result"]["content"]).decode()
-            assert content in (request["name"], self.results.get(request["mark"], (0, None))[1])
+            assert content in (request["name"], self.results.get(request["key"], (0, None))[1])
         elif message["error"]["code"] == -32050:
             assert request["name"] not in self.runs, "rejected, and it ran"
 
     # -- what happens
 
-    def arrive(self, door, mark, kind):
+    def arrive(self, arrived_at, key, kind):
         rpc_id = len(self.requests) + 1
         name = f"{rpc_id:016x}"
-        self.requests[rpc_id] = {"name": name, "mark": mark, "door": door, "body": f"body {mark or name}"}
+        self.requests[rpc_id] = {
+            "name": name,
+            "key": key,
+            "arrived_at": arrived_at,
+            "body": f"body {key or name}",
+        }
         self.do(
-            self.module.request_arrived,
+            self.actor.request_arrived,
             self,
             IncomingRequest(
                 rpc_id=rpc_id,
@@ -99,20 +104,20 @@
                 method=CLASSES[kind]["name"],
                 tenant=0,
                 balancer=rpc_id % 3,
-                arrived_at=door,
+                arrived_at=arrived_at,
                 time_limit=LIMIT,
                 cpu_time=50.0,
                 memory_kb=20.0,
-                idempotency_key=mark,
-                content=base64.b64encode(f"body {mark or name}".encode()).decode(),
+                idempotency_key=key,
+                content=base64.b64encode(f"body {key or name}".encode()).decode(),
             ),
         )
 
-    def do(self, act, *given):
-        self.module.run_guarded(act, *given)
-        while not self.module.mailbox.empty():
-            act, given = self.module.mailbox.get()
-            self.module.run_guarded(act, *given)
+    def do(self, method, *arguments):
+        self.actor.run_guarded(method, *arguments)
+        while not self.actor.mailbox.empty():
+            method, arguments = self.actor.mailbox.get()
+            self.actor.run_guarded(method, *arguments)
 
     def notice(self, kind, name, **fields):
         self.notices.append({"type": kind, "n": len(self.notices) + 1, "job": name, **fields})
@@ -125,10 +130,10 @@
             self.to_server.append({"type": "polled", "ref": message["ref"], "gauges": [0.9, 2]})
         elif kind == "spawn" and name not in self.runs:
             assert base64.b64decode(message["data"]).decode() == request["body"]
-            if request["mark"]:
-                before = self.results.get(request["mark"])
-                assert before is None or request["door"] > before[0] + WINDOW, "an effect twice"
-                self.results[request["mark"]] = (request["door"], None)
+            if request["key"]:
+                before = self.results.get(request["key"])
+                assert before is None or request["arrived_at"] > before[0] + WINDOW, "an effect twice"
+                self.results[request["key"]] = (request["arrived_at"], None)
             self.runs[name] = {"state": "running", "called": set(), "asked": 0, "ask": b""}
         elif kind == "spawn":
             assert self.runs[name]["state"] != "over", "a finished run spawned anew"
@@ -143,12 +148,12 @@
     def step(self):
         chance = self.chance
         self.now += chance.choice((0.2, 1.0, 10.0, 10.0, 40.0))
-        self.module.on_idle()
+        self.actor.on_idle()
         if self.up:
             for _ in range(chance.randrange(len(self.to_pool) + 1)):
                 self.command(self.to_pool.pop(0))
             # The replay's end, and what is sent again upon it, cross in under a ms: no run ends meanwhile.
-            ends = not self.module.state.commands.ready and any(
+            ends = not self.actor.state.commands.ready and any(
                 message["type"] == "polled" for message in self.to_server
             )
             for _ in range(len(self.to_server) if ends else chance.randrange(len(self.to_server) + 1)):
@@ -159,7 +164,7 @@
                 self.command(self.to_pool.pop(0))
             if chance.random() < 0.01:
                 self.up, self.to_pool, self.to_server = False, [], []
-                self.do(self.module.worker_pool_lost)
+                self.do(self.actor.worker_pool_lost)
         elif chance.random() < 0.2:
             self.up, self.pool.link = True, self.pool.link + 1
             self.to_server = [
@@ -171,8 +176,8 @@
             if run["state"] == "running" and chance.random() < 0.05:
                 run["state"] = "over"
                 state = chance.choice(("complete", "complete", "complete", "error"))
-                if state == "complete" and request["mark"]:
-                    self.results[request["mark"]] = (request["door"], name)
+                if state == "complete" and request["key"]:
+                    self.results[request["key"]] = (request["arrived_at"], name)
                 self.notice(
                     "finished", name, state=state, took=50, data=base64.b64encode(name.encode()).decode()
                 )
@@ -189,28 +194,30 @@
                 run, code = self.runs[name], chance.choice(("completed", "completed", "saturated", "errored"))
                 if code != "saturated":
                     run["called"].add(run["asked"])
-                self.do(self.module.call_ended, number, code, b"reply to " + run["ask"])
+                self.do(self.actor.call_ended, number, code, b"reply to " + run["ask"])
         for request in self.requests.values():
-            assert "answer" in request or self.now <= request["door"] + LIMIT + SLACK, "no answer in time"
+            assert "answer" in request or self.now <= request["arrived_at"] + LIMIT + SLACK, (
+                "no answer in time"
+            )
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_the_actor_keeps_to_the_plain_model_over_links_that_break(seed, monkeypatch):
     day = Day(seed, monkeypatch)
-    while day.module.controller is None:
+    while day.actor.controller is None:
         day.step()
     for _ in range(2500):
         day.step()
         for _ in range(day.chance.choice((0, 0, 0, 0, 0, 0, 1, 1, 4))):
             kind = day.chance.randrange(2)
-            mark = f"mark {day.chance.randrange(150)}" if kind else None
-            day.arrive(day.now - day.chance.choice((0.0, 3.0, 300.0)), mark, kind)
+            key = f"key {day.chance.randrange(150)}" if kind else None
+            day.arrive(day.now - day.chance.choice((0.0, 3.0, 300.0)), key, kind)
     for _ in range(600):
         day.step()
     answers = [request["answer"] for request in day.requests.values()]
     codes = {answer["error"]["code"] if "error" in answer else 0 for answer in answers}
     assert codes == {0, -32050, -32051}
     # Links broke at the wrong time, and results were shared.
-    assert day.module.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
-    assert all("must_hold" not in name and "broke" not in name for name in day.module.metrics.by_name)
-    assert not day.module.state.calls.in_flight and not day.module.state.idempotency_cache.followers
+    assert day.actor.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
+    assert all("must_hold" not in name and "broke" not in name for name in day.actor.metrics.by_name)
+    assert not day.actor.state.calls.in_flight and not day.actor.state.idempotency_cache.followers
--- a/tests/server/test_idempotency_cache.py
+++ b/tests/server/test_idempotency_cache.py
@@ -8,20 +8,20 @@
 def test_idempotency_keys_agree_with_a_plain_list_of_what_was_kept():
     for seed in range(50):
         chance, cache, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
-        for q in range(200):
-            mark, door = chance.choice("abcde"), float(10 * q)
-            live = [entry for entry in plain if entry[0] == mark]
-            expected = live[-1][1] if live and door <= live[-1][2] else None
-            assert cache.find_original(mark, door) == expected
+        for index in range(200):
+            key, arrived_at = chance.choice("abcde"), float(10 * index)
+            live = [entry for entry in plain if entry[0] == key]
+            expected = live[-1][1] if live and arrived_at <= live[-1][2] else None
+            assert cache.find_original(key, arrived_at) == expected
             if expected is None:
-                plain = [entry for entry in plain if entry[0] != mark]
-                plain.append((mark, q, door + 45.0))
-                cache.remember(mark, q, door + 45.0)
+                plain = [entry for entry in plain if entry[0] != key]
+                plain.append((key, index, arrived_at + 45.0))
+                cache.remember(key, index, arrived_at + 45.0)
             else:
                 if expected in ended:
                     assert cache.results[expected] == (True, str(expected))
                 else:
-                    cache.add_follower(expected, q)
+                    cache.add_follower(expected, index)
             if chance.random() < 0.5:
                 _, done, _ = chance.choice(plain)
                 if done not in ended:
@@ -32,6 +32,6 @@
                 gone = chance.choice(plain)
                 plain.remove(gone)
                 chance.choice((cache.forget, cache.release))(gone[1])
-        for _, q, _ in plain:
-            cache.release(q)
+        for _, index, _ in plain:
+            cache.release(index)
         assert not cache.entries and not cache.keys
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""A drain between two lines, with a clock that the test sets. Rows and their state: docs/crossings.md."""
+"""Graceful shutdown between two lines, with a clock that the test sets. Rows: docs/crossings.md."""
 
 import queue
 import types
@@ -13,64 +13,64 @@
 
 
 class Clocked:
-    """A module whose time the test sets; its peers only record."""
+    """An admission actor whose time the test sets; its peers only record."""
 
     def __init__(self, monkeypatch, bound=True):
         self.now = 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
-        self.stops, self.peer, self.doors = [], Recorder(), Recorder()
-        self.module = AdmissionActor(7, TOLD, Metrics())
+        self.stops, self.peer, self.listener = [], Recorder(), Recorder()
+        self.actor = AdmissionActor(7, TOLD, Metrics())
         self.peer.mailbox = queue.SimpleQueue()
-        self.doors.connections, self.all_out = (), False
-        self.doors.done = lambda: self.all_out
-        self.module.attach(self.peer, self.peer, self.peer, self.doors, lambda: self.stops.append(self.now))
+        self.listener.connections, self.all_out = (), False
+        self.listener.done = lambda: self.all_out
+        self.actor.attach(self.peer, self.peer, self.peer, self.listener, lambda: self.stops.append(self.now))
         if bound:
-            self.module.worker_pool_bound(1, False, 5000.0)
+            self.actor.worker_pool_bound(1, False, 5000.0)
 
     def at(self, now):
         self.now = now
-        self.module.on_idle()
+        self.actor.on_idle()
 
 
-def test_a_decision_that_raises_in_every_sweep_of_a_drain_keeps_nobody_from_its_end(monkeypatch):
+def test_a_decision_that_raises_in_every_tick_of_a_shutdown_keeps_nobody_from_its_end(monkeypatch):
     clocked = Clocked(monkeypatch)
 
-    def raises(*given):
+    def raises(*arguments):
         raise ZeroDivisionError
 
-    clocked.module.controller.on_tick = raises
-    clocked.module.shutdown_requested(clocked.now, 1000.0, 100.0)
+    clocked.actor.controller.on_tick = raises
+    clocked.actor.shutdown_requested(clocked.now, 1000.0, 100.0)
     clocked.now += 200.0
     with pytest.raises(ZeroDivisionError):
-        clocked.module.tick()
-    assert [act for act in clocked.doors.acts if act[0] == "close"] and not clocked.stops
+        clocked.actor.tick()
+    assert [act for act in clocked.listener.acts if act[0] == "close"] and not clocked.stops
     clocked.all_out = True
     with pytest.raises(ZeroDivisionError):
-        clocked.module.tick()
+        clocked.actor.tick()
     assert clocked.stops
 
 
-def test_the_end_comes_before_the_kill_wherever_the_sweeps_fall(monkeypatch):
-    """A peer reads nothing, and the sweeps fall 45 ms before the kill and 5 ms behind it."""
+def test_the_end_comes_before_the_kill_wherever_the_ticks_fall(monkeypatch):
+    """A peer reads nothing, and the ticks fall 45 ms before the kill and 5 ms behind it."""
     clocked = Clocked(monkeypatch)
     kill = clocked.now + 1000.0
-    clocked.module.shutdown_requested(clocked.now, 1000.0, 100.0)
-    heap = clocked.module.timers.heap
-    heap[:] = sorted(entry for entry in heap if entry[0] > kill - 100.0)  # all sweeps before are over
+    clocked.actor.shutdown_requested(clocked.now, 1000.0, 100.0)
+    heap = clocked.actor.timers.heap
+    heap[:] = sorted(entry for entry in heap if entry[0] > kill - 100.0)  # all ticks before are over
     clocked.now = kill - 45.0
-    clocked.module.tick()
+    clocked.actor.tick()
     assert not clocked.stops
     while not clocked.stops and clocked.now < kill + 10.0:
         clocked.at(clocked.now + 1.0)
     assert clocked.stops and clocked.stops[0] <= kill - 39.0
 
 
-def test_a_notice_before_the_pool_is_there_waits_for_what_is_open_and_reports_no_fitness(monkeypatch):
+def test_a_notice_before_the_worker_pool_is_there_waits_for_what_is_open_and_reports_not_ready(monkeypatch):
     clocked = Clocked(monkeypatch, bound=False)
-    clocked.module.shutdown_requested(clocked.now, 1000.0, 100.0)
-    assert not clocked.stops and ("close",) in clocked.doors.acts
-    clocked.module.worker_pool_bound(1, False, 5.0)  # it comes up all the same
-    assert clocked.module.controller is None
+    clocked.actor.shutdown_requested(clocked.now, 1000.0, 100.0)
+    assert not clocked.stops and ("close",) in clocked.listener.acts
+    clocked.actor.worker_pool_bound(1, False, 5.0)  # it comes up all the same
+    assert clocked.actor.controller is None
     reports = [act[2] for act in clocked.peer.acts if act[0] == "post" and len(act) == 3]
     assert reports == [False]
     clocked.all_out = True
@@ -78,16 +78,16 @@
     assert clocked.stops
 
 
-def test_grace_and_kill_count_from_the_signal_however_late_the_module_reads_it(monkeypatch):
-    """The signal is told behind a full mailbox: 300 ms pass, and a task comes to the machine within them."""
+def test_grace_and_kill_count_from_the_signal_however_late_the_actor_reads_it(monkeypatch):
+    """The signal is read behind a full mailbox: 300 ms pass, and a request arrives within them."""
     clocked = Clocked(monkeypatch)
     signalled = clocked.now
     clocked.now += 300.0
-    clocked.module.shutdown_requested(signalled, 1000.0, 100.0)
-    assert clocked.module.shutdown.schedule.kill == signalled + 1000.0
-    door = signalled + 150.0  # past the grace: the page forbids to run it
-    clocked.module.request_arrived(
-        clocked.peer, IncomingRequest(1, "ab", 0, "read", -1, 0, door, 500.0, 20.0, 1.0, None, "")
+    clocked.actor.shutdown_requested(signalled, 1000.0, 100.0)
+    assert clocked.actor.shutdown.schedule.kill == signalled + 1000.0
+    arrived_at = signalled + 150.0  # past the grace: the page forbids to run it
+    clocked.actor.request_arrived(
+        clocked.peer, IncomingRequest(1, "ab", 0, "read", -1, 0, arrived_at, 500.0, 20.0, 1.0, None, "")
     )
-    assert clocked.module.metrics.by_name["rejected_draining"] == 1
+    assert clocked.actor.metrics.by_name["rejected_draining"] == 1
     assert not [act for act in clocked.peer.acts if act[0] == "run_or_post" and b"spawn" in str(act).encode()]
