--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
 """Starts one server between fake peers, sends it a request, and prints what each side sees.
 
-Run by `scripts/demo`. The worker pool, the records service and the registry are fakes of `testkit` on loopback.
+Run by `scripts/demo`. Worker pool, records service and registry are fakes of `testkit` on loopback.
 """
 
 import json
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -1,488 +1,266 @@
-"""The actor that owns the admission controller, and carries out its actions on sockets.
+"""The actor that owns the admission controller and all that is kept of requests.
 
-It alone touches the controller, the request table and the idempotency cache. The actors of the peers
-post events to it, one method each. Nothing here blocks on a socket.
+The actors of the peers post events to it, one method each. Nothing here blocks on a socket. Each concern has
+a part of its own, which only the thread of this actor uses:
+
+- `admission`: requests that arrive, clients that leave
+- `runs`: what happens in the worker pool and to dependency calls
+- `actions`: what the controller decides, carried out
+- `shutdown`: from the termination notice to the end
+- `state` and `gauges`: what they keep, and what the worker pool reports
+
+Left here are the mailbox, the ticks and the load reports.
 """
 
 import contextlib
-import hashlib
 import math
-import time
-from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 import structlog
 
-from vetchford.admission import controller, factory
-from vetchford.admission.request import Effect, RequestArrival, RequestState
-from vetchford.protocol import json_rpc, worker_pool_lines
+from vetchford.admission import factory
+from vetchford.admission.controller import AdmissionController
+from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.timers import Timers
+from vetchford.runtime.timers import Timers, unix_time_ms
+from vetchford.server.client_connections import Listener
+from vetchford.server.dependency_calls import DependencyCalls
 from vetchford.server.idempotency_cache import IdempotencyCache
-from vetchford.server.request_table import RequestEntry, RequestTable
-from vetchford.server.shutdown import ShutdownSchedule
+from vetchford.server.records_client import RecordsClient
+from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.request_admission import RequestAdmission
+from vetchford.server.request_answers import RequestAnswers
+from vetchford.server.request_table import Client, RequestTable
+from vetchford.server.run_events import RunEvents
+from vetchford.server.server_actions import ServerActions
+from vetchford.server.server_clock import ServerClock
+from vetchford.server.server_state import ServerState
+from vetchford.server.shutdown import GracefulShutdown
+from vetchford.server.worker_pool import WorkerPoolClient
+from vetchford.server.worker_pool_commands import WorkerPoolCommands
+from vetchford.server.worker_pool_gauges import WorkerPoolGauges
+
+if TYPE_CHECKING:
+    from vetchford.coordination.load_sampler import LoadSampler
 
 log = structlog.get_logger()
 
-POLL_AHEAD = 6.0  # ms before a wake: the gauges come back in under one, a busy machine takes a few
-MOST_BEHIND = 64  # entries in the pool's mailbox: far more than a sweep brings
-OVERDUE = 30.0  # ms past a task's limit: the sweep before it has answered, and the page allows 150
-SUMMARY = 10_000.0  # ms between summary lines
-Act, Given = Callable[..., None], tuple[Any, ...]
-RUNS = (RequestState.EXECUTING,)
-BEGUN = (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING)
+OVERDUE = 30.0  # ms past an answer's due time: the tick before it has answered, and 150 are allowed
+SUMMARY_INTERVAL = 10_000.0  # ms
+
+
+class FleetSignals(Protocol):
+    """What the servers of a fleet see together; see `vetchford.gossip.fleet_signals`."""
+
+    pace: float
+    room: float
+    full: bool
+    stretch: float
 
 
 class AdmissionActor(Actor):
+    """Takes the events of a server and hands them to its admission controller.
+
+    There is no controller until the worker pool is bound; requests that are read before are rejected.
+    """
+
+    state: ServerState
+    actions: ServerActions
+    admission: RequestAdmission
+    runs: RunEvents
+    shutdown: GracefulShutdown
+
     def __init__(
-        self, seed: int, told: dict[str, Any], metrics: Metrics, pools: Callable[[], Any] | None = None
+        self,
+        seed: int,
+        settings: dict[str, Any],
+        metrics: Metrics,
+        make_bulkheads: Callable[[], Any] | None = None,
+    ) -> None:
+        """Take the platform's `settings`; without `make_bulkheads` request classes share all capacity."""
+        super().__init__("admission", metrics)
+        self.seed, self.settings, self.make_bulkheads = seed, settings, make_bulkheads
+        self.clock, self.timers = ServerClock(), Timers()
+        self.gauges = WorkerPoolGauges(factory.indices(settings)[2])
+        self.controller: AdmissionController | None = None
+        self.load_sampler: LoadSampler | None = None  # set before `attach`, for a server in a fleet
+
+    def attach(
+        self,
+        worker_pool: WorkerPoolClient,
+        records: RecordsClient,
+        registry: RegistryReporter,
+        listener: Listener,
+        on_stopped: Callable[[], None],
     ) -> None:
-        """`pools` makes the class pools; without it there are none."""
-        super().__init__("module", metrics)
-        self.seed, self.told, self.make_pools = seed, told, pools
-        self.gauge_places = factory.indices(told)[2]
-        self.tasks, self.prints = RequestTable(), IdempotencyCache()
-        self.marks: dict[int, str] = {}  # fingerprints of tasks; emptied by `release`
-        self.calls: dict[int, int] = {}  # tasks by the number of their call; emptied as calls end or are cut
-        self.begun: dict[int, float] = {}  # when they went out; emptied alike
-        self.call_count = 0
-        self.timers, self.drain = Timers(), ShutdownSchedule()
-        self.later: deque[tuple[Act, Given]] = deque()  # until the node's method returns
-        self.controller: controller.AdmissionController | None = None
-        self.origin = 0.0  # Unix ms that the node's clock starts at
-        self.link, self.ready = 0, False  # the pool's link; whether its replay was read
-        self.arriving = -1  # the task that the node is told of just now
-        self.polls, self.confirmed = 0, (0, 0)  # sent; link and number of the last that was answered
-        self.gauges: list[float] = []
-        self.running_then = 0  # the module's runs when the gauges were read
-        self.idle_for = math.inf
-        self.stopped = False
-        self.watch: Any = None  # measures for the fleet, where neighbours are told of
-
-    def attach(self, pool: Any, records: Any, members: Any, doors: Any, stopped: Callable[[], None]) -> None:
-        self.pool, self.records, self.members, self.doors = pool, records, members, doors
-        self.when_stopped = stopped
-
-    # -- the clock and its timers
-
-    def now(self) -> float:
-        return time.time() * 1000.0 - self.origin
+        """Set the peers, before the start; `on_stopped` is called on this actor's thread at the end."""
+        requests = RequestTable()
+        answers = RequestAnswers(requests, self.metrics)
+        self.state = ServerState(
+            metrics=self.metrics,
+            clock=self.clock,
+            timers=self.timers,
+            requests=requests,
+            answers=answers,
+            idempotency_cache=IdempotencyCache(),
+            commands=WorkerPoolCommands(worker_pool, requests, self.metrics),
+            calls=DependencyCalls(records, self.timers, self.call_timed_out),
+        )
+        self.listener, self.registry = listener, registry
+        self.actions = ServerActions(self.state, listener, registry, self.tick)
+        self.admission = RequestAdmission(self.state, self.actions)
+        self.runs = RunEvents(self.state, self.admission, self.load_sampler)
+        self.shutdown = GracefulShutdown(listener, answers, self.timers, self.log_summary, on_stopped)
+
+    # -- the mailbox and the timers
 
     def next_timeout(self) -> float | None:
+        """Return the seconds until the next timer."""
         return self.timers.next_timeout()
 
     def on_idle(self) -> None:
-        self.timers.fire(self.run_guarded)
+        """Fire the timers that are due."""
+        self.timers.fire_due(self.run_guarded)
 
-    def run_guarded(self, act: Callable[..., None], *given: Any) -> None:
-        super().run_guarded(act, *given)
-        while self.later:
-            later, its = self.later.popleft()
-            super().run_guarded(later, *its)
+    def run_guarded(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Run one event, then what the controller's actions have deferred."""
+        super().run_guarded(method, *arguments)
+        while self.actions.deferred:
+            shared = self.actions.deferred.popleft()
+            super().run_guarded(self.admission.deliver_shared_result, self._bound_controller(), shared)
 
-    # -- what can happen
+    # -- events of clients
 
-    def request(
-        self,
-        caller: Any,
-        rpc_id: int,
-        name: str,
-        stage: int,
-        kind: str,
-        tenant: int,
-        lb: int,
-        door: float,
-        limit: float | None,
-        work: float | None,
-        kb: float,
-        mark: str | None,
-        content: str,
-    ) -> None:
-        if self.controller is None:  # the pool is not up: it never ran
-            self.metrics.increment("rejected_no_pool")
-            caller.answer(rpc_id, json_rpc.rejected(rpc_id, False, 0.0))
-            return
-        if name in self.tasks.by_name:
-            self.metrics.log_sampled(
-                "balancer_bad_message", code=json_rpc.INVALID_PARAMS, problem="field 'txn' is in use"
-            )
-            caller.answer(rpc_id, json_rpc.error(rpc_id, json_rpc.INVALID_PARAMS, "field 'txn' is in use"))
-            return
-        now, arrived, told = self.now(), door - self.origin, self.controller.workload.classes[stage]
-        # No caller waits for longer than the time limit, nor asks for more work than fits into it: one that
-        # says so must neither be held for hours nor outweigh all others in what is learnt.
-        until = None if limit is None else arrived + min(limit, told.timeout)
-        work = None if work is None else min(work, told.timeout)
-        limit = max(now, arrived + told.timeout if until is None else until)
-        q = self.tasks.enter(RequestEntry(name, kind, caller, rpc_id, content, limit))
-        original = None
-        if mark is not None and told.effect == Effect.IDEMPOTENT_BY_KEY:
-            # All tries of a task carry the same body: under its key with another one this is no repeat of it.
-            mark = f"{stage} {mark} {hashlib.blake2b(content.encode(), digest_size=16).hexdigest()}"
-            original = self.prints.find(mark, door)
-            self.marks[q] = mark
-            if original is not None:
-                self.tasks[q].waits_for = original
-        self.metrics.increment("read")
-        self.arriving = q
-        size, queued_for = max(1, round(kb * factory.BYTES_PER_KB)), max(0.0, now - arrived)
-        self.controller.request_arrived(
-            now, RequestArrival(q, stage, tenant, lb, until, work, size, False, queued_for, original)
-        )
-        self.arriving = -1
-
-    def caller_gone(self, caller: Any) -> None:
-        for q in [q for q, slot in enumerate(self.tasks.slots) if slot and slot.caller is caller]:
-            slot = self.tasks.slots[q]
-            if slot is not None and not slot.answered:
-                slot.answered = True
-                self.metrics.increment("callers_gone")
-                self.controller.client_gone(self.now(), q)
-
-    def bound(self, link: int, cold: bool, ago: float) -> None:
-        self.link, self.ready = link, False
-        if self.controller is None and self.drain.begun():
-            return  # it leaves: a node would report itself fit, and what came before was turned away
+    def request_arrived(self, client: Client, request: IncomingRequest) -> None:
+        """Take a request that was read from a client's connection."""
         if self.controller is None:
-            self.origin = time.time() * 1000.0 - ago
-            pools = self.make_pools() if self.make_pools else None
-            self.controller = factory.build(self, self.seed, self.told, cold, pools)
-            log.info("pool_bound", cold=cold, started_ms_ago=round(ago))
-            self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
-        self.poll()  # what is read before its answer is the replay
-
-    def pool_lost(self) -> None:
-        self.ready = False
-
-    def polled(self, ref: str, gauges: list[float]) -> None:
-        link, _, number = ref.partition("-")
-        if link != str(self.link) or not number.isdigit():
-            return
-        self.gauges, self.running_then = gauges, self.controller.workload.running
-        if not self.ready:  # the first answer on a link comes behind the replay
-            self.ready = True
-            self.send_again()
-        self.confirmed = (self.link, int(number))
-
-    def send_again(self) -> None:
-        """What may not have arrived on the last link, and is answered by no notice.
-
-        An answered poll proves that all before it arrived. A reply sent twice would pass for a later call's.
-        """
-        for slot in self.tasks.slots:
-            if slot is None or slot.command is None:
-                continue
-            link, polls = slot.commanded
-            if link == self.confirmed[0] and polls < self.confirmed[1]:
-                slot.command = None  # it arrived: the link after the next knows nothing of this one's polls
-                continue
-            self.metrics.increment("commands_sent_again")
-            self.command(slot, slot.command)
-
-    def known(self, name: str, states: tuple[int, ...]) -> int | None:
-        """The task of a notice; none where it can't be about its run: that is counted and changes nothing."""
-        q = self.tasks.by_name.get(name)
-        if (
-            q is None
-            or q not in self.controller.workload.requests
-            or self.controller.workload.requests[q].state not in states
-        ):
-            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=q is not None)
-            return None
-        return q
-
-    def command_unknown(self, command: str, name: str) -> None:
-        self.metrics.log_sampled("pool_unknown", command=command, task=name)
-        q = self.tasks.by_name.get(name)
-        if command == "spawn" and q is not None:  # no end of this run will ever be told
-            caller = self.tasks[q].caller
-            self.refuse_held(caller)  # before this end frees a core for the next of its like
-            self.run_ended(name, "superseded", 0.0, "")
-            caller.run_or_post(caller.distrust)
-
-    def refuse_held(self, caller: Any) -> None:
-        """It sent what never came by the balancers: the rest of it is held for nobody."""
-        for q, slot in enumerate(self.tasks.slots):
-            if (
-                slot is not None
-                and slot.caller is caller
-                and not slot.answered
-                and q in self.controller.workload.queued
-            ):
-                self.answer(slot, json_rpc.rejected(slot.rpc_id, True, 0.0), "rejected_distrusted")
-                self.controller.client_gone(self.now(), q)
-
-    def run_blocked(self, name: str, notice: int, body: bytes) -> None:
-        q = self.known(name, RUNS)
-        if q is None:
-            return
-        slot = self.tasks[q]
-        slot.command, slot.need = None, (notice, body)
-        if (
-            self.controller.workload.dependency is None
-        ):  # nothing is below: told of a call, the node would fail in each sweep
-            self.metrics.log_sampled("pool_odd_notice", task=name[:64], known=True)
-            return
-        self.controller.run_blocked(self.now(), q)
+            self.admission.reject_unready(client, request)
+        else:
+            self.admission.request_arrived(self.controller, client, request)
+
+    def client_gone(self, client: Client) -> None:
+        """Take that a client's connection broke."""
+        if self.controller is not None:  # else there is no request of it
+            self.admission.client_gone(self.controller, client)
+
+    # -- events of the worker pool and the records service
+
+    def worker_pool_bound(self, link: int, cold: bool, started_ago: float) -> None:
+        """Use a new link; `cold`: speed still rises from the worker pool's start, `started_ago` ms ago."""
+        self.state.commands.link_bound(link)
+        if self.controller is None:
+            if self.shutdown.schedule.started():
+                return  # a controller would report readiness, and what came before was rejected
+            self._start_controller(cold, started_ago)
+        self.state.commands.poll()  # notices that come before the answer are the replay
+
+    def worker_pool_lost(self) -> None:
+        """Keep commands until another link is bound."""
+        self.state.commands.link_lost()
+
+    def poll_answered(self, reference: str, gauges: list[float]) -> None:
+        """Take the gauges, and that all commands before the poll have arrived."""
+        number = self.state.commands.poll_number(reference)
+        if number is not None:
+            self.gauges.update(gauges, self._bound_controller().workload.running)
+            self.state.commands.poll_answered(number)
+
+    def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
+        """Take that a run waits for a dependency call."""
+        self.runs.run_blocked(self._bound_controller(), request_id, notice, body)
+
+    def run_ended(self, request_id: str, code: str, duration: float, content: str) -> None:
+        """Take the end of a run: its outcome, the ms it took and its result in base64."""
+        self.runs.run_ended(self._bound_controller(), request_id, code, duration, content)
+
+    def command_unknown(self, command: str, request_id: str) -> None:
+        """Take that the worker pool did not carry out a command."""
+        self.runs.command_unknown(self._bound_controller(), command, request_id)
 
     def call_ended(self, number: int, code: str, reply: bytes) -> None:
-        q = self.calls.pop(number, None)
-        if q is None:
-            self.metrics.increment("calls_late")
-            return
-        slot, took = self.tasks[q], self.now() - self.begun.pop(number)
-        slot.call = 0
-        self.metrics.increment("calls_" + code)
-        if self.watch is not None:
-            self.watch.call_ended(self.now(), code, took)
-        if code == "completed":
-            self.command(slot, worker_pool_lines.supply(slot.name, reply))
-        self.controller.call_ended(self.now(), q, code, took)
-
-    def call_cut(self, number: int) -> None:
-        q = self.calls.get(number)
-        if q is not None:
-            self.records.unop(self.tasks[q].name, number)
-            self.call_ended(number, "overdue", b"")
-
-    def run_ended(self, name: str, code: str, took: float, content: str) -> None:
-        q = self.known(name, BEGUN)
-        if q is None:
-            return
-        slot = self.tasks[q]
-        slot.command, slot.content = None, ""
-        if slot.call:
-            self.records.unop(name, slot.call)
-            del self.calls[slot.call], self.begun[slot.call]
-            slot.call = 0
-        if code == "superseded":  # never ran: a true task under its fingerprint is no repeat of it
-            self.prints.drop(q)
-        self.finish(q, code, content)
-        followers = self.prints.end(q, code == "completed", content)
-        self.controller.run_ended(self.now(), q, code, took)
-        for follower in followers:
-            self.share_ended(follower, code == "completed", content)
-
-    def share_ended(self, q: int, completed: bool, content: str) -> None:
-        slot = self.tasks.slots[q]
-        if slot is None or slot.answered:
-            return
-        self.finish(q, "completed" if completed else "errored", content)
-        self.controller.run_ended(self.now(), q, "completed" if completed else "errored", 0.0)
-
-    def finish(self, q: int, code: str, content: str) -> None:
-        slot = self.tasks[q]
-        if slot.answered:
-            self.metrics.increment("runs_unwanted")
-        elif code == "completed":
-            self.answer(slot, json_rpc.finished(slot.rpc_id, content), "finished")
-        else:
-            self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
-
-    def sweep(self) -> None:
-        places = self.gauge_places
-
-        def gauge(name: str) -> float | None:
-            at = places.get(name, len(self.gauges))
-            return self.gauges[at] if at < len(self.gauges) else None
-
-        on_cores = gauge("on_cores")
-        if on_cores is not None:
-            # Told as of now: a run that ended since the poll would pass for reading, and leave its core idle.
-            on_cores += self.controller.workload.running - self.running_then
-        with contextlib.ExitStack() as whatever_it_does:  # called from the last to the first
-            whatever_it_does.callback(self.leave_when_due)
-            whatever_it_does.callback(self.let_idle_go)
-            whatever_it_does.callback(self.last_resort, self.now() - OVERDUE)
-            self.controller.on_tick(self.now(), gauge("core_use"), on_cores)
-
-    def let_idle_go(self) -> None:
-        if self.idle_for < math.inf:
-            self.doors.close_idle(self.idle_for)
-
-    def leave_when_due(self) -> None:
-        if self.drain.closes(time.time() * 1000.0):
-            self.leave_step()
-
-    def last_resort(self, before: float) -> None:
-        """Whatever went wrong above, no task is left without an answer."""
-        for slot in self.tasks.slots:
-            if (
-                slot is not None
-                and not slot.answered
-                and min(slot.until, self.controller.health.kill_at) < before
-            ):
-                self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=slot.name)
-                self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
-
-    # -- the fleet
-
-    def survey(self, tell: Callable[[dict[str, float]], None]) -> None:
-        """Figures for the others; see `neighbours.measure`."""
-        node = self.controller
-        if node is None or self.watch is None:
+        """Take the outcome of a call to the records service."""
+        self.runs.call_ended(self._bound_controller(), number, code, reply)
+
+    def call_timed_out(self, number: int) -> None:
+        """Take that the deadline of a call has passed, also if it has ended before."""
+        self.runs.call_timed_out(self._bound_controller(), number)
+
+    def _start_controller(self, cold: bool, started_ago: float) -> None:
+        self.clock.start(started_ago)
+        bulkheads = self.make_bulkheads() if self.make_bulkheads else None
+        self.controller = factory.build(self.actions, self.seed, self.settings, cold, bulkheads)
+        self.actions.controller = self.controller
+        log.info("pool_bound", cold=cold, started_ms_ago=round(started_ago))
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
+
+    def _bound_controller(self) -> AdmissionController:
+        """Return the controller, in events that come only after the worker pool was bound."""
+        assert self.controller is not None
+        return self.controller
+
+    # -- ticks
+
+    def tick(self) -> None:
+        """Let the controller look at the time and the gauges; then what must happen whatever it does."""
+        controller = self._bound_controller()
+        on_cores = self.gauges.on_cores(controller.workload.running)
+        # The callbacks run from the last to the first, also if `on_tick` or one of them raises.
+        with contextlib.ExitStack() as always:
+            always.callback(self.shutdown.advance_if_closing)
+            always.callback(self._close_idle_connections)
+            always.callback(self._fail_overdue, self.clock.now() - OVERDUE)
+            controller.on_tick(self.clock.now(), self.gauges.core_use(), on_cores)
+
+    def _fail_overdue(self, before: float) -> None:
+        self.state.answers.fail_overdue(before, self._bound_controller().health.kill_at)
+
+    def _close_idle_connections(self) -> None:
+        if self.actions.idle_timeout < math.inf:
+            self.listener.close_idle(self.actions.idle_timeout)
+
+    # -- shutdown
+
+    def shutdown_requested(self, signalled_at: float, stop_ms: float, grace: float) -> None:
+        """Start a graceful shutdown that counts from Unix ms `signalled_at`, however late this is read."""
+        answers_due = self.shutdown.start(signalled_at, stop_ms, grace)
+        if self.controller is None:  # no ticks come, and nothing can be run: only what was read is answered
+            self.registry.post(self.registry.judge, False)
+            self.shutdown.advance_repeatedly()
             return
-        dependency, counters = node.workload.dependency, node.workload.in_flight
-        usual = dependency.base_time.value if dependency is not None else 0.0
-        metrics = self.metrics.by_name.copy()
-        begun = self.begun.values()
-        tell(self.watch.figures(self.now(), begun, usual, metrics, counters.used, counters.memory))
+        origin = self.clock.origin
+        self.controller.start_draining(signalled_at - origin, answers_due - origin)
 
-    def fleet(self, numbers: Any) -> None:
-        if self.controller is not None:
-            self.controller.apply_fleet_signals(numbers.pace, numbers.room, numbers.full, numbers.stretch)
-
-    # -- drain
-
-    def notice(self, at: float, stop_ms: float, grace: float) -> None:
-        """`at`: Unix ms of the signal; grace and kill count from there, however far the mailbox is behind."""
-        log.info("drain_begins", stop_ms=stop_ms, open=self.open_tasks())
-        until = self.drain.begin(at, stop_ms, grace)
-        self.timers.at(self.drain.last_moment(), self.leave_step)  # sweeps may fall around it
-        if (
-            self.controller is None
-        ):  # no sweeps come, and nothing could be run: only what is read is to be answered
-            self.members.post(self.members.judge, False)
-            self.leave_without_pool()
+    # -- load reports and the summary
+
+    def sample_load(self, report: Callable[[dict[str, float]], None]) -> None:
+        """Call `report` with figures for the other servers of the fleet; see `LoadSampler.figures`."""
+        controller = self.controller
+        if controller is None or self.load_sampler is None:
             return
-        self.controller.start_draining(at - self.origin, until - self.origin)
-
-    def leave_without_pool(self) -> None:
-        self.leave_step()
-        if not self.stopped:
-            self.timers.at(time.time() * 1000.0 + controller.TICK, self.leave_without_pool)
-
-    def leave_step(self) -> None:
-        """Past the grace nothing new is taken; once all is answered and written, the end."""
-        last = self.drain.ends(time.time() * 1000.0, False)
-        try:
-            if last:
-                self.last_resort(math.inf)  # a program that was paused past its sweeps still says what it can
-            self.doors.close()
-        finally:
-            # Whatever goes wrong on the way, the program ends before it is killed.
-            if last or self.doors.done() and not self.open_tasks():
-                self.end()
-
-    def end(self) -> None:
-        if not self.stopped:
-            self.stopped = True
-            try:
-                self.metrics.check_invariant(not self.open_tasks(), "answered_before_the_stop")
-                self.summarise()
-            finally:
-                self.when_stopped()
-
-    def open_tasks(self) -> int:
-        return sum(slot is not None and not slot.answered for slot in self.tasks.slots)
-
-    def summarise(self) -> None:
-        self.metrics.log_summary(
-            open=self.open_tasks(), connections=len(self.doors.connections), known=len(self.tasks.by_name)
+        dependency, in_flight = controller.workload.dependency, controller.workload.in_flight
+        usual_duration = dependency.base_time.value if dependency is not None else 0.0
+        figures = self.load_sampler.figures(
+            self.clock.now(),
+            self.state.calls.start_times(),
+            usual_duration,
+            self.metrics.by_name.copy(),
+            in_flight.used,
+            in_flight.memory,
         )
-        self.timers.at(time.time() * 1000.0 + SUMMARY, self.summarise)
-
-    # -- the host
-
-    def answer(self, slot: RequestEntry, parts: list[bytes], outcome: str) -> None:
-        if self.metrics.check_invariant(not slot.answered, "one_answer", task=slot.name):
-            slot.answered = True
-            self.metrics.increment(outcome)
-            slot.caller.answer(slot.rpc_id, parts)
-
-    def command(self, slot: RequestEntry, parts: list[bytes], once: bool = False) -> None:
-        slot.command, slot.commanded = parts, (0, 0)  # not sent
-        if self.ready:
-            slot.commanded = (self.link, self.polls)
-            if once:
-                # A poll behind it is answered in well under a ms. What is not confirmed when a link breaks is
-                # sent again, and might start anew a run that ends just then; others may run anew.
-                self.polls += 1
-                parts = parts + worker_pool_lines.poll(f"{self.link}-{self.polls}")
-            self.pool.run_or_post(self.pool.send, self.link, parts)
-
-    def poll(self) -> None:
-        if self.pool.mailbox.qsize() > MOST_BEHIND:  # a paused pool gets no heap of polls
-            return
-        self.polls += 1
-        self.pool.run_or_post(self.pool.send, self.link, worker_pool_lines.poll(f"{self.link}-{self.polls}"))
-
-    def start(self, q: int) -> None:
-        slot = self.tasks[q]
-        once = self.controller.workload.requests[q].request_class.effect != Effect.IDEMPOTENT
-        self.command(slot, worker_pool_lines.spawn(slot.name, slot.kind, slot.content), once)
-
-    def stop(self, q: int) -> None:
-        """The protocol has no command for it yet: the run goes on to its end, which changes no answer."""
-        self.metrics.increment("stops_not_sent")
-
-    def reject(self, q: int, terminal: bool, pause: float) -> None:
-        slot = self.tasks[q]
-        if self.controller.health.notice_at < math.inf:
-            why = "draining"
-        elif self.controller.health.stalled:
-            why = "stalled"
-        else:
-            why = "at_door" if q == self.arriving else "held"
-        self.answer(slot, json_rpc.rejected(slot.rpc_id, terminal, pause), "rejected_" + why)
+        report(figures)
 
-    def fail(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
+    def fleet_signals_changed(self, signals: FleetSignals) -> None:
+        """Hand what the fleet sees to the controller."""
+        if self.controller is not None:
+            self.controller.apply_fleet_signals(signals.pace, signals.room, signals.full, signals.stretch)
 
-    def share(self, q: int) -> None:
-        first = self.tasks[q].waits_for
-        if first in self.prints.results:
-            self.later.append((self.share_ended, (q, *self.prints.results[first])))
-        else:
-            self.prints.wait(first, q)
-
-    def call(self, q: int, cut_at: float) -> None:
-        slot = self.tasks[q]
-        self.call_count += 1
-        slot.call = self.call_count
-        self.calls[slot.call], self.begun[slot.call] = q, self.now()
-        until = self.origin + cut_at
-        once = self.controller.workload.requests[q].request_class.effect != Effect.IDEMPOTENT
-        self.records.op(slot.name, slot.call, until, slot.need[1], once)
-        self.timers.at(until, self.call_cut, slot.call)
-
-    def skip(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.command(slot, worker_pool_lines.skip(slot.name, slot.need[0]))
-
-    def remember(self, q: int, keep_for: float) -> None:
-        mark = self.marks.get(q)
-        if mark is not None:
-            self.prints.keep(mark, q, math.ceil(self.origin + self.now() + keep_for))
-
-    def forget(self, q: int) -> None:
-        self.prints.drop(q)
-
-    def release(self, q: int) -> None:
-        slot = self.tasks[q]
-        self.metrics.check_invariant(slot.answered, "released_after_its_answer", task=slot.name)
-        self.marks.pop(q, None)
-        if slot.waits_for >= 0:
-            self.prints.leave(slot.waits_for, q)
-        for follower in self.prints.release(q):
-            self.later.append((self.share_ended, (follower, False, "")))
-        self.tasks.release(q)
-
-    def set_readiness(self, good: bool) -> None:
-        self.doors.fit = good
-        self.members.post(self.members.judge, good)
-        log.info("fitness", good=good)
-
-    def publish_load(self, value: float) -> None:
-        """The protocol has no place for a free value."""
-
-    def set_idle_timeout(self, keep_for: float) -> None:
-        self.idle_for = keep_for
-
-    def schedule_tick(self, delay: float) -> None:
-        when = time.time() * 1000.0 + delay
-        self.timers.at(when - POLL_AHEAD, self.poll)
-        self.timers.at(when, self.sweep)
+    def log_summary(self) -> None:
+        """Log all counts, now and each `SUMMARY_INTERVAL` from now on."""
+        self.metrics.log_summary(
+            open=self.state.answers.count_unanswered(),
+            connections=len(self.listener.connections),
+            known=len(self.state.requests),
+        )
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -7,9 +7,10 @@
 
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.actor import PooledActor, ThreadPool, start_thread
+from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
+from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
 AGAIN = 0.02  # s between attempts; runs go on meanwhile, and the pool is on the same machine
 AGAIN_MOST = 0.5  # s: while nobody is there
@@ -91,7 +92,7 @@
             self.sock = None
             sock.close()
             self.metrics.log_sampled("pool_link_lost", why=why, last=self.last)
-            self.module.post(self.module.pool_lost)
+            self.module.post(self.module.worker_pool_lost)
             if address == self.address:
                 time.sleep(pause)
 
@@ -143,9 +144,9 @@
         elif name == "blocked":
             module.post_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
         elif name == "polled":
-            module.post_when_room(module.polled, *worker_pool_lines.polled_fields(message))
+            module.post_when_room(module.poll_answered, *worker_pool_lines.polled_fields(message))
         elif name == "bound":
-            module.post(module.bound, self.link, *worker_pool_lines.bound_fields(message))
+            module.post(module.worker_pool_bound, self.link, *worker_pool_lines.bound_fields(message))
         elif name == "unknown":
             command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
             module.post_when_room(module.command_unknown, command, task)
