--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -23,7 +23,7 @@
         self.module = AdmissionActor(7, TOLD, Metrics())
         self.peer.mailbox = queue.SimpleQueue()
         self.doors.connections, self.all_out = (), False
-        self.doors.done = lambda: self.all_out
+        self.doors.is_drained = lambda: self.all_out
         self.module.attach(self.peer, self.peer, self.peer, self.doors, lambda: self.stops.append(self.now))
         if bound:
             self.module.bound(1, False, 5000.0)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -20,9 +20,11 @@
 from vetchford.runtime import log_setup
 from vetchford.runtime.actor import ThreadPool, start_thread
 from vetchford.runtime.metrics import Metrics
-from vetchford.server import client_connections, platform_config
+from vetchford.server import platform_config
 from vetchford.server.admission_actor import AdmissionActor
+from vetchford.server.client_connection import ClientConnection
 from vetchford.server.idempotency_cache import IdempotencyCache
+from vetchford.server.listener import Listener
 
 
 def command(*given, **environment):
@@ -268,13 +270,13 @@
 
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
-    doors = client_connections.Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
+    doors = Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
     ours, theirs = socket.socketpair()
-    connection = client_connections.Connection(ours, doors, Metrics())
+    connection = ClientConnection(ours, doors, Metrics())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
         doors.connections = set(range(held))
-        assert not connection.overstays(connection.used + stays)
-        assert connection.overstays(connection.used + stays + 0.15)
+        assert not connection.check_timeouts(connection.last_active_at + stays)
+        assert connection.check_timeouts(connection.last_active_at + stays + 0.15)
     for part in (ours, theirs, doors.sock):
         part.close()
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -59,7 +59,7 @@
     )
     ran, names = imported(["-c", program])
     assert ran.returncode == 0, ran.stderr[-2000:]
-    assert "vetchford.server.client_connections" in names and "vetchford.server.admission_actor" in names
+    assert "vetchford.server.listener" in names and "vetchford.server.admission_actor" in names
     wrong = {name for name in names for part in APART if name == part or name.startswith(part + ".")}
     assert not wrong
 
@@ -91,10 +91,24 @@
     "protocol": set(),
     "runtime": set(),
     "server": {"admission", "bulkheads", "configuration", "coordination", "protocol", "runtime"},
-    "server.client_connections": {*PEER_ACTORS, "server.idle_poller"},
+    "server.client_connection": {
+        *PEER_ACTORS,
+        "server.client_messages",
+        "server.connection_limits",
+        "server.idle_poller",
+    },
+    "server.client_messages": {*PEER_ACTORS, "server.connection_limits"},
+    "server.connection_limits": {"protocol"},
     "server.idempotency_cache": set(),
     "server.idle_poller": PEER_ACTORS,
     "server.index_allocator": set(),
+    "server.listener": {
+        *PEER_ACTORS,
+        "server.client_connection",
+        "server.client_messages",
+        "server.connection_limits",
+        "server.idle_poller",
+    },
     "server.records_client": PEER_ACTORS,
     "server.registry_reporter": PEER_ACTORS,
     "server.request_table": {"server.index_allocator"},
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -203,7 +203,7 @@
             caller = self.tasks[q].caller
             self.refuse_held(caller)  # before this end frees a core for the next of its like
             self.run_ended(name, "superseded", 0.0, "")
-            caller.run_or_post(caller.distrust)
+            caller.run_or_post(caller.stop_reading)
 
     def refuse_held(self, caller: Any) -> None:
         """It sent what never came by the balancers: the rest of it is held for nobody."""
@@ -359,7 +359,7 @@
             self.doors.close()
         finally:
             # Whatever goes wrong on the way, the program ends before it is killed.
-            if last or self.doors.done() and not self.open_tasks():
+            if last or self.doors.is_drained() and not self.open_tasks():
                 self.end()
 
     def end(self) -> None:
@@ -468,7 +468,7 @@
         self.tasks.release(q)
 
     def set_readiness(self, good: bool) -> None:
-        self.doors.fit = good
+        self.doors.ready = good
         self.members.post(self.members.judge, good)
         log.info("fitness", good=good)
 
--- /dev/null
+++ b/vetchford/server/client_connection.py
@@ -0,0 +1,342 @@
+"""One connection of a client (a balancer): reads its messages and writes the answers.
+
+The module is one thing although it is long: reading, writing and closing share the state that decides when
+a connection may be closed without losing an answer.
+"""
+
+import math
+import socket
+import threading
+import time
+from typing import Protocol
+
+from vetchford.protocol import json_rpc
+from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
+from vetchford.runtime.actor import PooledActor, ThreadPool
+from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.sockets import send_now, send_parts, shut
+from vetchford.server import connection_limits
+from vetchford.server.client_messages import MessageHandler, RequestTarget
+from vetchford.server.idle_poller import IdleConnectionPoller
+
+
+class ConnectionOwner(RequestTarget, Protocol):
+    """The listener that accepted the connection, as far as the connection needs it."""
+
+    thread_pool: ThreadPool  # for writers
+    reader_threads: ThreadPool
+    idle_poller: IdleConnectionPoller
+    messages: MessageHandler
+
+    def is_fuller_than(self, share: float) -> bool:
+        """Return whether more than this share of the connection table is in use."""
+
+    def remove(self, connection: "ClientConnection") -> None:
+        """Take a closed connection out of the table."""
+
+
+class ClientConnection(PooledActor):
+    """A connection whose reader hands messages on, and whose actor writes the answers.
+
+    At most one reader thread reads it at a time; while none does, the idle poller waits for its next bytes,
+    so that an idle connection costs no thread. Methods of the reader and of the actor are marked as such.
+    """
+
+    def __init__(self, sock: socket.socket, owner: ConnectionOwner, metrics: Metrics) -> None:
+        """Take over `sock`, which the connection closes at its end."""
+        super().__init__("connection", metrics, owner.thread_pool)
+        self.sock = sock
+        self.owner = owner
+        self.admission = owner.admission
+        self.open_requests: set[int | str] = set()  # ids that were read and whose answers haven't been sent
+        self.last_active_at = time.monotonic()
+
+        # Reading.
+        self.receive_buffer: ReceiveBuffer | None = None  # only while part of a message was received
+        self.message_started_at = math.inf  # monotonic seconds; infinite between messages
+        self.bad_message_count = 0
+        self.has_sent_message = False  # whether the client ever sent a whole message
+        self.is_last_read = False  # the reader doesn't wait for more bytes
+        self.reading_stopped = False  # its requests are not trusted any more
+        self.discarding = False  # the stream can't be parsed any further
+        self.discarded_bytes = 0
+        self.reading_done = False  # nothing more is read
+
+        # Writing.
+        self.outgoing: list[bytes] = []  # written at the end of each batch of entries
+        self.reply_slots = threading.BoundedSemaphore(connection_limits.MAX_UNWRITTEN_REPLIES)
+        self.has_answered = False
+        self.writing = False
+
+        # Closing.
+        self.broken = False  # no answer can reach the client any more
+        self.close_requested_at = 0.0  # when `closing` was sent, in monotonic seconds; 0.0 if it wasn't
+        self.ends_after_answers = False  # the sending side is shut down behind the last open answer
+
+    # -- reading, on a reader thread
+
+    def read(self) -> None:
+        """Handle what has arrived, then wait in the idle poller or end the connection."""
+        if self._receive():
+            self._wait_for_bytes()
+        else:
+            self._finish_reading()
+
+    def read_before_close(self) -> None:
+        """Handle what has arrived since the connection timed out; end it unless that was a message."""
+        if self._message_has_started():
+            self._stop_parsing("a message was begun and not ended")
+        was_silent = not self.has_sent_message
+        self.is_last_read = True
+        more = self._receive()
+        sent_first_message = was_silent and self.has_sent_message
+        has_spoken = sent_first_message or self.open_requests or self._message_has_started()
+        if more and has_spoken and not self.discarding:
+            # The client sent a message while it timed out, and may send more before it learns of the close.
+            # Closing with that unread would reset the connection and lose the answer.
+            self.is_last_read = False
+            self._wait_for_bytes()
+            return
+        if not self.has_sent_message:
+            self.metrics.increment("connections_silent")
+        self._finish_reading()
+
+    def _wait_for_bytes(self) -> None:
+        try:
+            self.owner.idle_poller.resume(self)
+        except OSError as error:
+            # Unwatched it would stay in the table for ever, neither read nor closed.
+            self.metrics.log_sampled("connections_not_watched", problem=str(error))
+            self.broken = True
+            self._finish_reading()
+
+    def _receive(self) -> bool:
+        """Handle all that has arrived; return False once nothing more is to be read."""
+        try:
+            return self._receive_until_blocked()
+        except OSError:
+            self.broken = True
+        except UnreadableStreamError as error:
+            self._stop_parsing(str(error))
+        except Exception as error:
+            self.broken = True
+            self.metrics.report_internal_error("connection-reader", error)
+        return False
+
+    def _receive_until_blocked(self) -> bool:
+        while True:
+            if self.receive_buffer is None:
+                self.receive_buffer = ReceiveBuffer(connection_limits.RECEIVE_BUFFER_BYTES)
+            buffer = self.receive_buffer
+            flags = 0 if self._may_wait_for_message() else socket.MSG_DONTWAIT
+            try:
+                count = self.sock.recv_into(buffer.space(), 0, flags)
+            except BlockingIOError:
+                break
+            if not count:
+                return False
+            if self.discarding:
+                self.discarded_bytes += count
+                if not self.open_requests and self.discarded_bytes > connection_limits.MAX_DISCARDED_BYTES:
+                    return False
+            else:
+                buffer.fed(count)
+                self._handle_messages(buffer)
+        if self.message_started_at == math.inf:
+            self.receive_buffer = None  # hundreds of idle connections keep no buffers
+        return True
+
+    def _may_wait_for_message(self) -> bool:
+        """Return whether to block for READ_WAIT_TIMEOUT, which saves the way through the poller."""
+        return self.has_answered and not self.is_last_read and self.owner.reader_threads.has_spare_threads()
+
+    def _handle_messages(self, buffer: ReceiveBuffer) -> None:
+        try:
+            while (body := json_rpc.next_body(buffer)) is not None:
+                self.last_active_at = time.monotonic()
+                self.has_sent_message = True
+                if self.reading_stopped:
+                    raise UnreadableStreamError("its tasks are unknown to the worker pool")
+                self.owner.messages.handle(self, body)
+                self.message_started_at = math.inf  # the bytes behind it are the next message
+        except UnreadableStreamError as error:
+            self._stop_parsing(str(error))
+            buffer.start = buffer.end = 0
+            return
+        if buffer.start < buffer.end:
+            self.message_started_at = min(self.message_started_at, time.monotonic())
+        else:
+            self.message_started_at = math.inf
+
+    def _stop_parsing(self, reason: str) -> None:
+        """Send `reason` as an error, and discard what still arrives until all open requests are answered.
+
+        Closed with bytes unread, the system would reset the connection, and answers would be lost.
+        """
+        self.metrics.log_sampled("balancer_unfollowable", problem=reason)
+        self.discarding = True
+        self.message_started_at = math.inf
+        self.last_active_at = time.monotonic()
+        if self.reply_slots.acquire(blocking=False):
+            self.run_or_post(self._write_reply, json_rpc.error(None, json_rpc.INVALID_REQUEST, reason))
+        self.run_or_post(self._end_after_answers)
+
+    def _finish_reading(self) -> None:
+        if self.broken:
+            self.admission.post(self.admission.caller_gone, self)
+        self.run_or_post(self._set_reading_done)
+
+    def reply(self, parts: list[bytes]) -> None:
+        """Send a reply that belongs to no open request; raise OSError if the client reads none."""
+        if not self.reply_slots.acquire(blocking=False):
+            raise ConnectionError("replies are not read")
+        self.run_or_post(self._write_reply, parts)
+
+    # -- timeouts, on the polling thread and on that of the admission actor
+
+    def check_timeouts(self, now: float) -> bool:
+        """Return whether the connection has timed out at `now` (monotonic seconds) and is to be closed.
+
+        One that is idle for too long is first asked to close, which takes effect at a later check.
+        """
+        if now - self.message_started_at > connection_limits.MESSAGE_TIMEOUT:
+            return True
+        if self.open_requests:
+            return False
+        idle_for = now - self.last_active_at
+        if self.discarding:
+            return idle_for > connection_limits.DISCARD_TIMEOUT
+        if not self.has_sent_message:
+            return idle_for > self._first_message_timeout()
+        if self.close_requested_at:
+            return self.is_finished(now, self._close_timeout())
+        if idle_for > connection_limits.IDLE_TIMEOUT:
+            self.metrics.increment("connections_asked_to_close")
+            self.run_or_post(self.request_close)
+        return False
+
+    def _first_message_timeout(self) -> float:
+        if self.owner.is_fuller_than(connection_limits.NEARLY_FULL_SHARE):
+            return connection_limits.NEARLY_FULL_TIMEOUT
+        if self.owner.is_fuller_than(connection_limits.CROWDED_SHARE):
+            return connection_limits.CROWDED_FIRST_MESSAGE_TIMEOUT
+        return connection_limits.FIRST_MESSAGE_TIMEOUT
+
+    def _close_timeout(self) -> float:
+        if self.owner.is_fuller_than(connection_limits.NEARLY_FULL_SHARE):
+            return connection_limits.NEARLY_FULL_TIMEOUT
+        if self.owner.is_fuller_than(connection_limits.CROWDED_SHARE):
+            return connection_limits.DRAIN_CLOSE_TIMEOUT
+        return connection_limits.CLOSE_TIMEOUT
+
+    def is_finished(self, now: float, close_timeout: float) -> bool:
+        """Return whether it was asked to close `close_timeout` seconds ago and nothing is left to do."""
+        # A message that has started is owed an answer once it is whole; MESSAGE_TIMEOUT bounds the wait.
+        quiet = (
+            not self.open_requests
+            and not self.writing
+            and not self._message_has_started()
+            and self.mailbox.empty()
+        )
+        return self.broken or quiet and 0.0 < self.close_requested_at < now - close_timeout
+
+    def has_unread_bytes(self) -> bool:
+        """Return whether bytes wait that were not handled yet, in the system's buffer or with a reader."""
+        if self.discarding or self.reading_done or self.broken:  # what still arrives is not answered
+            return False
+        try:
+            if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
+                return True
+        except OSError:  # nothing is there, or the socket is closed
+            pass
+        # After the peek: what was received before it is with a reader, or among the open requests by now.
+        return self.running and not self.owner.idle_poller.is_waiting(self)
+
+    def _message_has_started(self) -> bool:
+        return self.message_started_at < math.inf and not self.discarding
+
+    # -- writing: entries of the actor
+
+    def answer(self, rpc_id: int, parts: list[bytes]) -> None:
+        """Send the answer to an open request; called by the admission actor, never blocks."""
+        self.run_or_post(self._write_answer, rpc_id, parts)
+
+    def _write_answer(self, rpc_id: int, parts: list[bytes]) -> None:
+        self.writing = self.has_answered = True
+        self.open_requests.discard(rpc_id)  # before it is sent: the client may use the id again at once
+        self.outgoing += parts
+
+    def _write_reply(self, parts: list[bytes]) -> None:
+        self.outgoing += parts
+        self.reply_slots.release()
+
+    def request_close(self) -> None:
+        """Ask the client to close the connection; an entry of the actor."""
+        if not self.close_requested_at:
+            self.outgoing += json_rpc.closing()
+            self.close_requested_at = time.monotonic()
+
+    def stop_reading(self) -> None:
+        """Read nothing more, as the worker pool doesn't know its requests; an entry of the actor."""
+        self.reading_stopped = True
+        self._end_after_answers()
+        shut(self.sock, socket.SHUT_RD)
+
+    def _end_after_answers(self) -> None:
+        self.request_close()
+        self.ends_after_answers = True
+
+    def _set_reading_done(self) -> None:
+        self.reading_done = True
+
+    def on_idle(self) -> None:
+        """Write what a batch of entries left, blocking for WRITE_TIMEOUT at most; then close if finished."""
+        if self.outgoing:
+            self._write_all()
+            self.last_active_at = time.monotonic()
+        self.writing = False
+        self._close_if_finished()
+
+    def flush_nonblocking(self) -> None:
+        """Write what the system takes at once; the rest is left to `on_idle` on a thread of the pool."""
+        self.last_active_at = time.monotonic()
+        if self.broken:
+            self.outgoing = []
+        try:
+            if self.outgoing:
+                self.outgoing = send_now(self.sock, self.outgoing)
+        except OSError:
+            self._on_write_failed()
+        self.writing = bool(self.outgoing)
+        if not self.outgoing:
+            self._close_if_finished()
+
+    def has_unwritten(self) -> bool:
+        """Return whether `flush_nonblocking` has left bytes to write."""
+        return bool(self.outgoing)
+
+    def _write_all(self) -> None:
+        parts, self.outgoing = self.outgoing, []
+        if self.broken:
+            return
+        try:
+            send_parts(self.sock, parts)
+        except OSError:
+            self._on_write_failed()
+
+    def _on_write_failed(self) -> None:
+        self.broken = True
+        self.outgoing = []
+        shut(self.sock)
+        self.admission.post(self.admission.caller_gone, self)
+
+    def _close_if_finished(self) -> None:
+        if not self.mailbox.empty() or self.open_requests and not self.broken:
+            return
+        if self.ends_after_answers:
+            self.ends_after_answers = False
+            shut(self.sock, socket.SHUT_WR)
+        if self.reading_done and self.running:
+            self.running = False
+            self.sock.close()
+            self.owner.remove(self)
--- /dev/null
+++ b/vetchford/server/client_messages.py
@@ -0,0 +1,108 @@
+"""Handles the messages of clients: requests go to the admission actor, all others are replied to here."""
+
+import time
+from typing import Any, Protocol
+
+from vetchford.protocol import json_rpc
+from vetchford.protocol.receive_buffer import UnreadableStreamError
+from vetchford.runtime.metrics import Metrics
+from vetchford.server import connection_limits
+
+
+class Client(Protocol):
+    """The connection that a message comes from."""
+
+    open_requests: set[int | str]  # ids
+    bad_message_count: int
+
+    def reply(self, parts: list[bytes]) -> None:
+        """Send a reply that belongs to no open request."""
+
+
+class RequestTarget(Protocol):
+    """What the server knows that a message is checked against, and where its requests go."""
+
+    request_classes: dict[str, int]  # index by method name
+    tenants: dict[str, int]  # index by name
+    ready: bool  # the result of a health check
+    admission: Any  # the AdmissionActor
+    metrics: Metrics
+
+
+class MessageHandler:
+    """Handles the messages of all clients, each on the thread that reads it; keeps no state of its own."""
+
+    def __init__(self, target: RequestTarget) -> None:
+        """Create the handler of the messages to `target`."""
+        self.target = target
+
+    def handle(self, client: Client, body: memoryview) -> None:
+        """Handle the body of one message; a bad one is replied to with an error.
+
+        Raises UnreadableStreamError after too many bad messages, and OSError if the client doesn't read
+        its replies.
+        """
+        try:
+            method, rpc_id, params = json_rpc.decode(body)
+            if rpc_id in client.open_requests:
+                raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, f"id {rpc_id} is in use")
+            if rpc_id is None:
+                self._handle_notification(client, method, params)
+            elif method == "check":
+                client.reply(json_rpc.checked(rpc_id, self.target.ready))
+            else:
+                self._handle_request(client, method, rpc_id, params)
+        except json_rpc.BadMessageError as error:
+            self._handle_bad_message(client, error)
+
+    def _handle_notification(self, client: Client, method: str, params: dict[str, Any]) -> None:
+        # Not counted as bad messages: balancers have been seen to send hundreds at a time, and closing the
+        # connection for that would fail its open requests.
+        self.target.metrics.log_sampled("balancer_notification", method=method[:40], params=str(params)[:120])
+        if method in self.target.request_classes:  # a request that could not be answered for want of an id
+            client.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
+
+    def _handle_bad_message(self, client: Client, error: json_rpc.BadMessageError) -> None:
+        self.target.metrics.log_sampled("balancer_bad_message", code=error.code, problem=str(error))
+        # With the id of an open request, the client would take the error for the answer to that request.
+        rpc_id = None if error.rpc_id in client.open_requests else error.rpc_id
+        client.reply(json_rpc.error(rpc_id, error.code, str(error)))
+        client.bad_message_count += 1
+        if client.bad_message_count >= connection_limits.MAX_BAD_MESSAGES:
+            raise UnreadableStreamError("too many bad messages") from None
+
+    def _handle_request(self, client: Client, method: str, rpc_id: int | str, params: dict[str, Any]) -> None:
+        request_class = self.target.request_classes.get(method)
+        if request_class is None:
+            raise json_rpc.BadMessageError(json_rpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
+        if not isinstance(rpc_id, int):
+            raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
+        if len(client.open_requests) >= connection_limits.MAX_OPEN_REQUESTS:
+            # Not a bad message: the server isn't told when a client gives a request up, so a client that
+            # gave up many may send as many more.
+            self.target.metrics.increment("rejected_over_open")
+            client.reply(json_rpc.rejected(rpc_id, False, 0.0))
+            return
+        name, door, limit, caller, team, work, kb, mark, content = json_rpc.request_fields(
+            params, rpc_id, time.time() * 1000.0
+        )
+        tenant = -1 if team is None else self.target.tenants.get(team)
+        if tenant is None:
+            raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+        client.open_requests.add(rpc_id)
+        self.target.admission.post_when_room(
+            self.target.admission.request,
+            client,
+            rpc_id,
+            name,
+            request_class,
+            method,
+            tenant,
+            caller,
+            door,
+            limit,
+            work,
+            kb,
+            mark,
+            content,
+        )
--- a/vetchford/server/idle_poller.py
+++ b/vetchford/server/idle_poller.py
@@ -1,69 +1,99 @@
-"""Where connections wait for their peer's next word, without a thread of their own."""
+"""Waits on one thread for the next bytes of all connections that no reader thread is busy with."""
 
 import select
+import socket
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
 
 from vetchford.runtime.actor import ThreadPool
 
-EVERY = 0.05  # s between looks at what overstays; the shortest stay is twice that
-A_TURN = 64  # connections that spoke, before the next look
+TIMEOUT_CHECK_INTERVAL = 0.05  # s between checks for timed-out connections; half of the shortest timeout
+MAX_EVENTS_PER_POLL = 64  # connections handed to readers before timeouts are checked again
+
+
+class PollableConnection(Protocol):
+    """What the poller needs of a connection."""
+
+    sock: socket.socket
+
+    def read(self) -> None:
+        """Read what has arrived; called on a reader thread, which gives the connection back or ends it."""
+
+    def read_before_close(self) -> None:
+        """Read once more and end the connection if nothing came; called on a reader thread."""
+
+    def check_timeouts(self, now: float) -> bool:
+        """Return whether the connection has timed out at `now` (monotonic seconds)."""
 
 
 class IdleConnectionPoller:
-    """`waiting` is emptied as they speak, end, or have stayed too long; a thread watches."""
+    """Hands each waiting connection to a reader thread when bytes arrive or when it has timed out.
 
-    def __init__(self, thread_pool: ThreadPool) -> None:
-        self.thread_pool, self.epoll = thread_pool, select.epoll()
-        self.waiting: dict[int, Any] = {}  # connections by descriptor
-        self.lock = threading.Lock()  # held from putting one there until its descriptor is armed
+    A connection is in `waiting` from `add` or `resume` until it is handed to a reader. Each registration
+    reports once, so that a connection never has two readers.
+    """
+
+    def __init__(self, reader_threads: ThreadPool) -> None:
+        """Create the poller; `start` begins the polling."""
+        self.reader_threads = reader_threads
+        self.epoll = select.epoll()
+        self.waiting: dict[int, PollableConnection] = {}  # by file descriptor
+        self.lock = threading.Lock()  # held from the entry in `waiting` until the descriptor is registered
+        self.next_timeout_check = 0.0  # monotonic seconds; used by the polling thread only
 
     def start(self) -> None:
-        threading.Thread(target=self.watch, name="lobby", daemon=True).start()
+        """Start the polling thread, which runs for the life of the process."""
+        threading.Thread(target=self.run, name="idle-poller", daemon=True).start()
 
-    def enter(self, connection: Any) -> None:
-        """A new connection; `come_back` is for one that was here."""
-        self.wait_for(connection, self.epoll.register)
+    def add(self, connection: PollableConnection) -> None:
+        """Wait for the first bytes of a new connection; raise OSError if the system can't watch it."""
+        self._wait_for(connection, self.epoll.register)
 
-    def come_back(self, connection: Any) -> None:
-        self.wait_for(connection, self.epoll.modify)
+    def resume(self, connection: PollableConnection) -> None:
+        """Wait again for a connection that was added before; raise OSError if the system can't watch it."""
+        self._wait_for(connection, self.epoll.modify)
 
-    def wait_for(self, connection: Any, arm: Callable[[int, int], None]) -> None:
+    def _wait_for(self, connection: PollableConnection, register: Callable[[int, int], None]) -> None:
         descriptor = connection.sock.fileno()
-        # Between the two it might be let go and closed, and its number armed anew be another connection's.
+        # Without the lock the connection could time out and be closed between the two steps, and the
+        # registration would then apply to another connection that was given the same descriptor.
         with self.lock:
             self.waiting[descriptor] = connection
             try:
-                arm(descriptor, select.EPOLLIN | select.EPOLLONESHOT)
+                register(descriptor, select.EPOLLIN | select.EPOLLONESHOT)
             except OSError:
                 del self.waiting[descriptor]
                 raise
 
-    def holds(self, connection: Any) -> bool:
-        """Whether it waits here, with no reader on it."""
+    def is_waiting(self, connection: PollableConnection) -> bool:
+        """Return whether the connection waits here, with no reader busy on it."""
         return self.waiting.get(connection.sock.fileno()) is connection
 
-    def watch(self) -> None:
-        self.look_at = 0.0
+    def run(self) -> None:
+        """Poll for ever; an internal error is reported and does not end the thread."""
         while True:
             try:
-                self.turn()
-            except Exception as problem:
-                self.thread_pool.metrics.report_internal_error("lobby", problem)
+                self.poll_once()
+            except Exception as error:
+                self.reader_threads.metrics.report_internal_error("idle-poller", error)
 
-    def turn(self) -> None:
-        for descriptor, _ in self.epoll.poll(EVERY, A_TURN):
+    def poll_once(self) -> None:
+        """Hand over the connections that have bytes to read, then those that have timed out."""
+        for descriptor, _ in self.epoll.poll(TIMEOUT_CHECK_INTERVAL, MAX_EVENTS_PER_POLL):
             connection = self.waiting.pop(descriptor, None)
-            if connection is not None:  # else it is just being let go
-                self.thread_pool.run(connection.read)
+            if connection is not None:  # None: it timed out in the last round
+                self.reader_threads.run(connection.read)
         now = time.monotonic()
-        if now >= self.look_at:
-            self.look_at = now + EVERY
-            for descriptor, connection in list(self.waiting.items()):
-                if connection.overstays(now):
-                    with self.lock:  # none is let go while it is just coming back
-                        del self.waiting[descriptor]
-                    # Read once more: what it said since is not cut off.
-                    self.thread_pool.run(connection.read_last)
+        if now >= self.next_timeout_check:
+            self.next_timeout_check = now + TIMEOUT_CHECK_INTERVAL
+            self._hand_over_timed_out(now)
+
+    def _hand_over_timed_out(self, now: float) -> None:
+        for descriptor, connection in list(self.waiting.items()):
+            if connection.check_timeouts(now):
+                with self.lock:  # not while `resume` is between its two steps
+                    del self.waiting[descriptor]
+                # A last read, so that bytes which arrived since the poll are not lost.
+                self.reader_threads.run(connection.read_before_close)
--- /dev/null
+++ b/vetchford/server/listener.py
@@ -0,0 +1,227 @@
+"""Accepts the connections of clients (balancers) and keeps the table of those that are open."""
+
+import select
+import socket
+import threading
+import time
+from typing import Any
+
+from vetchford.runtime.actor import ThreadPool
+from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.sockets import shut, time_limit
+from vetchford.server import connection_limits
+from vetchford.server.client_connection import ClientConnection
+from vetchford.server.client_messages import MessageHandler
+from vetchford.server.idle_poller import IdleConnectionPoller
+
+
+class Listener:
+    """The listening socket, the thread that accepts from it, and the table of open connections.
+
+    `close`, `close_idle` and `is_drained` are called by the admission actor, `remove` by the connections.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        max_connections: int,
+        request_classes: dict[str, int],
+        tenants: dict[str, int],
+        admission: Any,
+        metrics: Metrics,
+    ) -> None:
+        """Bind to `address`, or raise OSError; `start` begins to accept.
+
+        `request_classes` and `tenants` give the index of each name; requests go to `admission`.
+        """
+        self.request_classes = request_classes
+        self.tenants = tenants
+        self.admission = admission
+        self.metrics = metrics
+        self.thread_pool = ThreadPool(metrics, connection_limits.MAX_WRITER_THREADS)
+        self.reader_threads = ThreadPool(metrics, connection_limits.MAX_READER_THREADS)
+        self.idle_poller = IdleConnectionPoller(self.reader_threads)
+        self.messages = MessageHandler(self)
+        self.max_connections = max_connections
+        self.ready = False  # the result of health checks; set by the admission actor
+        self.connections: set[ClientConnection] = set()
+        self.lock = threading.Lock()  # for `connections`
+        self.closing = False  # `close` was called: no further connection is waited for
+        self.closed = False  # the listening socket is closed
+        self.accept_lock = threading.Lock()  # held from accepting a connection until it is in the table
+        self.free_slots = threading.Semaphore(max_connections)
+        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.sock.bind(address)
+        self.sock.listen(connection_limits.LISTEN_BACKLOG)
+        self.sock.setblocking(False)
+
+    def start(self) -> None:
+        """Start to accept connections and to read from them."""
+        self.thread_pool.start()
+        self.reader_threads.start()
+        self.idle_poller.start()
+        threading.Thread(target=self.accept_connections, name="listener", daemon=True).start()
+
+    # -- accepting
+
+    def accept_connections(self) -> None:
+        """Accept until `close` is called; while the table is full, clients wait in the backlog."""
+        poller = select.poll()
+        poller.register(self.sock, select.POLLIN)
+        while not self.closing:
+            if not self._reserve_slot():
+                return
+            poller.poll()
+            try:
+                accepted = self._accept_one()
+            except OSError as error:
+                self.free_slots.release()
+                if not self.closing:
+                    self.metrics.log_sampled("accept_failed", problem=str(error))
+                    time.sleep(connection_limits.ACCEPT_RETRY_DELAY)
+                continue
+            if not accepted:
+                self.free_slots.release()
+            elif self.is_fuller_than(connection_limits.CROWDED_SHARE):
+                self._close_longest_idle()
+
+    def _reserve_slot(self) -> bool:
+        """Wait for a free place in the table; return False if the listener is closing."""
+        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL):
+            if self.closing:
+                return False
+            self._close_longest_idle()
+        return True
+
+    def _accept_one(self) -> bool:
+        """Accept the next connection; return False if there was none or it was lost at once."""
+        # Under the lock, so that `close` never sees a connection that is accepted and not in the table.
+        with self.accept_lock:
+            if self.closed:
+                return False
+            try:
+                sock, _ = self.sock.accept()
+            except (BlockingIOError, ConnectionAbortedError):  # the client left before it was accepted
+                return False
+            return self.add(sock)
+
+    def add(self, sock: socket.socket) -> bool:
+        """Put an accepted connection into the table and wait for its bytes; return False if it was lost."""
+        try:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT)
+            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT)
+            connection = ClientConnection(sock, self, self.metrics)
+            with self.lock:
+                self.connections.add(connection)
+            self.idle_poller.add(connection)
+        except OSError as error:  # ends this connection, not the thread that accepts all others
+            self.metrics.log_sampled("connections_lost_at_door", problem=str(error))
+            with self.lock:
+                self.connections = {other for other in self.connections if other.sock is not sock}
+            sock.close()
+            return False
+        self.metrics.increment("connections_accepted")
+        return True
+
+    # -- the table
+
+    def is_fuller_than(self, share: float) -> bool:
+        """Return whether more than this share of the table is in use."""
+        return len(self.connections) > share * self.max_connections
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Take a closed connection out of the table."""
+        with self.lock:
+            if connection in self.connections:
+                self.connections.remove(connection)
+                self.free_slots.release()
+
+    def _close_longest_idle(self) -> None:
+        """Ask the connections that were idle for longest to close, down to the crowded share."""
+        now = time.monotonic()
+        with self.lock:
+            staying = [connection for connection in self.connections if not connection.close_requested_at]
+        idle = [
+            connection
+            for connection in staying
+            if connection.has_sent_message
+            and not connection.open_requests
+            and now - connection.last_active_at > connection_limits.CROWDED_IDLE_TIMEOUT
+        ]
+        idle.sort(key=lambda connection: connection.last_active_at)
+        excess = len(staying) - int(connection_limits.CROWDED_SHARE * self.max_connections)
+        for connection in idle[: max(0, excess)]:
+            self._request_close(connection)
+
+    def close_idle(self, keep_for: float) -> None:
+        """Ask the connections to close that were idle for more than `keep_for` milliseconds."""
+        idle_since = time.monotonic() - keep_for / 1000.0
+        with self.lock:
+            idle = [
+                connection
+                for connection in self.connections
+                if not connection.open_requests and connection.last_active_at < idle_since
+            ]
+        for connection in idle:
+            if not connection.close_requested_at:
+                self._request_close(connection)
+
+    def _request_close(self, connection: ClientConnection) -> None:
+        self.metrics.increment("connections_asked_to_close")
+        connection.run_or_post(connection.request_close)
+
+    # -- shutdown
+
+    def close(self) -> None:
+        """Accept what has connected already and nothing more, then ask all connections to close.
+
+        May be called again, where descriptors ran out before the backlog was empty.
+        """
+        self.closing = True
+        with self.accept_lock:
+            self._accept_backlog()
+        with self.lock:
+            staying = [connection for connection in self.connections if not connection.close_requested_at]
+        for connection in staying:
+            connection.run_or_post(connection.request_close)
+
+    def _accept_backlog(self) -> None:
+        # Bounded: clients that keep connecting hold up the admission actor for no longer than that.
+        for _ in range(connection_limits.LISTEN_BACKLOG):
+            if self.closed:
+                return
+            try:
+                sock, _ = self.sock.accept()
+            except BlockingIOError:  # the backlog is empty
+                self.closed = True
+                shut(self.sock)  # wakes the accepting thread
+                self.sock.close()
+            except ConnectionAbortedError:
+                continue
+            except OSError as error:  # out of descriptors: the next call of `close` accepts the rest
+                self.metrics.log_sampled("accept_failed", problem=str(error))
+                return
+            else:
+                self.add(sock)
+
+    def is_drained(self) -> bool:
+        """Return whether every request that came through the listener is answered, or can't be any more."""
+        now = time.monotonic()
+        with self.lock:
+            staying = list(self.connections)
+
+        def all_finished() -> bool:
+            return all(
+                connection.is_finished(now, connection_limits.DRAIN_CLOSE_TIMEOUT) for connection in staying
+            )
+
+        # Checked again after the look for unread bytes: the process may have been paused for the whole close
+        # timeout, with a request unread or just being read.
+        return (
+            self.closed
+            and all_finished()
+            and not any(connection.has_unread_bytes() for connection in staying)
+            and all_finished()
+        )
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -14,7 +14,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.server import platform_config, signals
 from vetchford.server.admission_actor import AdmissionActor
-from vetchford.server.client_connections import Listener
+from vetchford.server.listener import Listener
 from vetchford.server.records_client import RecordsClient
 from vetchford.server.registry_reporter import RegistryReporter
 from vetchford.server.reload import ConfigurationReloader
