--- a/tests/protocol/test_codecs.py
+++ b/tests/protocol/test_codecs.py
@@ -15,15 +15,15 @@
 
 def in_place(take, size, stream, chance):
     """What `take` finds in a stream that comes in pieces, and whether it could be followed to its end."""
-    inbox, found, at = ReceiveBuffer(size), [], 0
+    buffer, found, at = ReceiveBuffer(size), [], 0
     try:
         while at < len(stream):
-            room = inbox.space()
+            room = buffer.free_space()
             count = min(len(room), len(stream) - at, chance.choice((1, 2, 7, 100, 5000)))
             room[:count] = stream[at : at + count]
-            inbox.fed(count)
+            buffer.add_received(count)
             at += count
-            while (item := take(inbox)) is not None:
+            while (item := take(buffer)) is not None:
                 found.append(
                     bytes(item) if isinstance(item, memoryview) else (*item[:2], bytes(item[2] or b""))
                 )
@@ -35,8 +35,8 @@
 def plain_bodies(stream):
     found = []
     while True:
-        if b"\r\n\r\n" not in stream[: json_rpc.MOST_HEAD + 4]:
-            return found, len(stream) < json_rpc.MOST_HEAD + 4
+        if b"\r\n\r\n" not in stream[: json_rpc.MAX_HEADER_BYTES + 4]:
+            return found, len(stream) < json_rpc.MAX_HEADER_BYTES + 4
         head, _, rest = stream.partition(b"\r\n\r\n")
         lengths = []
         for line in head.split(b"\r\n"):
@@ -45,7 +45,7 @@
             name, value = line.split(b":", 1)
             if name.strip().lower() == b"content-length":
                 lengths.append(value.strip())
-        if len(lengths) != 1 or not lengths[0].isdigit() or int(lengths[0]) > json_rpc.MOST_BODY:
+        if len(lengths) != 1 or not lengths[0].isdigit() or int(lengths[0]) > json_rpc.MAX_BODY_BYTES:
             return found, False
         length = int(lengths[0])
         if len(rest) < length:
@@ -56,25 +56,25 @@
 
 def plain_lines(stream):
     found = []
-    while b"\n" in stream[: worker_pool_lines.MOST_LINE + 1]:
+    while b"\n" in stream[: worker_pool_lines.MAX_LINE_BYTES + 1]:
         line, _, stream = stream.partition(b"\n")
         found.append(line)
-    return found, len(stream) < worker_pool_lines.MOST_LINE + 1
+    return found, len(stream) < worker_pool_lines.MAX_LINE_BYTES + 1
 
 
 def plain_replies(stream):
     found = []
-    while b"\r\n" in stream[: records_lines.MOST_LINE + 2]:
+    while b"\r\n" in stream[: records_lines.MAX_LINE_BYTES + 2]:
         line, _, rest = stream.partition(b"\r\n")
         words = line.split(b" ")
         if any(not word.isalnum() for word in words) or len(words) not in (2, 3):
             return found, False
-        code = records_lines.CODES.get(words[1].decode("ascii", "replace"))
+        code = records_lines.OUTCOMES.get(words[1].decode("ascii", "replace"))
         if code is None or (len(words) == 3) is not (words[1] == b"DONE"):
             return found, False
         body = b""
         if len(words) == 3:
-            if not words[2].isdigit() or len(words[2]) > 9 or int(words[2]) > records_lines.MOST_REPLY:
+            if not words[2].isdigit() or len(words[2]) > 9 or int(words[2]) > records_lines.MAX_REPLY_BYTES:
                 return found, False
             length = int(words[2])
             if len(rest) < length + 2:
@@ -84,7 +84,7 @@
                 return found, False
         found.append((words[0].decode("ascii", "replace"), code, body))
         stream = rest
-    return found, len(stream) < records_lines.MOST_LINE + 2
+    return found, len(stream) < records_lines.MAX_LINE_BYTES + 2
 
 
 def some_bytes(chance, most):
@@ -129,11 +129,16 @@
 @pytest.mark.parametrize(
     ("take", "size", "plain", "message"),
     [
-        (json_rpc.next_body, 2 * (json_rpc.MOST_HEAD + json_rpc.MOST_BODY), plain_bodies, rpc_message),
-        (worker_pool_lines.next_line, 2 * worker_pool_lines.MOST_LINE, plain_lines, pool_message),
+        (
+            json_rpc.next_body,
+            2 * (json_rpc.MAX_HEADER_BYTES + json_rpc.MAX_BODY_BYTES),
+            plain_bodies,
+            rpc_message,
+        ),
+        (worker_pool_lines.next_line, 2 * worker_pool_lines.MAX_LINE_BYTES, plain_lines, pool_message),
         (
             records_lines.next_reply,
-            records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE,
+            records_lines.MAX_REPLY_BYTES + 2 * records_lines.MAX_LINE_BYTES,
             plain_replies,
             record_message,
         ),
@@ -165,10 +170,10 @@
         b'{"type":"bound","state":"hot","took":3}',
     )
     takers = (
-        worker_pool_lines.finished_fields,
-        worker_pool_lines.blocked_fields,
-        worker_pool_lines.polled_fields,
-        worker_pool_lines.bound_fields,
+        worker_pool_lines.decode_run_ended,
+        worker_pool_lines.decode_run_blocked,
+        worker_pool_lines.decode_poll_answer,
+        worker_pool_lines.decode_pool_bound,
     )
     good = bad = 0
     for seed in range(4000):
@@ -183,7 +188,7 @@
         try:
             if pick == 4:
                 _, rpc_id, params = json_rpc.decode(bytes(text))
-                json_rpc.request_fields(params, rpc_id, 1.0)
+                json_rpc.decode_request(params, rpc_id, 1.0)
             else:
                 takers[pick](worker_pool_lines.decode(bytes(text))[1])
             good += 1
@@ -197,11 +202,11 @@
     for wrong in ("1e999", "-1", "true", "null", '"5"'):
         line = b'{"type":"finished","n":1,"job":"a","state":"error","took":%b}' % wrong.encode()
         with pytest.raises(worker_pool_lines.BadLineError):
-            worker_pool_lines.finished_fields(worker_pool_lines.decode(line)[1])
+            worker_pool_lines.decode_run_ended(worker_pool_lines.decode(line)[1])
 
 
 def test_what_is_written_reads_as_the_page_has_it():
-    assert b"".join(json_rpc.finished(7, "QkFTRTY0")).split(b"\r\n\r\n")[1] == (
+    assert b"".join(json_rpc.completed(7, "QkFTRTY0")).split(b"\r\n\r\n")[1] == (
         b'{"jsonrpc":"2.0","id":7,"result":{"content":"QkFTRTY0"}}'
     )
     for terminal, pause, data in (
@@ -218,7 +223,7 @@
     )
     supply = json.loads(b"".join(worker_pool_lines.supply("9b", b"\0yes")))
     assert supply == {"type": "supply", "job": "9b", "data": base64.b64encode(b"\0yes").decode()}
-    assert b"".join(records_lines.op("9b", 250, b"\r\n")) == b"OP 9b 250 2\r\n\r\n\r\n"
+    assert b"".join(records_lines.call("9b", 250, b"\r\n")) == b"OP 9b 250 2\r\n\r\n\r\n"
 
 
 def test_a_gathered_write_that_is_cut_short_goes_on_where_it_ended():
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -32,7 +32,7 @@
         return self.module.take("request")[:2]
 
     def finish(self, connection, rpc_id):
-        connection.answer(rpc_id, json_rpc.finished(rpc_id, "b2s="))
+        connection.answer(rpc_id, json_rpc.completed(rpc_id, "b2s="))
 
 
 @pytest.fixture
--- a/vetchford/protocol/__init__.py
+++ b/vetchford/protocol/__init__.py
@@ -1,1 +1,5 @@
-"""What is spoken on the wire: a file for each protocol, free of sockets, and the actor of each peer."""
+"""Codecs of the protocols that a server speaks: bytes to values and back, without sockets.
+
+One module for each protocol, and the receive buffer that they parse in place. The words and forms are those
+of the operators' protocol page; only these modules know them.
+"""
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -1,73 +1,119 @@
-"""JSON-RPC 2.0 behind heads of `Content-Length`, as balancers speak it; free of sockets."""
+"""Codec of the clients' protocol: JSON-RPC 2.0 messages, each behind a header with `Content-Length`.
+
+Forms, error codes and the names of the fields are those of the operators' protocol page. Error texts are
+sent to the client and name the fields as the client wrote them.
+"""
 
 import base64
 import binascii
 import json
 import math
-from typing import Any
+from typing import Any, NamedTuple, NoReturn, TypeVar
 
+from vetchford.errors import VetchfordError
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 
-MOST_HEAD = 1024  # bytes; one short line is expected
-MOST_BODY = 8192  # bytes; 2 KiB in base64 are 2,732, the other fields a few hundred
-MOST_CONTENT = 2048  # bytes of a task's body
-MOST_RAM = 2000.0  # KB that a task may book, by the page
-DOOR_PAST = 120_000.0  # ms: far over any time limit and any pause of a machine
-DOOR_AHEAD = 1000.0  # ms: both clocks are the same machine's; more would give a task time that it hasn't
-MOST_NESTED = 32  # brackets in a body; the messages need two, and the parser's stack is small
+MAX_HEADER_BYTES = 1024  # one short line is expected
+MAX_BODY_BYTES = 8192  # the longest content is 2,732 bytes in base64, the other fields are a few hundred
+MAX_CONTENT_BYTES = 2048  # of a request's decoded content, by the page
+MAX_MEMORY_KB = 2000.0  # that a request may book, by the page
+MAX_ARRIVAL_AGE = 120_000.0  # ms: far more than any deadline and any pause of a machine
+MAX_ARRIVAL_LEAD = 1000.0  # ms: both clocks are one machine's; a later time would add to the deadline
+MAX_BRACKETS = 32  # in a body: messages need two, and the stack of the JSON parser is small
+MAX_LENGTH_DIGITS = 9  # in a header: longer numbers are not converted
+MAX_NUMBER = 1e9  # of a duration in ms, or an index
+
+Value = TypeVar("Value")
 
+HEADER_END = b"\r\n\r\n"
 PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
-REJECTED, FAILED = -32050, -32051  # FAILED promises nothing; any code beside REJECTED says so
+REJECTED = -32050  # the request did not run, and may be sent to another server
+FAILED = -32051  # says nothing about whether it ran; the client takes any code but REJECTED that way
 CLOSING = b'{"jsonrpc":"2.0","method":"closing"}'
 
 
-class BadMessageError(Exception):
-    """One message is wrong, the stream goes on: `code`, and the id where one could be read."""
+class BadMessageError(VetchfordError):
+    """One message is wrong and the stream goes on behind it.
+
+    `code` is the JSON-RPC error code, `rpc_id` the id of the message where one could be read.
+    """
 
     def __init__(self, code: int, text: str, rpc_id: int | str | None = None) -> None:
+        """Create the error; `text` is what the client is told."""
         super().__init__(text)
-        self.code, self.rpc_id = code, rpc_id
+        self.code = code
+        self.rpc_id = rpc_id
+
+
+class Call(NamedTuple):
+    """One message of a client."""
+
+    method: str
+    rpc_id: int | str | None  # None in a notification
+    params: dict[str, Any]
+
+
+class RequestParams(NamedTuple):
+    """The parameters of a request; the comments give their names on the wire."""
+
+    name: str  # txn: the id of the request in the other services' messages
+    arrived_at: float  # door: when the balancer received it, in Unix ms
+    client_timeout: float | None  # limit: ms from `arrived_at` that the client waits
+    client_number: int  # lb: the number of the balancer; 0 if it sends none
+    tenant: str | None  # team
+    work: float | None  # cpu: ms of a core
+    memory_kb: float  # ram
+    idempotency_key: str | None  # unique
+    content: str  # content: the body, in base64
+
+
+# -- decoding
 
 
-def next_body(inbox: ReceiveBuffer) -> memoryview | None:
-    """The next whole body, in place; None until more is read."""
-    ends = inbox.find(b"\r\n\r\n", MOST_HEAD)
-    if ends < 0:
+def next_body(buffer: ReceiveBuffer) -> memoryview | None:
+    """Return the body of the next message, valid until more is received; None while it is not whole.
+
+    Raises UnreadableStreamError if the header doesn't say where the message ends.
+    """
+    header_end = buffer.find(HEADER_END, MAX_HEADER_BYTES)
+    if header_end < 0:
+        return None
+    length = _content_length(bytes(buffer.view[buffer.start : header_end]))
+    body_start = header_end + len(HEADER_END)
+    if buffer.end < body_start + length:
         return None
+    buffer.start = body_start
+    return buffer.take(body_start + length)
+
+
+def _content_length(header: bytes) -> int:
     length = None
-    for line in bytes(inbox.view[inbox.start : ends]).split(b"\r\n"):
+    for line in header.split(b"\r\n"):
         name, colon, value = line.partition(b":")
         if not colon:
             raise UnreadableStreamError("a line of a head is no field")
         if name.strip().lower() != b"content-length":
             continue
         value = value.strip()
-        if length is not None or not value.isdigit() or len(value) > 9:
+        if length is not None or not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
             raise UnreadableStreamError("the length in a head is repeated or bad")
         length = int(value)
     if length is None:
         raise UnreadableStreamError("a head without a length")
-    if length > MOST_BODY:
+    if length > MAX_BODY_BYTES:
         raise UnreadableStreamError("a body is longer than it may be")
-    if inbox.end < ends + 4 + length:
-        return None
-    inbox.start = ends + 4
-    return inbox.take(inbox.start + length)
+    return length
 
 
-def refuse_constant(name: str) -> None:
-    raise ValueError(f"{name} is no JSON")
-
-
-def decode(body: memoryview | bytes) -> tuple[str, int | str | None, dict[str, Any]]:
-    """Method, id (None in a notification) and parameters of one call."""
+def decode(body: memoryview | bytes) -> Call:
+    """Decode the body of a message; raise BadMessageError if it is no JSON-RPC call or notification."""
     try:
         text = str(body, "utf-8")
-        if text.count("[") + text.count("{") > MOST_NESTED:
+        if text.count("[") + text.count("{") > MAX_BRACKETS:
             raise ValueError("nested too deep")
-        message = json.loads(text, parse_constant=refuse_constant)
-    except (ValueError, RecursionError) as problem:
-        raise BadMessageError(PARSE_ERROR, f"no JSON: {type(problem).__name__}") from None
+        message = json.loads(text, parse_constant=_refuse_constant)
+    except (ValueError, RecursionError) as error:
+        raise BadMessageError(PARSE_ERROR, f"no JSON: {type(error).__name__}") from None
     if not isinstance(message, dict):
         raise BadMessageError(INVALID_REQUEST, "not an object (batches are not taken)")
     rpc_id = message.get("id")
@@ -83,27 +129,67 @@
     params = message.get("params", {})
     if not isinstance(params, dict):
         raise BadMessageError(INVALID_PARAMS, "field 'params' is no object", rpc_id)
-    return method, rpc_id, params
+    return Call(method, rpc_id, params)
+
+
+def _refuse_constant(name: str) -> NoReturn:
+    """Refuse NaN and the infinities, which Python's parser takes and JSON doesn't have."""
+    raise ValueError(f"{name} is no JSON")
 
 
-def number(
-    params: dict[str, Any], key: str, least: float, most: float, rpc_id: int | str | None
+def decode_request(params: dict[str, Any], rpc_id: int | str | None, now: float) -> RequestParams:
+    """Check the parameters of a request that is read at `now` (Unix ms); raise BadMessageError."""
+    name = _required(_word(params, "txn", 64, rpc_id), "txn", rpc_id)
+    if not name.isalnum():  # it is written into the messages to other services as it is
+        raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
+    earliest, latest = now - MAX_ARRIVAL_AGE, now + MAX_ARRIVAL_LEAD
+    arrived_at = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
+    _number(params, "standing", 0.0, 1.0, rpc_id)  # checked, and not used
+    content = _content(params, rpc_id)
+    return RequestParams(
+        name=name,
+        arrived_at=arrived_at,
+        client_timeout=_number(params, "limit", 0.0, MAX_NUMBER, rpc_id),
+        client_number=int(_number(params, "lb", 0.0, MAX_NUMBER, rpc_id) or 0),
+        tenant=_word(params, "team", 256, rpc_id),
+        work=_number(params, "cpu", 0.0, MAX_NUMBER, rpc_id),
+        memory_kb=_required(_number(params, "ram", 1e-6, MAX_MEMORY_KB, rpc_id), "ram", rpc_id),
+        idempotency_key=_word(params, "unique", 128, rpc_id),
+        content=content,
+    )
+
+
+def _content(params: dict[str, Any], rpc_id: int | str | None) -> str:
+    content = params.get("content")
+    if not isinstance(content, str):
+        raise BadMessageError(INVALID_PARAMS, "field 'content' is missing or no string", rpc_id)
+    try:
+        length = len(base64.b64decode(content, validate=True))
+    except (ValueError, binascii.Error):
+        raise BadMessageError(INVALID_PARAMS, "field 'content' is no base64", rpc_id) from None
+    if length > MAX_CONTENT_BYTES:
+        raise BadMessageError(INVALID_PARAMS, "field 'content' is longer than it may be", rpc_id)
+    return content
+
+
+def _number(
+    params: dict[str, Any], key: str, minimum: float, maximum: float, rpc_id: int | str | None
 ) -> float | None:
     value = params.get(key)
     if value is None:
         return None
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
         raise BadMessageError(INVALID_PARAMS, f"field '{key}' is no number that it may be", rpc_id)
     return float(value)
 
 
-def word(params: dict[str, Any], key: str, most: int, rpc_id: int | str | None) -> str | None:
+def _word(params: dict[str, Any], key: str, max_length: int, rpc_id: int | str | None) -> str | None:
     value = params.get(key)
     if value is None:
         return None
     if (
         not isinstance(value, str)
-        or not 0 < len(value) <= most
+        or not 0 < len(value) <= max_length
         or not value.isascii()
         or not value.isprintable()
     ):
@@ -111,75 +197,59 @@
     return value
 
 
-def needed(value: Any, key: str, rpc_id: int | str | None) -> Any:
+def _required(value: Value | None, key: str, rpc_id: int | str | None) -> Value:
     if value is None:
         raise BadMessageError(INVALID_PARAMS, f"field '{key}' is missing", rpc_id)
     return value
 
 
-def request_fields(params: dict[str, Any], rpc_id: int | str | None, now: float) -> tuple[Any, ...]:
-    """Of a task that is read `now`, in Unix ms: id, door, patience, caller, tenant, work, KB, mark, body."""
-    txn = needed(word(params, "txn", 64, rpc_id), "txn", rpc_id)
-    if not txn.isalnum():  # it goes into the lines of other services as it is
-        raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
-    door = needed(number(params, "door", now - DOOR_PAST, now + DOOR_AHEAD, rpc_id), "door", rpc_id)
-    number(params, "standing", 0.0, 1.0, rpc_id)
-    content = params.get("content")
-    if not isinstance(content, str):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is missing or no string", rpc_id)
-    try:
-        if len(base64.b64decode(content, validate=True)) > MOST_CONTENT:
-            raise BadMessageError(INVALID_PARAMS, "field 'content' is longer than it may be", rpc_id)
-    except (ValueError, binascii.Error):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is no base64", rpc_id) from None
-    return (
-        txn,
-        door,
-        number(params, "limit", 0.0, 1e9, rpc_id),
-        int(number(params, "lb", 0.0, 1e9, rpc_id) or 0),
-        word(params, "team", 256, rpc_id),
-        number(params, "cpu", 0.0, 1e9, rpc_id),
-        needed(number(params, "ram", 1e-6, MOST_RAM, rpc_id), "ram", rpc_id),
-        word(params, "unique", 128, rpc_id),
-        content,
-    )
+# -- encoding: each function returns header and parts of one message, for a gathered write
 
 
-def framed(*parts: bytes) -> list[bytes]:
-    """Head and parts of one message, for a gathered write."""
+def _framed(*parts: bytes) -> list[bytes]:
     return [b"Content-Length: %d\r\n\r\n" % sum(map(len, parts)), *parts]
 
 
-def result(rpc_id: int | str | None, value: bytes) -> list[bytes]:
-    return framed(b'{"jsonrpc":"2.0","id":%b,"result":' % json.dumps(rpc_id).encode(), value, b"}")
+def _result(rpc_id: int | str | None, value: bytes) -> list[bytes]:
+    return _framed(b'{"jsonrpc":"2.0","id":%b,"result":' % json.dumps(rpc_id).encode(), value, b"}")
 
 
-def finished(rpc_id: int | str | None, content: str) -> list[bytes]:
-    return result(rpc_id, b'{"content":%b}' % json.dumps(content).encode())
+def completed(rpc_id: int | str | None, content: str) -> list[bytes]:
+    """Encode the answer to a request that completed; `content` is its result in base64."""
+    return _result(rpc_id, b'{"content":%b}' % json.dumps(content).encode())
 
 
-def checked(rpc_id: int | str | None, serving: bool) -> list[bytes]:
-    return result(rpc_id, b'{"serving":true}' if serving else b'{"serving":false}')
+def health(rpc_id: int | str | None, ready: bool) -> list[bytes]:
+    """Encode the reply to a health check."""
+    return _result(rpc_id, b'{"serving":true}' if ready else b'{"serving":false}')
 
 
 def error(rpc_id: int | str | None, code: int, text: str, **data: Any) -> list[bytes]:
-    told: dict[str, Any] = {"code": code, "message": text}
+    """Encode an error; `data` are further fields of it, left out if there are none."""
+    fields: dict[str, Any] = {"code": code, "message": text}
     if data:
-        told["data"] = data
-    message = {"jsonrpc": "2.0", "id": rpc_id, "error": told}
-    return framed(json.dumps(message, separators=(",", ":")).encode())
+        fields["data"] = data
+    message = {"jsonrpc": "2.0", "id": rpc_id, "error": fields}
+    return _framed(json.dumps(message, separators=(",", ":")).encode())
+
 
+def rejected(rpc_id: int | str | None, terminal: bool, retry_after: float) -> list[bytes]:
+    """Encode the answer to a request that was rejected and did not run.
 
-def rejected(rpc_id: int | str | None, terminal: bool, pause: float) -> list[bytes]:
+    `terminal` says that it is not to be retried; `retry_after` is the time in ms that the client is asked to
+    wait before it retries, 0.0 for none.
+    """
     data: dict[str, Any] = {"giveup": 1} if terminal else {}
-    if pause > 0.0:
-        data["later"] = math.ceil(pause)
+    if retry_after > 0.0:
+        data["later"] = math.ceil(retry_after)
     return error(rpc_id, REJECTED, "overloaded", **data)
 
 
-def abandoned(rpc_id: int | str | None) -> list[bytes]:
+def failed(rpc_id: int | str | None) -> list[bytes]:
+    """Encode the answer to a request that failed, and may have run."""
     return error(rpc_id, FAILED, "failed")
 
 
 def closing() -> list[bytes]:
-    return framed(CLOSING)
+    """Encode the notification that asks the client to close the connection."""
+    return _framed(CLOSING)
--- a/vetchford/protocol/receive_buffer.py
+++ b/vetchford/protocol/receive_buffer.py
@@ -1,49 +1,74 @@
-"""The bytes of one connection that were read and not yet understood; parsed where they lie."""
+"""The bytes of one connection that were received and not yet parsed; messages are parsed in place."""
 
+from vetchford.errors import VetchfordError
 
-class UnreadableStreamError(Exception):
-    """The stream can't be followed any further; says why."""
+
+class UnreadableStreamError(VetchfordError):
+    """The next message in a stream can't be found, so the stream can't be parsed any further."""
 
 
 class ReceiveBuffer:
-    """A buffer that grows up to `most`: `space` to read into, `start` to `end` the bytes that wait."""
+    """A buffer that grows up to a maximum size; for one thread at a time.
+
+    `start` to `end` are the bytes that were received and not yet parsed. Codecs look at them through `view`
+    and `bytes`, and move `start` behind what they have parsed.
+    """
 
-    FIRST = 4096  # bytes: most messages fit, and hundreds of silent connections cost little
+    INITIAL_SIZE = 4096  # bytes: most messages fit, and hundreds of silent connections cost little
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.bytes = bytearray(min(self.FIRST, most))
+    def __init__(self, max_size: int) -> None:
+        """Create an empty buffer that holds up to `max_size` bytes."""
+        self.max_size = max_size
+        self.bytes = bytearray(min(self.INITIAL_SIZE, max_size))
         self.view = memoryview(self.bytes)
         self.start = self.end = 0
 
-    def space(self) -> memoryview:
-        """Where the next bytes go; never empty while a message of less than the size is taken out in time."""
+    def free_space(self) -> memoryview:
+        """Return where the next bytes are to be received, never empty; `add_received` says how many came.
+
+        Raises UnreadableStreamError if the buffer is full, which means that a message is too long.
+        """
         if self.start == self.end:
             self.start = self.end = 0
         elif self.start and self.end == len(self.bytes):
-            kept = self.end - self.start
-            self.bytes[:kept] = self.bytes[self.start : self.end]
-            self.start, self.end = 0, kept
+            self._move_to_front()
         if self.end == len(self.bytes):
-            if self.end >= self.most:
+            if self.end >= self.max_size:
                 raise UnreadableStreamError("a message is longer than it may be")
-            # Parts taken before are views of the old bytes, and stay good.
-            self.bytes = self.bytes + bytearray(min(self.most, 2 * self.end) - self.end)
-            self.view = memoryview(self.bytes)
+            self._grow()
         return self.view[self.end :]
 
-    def fed(self, count: int) -> None:
+    def _move_to_front(self) -> None:
+        kept = self.end - self.start
+        self.bytes[:kept] = self.bytes[self.start : self.end]
+        self.start, self.end = 0, kept
+
+    def _grow(self) -> None:
+        # A new object: messages taken before are views of the old bytes, and stay valid.
+        added = min(self.max_size, 2 * self.end) - self.end
+        self.bytes = self.bytes + bytearray(added)
+        self.view = memoryview(self.bytes)
+
+    def add_received(self, count: int) -> None:
+        """Add the first `count` bytes of the free space to those that are to be parsed."""
         self.end += count
 
-    def find(self, mark: bytes, most: int) -> int:
-        """Where `mark` starts, within `most` bytes from the start; -1 while it is not there yet."""
-        at = self.bytes.find(mark, self.start, min(self.end, self.start + most + len(mark)))
-        if at < 0 and self.end - self.start >= most + len(mark):
+    def find(self, delimiter: bytes, max_length: int) -> int:
+        """Return the index of the first `delimiter`, or -1 while it has not been received.
+
+        Raises UnreadableStreamError if none is there within `max_length` bytes.
+        """
+        search_end = self.start + max_length + len(delimiter)
+        index = self.bytes.find(delimiter, self.start, min(self.end, search_end))
+        if index < 0 and self.end >= search_end:
             raise UnreadableStreamError("a head or line is longer than it may be")
-        return at
+        return index
+
+    def take(self, until: int, skip: int = 0) -> memoryview:
+        """Return the bytes up to index `until`, and skip as many more behind them.
 
-    def take(self, until: int, drop: int = 0) -> memoryview:
-        """The bytes up to `until`, in place, good until the next `space`; `drop` more are passed over."""
+        The view is in place, and valid until the next call of `free_space`.
+        """
         taken = self.view[self.start : until]
-        self.start = until + drop
+        self.start = until + skip
         return taken
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -1,99 +1,165 @@
-"""The worker pool's lines: parser and writer, free of sockets."""
+"""Codec of the worker pool's protocol: one JSON object a line, in both directions.
+
+Forms and words are those of the operators' protocol page. The pool numbers its notices and tells them again
+on a new link; commands have no numbers, and are confirmed by the answer to a later `poll`.
+"""
 
 import base64
 import binascii
 import json
 import math
-from typing import Any
+from typing import Any, NamedTuple
 
+from vetchford.errors import VetchfordError
 from vetchford.protocol.receive_buffer import ReceiveBuffer
 
-MOST_LINE = 65_536  # bytes; results of 4 KiB are 5.5 KB in base64, calls are not bounded by the page
-MOST_NESTED = 32  # brackets in a line; the reader's stack is small
+MAX_LINE_BYTES = 65_536  # results of 4 KiB are 5.5 KB in base64; the page sets no bound on calls
+MAX_BRACKETS = 32  # in a line: the stack of the JSON parser is small
+MAX_DURATION = 1e12  # ms
+
+FINISHED, BLOCKED, CHATTER = "finished", "blocked", "chatter"
+NOTICES = (FINISHED, BLOCKED, CHATTER)  # the types of messages that the pool numbers
+POLLED, BOUND, UNKNOWN = "polled", "bound", "unknown"  # the other types
+RUN_OUTCOMES = {  # the outcome of a run, in the words of the admission policy, by its state on the wire
+    "complete": "completed",
+    "error": "errored",
+    "cancelled": "recalled",
+    "unknown": "superseded",
+}
+
+
+class BadLineError(VetchfordError):
+    """A line of the pool can't be understood; the stream goes on behind it."""
+
+
+class Message(NamedTuple):
+    """One line of the pool."""
+
+    type: str
+    fields: dict[str, Any]
+
+
+class RunEnded(NamedTuple):
+    """A run is over."""
+
+    name: str
+    outcome: str
+    duration: float  # ms
+    content: str  # the result, in base64
+
+
+class RunBlocked(NamedTuple):
+    """A run waits for the reply to a call of the records service."""
+
+    name: str
+    notice_number: int
+    body: bytes  # of the call
 
-ENDS = {"complete": "completed", "error": "errored", "cancelled": "recalled", "unknown": "superseded"}
 
+class PollAnswer(NamedTuple):
+    """The answer to a poll: every command before that poll has arrived."""
 
-class BadLineError(Exception):
-    """A line that can't be read; says why."""
+    reference: str  # as it stood in the poll
+    gauges: list[float]
 
 
-def next_line(inbox: ReceiveBuffer) -> memoryview | None:
-    ends = inbox.find(b"\n", MOST_LINE)
-    return None if ends < 0 else inbox.take(ends, 1)
+class PoolBound(NamedTuple):
+    """A link stands."""
 
+    is_cold: bool  # whether the pool started cold
+    started_ago: float  # ms
 
-def decode(line: memoryview | bytes) -> tuple[str, dict[str, Any]]:
-    """The name of a message, and its fields."""
+
+# -- decoding
+
+
+def next_line(buffer: ReceiveBuffer) -> memoryview | None:
+    """Return the next line, valid until more is received; None while it is not whole.
+
+    Raises UnreadableStreamError if it is too long.
+    """
+    line_end = buffer.find(b"\n", MAX_LINE_BYTES)
+    return None if line_end < 0 else buffer.take(line_end, 1)
+
+
+def decode(line: memoryview | bytes) -> Message:
+    """Decode a line; raise BadLineError if it is no object with a type."""
     try:
         text = str(line, "utf-8")
-        if text.count("[") + text.count("{") > MOST_NESTED:
+        if text.count("[") + text.count("{") > MAX_BRACKETS:
             raise ValueError("nested too deep")
         message = json.loads(text)
-    except (ValueError, RecursionError) as problem:
-        raise BadLineError(f"no JSON: {type(problem).__name__}") from None
+    except (ValueError, RecursionError) as error:
+        raise BadLineError(f"no JSON: {type(error).__name__}") from None
     if not isinstance(message, dict) or not isinstance(message.get("type"), str):
         raise BadLineError("no object with a type")
-    return message["type"], message
+    return Message(message["type"], message)
 
 
-def field(message: dict[str, Any], key: str, kinds: type | tuple[type, ...]) -> Any:
-    value = message.get(key)
+def _field(fields: dict[str, Any], key: str, kinds: type | tuple[type, ...]) -> Any:
+    value = fields.get(key)
     if not isinstance(value, kinds) or isinstance(value, bool):
         raise BadLineError(f"field '{key}' is missing or of the wrong kind")
     return value
 
 
-def took(message: dict[str, Any]) -> float:
-    value = field(message, "took", (int, float))
-    if not 0.0 <= value < 1e12:  # one wrong figure would spoil every mean it goes into
+def _duration(fields: dict[str, Any]) -> float:
+    value = _field(fields, "took", (int, float))
+    if not 0.0 <= value < MAX_DURATION:  # one infinite value would spoil every average it goes into
         raise BadLineError("field 'took' is no time")
     return float(value)
 
 
-def finished_fields(message: dict[str, Any]) -> tuple[str, str, float, str]:
-    """Id, outcome in the module's words, time taken in ms, result in base64."""
-    state = field(message, "state", str)
-    if state not in ENDS:
+def decode_notice(notice_type: str, fields: dict[str, Any]) -> RunEnded | RunBlocked | None:
+    """Check the fields of a notice; None for one that says nothing. Raises BadLineError."""
+    if notice_type == CHATTER:
+        return None
+    return decode_run_ended(fields) if notice_type == FINISHED else decode_run_blocked(fields)
+
+
+def decode_run_ended(fields: dict[str, Any]) -> RunEnded:
+    """Check the fields of a `finished` notice; raise BadLineError."""
+    state = _field(fields, "state", str)
+    if state not in RUN_OUTCOMES:
         raise BadLineError("field 'state' is no end of a run")
-    data = message.get("data")
+    data = fields.get("data")
     if state == "complete" and not isinstance(data, str):
         raise BadLineError("field 'data' is missing")
-    return field(message, "job", str), ENDS[state], took(message), data or ""
+    return RunEnded(_field(fields, "job", str), RUN_OUTCOMES[state], _duration(fields), data or "")
 
 
-def blocked_fields(message: dict[str, Any]) -> tuple[str, int, bytes]:
-    """Id, number of the notice, body of the call."""
+def decode_run_blocked(fields: dict[str, Any]) -> RunBlocked:
+    """Check the fields of a `blocked` notice; raise BadLineError."""
     try:
-        body = base64.b64decode(message.get("data") or "", validate=True)
+        body = base64.b64decode(fields.get("data") or "", validate=True)
     except (ValueError, TypeError, binascii.Error):
         raise BadLineError("field 'data' is no base64") from None
-    return field(message, "job", str), field(message, "n", int), body
-
+    return RunBlocked(_field(fields, "job", str), _field(fields, "n", int), body)
 
-def notice_fields(name: str, message: dict[str, Any]) -> tuple[Any, ...]:
-    if name == "chatter":
-        return ()
-    return finished_fields(message) if name == "finished" else blocked_fields(message)
 
-
-def polled_fields(message: dict[str, Any]) -> tuple[str, list[float]]:
-    gauges = field(message, "gauges", list)
+def decode_poll_answer(fields: dict[str, Any]) -> PollAnswer:
+    """Check the fields of a `polled` message; raise BadLineError."""
+    gauges = _field(fields, "gauges", list)
     if not all(isinstance(value, int | float) and math.isfinite(value) for value in gauges):
         raise BadLineError("field 'gauges' holds something that is no number")
-    return field(message, "ref", str), gauges
+    return PollAnswer(_field(fields, "ref", str), gauges)
+
+
+def decode_pool_bound(fields: dict[str, Any]) -> PoolBound:
+    """Check the fields of a `bound` message; raise BadLineError."""
+    return PoolBound(_field(fields, "state", str) == "chilly", _duration(fields))
 
 
-def bound_fields(message: dict[str, Any]) -> tuple[bool, float]:
-    """Whether it started cold, and how long ago in ms."""
-    return field(message, "state", str) == "chilly", took(message)
+# -- encoding: each function returns the parts of one line, for a gathered write
 
 
-def bind(last: int) -> list[bytes]:
-    return [b'{"type":"bind","n":%d}\n' % last]
+def bind(last_notice: int) -> list[bytes]:
+    """Encode the first command on a link: notices behind `last_notice` are to be told again."""
+    return [b'{"type":"bind","n":%d}\n' % last_notice]
 
 
 def spawn(job: str, kind: str, data: str) -> list[bytes]:
+    """Encode the start of a run; `kind` is the method of the request, `data` its content in base64."""
     return [
         b'{"type":"spawn","job":"%b","kind":%b,"data":"' % (job.encode(), json.dumps(kind).encode()),
         data.encode(),
@@ -102,12 +168,15 @@
 
 
 def supply(job: str, reply: bytes) -> list[bytes]:
+    """Encode the reply to the call that a run waits for."""
     return [b'{"type":"supply","job":"%b","data":"' % job.encode(), base64.b64encode(reply), b'"}\n']
 
 
-def skip(job: str, notice: int) -> list[bytes]:
-    return [b'{"type":"pass","job":"%b","n":%d}\n' % (job.encode(), notice)]
+def skip(job: str, notice_number: int) -> list[bytes]:
+    """Encode that a run goes on without the reply to the call of that notice."""
+    return [b'{"type":"pass","job":"%b","n":%d}\n' % (job.encode(), notice_number)]
 
 
-def poll(ref: str) -> list[bytes]:
-    return [b'{"type":"poll","ref":"%b"}\n' % ref.encode()]
+def poll(reference: str) -> list[bytes]:
+    """Encode a poll of the gauges; its answer repeats the reference."""
+    return [b'{"type":"poll","ref":"%b"}\n' % reference.encode()]
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -275,9 +275,9 @@
         if slot.answered:
             self.metrics.increment("runs_unwanted")
         elif code == "completed":
-            self.answer(slot, json_rpc.finished(slot.rpc_id, content), "finished")
+            self.answer(slot, json_rpc.completed(slot.rpc_id, content), "finished")
         else:
-            self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
+            self.answer(slot, json_rpc.failed(slot.rpc_id), "abandoned")
 
     def sweep(self) -> None:
         places = self.gauge_places
@@ -309,7 +309,7 @@
         for slot in self.tasks.slots:
             if slot is not None and not slot.answered and min(slot.until, self.controller.kill) < before:
                 self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=slot.name)
-                self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
+                self.answer(slot, json_rpc.failed(slot.rpc_id), "abandoned")
 
     # -- the fleet
 
@@ -426,7 +426,7 @@
 
     def fail(self, q: int) -> None:
         slot = self.tasks[q]
-        self.answer(slot, json_rpc.abandoned(slot.rpc_id), "abandoned")
+        self.answer(slot, json_rpc.failed(slot.rpc_id), "abandoned")
 
     def share(self, q: int) -> None:
         first = self.tasks[q].waits_for
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -130,7 +130,7 @@
             buffer = self.receive_buffer
             flags = 0 if self._may_wait_for_message() else socket.MSG_DONTWAIT
             try:
-                count = self.sock.recv_into(buffer.space(), 0, flags)
+                count = self.sock.recv_into(buffer.free_space(), 0, flags)
             except BlockingIOError:
                 break
             if not count:
@@ -140,7 +140,7 @@
                 if not self.open_requests and self.discarded_bytes > connection_limits.MAX_DISCARDED_BYTES:
                     return False
             else:
-                buffer.fed(count)
+                buffer.add_received(count)
                 self._handle_messages(buffer)
         if self.message_started_at == math.inf:
             self.receive_buffer = None  # hundreds of idle connections keep no buffers
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -8,6 +8,8 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.server import connection_limits
 
+NO_TENANT = -1  # the index for a request that names none
+
 
 class Client(Protocol):
     """The connection that a message comes from."""
@@ -49,7 +51,7 @@
             if rpc_id is None:
                 self._handle_notification(client, method, params)
             elif method == "check":
-                client.reply(json_rpc.checked(rpc_id, self.target.ready))
+                client.reply(json_rpc.health(rpc_id, self.target.ready))
             else:
                 self._handle_request(client, method, rpc_id, params)
         except json_rpc.BadMessageError as error:
@@ -83,10 +85,8 @@
             self.target.metrics.increment("rejected_over_open")
             client.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
-        name, door, limit, caller, team, work, kb, mark, content = json_rpc.request_fields(
-            params, rpc_id, time.time() * 1000.0
-        )
-        tenant = -1 if team is None else self.target.tenants.get(team)
+        request = json_rpc.decode_request(params, rpc_id, time.time() * 1000.0)
+        tenant = NO_TENANT if request.tenant is None else self.target.tenants.get(request.tenant)
         if tenant is None:
             raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
         client.open_requests.add(rpc_id)
@@ -94,15 +94,15 @@
             self.target.admission.request,
             client,
             rpc_id,
-            name,
+            request.name,
             request_class,
             method,
             tenant,
-            caller,
-            door,
-            limit,
-            work,
-            kb,
-            mark,
-            content,
+            request.client_number,
+            request.arrived_at,
+            request.client_timeout,
+            request.work,
+            request.memory_kb,
+            request.idempotency_key,
+            request.content,
         )
--- a/vetchford/server/connection_limits.py
+++ b/vetchford/server/connection_limits.py
@@ -12,7 +12,7 @@
 # On one connection. Balancers send none, and each costs as much to read as a good message.
 MAX_BAD_MESSAGES = 8
 # Two of the longest messages: one that is parsed and the next one behind it.
-RECEIVE_BUFFER_BYTES = 2 * (json_rpc.MOST_HEAD + json_rpc.MOST_BODY)
+RECEIVE_BUFFER_BYTES = 2 * (json_rpc.MAX_HEADER_BYTES + json_rpc.MAX_BODY_BYTES)
 
 # A stream that can't be parsed any further is read and discarded until its open requests are answered. With
 # none open, it is closed after this time or these bytes.
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -104,7 +104,7 @@
         super().__init__("records-line", records.metrics, records.thread_pool)
         self.records, self.address = records, records.address
         self.sock: socket.socket | None = None
-        self.inbox = ReceiveBuffer(records_lines.MOST_REPLY + 2 * records_lines.MOST_LINE)
+        self.inbox = ReceiveBuffer(records_lines.MAX_REPLY_BYTES + 2 * records_lines.MAX_LINE_BYTES)
         # Tasks with a call on it before: a second copy would pass for their next. Emptied by its own end,
         # which MOST_HAD brings: in steady use it is never idle, and would remember each task for good.
         self.had: set[str] = set()
@@ -159,23 +159,23 @@
         if wait < 1 or self.given_up:
             return "", b""  # the module has cut it, or is about to: it was never sent
         self.had.add(name)
-        send_parts(self.sock, records_lines.op(name, wait, body))
+        send_parts(self.sock, records_lines.call(name, wait, body))
         while True:
             while (reply := records_lines.next_reply(self.inbox)) is not None:
-                if reply[0] == name:
-                    return reply[1], bytes(reply[2] or b"")
+                if reply.name == name:
+                    return reply.outcome, bytes(reply.body or b"")
                 self.records.metrics.increment("records_late_replies")  # it is for no call that is out here
-            count = self.sock.recv_into(self.inbox.space())
+            count = self.sock.recv_into(self.inbox.free_space())
             if not count:
                 raise ConnectionResetError("closed")
-            self.inbox.fed(count)
+            self.inbox.add_received(count)
 
     def give_up(self, name: str) -> None:
         """Without blocking and under the lock, while the line's own thread waits for the reply."""
         self.given_up = True
         if self.sock is not None:
             with suppress(OSError):  # a full or broken connection: its end gives the call up as well
-                self.sock.sendmsg(records_lines.unop(name), [], socket.MSG_DONTWAIT)
+                self.sock.sendmsg(records_lines.cancel(name), [], socket.MSG_DONTWAIT)
             shut(self.sock)
 
     def end(self) -> None:
--- a/vetchford/server/registry_reporter.py
+++ b/vetchford/server/registry_reporter.py
@@ -33,6 +33,6 @@
             return
         self.next = now + EVERY
         try:
-            self.sock.sendto(heartbeat.report(self.server, self.fit), self.address)
+            self.sock.sendto(heartbeat.encode_report(self.server, self.fit), self.address)
         except OSError as problem:  # the service may be down; the next report tells it
             self.metrics.log_sampled("members_unreachable", problem=str(problem))
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -96,9 +96,9 @@
                 time.sleep(pause)
 
     def read(self, sock: socket.socket) -> None:
-        inbox = ReceiveBuffer(2 * worker_pool_lines.MOST_LINE)
-        while count := sock.recv_into(inbox.space()):
-            inbox.fed(count)
+        inbox = ReceiveBuffer(2 * worker_pool_lines.MAX_LINE_BYTES)
+        while count := sock.recv_into(inbox.free_space()):
+            inbox.add_received(count)
             while (line := worker_pool_lines.next_line(inbox)) is not None:
                 try:
                     message = worker_pool_lines.decode(line)
@@ -119,7 +119,7 @@
 
     def take(self, name: str, message: dict) -> None:
         module, number = self.module, message.get("n")
-        fields: tuple[Any, ...] = ()
+        fields: tuple[Any, ...] | None = ()
         if isinstance(number, int) and name in ("finished", "blocked", "chatter"):
             if number <= self.last:
                 self.metrics.increment("pool_notices_again")
@@ -129,7 +129,7 @@
                 self.metrics.log_sampled("pool_notices_missed", after=self.last, number=number)
                 self.once_more(self.last + 1)
             try:
-                fields = worker_pool_lines.notice_fields(name, message)
+                fields = worker_pool_lines.decode_notice(name, message)
             except worker_pool_lines.BadLineError:
                 self.once_more(number)
                 self.last = number
@@ -139,13 +139,15 @@
                 raise
             self.last = number
         if name == "finished":
-            module.post_when_room(module.run_ended, *(fields or worker_pool_lines.finished_fields(message)))
+            module.post_when_room(module.run_ended, *(fields or worker_pool_lines.decode_run_ended(message)))
         elif name == "blocked":
-            module.post_when_room(module.run_blocked, *(fields or worker_pool_lines.blocked_fields(message)))
+            module.post_when_room(
+                module.run_blocked, *(fields or worker_pool_lines.decode_run_blocked(message))
+            )
         elif name == "polled":
-            module.post_when_room(module.polled, *worker_pool_lines.polled_fields(message))
+            module.post_when_room(module.polled, *worker_pool_lines.decode_poll_answer(message))
         elif name == "bound":
-            module.post(module.bound, self.link, *worker_pool_lines.bound_fields(message))
+            module.post(module.bound, self.link, *worker_pool_lines.decode_pool_bound(message))
         elif name == "unknown":
             command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
             module.post_when_room(module.command_unknown, command, task)
