--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -150,7 +150,7 @@
             ends = not self.module.ready and any(message["type"] == "polled" for message in self.to_server)
             for _ in range(len(self.to_server) if ends else chance.randrange(len(self.to_server) + 1)):
                 message = self.to_server.pop(0)
-                self.pool.take(message["type"], message)
+                self.pool.handle_message(message["type"], message)
                 self.do(lambda: None)
             while ends and self.to_pool:
                 self.command(self.to_pool.pop(0))
@@ -161,7 +161,7 @@
             self.up, self.pool.link = True, self.pool.link + 1
             self.to_server = [
                 {"type": "bound", "state": "hot", "took": 99.0},
-                *self.notices[self.pool.last :],
+                *self.notices[self.pool.last_notice :],
             ]
         for name, run in self.runs.items():
             request = self.requests[int(name, 16)]
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -73,7 +73,7 @@
         part.start()
     log.info("serving", name=told["name"], listen=":".join(map(str, doors.sock.getsockname())))
     moves = {
-        "pool": partial(pool.post, pool.move),
+        "pool": partial(pool.post, pool.change_address),
         "records": records.move,
         "members": partial(members.post, members.move),
     }
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -1,4 +1,4 @@
-"""The link to the worker pool, opened anew whenever it is lost."""
+"""Client of the worker pool: one link, opened again whenever it is lost."""
 
 import socket
 import time
@@ -7,149 +7,191 @@
 
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
+from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded
 from vetchford.runtime.actor import PooledActor, ThreadPool, start_thread
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
 
-AGAIN = 0.02  # s between attempts; runs go on meanwhile, and the pool is on the same machine
-AGAIN_MOST = 0.5  # s: while nobody is there
-CONNECT = 2.0  # s
+RECONNECT_DELAY = 0.02  # s between attempts: runs go on meanwhile, and the pool is on the same machine
+MAX_RECONNECT_DELAY = 0.5  # s: what the delay doubles up to while nobody listens
+CONNECT_TIMEOUT = 2.0  # s: far more than a connection on one machine takes
 
 
 class WorkerPoolClient(PooledActor):
-    """Writes commands of the link that is open; a thread of its own opens links and reads notices."""
-
-    def __init__(self, address: tuple[str, int], module: Any, metrics: Metrics) -> None:
-        super().__init__("pool", metrics, ThreadPool(metrics, 1))
-        self.address, self.module = address, module
-        self.last = 0  # number of the last notice read
-        self.asked_again = 0  # number of the last that was missing or spoilt, and was asked for once more
-        self.link, self.sock = 0, None
-        self.out: list[bytes] = []  # emptied behind each batch of entries
-        self.out_for = 0  # the link that it is for
-
-    def move(self, address: tuple[str, int]) -> None:
-        """From now on the pool is met there; its runs and the numbers of its notices go on."""
+    """Sends commands on the open link, and posts the pool's messages to the admission actor.
+
+    The actor writes. A thread of its own opens the links and reads them. Links are numbered, so that a
+    command which was meant for a lost link is not sent on the next one.
+    """
+
+    def __init__(self, address: tuple[str, int], admission: Any, metrics: Metrics) -> None:
+        """Create the client of the pool at `address`; `start` opens the first link."""
+        super().__init__("worker-pool", metrics, ThreadPool(metrics, 1))
+        self.address = address
+        self.admission = admission
+        self.last_notice = 0  # number of the last notice that was read
+        self.last_requested_again = 0  # the last notice that was missing or unreadable; each is so once
+        self.link = 0  # number of the link that is or was open
+        self.sock: socket.socket | None = None  # None while no link is open
+        self.outgoing: list[bytes] = []  # written at the end of each batch of entries
+        self.outgoing_link = 0  # the link that `outgoing` is meant for
+
+    def start(self) -> None:
+        """Start the thread that opens and reads links, for the life of the process."""
+        self.thread_pool.start()
+        start_thread(self._maintain_link, "worker-pool-reader", self.metrics)
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Go over to the pool at `address`, which goes on with the same runs; an entry of the actor."""
         if address != self.address:
             self.address = address
             if self.sock is not None:
-                shut(self.sock)  # its reader opens the next link
+                shut(self.sock)  # the reader opens the next link
 
-    def start(self) -> None:
-        self.thread_pool.start()
-        start_thread(self.keep_link, "pool-reader", self.metrics)
+    # -- writing: entries of the actor
 
     def send(self, link: int, parts: list[bytes]) -> None:
-        if link != self.out_for:
-            self.out, self.out_for = [], link
-        self.out += parts
+        """Send a command on the link of that number; it is dropped if the link is lost."""
+        if link != self.outgoing_link:
+            self.outgoing, self.outgoing_link = [], link
+        self.outgoing += parts
 
     def on_idle(self) -> None:
-        """All that a batch brought in one write."""
-        self.write(send_parts)
+        """Write all that a batch of entries left, blocking."""
+        self._write(send_parts)
 
     def flush_nonblocking(self) -> None:
-        self.write(send_now)
+        """Write what the system takes at once."""
+        self._write(send_now)
 
     def has_unwritten(self) -> bool:
-        return bool(self.out)
-
-    def write(self, send: Callable[..., list[bytes] | None]) -> None:
-        parts, self.out = self.out, []
-        sock = self.sock  # looked at before the link, which is counted up first: never the next one's
-        if not parts or sock is None or self.out_for != self.link:
-            return  # the module sends it again on the next link where it still matters
+        """Return whether `flush_nonblocking` has left bytes to write."""
+        return bool(self.outgoing)
+
+    def _write(self, send: Callable[[socket.socket, list[bytes]], list[bytes] | None]) -> None:
+        parts, self.outgoing = self.outgoing, []
+        # Read before the number of the link, which the reader raises first: never the next link's socket.
+        sock = self.sock
+        if not parts or sock is None or self.outgoing_link != self.link:
+            return  # the admission actor sends it again on the next link if it is still needed
         try:
-            self.out = send(sock, parts) or []
-        except OSError as problem:
-            self.metrics.log_sampled("pool_write_failed", problem=str(problem))
+            self.outgoing = send(sock, parts) or []
+        except OSError as error:
+            self.metrics.log_sampled("pool_write_failed", problem=str(error))
             shut(sock)
 
-    def keep_link(self) -> None:
-        pause = AGAIN
+    # -- the link, on the reader thread
+
+    def _maintain_link(self) -> None:
+        delay = RECONNECT_DELAY
         while True:
             address = self.address
             try:
-                sock = socket.create_connection(address, CONNECT)
-            except OSError as problem:
-                self.metrics.log_sampled("pool_refused", problem=str(problem))
-                time.sleep(pause)
-                pause = min(AGAIN_MOST, 2.0 * pause)
+                sock = socket.create_connection(address, CONNECT_TIMEOUT)
+            except OSError as error:
+                self.metrics.log_sampled("pool_refused", problem=str(error))
+                time.sleep(delay)
+                delay = min(MAX_RECONNECT_DELAY, 2.0 * delay)
                 continue
-            pause, why = AGAIN, "closed"
-            try:
-                sock.settimeout(None)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                send_parts(sock, worker_pool_lines.bind(self.last))
-                self.link, self.sock = self.link + 1, sock
-                if address == self.address:  # else moved meanwhile: a link to the old place would never serve
-                    self.read(sock)
-            except (OSError, UnreadableStreamError) as problem:
-                why = f"{type(problem).__name__}: {problem}"
-            except Exception as problem:
-                self.metrics.report_internal_error("pool-reader", problem)
+            delay = RECONNECT_DELAY
+            reason = self._use_link(sock, address)
             self.sock = None
             sock.close()
-            self.metrics.log_sampled("pool_link_lost", why=why, last=self.last)
-            self.module.post(self.module.pool_lost)
+            self.metrics.log_sampled("pool_link_lost", why=reason, last=self.last_notice)
+            self.admission.post(self.admission.pool_lost)
             if address == self.address:
-                time.sleep(pause)
-
-    def read(self, sock: socket.socket) -> None:
-        inbox = ReceiveBuffer(2 * worker_pool_lines.MAX_LINE_BYTES)
-        while count := sock.recv_into(inbox.free_space()):
-            inbox.add_received(count)
-            while (line := worker_pool_lines.next_line(inbox)) is not None:
-                try:
-                    message = worker_pool_lines.decode(line)
-                except worker_pool_lines.BadLineError as problem:
-                    self.metrics.log_sampled("pool_bad_line", problem=str(problem))
-                    self.once_more(self.last + 1)  # it may have been that one
-                    continue
-                try:
-                    self.take(*message)
-                except worker_pool_lines.BadLineError as problem:
-                    self.metrics.log_sampled("pool_bad_line", problem=str(problem))
-
-    def once_more(self, number: int) -> None:
-        """Has the notice told again on a new link; one that stays missing or spoilt is passed over then."""
-        if number > self.asked_again:
-            self.asked_again = number
+                time.sleep(delay)
+
+    def _use_link(self, sock: socket.socket, address: tuple[str, int]) -> str:
+        """Bind and read until the link is lost; return why it was."""
+        try:
+            sock.settimeout(None)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            send_parts(sock, worker_pool_lines.bind(self.last_notice))
+            self.link, self.sock = self.link + 1, sock
+            if address == self.address:  # else it has changed, and nothing would close this link
+                self._read(sock)
+        except (OSError, UnreadableStreamError) as error:
+            return f"{type(error).__name__}: {error}"
+        except Exception as error:
+            self.metrics.report_internal_error("worker-pool-reader", error)
+        return "closed"
+
+    def _read(self, sock: socket.socket) -> None:
+        buffer = ReceiveBuffer(2 * worker_pool_lines.MAX_LINE_BYTES)
+        while count := sock.recv_into(buffer.free_space()):
+            buffer.add_received(count)
+            while (line := worker_pool_lines.next_line(buffer)) is not None:
+                self._handle_line(line)
+
+    def _handle_line(self, line: memoryview) -> None:
+        try:
+            message = worker_pool_lines.decode(line)
+        except BadLineError as error:
+            self.metrics.log_sampled("pool_bad_line", problem=str(error))
+            self._request_again(self.last_notice + 1)  # the line may have been that notice
+            return
+        try:
+            self.handle_message(*message)
+        except BadLineError as error:
+            self.metrics.log_sampled("pool_bad_line", problem=str(error))
+
+    def _request_again(self, number: int) -> None:
+        """Break the link, as the pool tells the notice again on the next one; do so once for each notice.
+
+        Raises UnreadableStreamError the first time; a notice that stays missing or unreadable is skipped.
+        """
+        if number > self.last_requested_again:
+            self.last_requested_again = number
             raise UnreadableStreamError(f"notice {number} did not arrive whole")
 
-    def take(self, name: str, message: dict) -> None:
-        module, number = self.module, message.get("n")
-        fields: tuple[Any, ...] | None = ()
-        if isinstance(number, int) and name in ("finished", "blocked", "chatter"):
-            if number <= self.last:
-                self.metrics.increment("pool_notices_again")
-                return
-            if number != self.last + 1:
-                # The pool keeps what it said. An end passed over would leave its run on a core for good.
-                self.metrics.log_sampled("pool_notices_missed", after=self.last, number=number)
-                self.once_more(self.last + 1)
-            try:
-                fields = worker_pool_lines.decode_notice(name, message)
-            except worker_pool_lines.BadLineError:
-                self.once_more(number)
-                self.last = number
-                if name == "finished":
-                    # The run is over all the same: left as running it would hold a core's place for good.
-                    module.post_when_room(module.run_ended, str(message.get("job")), "errored", 0.0, "")
-                raise
-            self.last = number
-        if name == "finished":
-            module.post_when_room(module.run_ended, *(fields or worker_pool_lines.decode_run_ended(message)))
-        elif name == "blocked":
-            module.post_when_room(
-                module.run_blocked, *(fields or worker_pool_lines.decode_run_blocked(message))
-            )
-        elif name == "polled":
-            module.post_when_room(module.polled, *worker_pool_lines.decode_poll_answer(message))
-        elif name == "bound":
-            module.post(module.bound, self.link, *worker_pool_lines.decode_pool_bound(message))
-        elif name == "unknown":
-            command, task = str(message.get("state"))[:20], str(message.get("job"))[:64]
-            module.post_when_room(module.command_unknown, command, task)
-        elif name != "chatter":
+    # -- messages, on the reader thread
+
+    def handle_message(self, message_type: str, fields: dict[str, Any]) -> None:
+        """Post a message to the admission actor.
+
+        Raises BadLineError if the message can't be understood, and UnreadableStreamError if the link is to
+        be opened again.
+        """
+        admission = self.admission
+        if message_type in worker_pool_lines.NOTICES:
+            self._handle_notice(message_type, fields)
+        elif message_type == worker_pool_lines.POLLED:
+            admission.post_when_room(admission.polled, *worker_pool_lines.decode_poll_answer(fields))
+        elif message_type == worker_pool_lines.BOUND:
+            admission.post(admission.bound, self.link, *worker_pool_lines.decode_pool_bound(fields))
+        elif message_type == worker_pool_lines.UNKNOWN:
+            command, name = str(fields.get("state"))[:20], str(fields.get("job"))[:64]
+            admission.post_when_room(admission.command_unknown, command, name)
+        else:
             self.metrics.log_sampled("pool_bad_line", problem="field 'type' names no message")
+
+    def _handle_notice(self, notice_type: str, fields: dict[str, Any]) -> None:
+        number = fields.get("n")
+        if not isinstance(number, int):
+            self._post_notice(worker_pool_lines.decode_notice(notice_type, fields))
+            return
+        if number <= self.last_notice:
+            self.metrics.increment("pool_notices_again")
+            return
+        if number != self.last_notice + 1:
+            # The pool keeps its notices. Without that of its end, a run would hold a core's place for ever.
+            self.metrics.log_sampled("pool_notices_missed", after=self.last_notice, number=number)
+            self._request_again(self.last_notice + 1)
+        try:
+            notice = worker_pool_lines.decode_notice(notice_type, fields)
+        except BadLineError:
+            self._request_again(number)
+            self.last_notice = number
+            if notice_type == worker_pool_lines.FINISHED:
+                # The run is over all the same, and must not hold a core's place.
+                self._post_notice(RunEnded(str(fields.get("job")), "errored", 0.0, ""))
+            raise
+        self.last_notice = number
+        self._post_notice(notice)
+
+    def _post_notice(self, notice: RunEnded | RunBlocked | None) -> None:
+        if isinstance(notice, RunEnded):
+            self.admission.post_when_room(self.admission.run_ended, *notice)
+        elif isinstance(notice, RunBlocked):
+            self.admission.post_when_room(self.admission.run_blocked, *notice)
