--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -60,13 +60,13 @@
     def post(self, act, *given):
         act(*given)
 
-    def op(self, name, number, until, body, once):
+    def start_call(self, name, number, until, body, once):
         run = self.runs[name]
         assert run["state"] == "blocked" and body == run["ask"], "a call that no run waits for"
         assert run["asked"] not in run["called"], "a call made again that may have run"
         self.calls[number] = name
 
-    def unop(self, name, number):
+    def cancel_call(self, name, number):
         if self.calls.pop(number, None):
             self.runs[name]["called"].add(self.runs[name]["asked"])
 
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -242,7 +242,7 @@
     def call_cut(self, number: int) -> None:
         q = self.calls.get(number)
         if q is not None:
-            self.records.unop(self.tasks[q].name, number)
+            self.records.cancel_call(self.tasks[q].name, number)
             self.call_ended(number, "overdue", b"")
 
     def run_ended(self, name: str, code: str, took: float, content: str) -> None:
@@ -252,7 +252,7 @@
         slot = self.tasks[q]
         slot.command, slot.content = None, ""
         if slot.call:
-            self.records.unop(name, slot.call)
+            self.records.cancel_call(name, slot.call)
             del self.calls[slot.call], self.begun[slot.call]
             slot.call = 0
         if code == "superseded":  # never ran: a true task under its fingerprint is no repeat of it
@@ -442,7 +442,7 @@
         self.calls[slot.call], self.begun[slot.call] = q, self.now()
         until = self.origin + cut_at
         once = self.controller.tasks[q].stage.effect != controller.RESTARTABLE
-        self.records.op(slot.name, slot.call, until, slot.need[1], once)
+        self.records.start_call(slot.name, slot.call, until, slot.need[1], once)
         self.timers.at(until, self.call_cut, slot.call)
 
     def skip(self, q: int) -> None:
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -74,7 +74,7 @@
     log.info("serving", name=told["name"], listen=":".join(map(str, doors.sock.getsockname())))
     moves = {
         "pool": partial(pool.post, pool.change_address),
-        "records": records.move,
+        "records": records.change_address,
         "members": partial(members.post, members.move),
     }
     renewals = ConfigurationReloader(
