--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -338,7 +338,7 @@
         if (
             self.controller is None
         ):  # no sweeps come, and nothing could be run: only what is read is to be answered
-            self.members.post(self.members.judge, False)
+            self.members.post(self.members.set_readiness, False)
             self.leave_without_pool()
             return
         self.controller.start_draining(at - self.origin, until - self.origin)
@@ -469,7 +469,7 @@
 
     def set_readiness(self, good: bool) -> None:
         self.doors.ready = good
-        self.members.post(self.members.judge, good)
+        self.members.post(self.members.set_readiness, good)
         log.info("fitness", good=good)
 
     def publish_load(self, value: float) -> None:
--- a/vetchford/server/registry_reporter.py
+++ b/vetchford/server/registry_reporter.py
@@ -1,4 +1,4 @@
-"""The membership service: reports often enough that a lost datagram or two takes no server off the list."""
+"""Reports this server's readiness to the membership service, whose list the clients choose servers from."""
 
 import socket
 import time
@@ -7,32 +7,45 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 
-EVERY = 0.25  # s; an entry lapses 3 s after its last report, and one datagram in four may be lost
+# s: an entry of the list expires 3 s after its last report, so that several in a row may be lost.
+REPORT_INTERVAL = 0.25
 
 
 class RegistryReporter(Actor):
-    def __init__(self, address: tuple[str, int], name: str, metrics: Metrics) -> None:
-        super().__init__("members", metrics)
-        self.address, self.server = address, name
+    """Sends a heartbeat each REPORT_INTERVAL and upon each change; all methods run on its own thread."""
+
+    def __init__(self, address: tuple[str, int], server_name: str, metrics: Metrics) -> None:
+        """Create the reporter of `server_name` to the service at `address` (UDP)."""
+        super().__init__("registry-reporter", metrics)
+        self.address = address
+        self.server_name = server_name
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.fit: bool | None = None  # nothing is reported before it is known
-        self.next = 0.0
+        self.ready: bool | None = None  # None: not known yet, and nothing is reported
+        self.next_report_at = 0.0  # monotonic seconds
 
-    def move(self, address: tuple[str, int]) -> None:
-        self.address, self.next = address, 0.0
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Report to `address` from now on, first at once; an entry of the actor."""
+        self.address = address
+        self.next_report_at = 0.0
 
-    def judge(self, fit: bool) -> None:
-        self.fit, self.next = fit, 0.0
+    def set_readiness(self, ready: bool) -> None:
+        """Report `ready` from now on, first at once; an entry of the actor."""
+        self.ready = ready
+        self.next_report_at = 0.0
 
     def next_timeout(self) -> float | None:
-        return None if self.fit is None else max(0.0, self.next - time.monotonic())
+        """Return the seconds until the next report is due; None while there is nothing to report."""
+        if self.ready is None:
+            return None
+        return max(0.0, self.next_report_at - time.monotonic())
 
     def on_idle(self) -> None:
+        """Send the report if it is due."""
         now = time.monotonic()
-        if self.fit is None or now < self.next:
+        if self.ready is None or now < self.next_report_at:
             return
-        self.next = now + EVERY
+        self.next_report_at = now + REPORT_INTERVAL
         try:
-            self.sock.sendto(heartbeat.encode_report(self.server, self.fit), self.address)
-        except OSError as problem:  # the service may be down; the next report tells it
-            self.metrics.log_sampled("members_unreachable", problem=str(problem))
+            self.sock.sendto(heartbeat.encode_report(self.server_name, self.ready), self.address)
+        except OSError as error:  # the service may be down; the next report says the same
+            self.metrics.log_sampled("members_unreachable", problem=str(error))
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -75,7 +75,7 @@
     moves = {
         "pool": partial(pool.post, pool.change_address),
         "records": records.change_address,
-        "members": partial(members.post, members.move),
+        "members": partial(members.post, members.change_address),
     }
     renewals = ConfigurationReloader(
         told,
