--- /dev/null
+++ b/tests/server/test_server_clients.py
@@ -0,0 +1,231 @@
+"""The whole server in a process of its own: connections and messages of clients."""
+
+import contextlib
+import socket
+import time
+
+import pytest
+from helpers import TOLD, Running
+from whole_server import IDEMPOTENCY_KEY, content
+
+
+def test_a_balancer_that_reads_nothing_holds_up_itself_alone(server):
+    mute = server.balancer()
+    mute.sock.settimeout(0.2)  # s: for each write; how many fit does not matter
+    check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
+    with contextlib.suppress(OSError):
+        for _ in range(400):
+            mute.raw((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
+    caller = server.balancer()
+    job = caller.ask(1)
+    server.pool.take("spawn")
+    server.pool.finish(job)
+    assert caller.hear()["id"] == 1
+
+
+def test_a_balancer_that_has_said_all_it_will_still_gets_its_answers(server):
+    caller = server.balancer()
+    job = caller.ask(1)
+    caller.sock.shutdown(socket.SHUT_WR)
+    server.pool.take("spawn")
+    server.pool.finish(job)
+    assert caller.hear()["id"] == 1 and caller.hear() is None
+
+
+def test_a_caller_that_resets_its_connection_costs_nobody_else_an_answer(server):
+    gone, stays = server.balancer(), server.balancer()
+    lost, kept = gone.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY), stays.ask(1, txn="f2")
+    for _ in range(2):
+        server.pool.take("spawn")
+    gone.gone()
+    server.pool.finish(lost, b"kept for its repeat")
+    server.pool.finish(kept)
+    assert stays.hear()["id"] == 1
+    stays.ask(2, "pay", txn="f3", unique=IDEMPOTENCY_KEY)
+    assert content(stays.hear()) == b"kept for its repeat"
+
+
+def test_idle_connections_are_asked_to_close_and_those_with_open_tasks_are_not(tmp_path):
+    told = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # callers that hardly come back
+    with Running(tmp_path, familyInfo=told) as server:
+        idle, busy = server.balancer(), server.balancer()
+        job = busy.ask(1)
+        server.pool.take("spawn")
+        assert idle.hear()["method"] == "closing" and idle.hear() is None
+        server.pool.finish(job)
+        assert busy.hear()["id"] == 1
+        assert busy.hear()["method"] == "closing"
+
+
+GOOD_PARAMS = {"txn": "ff", "door": 1.0, "team": "acme", "content": "", "ram": 1.0}
+BAD_MESSAGES = [
+    (b"{", -32700, None),
+    (b"\xff\xfe", -32700, None),
+    (b"[" * 4000, -32700, None),
+    (b'{"jsonrpc":"2.0","id":NaN,"method":"read"}', -32700, None),
+    ({"jsonrpc": "2.0", "method": "read", "params": GOOD_PARAMS}, -32600, None),
+    ([], -32600, None),
+    ([{"jsonrpc": "2.0", "id": 7, "method": "check"}], -32600, None),
+    ({"jsonrpc": "2.0", "id": True, "method": "read"}, -32600, None),
+    ({"jsonrpc": "1.0", "id": 7, "method": "read"}, -32600, 7),
+    ({"jsonrpc": "2.0", "id": 7}, -32600, 7),
+    ({"jsonrpc": "2.0", "id": "7", "method": "read", "params": GOOD_PARAMS}, -32600, "7"),
+    ({"jsonrpc": "2.0", "id": 7, "method": "write"}, -32601, 7),
+    ({"jsonrpc": "2.0", "id": 7, "method": "read", "params": []}, -32602, 7),
+    *(
+        ({"jsonrpc": "2.0", "id": 7, "method": "read", "params": {**GOOD_PARAMS, **wrong}}, -32602, 7)
+        for wrong in (
+            {"txn": None},
+            {"txn": "a b"},
+            {"door": "1"},
+            {"door": None},
+            {"team": "nobody"},
+            {"content": "?"},
+            {"content": None},
+            {"content": "A" * 4000},
+            {"ram": -1},
+            {"limit": 1e99},
+            {"unique": 5},
+            {"cpu": True},
+            {"lb": []},
+            {"ram": None},
+            {"ram": 0},
+            {"ram": 2500},
+            {"standing": -0.5},
+            {"standing": "0"},
+            {"door": -1},
+            {"door": 9e14},
+        )
+    ),
+]
+
+
+def test_bad_messages_are_answered_by_their_codes_and_the_connection_goes_on(server):
+    for at, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
+        if at % 5 == 0:  # a few on each connection: it stands no more
+            caller = server.balancer()
+        if isinstance(message, dict) and message.get("params") and message["params"].get("door") == 1.0:
+            message = {**message, "params": {**message["params"], "door": time.time() * 1000.0}}
+        caller.send(message)
+        heard = caller.hear()
+        assert (heard["error"]["code"], heard["id"]) == (code, rpc_id), message
+    caller = server.balancer()
+    caller.ask(8)
+    server.pool.take("spawn")
+    caller.ask(8, txn="ab")  # under this id an answer would pass for the open task's
+    assert caller.hear()["id"] is None
+    caller.ask(9, txn=f"{8:016x}")
+    assert caller.hear()["error"]["code"] == -32602
+    server.pool.finish(f"{8:016x}")
+    assert "result" in caller.hear()
+
+
+def test_a_connection_that_brings_one_bad_message_after_another_is_closed(server):
+    caller = server.balancer()
+    caller.ask(1)
+    server.pool.take("spawn")
+    for _ in range(20):
+        caller.send(b"{}")
+    heard = [caller.hear() for _ in range(10)]
+    assert [message.get("method") for message in heard] == [None] * 9 + ["closing"]
+    server.pool.finish(f"{1:016x}")
+    assert caller.hear()["id"] == 1 and caller.hear() is None
+
+
+def test_messages_that_owe_no_answer_end_no_connection(server):
+    caller = server.balancer()
+    caller.ask(1)
+    server.pool.take("spawn")
+    for _ in range(30):
+        caller.send({"jsonrpc": "2.0", "method": "what"})
+        caller.send({"jsonrpc": "2.0", "method": "read"})
+        assert caller.hear()["error"]["code"] == -32600  # to the second alone
+    server.pool.finish(f"{1:016x}")
+    assert caller.hear()["id"] == 1
+    caller.ask(2)
+    assert server.pool.take("spawn")
+
+
+def test_a_balancer_with_more_open_than_it_waits_for_is_refused_and_keeps_its_connection(server):
+    caller = server.balancer()
+    for rpc_id in range(1, 65 + 20):  # the last twenty are too many; as bad messages they would end it
+        caller.ask(rpc_id)
+    refused = [caller.hear() for _ in range(20)]
+    assert {message["error"]["code"] for message in refused} == {-32050}
+    server.pool.finish(server.pool.take("spawn")[1]["job"])
+    assert "result" in caller.hear()
+
+
+def test_who_sends_what_the_pool_does_not_know_is_refused_the_rest_and_closed(server):
+    caller, bad = server.balancer(), server.balancer()
+    for rpc_id in range(1, 6):
+        bad.ask(rpc_id, txn=f"b{rpc_id}")
+    for _ in range(2):  # one on each core, the others are held
+        server.pool.take("spawn")
+    caller.ask(1, txn="c1")
+    server.pool.say({"type": "unknown", "state": "spawn", "job": "b1"})
+    heard = [bad.hear() for _ in range(5)]
+    assert sorted(m["error"]["code"] for m in heard if "id" in m) == [-32051, -32050, -32050, -32050]
+    assert [m["method"] for m in heard if "method" in m] == ["closing"]
+    assert server.pool.take("spawn")[1]["job"] == "c1"
+    server.pool.say({"type": "unknown", "state": "spawn", "job": "b2"})
+    assert bad.hear()["error"]["code"] == -32051 and bad.hear() is None
+
+
+@pytest.mark.parametrize("said", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
+def test_who_says_nothing_or_half_a_message_is_closed(server, said):
+    caller = server.balancer()
+    caller.raw(said)
+    while caller.hear() is not None:
+        pass
+
+
+def test_silent_connections_shut_no_balancer_out(tmp_path):
+    with Running(tmp_path, sockets=40) as server:
+        silent = [server.balancer() for _ in range(60)]  # more than may be open
+        caller = server.balancer()
+        caller.ask(1)
+        server.pool.take("spawn")
+        server.pool.finish(f"{1:016x}")
+        assert caller.hear()["id"] == 1
+        del silent
+
+
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"\r\n\r\n",
+        b"Content-Type: x\r\n\r\n",
+        b"Content-Length: -5\r\n\r\n",
+        b"Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}",
+        b"x" * 5000,
+        b"Content-Length: 999999999999\r\n\r\n",
+        b"Content-Length: 100000\r\n\r\n",
+    ],
+)
+def test_a_stream_that_cannot_be_followed_is_closed_after_what_is_open_on_it(server, head):
+    caller = server.balancer()
+    job = caller.ask(1)
+    server.pool.take("spawn")
+    caller.raw(head)
+    assert caller.hear()["error"]["code"] == -32600
+    assert caller.hear()["method"] == "closing"
+    server.pool.finish(job)
+    assert caller.hear()["id"] == 1
+    assert caller.hear() is None
+
+
+@pytest.mark.parametrize(("sockets", "files"), [(40, None), (1024, 24)])
+def test_a_full_table_serves_on_and_takes_newcomers_as_others_leave(tmp_path, sockets, files):
+    with Running(tmp_path, sockets=sockets, files=files) as server:
+        callers = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
+        job = callers[0].ask(1)
+        server.pool.take("spawn")
+        server.pool.finish(job)
+        assert callers[0].hear()["id"] == 1
+        callers[-1].ask(1, txn="ab")
+        for caller in callers[:20]:  # those in the backlog leave with them
+            caller.gone()
+        assert server.pool.take("spawn")[1]["job"] == "ab"
+        server.pool.finish("ab")
+        assert callers[-1].hear()["id"] == 1
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -1,36 +1,15 @@
-"""The link to the pool between two lines, at the whole server. In both builds; docs/crossings.md."""
+"""Race tests of the link to the worker pool, at the whole server. In both builds; docs/crossings.md."""
 
-import base64
 import json
 
 import pytest
-from helpers import Running
-
-MARK = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-
-
-@pytest.fixture
-def server(tmp_path):
-    with Running(tmp_path) as running:
-        yield running
-
-
-def content(message):
-    return base64.b64decode(message["result"]["content"])
-
-
-def until_out(server):
-    while server.heard_report()[2] != "OUT":
-        pass
-
-
-# -- the pool's link
+from whole_server import IDEMPOTENCY_KEY, content
 
 
 @pytest.mark.parametrize("way", ["no line", "no field", "missing"])
 def test_a_notice_that_does_not_arrive_whole_is_told_again_on_a_new_link(server, way):
     caller = server.balancer()
-    job, other = caller.ask(1, "pay", txn="d1", unique=MARK), caller.ask(2, txn="d2")
+    job, other = caller.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), caller.ask(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
     say, lost = server.pool.say, {"no line": b'{"type":"fini\xff\n', "no field": None}.get(way, b"")
@@ -72,7 +51,7 @@
 def test_what_arrived_two_links_ago_is_not_sent_again(server):
     """A reply told twice would pass for a later call's; a spawn told twice could run anew what just ended."""
     caller = server.balancer()
-    caller.ask(1, "pay", txn="f1", unique=MARK)
+    caller.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block("f1")
     server.records.take("OP")[3].sendall(b"f1 DONE 2\r\nok\r\n")
