--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -47,8 +47,8 @@
     checkpoint, listener = Checkpoint(), entrance.listener
     listener.add = checkpoint.before(listener.add)
     listener.start()
-    caller = Balancer(entrance.port)
-    caller.ask(1)
+    client = Balancer(entrance.port)
+    client.ask(1)
     checkpoint.wait()
     closing, done = beside(lambda: (listener.close(), listener.is_drained())[1])
     closing.join(SHORT)
@@ -56,7 +56,7 @@
     closing.join(PATIENCE)
     assert done == [False]
     entrance.finish(*entrance.request())
-    assert {caller.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
+    assert {client.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
 
 
 def test_a_listener_out_of_descriptors_accepts_at_the_next_sweep_what_waits_in_the_backlog(entrance):
@@ -64,8 +64,8 @@
     listener, short = entrance.listener, [OSError(errno.EMFILE, "too many")]
     listening = listener.sock
     listener.idle_poller.start()  # no thread accepts: what connects waits in the backlog
-    caller = Balancer(entrance.port)
-    caller.ask(1)
+    client = Balancer(entrance.port)
+    client.ask(1)
     tries = []
 
     def accept():
@@ -79,7 +79,7 @@
     assert tries == [1] and not listener.is_drained()
     listener.close()
     entrance.finish(*entrance.request())
-    assert {caller.hear().get("id") for _ in range(2)} == {None, 1}
+    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
 
 
 @pytest.mark.parametrize("by", ["accept", "close"])
@@ -115,14 +115,14 @@
     """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT", 0.0)
     listener = entrance.listener
-    caller = Balancer(entrance.port)
-    caller.ask(1)
+    client = Balancer(entrance.port)
+    client.ask(1)
     listener.close()  # the poller does not run yet: the process was paused
     until(lambda: all(connection.close_requested_at for connection in listener.connections), "asked to close")
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
     entrance.finish(*entrance.request())
-    assert {caller.hear().get("id") for _ in range(2)} == {None, 1}
+    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
     until(listener.is_drained, "the end once it is answered")
 
 
@@ -131,10 +131,10 @@
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT", 0.0)
     listener = entrance.listener
     listener.start()
-    caller = Balancer(entrance.port)
-    whole, send = [], caller.sock.sendall
-    caller.raw = whole.append
-    caller.ask(1)
+    client = Balancer(entrance.port)
+    whole, send = [], client.sock.sendall
+    client.raw = whole.append
+    client.ask(1)
     send(whole[0][:60])
     until(
         lambda: any(
@@ -143,11 +143,11 @@
         "half is read",
     )
     listener.close()
-    assert caller.hear()["method"] == "closing"
+    assert client.hear()["method"] == "closing"
     assert not listener.is_drained()
     send(whole[0][60:])
     entrance.finish(*entrance.request())
-    assert caller.hear()["id"] == 1
+    assert client.hear()["id"] == 1
     until(listener.is_drained, "the end once it is answered")
 
 
@@ -164,18 +164,18 @@
 
     monkeypatch.setattr(ClientConnection, "read_before_close", held)
     listener.start()
-    caller = Balancer(entrance.port)
+    client = Balancer(entrance.port)
     checkpoint.wait()
-    caller.ask(1)
+    client.ask(1)
     sock = next(iter(listener.connections)).sock
     until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
     checkpoint.open()
     first = entrance.request()
     assert over.wait(PATIENCE)
-    caller.ask(2)
+    client.ask(2)
     entrance.finish(*entrance.request())
     entrance.finish(*first)
-    assert {caller.hear()["id"], caller.hear()["id"]} == {1, 2}
+    assert {client.hear()["id"], client.hear()["id"]} == {1, 2}
 
 
 class Visitor:
@@ -235,8 +235,8 @@
 
     listener.idle_poller.epoll = Wrapped(listener.idle_poller.epoll, modify=refuses)
     listener.start()
-    caller = Balancer(entrance.port)
-    caller.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
-    assert caller.hear()["id"] == 1 and caller.hear() is None
+    client = Balancer(entrance.port)
+    client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
+    assert client.hear()["id"] == 1 and client.hear() is None
     until(lambda: not listener.connections, "it leaves the table")
     assert entrance.metrics.by_name["connections_not_watched"] == 1
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -11,43 +11,43 @@
 from whole_server import IDEMPOTENCY_KEY, content
 
 
-def test_a_task_with_a_call_goes_through_all_parts_with_its_bodies_unchanged(server):
-    caller = server.balancer()
-    job = caller.ask(1, content=base64.b64encode(bytes(range(256))).decode())
+def test_a_request_with_a_call_goes_through_all_parts_with_its_bodies_unchanged(server):
+    client = server.balancer()
+    job = client.ask(1, content=base64.b64encode(bytes(range(256))).decode())
     spawned = server.pool.take("spawn")[1]
     assert (spawned["job"], spawned["kind"]) == (job, "read")
     assert base64.b64decode(spawned["data"]) == bytes(range(256))
     server.pool.block(job, b"\r\nask\0")
-    _, name, body, line = server.records.take("OP")
+    _, name, body, connection = server.records.take("OP")
     assert (name, body) == (job, b"\r\nask\0")
-    line.sendall(b"%b DONE 6\r\n\r\nyes\0\r\n" % job.encode())
+    connection.sendall(b"%b DONE 6\r\n\r\nyes\0\r\n" % job.encode())
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"\r\nyes\0"
     server.pool.finish(job, b"\xff" * 4096)
-    answer = caller.hear()
+    answer = client.hear()
     assert answer["id"] == 1 and content(answer) == b"\xff" * 4096
     log = server.stop()
     assert "must_hold_broken" not in log and "finished=1" in log
 
 
 def test_answers_come_in_the_order_of_their_runs_and_a_rejection_says_when_to_come_back(server):
-    caller = server.balancer()
-    jobs = [caller.ask(n) for n in (1, 2, 3)]
-    # One whose caller has almost stopped waiting is rejected at once: nothing of it ran.
-    caller.ask(4, limit=10)
-    refused = caller.hear()
+    client = server.balancer()
+    jobs = [client.ask(n) for n in (1, 2, 3)]
+    # One whose client has almost stopped waiting is rejected at once: nothing of it ran.
+    client.ask(4, limit=10)
+    refused = client.hear()
     assert refused["id"] == 4 and refused["error"]["code"] == -32050 and refused["error"]["data"]["later"] > 0
     for _ in jobs[:2]:
         server.pool.take("spawn")
     for at in (1, 0):
         server.pool.finish(jobs[at])
-        assert caller.hear()["id"] == at + 1
+        assert client.hear()["id"] == at + 1
     server.pool.take("spawn")
     server.pool.finish(jobs[2], state="error")
-    failed = caller.hear()
+    failed = client.hear()
     assert failed["id"] == 3 and failed["error"]["code"] != -32050
 
 
-def test_a_repeat_while_its_task_runs_and_one_after_it_get_the_same_result_and_no_second_run(server):
+def test_a_repeat_while_its_request_runs_and_one_after_it_get_the_same_result_and_no_second_run(server):
     one, two = server.balancer(), server.balancer()
     job = one.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -64,44 +64,44 @@
     assert server.pool.nothing_more("spawn")
 
 
-def test_a_repeat_from_behind_the_window_by_its_door_is_a_task_of_its_own(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
-    first = caller.hear()  # too old to be run: rejected, and its fingerprint forgotten
+def test_a_repeat_that_arrived_after_the_window_is_a_request_of_its_own(server):
+    client = server.balancer()
+    job = client.ask(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
+    first = client.hear()  # too old to be run: rejected, and its fingerprint forgotten
     assert first["error"]["code"] == -32050
-    job = caller.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
+    job = client.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
     assert server.pool.take("spawn")[1]["job"] == job
     server.pool.finish(job)
-    caller.hear()
+    client.hear()
 
 
 def test_a_repeat_of_a_run_that_failed_fails_with_it_and_is_not_run(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.finish(job, state="error")
-    assert caller.hear()["error"]["code"] == -32051
-    caller.ask(2, "pay", txn="c2", unique=IDEMPOTENCY_KEY)
-    assert caller.hear()["error"]["code"] == -32051
+    assert client.hear()["error"]["code"] == -32051
+    client.ask(2, "pay", txn="c2", unique=IDEMPOTENCY_KEY)
+    assert client.hear()["error"]["code"] == -32051
     assert server.pool.nothing_more("spawn")
 
 
 def test_until_the_pool_is_up_nothing_is_served_reported_or_run(tmp_path):
     with Running(tmp_path, up=False) as server:
-        caller = server.balancer()
-        caller.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
-        assert caller.hear()["result"] == {"serving": False}
-        caller.ask(2)
-        assert caller.hear()["error"]["code"] == -32050
+        client = server.balancer()
+        client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
+        assert client.hear()["result"] == {"serving": False}
+        client.ask(2)
+        assert client.hear()["error"]["code"] == -32050
         server.pool.up.set()
         assert server.heard_report() == ["HB", "n1", "UP"]
-        caller.send({"jsonrpc": "2.0", "id": 3, "method": "check", "params": {"probe": True}})
-        assert caller.hear()["result"] == {"serving": True}
+        client.send({"jsonrpc": "2.0", "id": 3, "method": "check", "params": {"probe": True}})
+        assert client.hear()["result"] == {"serving": True}
 
 
 def test_a_new_configuration_moves_all_peers_under_load_and_a_wrong_one_changes_nothing(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     old_pool = server.pool
     old_pool.take("spawn")
     for rpc_id in (2, 3):  # more than once
@@ -109,8 +109,8 @@
         assert server.pool.take("bind")[1]["n"] == old_pool.number  # the numbers go on
         assert server.heard_report() == ["HB", "n1", "UP"]
         server.pool.finish(job)
-        assert caller.hear()["id"] == rpc_id - 1
-        job = caller.ask(rpc_id)
+        assert client.hear()["id"] == rpc_id - 1
+        job = client.ask(rpc_id)
         server.pool.take("spawn")
         server.pool.block(job)
         server.records.take("OP")[3].sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
@@ -121,7 +121,7 @@
             time.sleep(0.01)
         assert old_pool.nothing_more("spawn") and old_records.nothing_more("OP")
     server.pool.finish(job)
-    assert caller.hear()["id"] == 3
+    assert client.hear()["id"] == 3
     log = server.stop()
     assert log.count("event=configuration_refused") == 2 and "key 'listen'" in log
     assert log.count("moved=pool,records,members") == 2
@@ -137,78 +137,78 @@
 
 
 def test_a_drain_answers_all_takes_nothing_late_and_leaves_with_0(server):
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
     server.process.terminate()
     while server.heard_report()[2] != "OUT":
         pass
-    assert caller.hear()["method"] == "closing"
+    assert client.hear()["method"] == "closing"
     with pytest.raises(OSError):  # refused: nothing ran
         Balancer(server.port)
     server.pool.finish(job)
-    assert caller.hear()["id"] == 1
-    caller.sock.close()
-    caller.file.close()
+    assert client.hear()["id"] == 1
+    client.sock.close()
+    client.file.close()
     assert server.process.wait(20) == 0
 
 
 def test_a_drain_with_a_run_that_never_ends_answers_it_before_the_stop(tmp_path):
     with Running(tmp_path, stop_ms=1200) as server:
-        caller = server.balancer()
-        caller.ask(1)
+        client = server.balancer()
+        client.ask(1)
         server.pool.take("spawn")
         server.process.terminate()
-        heard = [caller.hear(), caller.hear()]
+        heard = [client.hear(), client.hear()]
         assert sorted("error" in message for message in heard) == [False, True]
         assert server.process.wait(20) == 0
 
 
 def test_after_a_kill_the_same_address_serves_again_at_once(server, tmp_path):
-    caller = server.balancer()
-    caller.ask(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    client.ask(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.kill()
     server.process.wait()
     with Running(tmp_path, listen=f"127.0.0.1:{server.port}", cold=True) as again:
-        caller = again.balancer()
-        job = caller.ask(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)  # nothing is known of the life before
+        client = again.balancer()
+        job = client.ask(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)  # nothing is known of the life before
         assert again.pool.take("spawn")[1]["job"] == job
         again.pool.finish(job)
-        assert "result" in caller.hear()
+        assert "result" in client.hear()
 
 
-def test_a_run_that_never_ends_is_answered_when_its_caller_stops_waiting(server):
-    caller = server.balancer()
-    caller.ask(1, limit=700)
+def test_a_run_that_never_ends_is_answered_when_its_client_stops_waiting(server):
+    client = server.balancer()
+    client.ask(1, limit=700)
     server.pool.take("spawn")
-    assert caller.hear()["error"]["code"] == -32051  # it may have had its effect
+    assert client.hear()["error"]["code"] == -32051  # it may have had its effect
 
 
 def test_a_pause_of_the_machine_loses_no_answer(server):
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
     server.process.send_signal(signal.SIGSTOP)
     server.pool.finish(job)
-    caller.ask(2, txn="p2")
+    client.ask(2, txn="p2")
     server.process.send_signal(signal.SIGCONT)
-    assert caller.hear()["id"] == 1
+    assert client.hear()["id"] == 1
     server.pool.take("spawn")
     server.pool.finish("p2")
-    assert caller.hear()["id"] == 2
+    assert client.hear()["id"] == 2
 
 
-def test_the_key_of_another_body_brings_nobody_that_task_s_result(server):
-    caller, bad = server.balancer(), server.balancer()
-    job = caller.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
+def test_the_key_of_another_body_brings_nobody_that_request_s_result(server):
+    client, bad = server.balancer(), server.balancer()
+    job = client.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     bad.ask(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
     assert server.pool.take("spawn")[1]["job"] == "a2"  # no repeat; the pool knows no such task
     server.pool.say({"type": "unknown", "state": "spawn", "job": "a2"})
     assert bad.hear()["error"]["code"] == -32051
     server.pool.finish(job, b"paid")
-    assert content(caller.hear()) == b"paid"
+    assert content(client.hear()) == b"paid"
     server.balancer().ask(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
     assert server.pool.take("spawn")[1]["job"] == "a3"  # what never ran has left nothing to share
 
@@ -216,16 +216,16 @@
 def test_a_server_with_nothing_below_starts_serves_moves_and_stands_a_call_that_cannot_be(tmp_path):
     info = {**TOLD["familyInfo"], "below": "silent"}
     with Running(tmp_path, no_records=True, familyInfo=info) as server:
-        caller = server.balancer()
-        odd, job = caller.ask(1, txn="o1", limit=900), caller.ask(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
+        client = server.balancer()
+        odd, job = client.ask(1, txn="o1", limit=900), client.ask(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
         for _ in range(2):
             server.pool.take("spawn")
         server.pool.block(odd)  # there is nobody to call: it ends by its limit, and nobody else with it
         server.move()
         server.pool.take("bind")
         server.pool.finish(job, b"done")
-        assert content(caller.hear()) == b"done"
-        assert caller.hear()["error"]["code"] == -32051
+        assert content(client.hear()) == b"done"
+        assert client.hear()["error"]["code"] == -32051
         server.pool.finish(odd, state="cancelled")
         log = server.stop()
         assert "moved=pool,members" in log and "must_hold_broken" not in log
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -16,23 +16,23 @@
     with contextlib.suppress(OSError):
         for _ in range(400):
             mute.raw((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
     server.pool.finish(job)
-    assert caller.hear()["id"] == 1
+    assert client.hear()["id"] == 1
 
 
 def test_a_balancer_that_has_said_all_it_will_still_gets_its_answers(server):
-    caller = server.balancer()
-    job = caller.ask(1)
-    caller.sock.shutdown(socket.SHUT_WR)
+    client = server.balancer()
+    job = client.ask(1)
+    client.sock.shutdown(socket.SHUT_WR)
     server.pool.take("spawn")
     server.pool.finish(job)
-    assert caller.hear()["id"] == 1 and caller.hear() is None
+    assert client.hear()["id"] == 1 and client.hear() is None
 
 
-def test_a_caller_that_resets_its_connection_costs_nobody_else_an_answer(server):
+def test_a_client_that_resets_its_connection_costs_nobody_else_an_answer(server):
     gone, stays = server.balancer(), server.balancer()
     lost, kept = gone.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY), stays.ask(1, txn="f2")
     for _ in range(2):
@@ -45,8 +45,8 @@
     assert content(stays.hear()) == b"kept for its repeat"
 
 
-def test_idle_connections_are_asked_to_close_and_those_with_open_tasks_are_not(tmp_path):
-    told = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # callers that hardly come back
+def test_idle_connections_are_asked_to_close_and_those_with_open_requests_are_not(tmp_path):
+    told = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # clients that hardly come back
     with Running(tmp_path, familyInfo=told) as server:
         idle, busy = server.balancer(), server.balancer()
         job = busy.ask(1)
@@ -103,66 +103,66 @@
 def test_bad_messages_are_answered_by_their_codes_and_the_connection_goes_on(server):
     for at, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
         if at % 5 == 0:  # a few on each connection: it stands no more
-            caller = server.balancer()
+            client = server.balancer()
         if isinstance(message, dict) and message.get("params") and message["params"].get("door") == 1.0:
             message = {**message, "params": {**message["params"], "door": time.time() * 1000.0}}
-        caller.send(message)
-        heard = caller.hear()
+        client.send(message)
+        heard = client.hear()
         assert (heard["error"]["code"], heard["id"]) == (code, rpc_id), message
-    caller = server.balancer()
-    caller.ask(8)
+    client = server.balancer()
+    client.ask(8)
     server.pool.take("spawn")
-    caller.ask(8, txn="ab")  # under this id an answer would pass for the open task's
-    assert caller.hear()["id"] is None
-    caller.ask(9, txn=f"{8:016x}")
-    assert caller.hear()["error"]["code"] == -32602
+    client.ask(8, txn="ab")  # under this id an answer would pass for the open task's
+    assert client.hear()["id"] is None
+    client.ask(9, txn=f"{8:016x}")
+    assert client.hear()["error"]["code"] == -32602
     server.pool.finish(f"{8:016x}")
-    assert "result" in caller.hear()
+    assert "result" in client.hear()
 
 
 def test_a_connection_that_brings_one_bad_message_after_another_is_closed(server):
-    caller = server.balancer()
-    caller.ask(1)
+    client = server.balancer()
+    client.ask(1)
     server.pool.take("spawn")
     for _ in range(20):
-        caller.send(b"{}")
-    heard = [caller.hear() for _ in range(10)]
+        client.send(b"{}")
+    heard = [client.hear() for _ in range(10)]
     assert [message.get("method") for message in heard] == [None] * 9 + ["closing"]
     server.pool.finish(f"{1:016x}")
-    assert caller.hear()["id"] == 1 and caller.hear() is None
+    assert client.hear()["id"] == 1 and client.hear() is None
 
 
 def test_messages_that_owe_no_answer_end_no_connection(server):
-    caller = server.balancer()
-    caller.ask(1)
+    client = server.balancer()
+    client.ask(1)
     server.pool.take("spawn")
     for _ in range(30):
-        caller.send({"jsonrpc": "2.0", "method": "what"})
-        caller.send({"jsonrpc": "2.0", "method": "read"})
-        assert caller.hear()["error"]["code"] == -32600  # to the second alone
+        client.send({"jsonrpc": "2.0", "method": "what"})
+        client.send({"jsonrpc": "2.0", "method": "read"})
+        assert client.hear()["error"]["code"] == -32600  # to the second alone
     server.pool.finish(f"{1:016x}")
-    assert caller.hear()["id"] == 1
-    caller.ask(2)
+    assert client.hear()["id"] == 1
+    client.ask(2)
     assert server.pool.take("spawn")
 
 
 def test_a_balancer_with_more_open_than_it_waits_for_is_refused_and_keeps_its_connection(server):
-    caller = server.balancer()
+    client = server.balancer()
     for rpc_id in range(1, 65 + 20):  # the last twenty are too many; as bad messages they would end it
-        caller.ask(rpc_id)
-    refused = [caller.hear() for _ in range(20)]
+        client.ask(rpc_id)
+    refused = [client.hear() for _ in range(20)]
     assert {message["error"]["code"] for message in refused} == {-32050}
     server.pool.finish(server.pool.take("spawn")[1]["job"])
-    assert "result" in caller.hear()
+    assert "result" in client.hear()
 
 
 def test_who_sends_what_the_pool_does_not_know_is_refused_the_rest_and_closed(server):
-    caller, bad = server.balancer(), server.balancer()
+    client, bad = server.balancer(), server.balancer()
     for rpc_id in range(1, 6):
         bad.ask(rpc_id, txn=f"b{rpc_id}")
     for _ in range(2):  # one on each core, the others are held
         server.pool.take("spawn")
-    caller.ask(1, txn="c1")
+    client.ask(1, txn="c1")
     server.pool.say({"type": "unknown", "state": "spawn", "job": "b1"})
     heard = [bad.hear() for _ in range(5)]
     assert sorted(m["error"]["code"] for m in heard if "id" in m) == [-32051, -32050, -32050, -32050]
@@ -174,20 +174,20 @@
 
 @pytest.mark.parametrize("said", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
 def test_who_says_nothing_or_half_a_message_is_closed(server, said):
-    caller = server.balancer()
-    caller.raw(said)
-    while caller.hear() is not None:
+    client = server.balancer()
+    client.raw(said)
+    while client.hear() is not None:
         pass
 
 
 def test_silent_connections_shut_no_balancer_out(tmp_path):
     with Running(tmp_path, sockets=40) as server:
         silent = [server.balancer() for _ in range(60)]  # more than may be open
-        caller = server.balancer()
-        caller.ask(1)
+        client = server.balancer()
+        client.ask(1)
         server.pool.take("spawn")
         server.pool.finish(f"{1:016x}")
-        assert caller.hear()["id"] == 1
+        assert client.hear()["id"] == 1
         del silent
 
 
@@ -204,28 +204,28 @@
     ],
 )
 def test_a_stream_that_cannot_be_followed_is_closed_after_what_is_open_on_it(server, head):
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
-    caller.raw(head)
-    assert caller.hear()["error"]["code"] == -32600
-    assert caller.hear()["method"] == "closing"
+    client.raw(head)
+    assert client.hear()["error"]["code"] == -32600
+    assert client.hear()["method"] == "closing"
     server.pool.finish(job)
-    assert caller.hear()["id"] == 1
-    assert caller.hear() is None
+    assert client.hear()["id"] == 1
+    assert client.hear() is None
 
 
 @pytest.mark.parametrize(("sockets", "files"), [(40, None), (1024, 24)])
 def test_a_full_table_serves_on_and_takes_newcomers_as_others_leave(tmp_path, sockets, files):
     with Running(tmp_path, sockets=sockets, files=files) as server:
-        callers = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
-        job = callers[0].ask(1)
+        clients = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
+        job = clients[0].ask(1)
         server.pool.take("spawn")
         server.pool.finish(job)
-        assert callers[0].hear()["id"] == 1
-        callers[-1].ask(1, txn="ab")
-        for caller in callers[:20]:  # those in the backlog leave with them
-            caller.gone()
+        assert clients[0].hear()["id"] == 1
+        clients[-1].ask(1, txn="ab")
+        for client in clients[:20]:  # those in the backlog leave with them
+            client.gone()
         assert server.pool.take("spawn")[1]["job"] == "ab"
         server.pool.finish("ab")
-        assert callers[-1].hear()["id"] == 1
+        assert clients[-1].hear()["id"] == 1
--- a/tests/server/test_server_records.py
+++ b/tests/server/test_server_records.py
@@ -9,46 +9,46 @@
 
 
 def test_a_call_that_hangs_is_given_up_and_its_late_reply_reaches_no_later_call(server):
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
     server.pool.block(job, b"first")
-    _, _, _, line = server.records.take("OP")
-    assert server.records.take("UNOP")[1] == job  # cut long before the caller stops waiting
+    _, _, _, connection = server.records.take("OP")
+    assert server.records.take("UNOP")[1] == job  # cut long before the client stops waiting
     passed = server.pool.take("pass")[1]
     assert (passed["job"], passed["n"]) == (job, 1)
     server.pool.block(job, b"second")
     _, _, body, other = server.records.take("OP")
     # On the same connection the reply to the first would pass for the second's.
-    assert body == b"second" and other is not line
-    line.sendall(b"%b DONE 4\r\nlate\r\n" % job.encode())
+    assert body == b"second" and other is not connection
+    connection.sendall(b"%b DONE 4\r\nlate\r\n" % job.encode())
     other.sendall(b"%b DONE 4\r\ngood\r\n" % job.encode())
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"good"
     server.pool.finish(job)
-    caller.hear()
+    client.hear()
 
 
 @pytest.mark.parametrize("end", ["WAIT", "EMPTY", "ERROR", "PAST", "cut", "nonsense"])
 def test_a_call_is_made_again_only_where_it_never_ran(server, end):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block(job)
-    _, _, _, line = server.records.take("OP")
+    _, _, _, connection = server.records.take("OP")
     if end == "cut":
-        line.shutdown(2)
+        connection.shutdown(2)
     else:
-        line.sendall(b"?\r\n" if end == "nonsense" else b"%b %b\r\n" % (job.encode(), end.encode()))
+        connection.sendall(b"?\r\n" if end == "nonsense" else b"%b %b\r\n" % (job.encode(), end.encode()))
     if end in ("WAIT", "EMPTY"):
         assert server.records.take("OP")[1] == job
     else:
-        assert caller.hear()["error"]["code"] == -32051  # may have had its effect: nothing is promised
+        assert client.hear()["error"]["code"] == -32051  # may have had its effect: nothing is promised
         server.pool.finish(job, state="cancelled")
         assert server.records.nothing_more("OP")
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "unreadable",
     [
         b"\xff\0?\r\n",
         b"x" * 999,
@@ -57,76 +57,76 @@
         b"%b DONE -1\r\n\r\n",
     ],
 )
-def test_a_spoilt_reply_costs_its_own_call_and_no_other(server, spoilt):
-    caller = server.balancer()
-    jobs = [caller.ask(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
-    lines = []
+def test_an_unreadable_reply_costs_its_own_call_and_no_other(server, unreadable):
+    client = server.balancer()
+    jobs = [client.ask(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
+    connections = []
     for job in jobs:
         server.pool.take("spawn")
         server.pool.block(job)
-        lines.append(server.records.take("OP")[3])
-    lines[0].sendall(spoilt.replace(b"%b", b"s1"))
-    assert caller.hear()["error"]["code"] == -32051  # it may have had its effect
-    lines[1].sendall(b"s2 DONE 1\r\n!\r\n")
+        connections.append(server.records.take("OP")[3])
+    connections[0].sendall(unreadable.replace(b"%b", b"s1"))
+    assert client.hear()["error"]["code"] == -32051  # it may have had its effect
+    connections[1].sendall(b"s2 DONE 1\r\n!\r\n")
     assert server.pool.take("supply")[1]["job"] == "s2"
     server.pool.finish("s2")
-    assert caller.hear()["id"] == 2
+    assert client.hear()["id"] == 2
 
 
 @pytest.mark.parametrize("more", [b"t1 DONE 5\r\nfirst\r\n", b"other WAIT\r\n", b"t1 DO"])
 def test_more_than_a_call_s_reply_reaches_no_later_call(server, more):
-    caller = server.balancer()
-    caller.ask(1, txn="t1")
+    client = server.balancer()
+    client.ask(1, txn="t1")
     server.pool.take("spawn")
     server.pool.block("t1")
-    line = server.records.take("OP")[3]
-    line.sendall(b"other DONE 2\r\nno\r\nt1 DONE 5\r\nfirst\r\n" + more)
+    connection = server.records.take("OP")[3]
+    connection.sendall(b"other DONE 2\r\nno\r\nt1 DONE 5\r\nfirst\r\n" + more)
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"first"
     server.pool.block("t1")
     later = server.records.take("OP")[3]
-    assert later is not line
+    assert later is not connection
     later.sendall(b"t1 DONE 6\r\nsecond\r\n")
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"second"
 
 
 def test_a_connection_that_the_service_closed_early_is_not_used_again(server):
-    caller = server.balancer()
+    client = server.balancer()
     for job in ("v1", "v2"):
-        caller.ask(int(job[1]), txn=job)
+        client.ask(int(job[1]), txn=job)
         server.pool.take("spawn")
         server.pool.block(job)
-        _, name, _, line = server.records.take("OP")
+        _, name, _, connection = server.records.take("OP")
         assert name == job
-        line.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
-        line.shutdown(socket.SHUT_RDWR)
+        connection.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
+        connection.shutdown(socket.SHUT_RDWR)
         server.pool.take("supply")
         server.pool.finish(job)
-        caller.hear()
+        client.hear()
 
 
 def test_calls_that_nobody_takes_are_made_when_the_service_is_back(tmp_path):
     with Running(tmp_path, records_up=False) as server:
-        caller = server.balancer()
-        job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+        client = server.balancer()
+        job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
         server.pool.take("spawn")
         server.pool.block(job)
         server.records.come_up()
-        _, name, _, line = server.records.take("OP")
-        line.sendall(b"%b DONE 1\r\n!\r\n" % name.encode())
+        _, name, _, connection = server.records.take("OP")
+        connection.sendall(b"%b DONE 1\r\n!\r\n" % name.encode())
         server.pool.take("supply")
         server.pool.finish(job)
-        assert "result" in caller.hear()
+        assert "result" in client.hear()
 
 
 def test_a_call_that_is_out_when_the_records_service_moves_ends_on_its_old_connection(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block(job)
-    line = server.records.take("OP")[3]
+    connection = server.records.take("OP")[3]
     server.move()
     server.pool.take("bind")
-    line.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
+    connection.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
     assert server.pool.take("supply")[1]["job"] == job
     server.pool.finish(job)
-    assert "result" in caller.hear()
+    assert "result" in client.hear()
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -5,43 +5,43 @@
 
 
 def test_a_lost_link_loses_no_notice_takes_none_twice_and_starts_nothing_twice(server):
-    caller = server.balancer()
-    done, runs = caller.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), caller.ask(2, txn="d2")
+    client = server.balancer()
+    done, runs = client.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), client.ask(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
     server.pool.cut()
     server.pool.finish(done, b"while nobody listened")
     assert server.pool.take("bind")[1]["n"] in (0, 1)
-    assert content(caller.hear()) == b"while nobody listened"
-    caller.ask(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
-    assert content(caller.hear()) == b"while nobody listened"
+    assert content(client.hear()) == b"while nobody listened"
+    client.ask(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
+    assert content(client.hear()) == b"while nobody listened"
     server.pool.say({**server.pool.notices[0], "data": "d3Jvbmc="})  # told again under its old number
     server.pool.cut()
     assert server.pool.take("bind")[1]["n"] == 1
     server.pool.finish(runs)
-    assert caller.hear()["id"] == 2
+    assert client.hear()["id"] == 2
     assert done not in [entry[1].get("job") for entry in list(server.pool.heard.queue)]
     assert "must_hold_broken" not in server.stop()
 
 
 def test_commands_given_while_the_link_is_down_are_sent_once_it_is_back(tmp_path):
     with Running(tmp_path) as server:
-        caller = server.balancer()
+        client = server.balancer()
         server.pool.up.clear()  # links are taken, and nothing is answered on them
         server.pool.cut()
-        job = caller.ask(1)
+        job = client.ask(1)
         # Sent before the replay was read it could start a run anew. The rejection shows that it is decided.
-        caller.ask(2, limit=1)
-        assert caller.hear()["id"] == 2 and server.pool.nothing_more("spawn")
+        client.ask(2, limit=1)
+        assert client.hear()["id"] == 2 and server.pool.nothing_more("spawn")
         server.pool.up.set()
         assert server.pool.take("spawn")[1]["job"] == job
         server.pool.finish(job)
-        assert caller.hear()["id"] == 1
+        assert client.hear()["id"] == 1
 
 
 def test_what_the_pool_says_amiss_is_counted_and_changes_nothing(server):
-    caller = server.balancer()
-    job = caller.ask(1)
+    client = server.balancer()
+    job = client.ask(1)
     server.pool.take("spawn")
     for line in (
         b"{\n",
@@ -56,17 +56,17 @@
         server.pool.say(None, raw=line)
     server.pool.number = 3
     server.pool.finish(job)
-    assert caller.hear()["id"] == 1
+    assert client.hear()["id"] == 1
     server.pool.finish(job)  # once more, under a new number
-    caller.ask(2, txn="e2")
+    client.ask(2, txn="e2")
     server.pool.take("spawn")
     server.pool.say({"type": "unknown", "state": "spawn", "job": "e2"})
-    assert caller.hear()["error"]["code"] == -32051  # no end of it will ever be told
-    caller = server.balancer()
-    caller.ask(3, txn="e3")
+    assert client.hear()["error"]["code"] == -32051  # no end of it will ever be told
+    client = server.balancer()
+    client.ask(3, txn="e3")
     server.pool.take("spawn")
     server.pool.notice("finished", "e3", state="complete", took="long", data=None)
-    assert caller.hear()["error"]["code"] == -32051  # over, with nothing to be made of it
+    assert client.hear()["error"]["code"] == -32051  # over, with nothing to be made of it
     server.pool.say(None, raw=b"x" * 200_000)
     assert server.pool.take("bind")
     log = server.stop()
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -8,8 +8,8 @@
 
 @pytest.mark.parametrize("way", ["no line", "no field", "missing"])
 def test_a_notice_that_does_not_arrive_whole_is_told_again_on_a_new_link(server, way):
-    caller = server.balancer()
-    job, other = caller.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), caller.ask(2, txn="d2")
+    client = server.balancer()
+    job, other = client.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), client.ask(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
     say, lost = server.pool.say, {"no line": b'{"type":"fini\xff\n', "no field": None}.get(way, b"")
@@ -23,35 +23,35 @@
     else:
         server.pool.finish(other)
     assert server.pool.take("bind")[1]["n"] == 0
-    assert content(caller.hear()) == b"paid"
+    assert content(client.hear()) == b"paid"
     if lost:
         server.pool.finish(other)
-    assert caller.hear()["id"] == 2
-    caller.ask(3, txn="d3")
+    assert client.hear()["id"] == 2
+    client.ask(3, txn="d3")
     server.pool.take("spawn")  # no run is left over on a core
     assert server.pool.nothing_more("spawn", "bind")
     server.pool.finish("d3")
-    assert caller.hear()["id"] == 3
+    assert client.hear()["id"] == 3
     assert "must_hold_broken" not in server.stop()
 
 
-def test_a_notice_that_stays_spoilt_ends_its_run_and_loops_nowhere(server):
-    caller = server.balancer()
-    job = caller.ask(1, txn="e1")
+def test_a_notice_that_stays_unreadable_ends_its_run_and_loops_nowhere(server):
+    client = server.balancer()
+    job = client.ask(1, txn="e1")
     server.pool.take("spawn")
     server.pool.notice("finished", job, state="complete", took="long", data=None)
     assert server.pool.take("bind")[1]["n"] == 0
-    assert caller.hear()["error"]["code"] == -32051
-    caller.ask(2, txn="e2")
+    assert client.hear()["error"]["code"] == -32051
+    client.ask(2, txn="e2")
     server.pool.take("spawn")
     server.pool.finish("e2")
-    assert caller.hear()["id"] == 2 and server.pool.nothing_more("bind")
+    assert client.hear()["id"] == 2 and server.pool.nothing_more("bind")
 
 
 def test_what_arrived_two_links_ago_is_not_sent_again(server):
     """A reply told twice would pass for a later call's; a spawn told twice could run anew what just ended."""
-    caller = server.balancer()
-    caller.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    client.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block("f1")
     server.records.take("OP")[3].sendall(b"f1 DONE 2\r\nok\r\n")
@@ -59,11 +59,11 @@
 
     def confirmed(n):
         # Of what must not run twice a poll stands behind the spawn: its answer confirms all before it.
-        caller.ask(n, "pay", txn=f"g{n}", unique=f"{n:032x}")
+        client.ask(n, "pay", txn=f"g{n}", unique=f"{n:032x}")
         kind, message = server.pool.take("spawn", "supply")
         assert (kind, message["job"]) == ("spawn", f"g{n}")
         server.pool.finish(f"g{n}")
-        assert caller.hear()["id"] == n
+        assert client.hear()["id"] == n
 
     confirmed(2)
     for n in (3, 4):
@@ -72,4 +72,4 @@
         confirmed(n)  # sent only once the link is good again
     assert server.pool.nothing_more("supply", "spawn")
     server.pool.finish("f1")
-    assert caller.hear()["id"] == 1
+    assert client.hear()["id"] == 1
