--- a/testkit/fakes/peers.py
+++ b/testkit/fakes/peers.py
@@ -94,6 +94,7 @@
 
     def __init__(self, cold=False, up=True):
         self.cold, self.notices, self.sock, self.number = cold, [], None, 0
+        self.polls = 0  # answered
         self.up = threading.Event()
         if up:
             self.up.set()
@@ -111,6 +112,7 @@
                         self.say(notice)
             elif message["type"] == "poll":
                 self.say({"type": "polled", "ref": message["ref"], "gauges": [0.2, 0]})
+                self.polls += 1
                 continue
             self.heard.put((message["type"], message))
 
--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -47,7 +47,7 @@
         self.actor.attach(self.pool, self, Recorder(), self, lambda: None)
         self.requests, self.runs, self.notices = {}, {}, []
         self.to_pool, self.to_server, self.calls = [], [], {}
-        self.up, self.fit, self.connections = False, False, ()
+        self.up, self.ready, self.connections = False, False, ()
         self.results = {}  # by fingerprint: when its run came, and its result once it has one
 
     # -- the peers that the actor acts on
@@ -59,13 +59,13 @@
     def post(self, method, *arguments):
         method(*arguments)
 
-    def op(self, name, number, until, body, once):
+    def start_call(self, name, number, until, body, once):
         run = self.runs[name]
         assert run["state"] == "blocked" and body == run["ask"], "a call that no run waits for"
         assert run["asked"] not in run["called"], "a call made again that may have run"
         self.calls[number] = name
 
-    def unop(self, name, number):
+    def cancel_call(self, name, number):
         if self.calls.pop(number, None):
             self.runs[name]["called"].add(self.runs[name]["asked"])
 
@@ -158,7 +158,7 @@
             )
             for _ in range(len(self.to_server) if ends else chance.randrange(len(self.to_server) + 1)):
                 message = self.to_server.pop(0)
-                self.pool.take(message["type"], message)
+                self.pool.handle_message(message["type"], message)
                 self.do(lambda: None)
             while ends and self.to_pool:
                 self.command(self.to_pool.pop(0))
@@ -169,7 +169,7 @@
             self.up, self.pool.link = True, self.pool.link + 1
             self.to_server = [
                 {"type": "bound", "state": "hot", "took": 99.0},
-                *self.notices[self.pool.last :],
+                *self.notices[self.pool.last_notice :],
             ]
         for name, run in self.runs.items():
             request = self.requests[int(name, 16)]
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -22,7 +22,7 @@
         self.actor = AdmissionActor(7, TOLD, Metrics())
         self.peer.mailbox = queue.SimpleQueue()
         self.listener.connections, self.all_out = (), False
-        self.listener.done = lambda: self.all_out
+        self.listener.is_drained = lambda: self.all_out
         self.actor.attach(self.peer, self.peer, self.peer, self.listener, lambda: self.stops.append(self.now))
         if bound:
             self.actor.worker_pool_bound(1, False, 5000.0)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -10,7 +10,8 @@
 
 import vetchford
 from vetchford.runtime.metrics import Metrics
-from vetchford.server import client_connections
+from vetchford.server.client_connection import ClientConnection
+from vetchford.server.listener import Listener
 
 
 def command(*given, **environment):
@@ -75,12 +76,12 @@
 
 def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
-    doors = client_connections.Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
+    doors = Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
     ours, theirs = socket.socketpair()
-    connection = client_connections.Connection(ours, doors, Metrics())
+    connection = ClientConnection(ours, doors, Metrics())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
         doors.connections = set(range(held))
-        assert not connection.overstays(connection.used + stays)
-        assert connection.overstays(connection.used + stays + 0.15)
+        assert not connection.check_timeouts(connection.last_active_at + stays)
+        assert connection.check_timeouts(connection.last_active_at + stays + 0.15)
     for part in (ours, theirs, doors.sock):
         part.close()
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -25,9 +25,9 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers, unix_time_ms
-from vetchford.server.client_connections import Listener
 from vetchford.server.dependency_calls import DependencyCalls
 from vetchford.server.idempotency_cache import IdempotencyCache
+from vetchford.server.listener import Listener
 from vetchford.server.records_client import RecordsClient
 from vetchford.server.registry_reporter import RegistryReporter
 from vetchford.server.request_admission import RequestAdmission
@@ -226,7 +226,7 @@
         """Start a graceful shutdown that counts from Unix ms `signalled_at`, however late this is read."""
         answers_due = self.shutdown.start(signalled_at, stop_ms, grace)
         if self.controller is None:  # no ticks come, and nothing can be run: only what was read is answered
-            self.registry.post(self.registry.judge, False)
+            self.registry.post(self.registry.set_readiness, False)
             self.shutdown.advance_repeatedly()
             return
         origin = self.clock.origin
--- a/vetchford/server/dependency_calls.py
+++ b/vetchford/server/dependency_calls.py
@@ -29,7 +29,9 @@
         self.last_number += 1
         entry.call_number = self.last_number
         self.in_flight[entry.call_number] = CallInFlight(index, now)
-        self.records.op(entry.request_id, entry.call_number, deadline, entry.call_body, not idempotent)
+        self.records.start_call(
+            entry.request_id, entry.call_number, deadline, entry.call_body, not idempotent
+        )
         self.timers.schedule(deadline, self.on_timeout, entry.call_number)
 
     def end(self, number: int) -> CallInFlight | None:
@@ -44,7 +46,7 @@
     def cancel(self, entry: RequestEntry) -> None:
         """Give up the call of a request, if it has one in flight."""
         if entry.call_number:
-            self.records.unop(entry.request_id, entry.call_number)
+            self.records.cancel_call(entry.request_id, entry.call_number)
             del self.in_flight[entry.call_number]
             entry.call_number = 0
 
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -16,11 +16,11 @@
 
     def complete(self, entry: RequestEntry, content: str) -> None:
         """Answer with the result of a run, in base64."""
-        self._send(entry, json_rpc.finished(entry.rpc_id, content), "finished")
+        self._send(entry, json_rpc.completed(entry.rpc_id, content), "finished")
 
     def fail(self, entry: RequestEntry) -> None:
         """Answer with an error that promises nothing about effects."""
-        self._send(entry, json_rpc.abandoned(entry.rpc_id), "abandoned")
+        self._send(entry, json_rpc.failed(entry.rpc_id), "abandoned")
 
     def reject(self, entry: RequestEntry, terminal: bool, retry_after: float, counter: str) -> None:
         """Answer that it never ran: `retry_after` in ms, 0 for none; `terminal`: not to be sent again."""
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -13,7 +13,7 @@
     def answer(self, rpc_id: int, parts: list[bytes]) -> None:
         """Send the final answer of a request, as parts of one message."""
 
-    def distrust(self) -> None:
+    def stop_reading(self) -> None:
         """Read nothing more, and close once all is answered."""
 
     def run_or_post(self, method: Callable[..., None], *arguments: Any) -> None:
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -77,7 +77,7 @@
         # Before this end frees a core for its next request.
         self.admission.reject_queued_of(controller, client)
         self.run_ended(controller, request_id, "superseded", 0.0, "")
-        client.run_or_post(client.distrust)
+        client.run_or_post(client.stop_reading)
 
     def call_ended(self, controller: AdmissionController, number: int, code: str, reply: bytes) -> None:
         """Take the outcome of a call to the records service."""
@@ -99,7 +99,7 @@
         """Give up a call at its deadline, if it is still in flight."""
         index = self.calls.find(number)
         if index is not None:
-            self.calls.records.unop(self.requests[index].request_id, number)
+            self.calls.records.cancel_call(self.requests[index].request_id, number)
             self.call_ended(controller, number, "overdue", b"")
 
     def _find_run(
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -11,8 +11,8 @@
 from vetchford.admission.controller import AdmissionController
 from vetchford.admission.request import Effect
 from vetchford.runtime.timers import unix_time_ms
-from vetchford.server.client_connections import Listener
 from vetchford.server.idempotency_cache import RunResult
+from vetchford.server.listener import Listener
 from vetchford.server.registry_reporter import RegistryReporter
 from vetchford.server.server_state import ServerState
 
@@ -120,8 +120,8 @@
 
     def set_readiness(self, good: bool) -> None:
         """Answer health checks, and report to the registry, by this."""
-        self.listener.fit = good
-        self.registry.post(self.registry.judge, good)
+        self.listener.ready = good
+        self.registry.post(self.registry.set_readiness, good)
         log.info("readiness_changed", good=good)
 
     def publish_load(self, value: float) -> None:
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -16,7 +16,7 @@
 from vetchford.runtime.thread_pool import start_thread
 from vetchford.server import platform_config, signals
 from vetchford.server.admission_actor import AdmissionActor
-from vetchford.server.client_connections import Listener
+from vetchford.server.listener import Listener
 from vetchford.server.platform_config import Address, Configuration
 from vetchford.server.records_client import RecordsClient
 from vetchford.server.registry_reporter import RegistryReporter
@@ -101,9 +101,9 @@
     def reload(self, current: Configuration, read: Callable[[], Configuration]) -> Configuration:
         """Apply the configuration as `read` returns it now; return what holds from now on."""
         move_peer: dict[str, Callable[[Address | None], None]] = {
-            "pool": partial(self.worker_pool.post, self.worker_pool.move),
-            "records": self.records.move,
-            "members": partial(self.registry.post, self.registry.move),
+            "pool": partial(self.worker_pool.post, self.worker_pool.change_address),
+            "records": self.records.change_address,
+            "members": partial(self.registry.post, self.registry.change_address),
         }
         return reload_configuration(current, read, move_peer, self._change_own_settings)
 
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -8,7 +8,7 @@
 from vetchford.admission.controller import TICK
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers, unix_time_ms
-from vetchford.server.client_connections import Listener
+from vetchford.server.listener import Listener
 from vetchford.server.request_answers import RequestAnswers
 
 log = structlog.get_logger()
@@ -99,7 +99,7 @@
             self.listener.close()
         finally:
             # Whatever goes wrong above, the program ends before it is killed.
-            if time_is_up or (self.listener.done() and not self.answers.count_unanswered()):
+            if time_is_up or (self.listener.is_drained() and not self.answers.count_unanswered()):
                 self._stop()
 
     def _stop(self) -> None:
