--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -173,10 +173,9 @@
 
 def turns(count: int) -> dict[str, Any]:
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
-        played = thread_pool.map(leases.played, range(1, count + 1))
-        found = dict(
-            zip(sorted(leases.MISTAKES), thread_pool.map(leases.caught, sorted(leases.MISTAKES)), strict=True)
-        )
+        played = thread_pool.map(leases.run_schedule, range(1, count + 1))
+        mutations = sorted(leases.MUTATIONS)
+        found = dict(zip(mutations, thread_pool.map(leases.schedules_until_caught, mutations), strict=True))
     return {
         "schedules": count,
         "wrong": [one["wrong"] for one in played if one["wrong"]][:3],
--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -36,7 +36,7 @@
         self.bytes += len(packer.encode(rows)) + 60  # the envelope: measured on sockets
         self.port.send(to, rows)
 
-    def note(self, event: str, **fields: Any) -> None: ...
+    def log_event(self, event: str, **fields: Any) -> None: ...
 
     def heard(self, now: float, sender: str, rows: Any) -> None:
         self.signals.heard(now, sender, rows)
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -17,7 +17,7 @@
     def send_rows(self, to, rows):
         self.sent.append((to, rows))
 
-    def note(self, event, **fields):
+    def log_event(self, event, **fields):
         self.notes.append((event, fields))
 
     def want_probe(self):
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,22 +1,34 @@
-"""Turns: one keeper that leads by lease, permits with slots and fences, in virtual time under faults."""
+"""Leases: one elected server, slots and fencing tokens, in virtual time under faults.
 
+Messages are written here in their encoded form, and go through the codec both ways.
+"""
+
+import msgspec
 import pytest
 
-from testkit.simulation.leases import KEEPERS, MISTAKES, Turning, caught
-from vetchford.leases.leases import LEASE, PERMIT, SLOPE, LeaseClient, LeaseServer
+from testkit.simulation.leases import MUTATIONS, SERVERS, LeaseSimulation, schedules_until_caught
+from vetchford.leases import messages
+from vetchford.leases.lease_client import LeaseClient
+from vetchford.leases.lease_server import LeaseServer
+from vetchford.leases.timing import LEADER_LEASE_MS, LEASE_MS, MAX_CLOCK_RATE_RATIO
+
 
+def wire_form(message):
+    """What the other side decodes."""
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(messages.encode(message)))
 
-class Post:
-    """A host that keeps what is sent."""
+
+class RecordedActions:
+    """Keeps what is sent, in its encoded form, and the events."""
 
     def __init__(self):
-        self.sent, self.notes = [], []
+        self.sent, self.events = [], []
 
-    def turn_word(self, to, body):
-        self.sent.append((to, body))
+    def send_lease_message(self, to, message):
+        self.sent.append((to, wire_form(message)))
 
-    def note(self, event, **fields):
-        self.notes.append(event)
+    def log_event(self, event, **fields):
+        self.events.append(event)
 
     def take(self, do):
         found = [(to, body) for to, body in self.sent if body["do"] == do]
@@ -24,94 +36,114 @@
         return found
 
 
-def leading(now=10_000.0, most=2):
-    """A keeper alone of one that leads and grants."""
-    post = Post()
-    keeper = LeaseServer(post, "k", ["k"], {"deep": most}, 1, 100, 0.0)
-    keeper.woke(now)
+def receive(part, now, sender, body):
+    """Delivers a message in its encoded form, as `FleetMember` does."""
+    message = messages.decode(body)
+    if message is not None:
+        part.receive(now, sender, message)
+
+
+def leading(now=10_000.0, capacity=2):
+    """A server alone of one that leads and grants."""
+    actions = RecordedActions()
+    server = LeaseServer(actions, "k", ["k"], {"deep": capacity}, 1, 100, 0.0)
+    server.tick(now)
     for _ in range(2):  # its own vote, asked for and given
-        sent, post.sent = post.sent, []
+        sent, actions.sent = actions.sent, []
         for _, word in sent:
-            keeper.heard(now, "k", word)
-    assert keeper.leads(now)
-    keeper.opens = now
-    post.sent = []
-    return keeper, post
+            receive(server, now, "k", word)
+    assert server.leads(now)
+    server.grants_from = now
+    actions.sent = []
+    return server, actions
 
 
-def want(name, number=1, wish=1, life=1, zone=""):
+def acquire(number=1, wish=1, life=1, zone=""):
     return {"do": "want", "turn": "deep", "life": life, "wish": wish, "zone": zone, "number": number}
 
 
 def test_schedules_of_faults_leave_never_more_than_k_and_growing_fences_and_all_goes_on_after_healing():
     faults = {}
     for seed in range(1, 13):
-        run = Turning(seed, loss=0.05, doubled=0.1)
-        run.faulty(90.0)
-        had = sum(run.had.values())
-        run.healed()
+        run = LeaseSimulation(seed, loss=0.05, doubled=0.1)
+        run.run_with_faults(90.0)
+        had = sum(run.acquired.values())
+        run.heal()
         run.world.run(run.world.now + 30_000.0)
-        assert not run.wrong, (seed, run.wrong[:3])
-        assert sum(run.had.values()) >= had + 3, (seed, "nobody gets a turn after healing")
+        assert not run.violations, (seed, run.violations[:3])
+        assert sum(run.acquired.values()) >= had + 3, (seed, "nobody gets a turn after healing")
         for kind, count in run.faults.items():
             faults[kind] = faults.get(kind, 0) + count
     assert len(faults) == 10 and min(faults.values()) >= 10  # each kind was met
 
 
-@pytest.mark.parametrize("mistake", sorted(MISTAKES))
-def test_a_planted_mistake_is_found(mistake):
-    assert caught(mistake)
+@pytest.mark.parametrize("mutation", sorted(MUTATIONS))
+def test_a_planted_mistake_is_found(mutation):
+    assert schedules_until_caught(mutation)
 
 
 def test_the_same_seed_is_the_same_run():
-    one, other = Turning(3, loss=0.05), Turning(3, loss=0.05)
-    one.faulty(60.0)
-    other.faulty(60.0)
-    assert one.world.sent == other.world.sent and one.had == other.had and one.newest == other.newest
+    one, other = LeaseSimulation(3, loss=0.05), LeaseSimulation(3, loss=0.05)
+    one.run_with_faults(60.0)
+    other.run_with_faults(60.0)
+    assert (
+        one.world.sent == other.world.sent
+        and one.acquired == other.acquired
+        and one.newest_token == other.newest_token
+    )
 
 
 def test_with_no_faults_all_get_turns_alike():
-    run = Turning(5, count=9, most=1, zones=3)
+    run = LeaseSimulation(5, count=9, capacity=1, zones=3)
     run.world.run(300_000.0)
-    assert not run.wrong and len(run.had) == 9 and max(run.had.values()) <= 1.5 * min(run.had.values())
+    assert (
+        not run.violations
+        and len(run.acquired) == 9
+        and max(run.acquired.values()) <= 1.5 * min(run.acquired.values())
+    )
 
 
 def test_a_keeper_that_just_started_gives_no_vote_and_does_not_stand():
-    post = Post()
-    keeper = LeaseServer(post, "k1", ["k1", "k2", "k3"], {"deep": 1}, 1, 100, 0.0)
+    actions = RecordedActions()
+    server = LeaseServer(actions, "k1", ["k1", "k2", "k3"], {"deep": 1}, 1, 100, 0.0)
     vote = {"do": "vote", "term": 100_000, "number": 1}
-    keeper.heard(LEASE * SLOPE - 1.0, "k2", vote)
-    keeper.woke(LEASE * SLOPE - 1.0)
-    assert [body["do"] for _, body in post.sent] == ["no_vote"]
-    keeper.heard(LEASE * SLOPE, "k2", vote)
-    assert post.sent[-1][1]["do"] == "voted"
-    keeper.heard(LEASE * SLOPE + 1.0, "k3", {**vote, "term": 200_000})  # while the other's lease may run
-    assert post.sent[-1][1]["do"] == "no_vote"
+    receive(server, LEADER_LEASE_MS * MAX_CLOCK_RATE_RATIO - 1.0, "k2", vote)
+    server.tick(LEADER_LEASE_MS * MAX_CLOCK_RATE_RATIO - 1.0)
+    assert [body["do"] for _, body in actions.sent] == ["no_vote"]
+    receive(server, LEADER_LEASE_MS * MAX_CLOCK_RATE_RATIO, "k2", vote)
+    assert actions.sent[-1][1]["do"] == "voted"
+    receive(
+        server, LEADER_LEASE_MS * MAX_CLOCK_RATE_RATIO + 1.0, "k3", {**vote, "term": 200_000}
+    )  # while the other's lease may run
+    assert actions.sent[-1][1]["do"] == "no_vote"
 
 
 def test_a_dead_holder_blocks_its_slot_for_a_lease_and_no_longer():
-    keeper, post = leading(most=1)
-    keeper.heard(10_000.0, "a", want("a"))
-    keeper.heard(10_001.0, "b", want("b"))
-    assert [to for to, _ in post.take("yours")] == ["a"]
-    keeper.leads_until = 1e9
+    server, actions = leading(capacity=1)
+    receive(server, 10_000.0, "a", acquire())
+    receive(server, 10_001.0, "b", acquire())
+    assert [to for to, _ in actions.take("yours")] == ["a"]
+    server.election.leads_until = 1e9
     for at in range(10_500, 13_751, 250):  # b goes on asking
-        keeper.heard(float(at), "b", want("b", number=at))
-        keeper.woke(float(at))
-    taken = [body for to, body in post.take("yours") if to == "b"]
-    assert taken and "turn_ran_out" in post.notes
+        receive(server, float(at), "b", acquire(number=at))
+        server.tick(float(at))
+    taken = [body for to, body in actions.take("yours") if to == "b"]
+    assert taken and "turn_ran_out" in actions.events
 
 
 def test_turns_go_round_the_zones_and_in_order_within_one():
-    keeper, post = leading(most=1)
+    server, actions = leading(capacity=1)
     for at, (name, zone) in enumerate((("a1", "a"), ("a2", "a"), ("a3", "a"), ("b1", "b"), ("c1", "c"))):
-        keeper.heard(10_000.0 + at, name, want(name, zone=zone))
+        receive(server, 10_000.0 + at, name, acquire(zone=zone))
     order = []
     for at in range(5):
-        ((to, body),) = post.take("yours")
+        ((to, body),) = actions.take("yours")
         order.append(to)
-        keeper.heard(
-            10_010.0 + at, to, {"do": "done", "turn": "deep", "fence": body["fence"], "life": 1, "wish": 1}
+        receive(
+            server,
+            10_010.0 + at,
+            to,
+            {"do": "done", "turn": "deep", "fence": body["fence"], "life": 1, "wish": 1},
         )
     assert order == ["a1", "b1", "c1", "a2", "a3"]
 
@@ -120,23 +152,26 @@
     # Found by schedule 15: renewal, end and the next wish arrived in the wrong order, 2 s late; the new
     # wish was
     # given the old permit, which the end then took away from under it.
-    keeper, post = leading(most=1)
-    keeper.heard(10_000.0, "a", want("a", number=1, wish=1))
-    ((_, first),) = post.take("yours")
-    keeper.heard(10_100.0, "a", want("a", number=9, wish=5))
-    ((_, second),) = post.take("yours")
+    server, actions = leading(capacity=1)
+    receive(server, 10_000.0, "a", acquire(number=1, wish=1))
+    ((_, first),) = actions.take("yours")
+    receive(server, 10_100.0, "a", acquire(number=9, wish=5))
+    ((_, second),) = actions.take("yours")
     assert second["fence"] > first["fence"] and second["mark"] == [1, 5]
-    keeper.heard(10_200.0, "a", {"do": "done", "turn": "deep", "fence": first["fence"], "life": 1, "wish": 1})
-    keeper.heard(10_300.0, "b", want("b"))
-    assert not post.take("yours")  # still held under the second
+    receive(
+        server, 10_200.0, "a", {"do": "done", "turn": "deep", "fence": first["fence"], "life": 1, "wish": 1}
+    )
+    receive(server, 10_300.0, "b", acquire())
+    assert not actions.take("yours")  # still held under the second
 
 
 def test_a_holder_that_was_stopped_knows_that_its_turn_is_over_before_it_acts():
-    post = Post()
-    taker = LeaseClient(post, "a", KEEPERS, "", 1)
-    taker.want(0.0, "deep")
-    ((to, word),) = post.take("want")
-    taker.heard(
+    actions = RecordedActions()
+    client = LeaseClient(actions, "a", SERVERS, "", 1)
+    client.acquire(0.0, "deep")
+    ((to, word),) = actions.take("want")
+    receive(
+        client,
         900.0,
         to,
         {
@@ -149,12 +184,13 @@
             "mark": [1, word["wish"]],
         },
     )
-    assert taker.holds(PERMIT - 1.0, "deep") == 7
-    assert taker.holds(PERMIT, "deep") == 0  # from when it asked, not from the answer
-    taker.woke(PERMIT)
-    assert "turn_lost" in post.notes and post.take("want")  # asks for another
-    taker.heard(
-        PERMIT + 1.0,
+    assert client.fencing_token(LEASE_MS - 1.0, "deep") == 7
+    assert client.fencing_token(LEASE_MS, "deep") == 0  # from when it asked, not from the answer
+    client.tick(LEASE_MS)
+    assert "turn_lost" in actions.events and actions.take("want")  # asks for another
+    receive(
+        client,
+        LEASE_MS + 1.0,
         to,
         {
             "do": "yours",
@@ -166,20 +202,20 @@
             "mark": [1, word["wish"]],
         },
     )
-    assert taker.holds(PERMIT + 1.0, "deep") == 0  # the same answer, late
+    assert client.fencing_token(LEASE_MS + 1.0, "deep") == 0  # the same answer, late
 
 
 def test_words_of_another_life_term_or_turn_change_nothing():
-    keeper, post = leading(most=1)
-    keeper.heard(10_000.0, "a", want("a", wish=2))
-    ((_, given),) = post.take("yours")
+    server, actions = leading(capacity=1)
+    receive(server, 10_000.0, "a", acquire(wish=2))
+    ((_, given),) = actions.take("yours")
     for word in (
-        want("a", wish=1),
-        {**want("a"), "do": "renew", "slot": 0, "fence": given["fence"], "term": keeper.term - 1},
-        {**want("a"), "do": "renew", "slot": 5, "fence": 1, "term": keeper.term},
-        {**want("a"), "turn": "unknown"},
+        acquire(wish=1),
+        {**acquire(), "do": "renew", "slot": 0, "fence": given["fence"], "term": server.election.term - 1},
+        {**acquire(), "do": "renew", "slot": 5, "fence": 1, "term": server.election.term},
+        {**acquire(), "turn": "unknown"},
         {"do": "no such word", "turn": "deep"},
     ):
-        keeper.heard(10_001.0, "a", word)
-    assert not post.take("yours")
-    assert [held.fence for held in keeper.lines["deep"].permits.values()] == [given["fence"]]
+        receive(server, 10_001.0, "a", word)
+    assert not actions.take("yours")
+    assert [lease.fencing_token for lease in server.pools["deep"].leases.values()] == [given["fence"]]
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -148,10 +148,10 @@
     """The turn is given back at the notice; then the records service is held for dead."""
     one = neighbours()
     one.want_probe()
-    assert PROBE in one.taker.wishes
+    assert PROBE in one.lease_client.requests
     one.leave()
     one.conclusions.to(one.now(), "dead", "its calls are lost")
-    assert not one.taker.wishes
+    assert not one.lease_client.requests
 
 
 def test_an_infinite_number_in_a_view_is_counted_and_no_more():
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -15,7 +15,10 @@
 from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
 from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, FleetSignalPolicy, FleetSignals
 from vetchford.gossip.load_gossip import LoadGossip, Row
-from vetchford.leases.leases import LeaseClient, LeaseServer
+from vetchford.leases import messages as lease_messages
+from vetchford.leases.lease_client import LeaseClient
+from vetchford.leases.lease_server import LeaseServer
+from vetchford.leases.messages import ClientMessage, LeaseMessage
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -74,11 +77,12 @@
         self.conclusions = FleetSignalPolicy(self, self.name, seed, self.signals)
         keepers, turns = told["keepers"], {**told["turns"], PROBE: told["probes"]}
         epoch = int(clock.day() * 10.0)
-        self.keeper = (
+        self.lease_server = (
             LeaseServer(self, self.name, keepers, turns, seed, epoch, now) if self.name in keepers else None
         )
-        self.taker = LeaseClient(self, self.name, keepers, told["zone"], self.life)
-        self.seed, self.raised = told["fleet"], []
+        self.lease_client = LeaseClient(self, self.name, keepers, told["zone"], self.life)
+        self.seed = told["fleet"]
+        self.raised: list[float] = []
         self.next_turn, self.next_survey, self.next_summary = 0.0, 0.0, now + SUMMARY
         self.numbers, self.lost = FleetSignals(), 0.0
         self.leaving = False
@@ -100,9 +104,9 @@
         self.next_turn = time.monotonic() + TURN
         now = self.now()
         self.views.woke(now)
-        if self.keeper is not None:
-            self.keeper.woke(now)
-        self.taker.woke(now)
+        if self.lease_server is not None:
+            self.lease_server.tick(now)
+        self.lease_client.tick(now)
         self.signals.woke(now)
         if now >= self.next_survey:
             self.next_survey = now + (CONCLUDES if self.conclusions.state != DEAD_NOW else 0.5 * CONCLUDES)
@@ -138,8 +142,8 @@
     def leave(self) -> None:
         """In a drain: turns go back at once, not as their leases end, and none is asked for any more."""
         self.leaving = True
-        for turn in list(self.taker.wishes):
-            self.taker.done(self.now(), turn)
+        for lease_name in list(self.lease_client.requests):
+            self.lease_client.release(lease_name)
 
     def summarise(self, now: float) -> None:
         seen: dict[str, Any] = {}
@@ -177,30 +181,30 @@
     def send_rows(self, to: str, rows: list[Row]) -> None:
         self.talk.throw(to, ["rows", rows])
 
-    def turn_word(self, to: str, body: dict[str, Any]) -> None:
+    def send_lease_message(self, to: str, message: LeaseMessage) -> None:
         if to == self.name:
-            self.post(self.turn_heard, to, body)
+            self.post(self.receive_lease_message, to, message)
         else:
-            self.talk.throw(to, ["turn", body])
+            self.talk.throw(to, ["turn", lease_messages.encode(message)])
 
-    def turn_heard(self, sender: str, body: dict[str, Any]) -> None:
-        if body["do"] in ("yours", "wait", "led_by", "over"):
-            self.taker.heard(self.now(), sender, body)
-        elif self.keeper is not None:
-            self.keeper.heard(self.now(), sender, body)
+    def receive_lease_message(self, sender: str, message: LeaseMessage) -> None:
+        if isinstance(message, ClientMessage):
+            self.lease_client.receive(self.now(), sender, message)
+        elif self.lease_server is not None:
+            self.lease_server.receive(self.now(), sender, message)
 
     def want_probe(self) -> None:
         if self.leaving:  # its end would keep the turn from all others for a lease
             return
-        self.taker.want(self.now(), PROBE)
+        self.lease_client.acquire(self.now(), PROBE)
 
     def done_probe(self) -> None:
-        self.taker.done(self.now(), PROBE)
+        self.lease_client.release(PROBE)
 
     def may_probe(self) -> bool:
-        return self.taker.holds(self.now(), PROBE) != 0
+        return self.lease_client.fencing_token(self.now(), PROBE) != 0
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         if event in PROVOKED:
             self.metrics.log_sampled(event, **fields)
             return
@@ -219,7 +223,9 @@
             elif kind == "rows":
                 self.signals.heard(self.now(), peer, rest[0])
             elif kind == "turn":
-                self.turn_heard(peer, rest[0])
+                message = lease_messages.decode(rest[0])
+                if message is not None:
+                    self.receive_lease_message(peer, message)
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
@@ -242,10 +248,8 @@
         log.warning("life_raised", life=self.life, known=life)
         self.views.incarnation = self.life * DENIALS
         self.views.news[self.name] = 0
-        self.signals.life = self.taker.life = self.life
-        for turn in list(self.taker.wishes):
-            self.taker.wishes.pop(turn)  # asked for under another life
-            self.taker.want(now, turn)
+        self.signals.life = self.life
+        self.lease_client.begin_incarnation(now, self.life)
         self.talk.renew(self.life, self.nonce)
 
 
--- a/vetchford/gossip/fleet_signals.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -53,7 +53,7 @@
     def may_probe(self) -> bool:
         """Whether the turn is ours just now."""
 
-    def note(self, event: str, **fields: Any) -> None: ...
+    def log_event(self, event: str, **fields: Any) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
     def to(self, now: float, state: str, why: str) -> None:
         if state != self.state:
-            self.host.note("records_seen", state=state, was=self.state, why=why)
+            self.host.log_event("records_seen", state=state, was=self.state, why=why)
             if self.state == DEAD_NOW:
                 self.host.done_probe()
             self.state, self.since = state, now
--- a/vetchford/gossip/load_gossip.py
+++ b/vetchford/gossip/load_gossip.py
@@ -41,7 +41,7 @@
     def send_rows(self, to: str, rows: list[Row]) -> None:
         """One datagram; it may be lost, late or doubled."""
 
-    def note(self, event: str, **fields: Any) -> None: ...
+    def log_event(self, event: str, **fields: Any) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/vetchford/leases/lease_server.py
@@ -0,0 +1,204 @@
+"""One lease server: it takes part in the election, and grants all leases while it leads. No I/O; times in ms.
+
+The protocol and what it assumes of clocks are in the docstring of the package.
+"""
+
+from collections.abc import Mapping, Sequence
+
+from vetchford.leases.actions import LeaseActions
+from vetchford.leases.leader_election import LeaderElection
+from vetchford.leases.lease_pool import Lease, LeasePool, Waiter
+from vetchford.leases.messages import (
+    AcquireRequest,
+    LeaderReferral,
+    LeaseGranted,
+    LeaseMessage,
+    LeaseRevoked,
+    QueuePosition,
+    ReleaseNotice,
+    RenewRequest,
+    RequestId,
+    ServerMessage,
+)
+from vetchford.leases.timing import LEASE_MS, MAX_CLOCK_RATE_RATIO, TOKENS_PER_TERM
+
+
+class LeaseServer:
+    """Grants the leases of all names while this server leads; refers clients to the leader otherwise."""
+
+    def __init__(
+        self,
+        actions: LeaseActions,
+        name: str,
+        servers: Sequence[str],
+        capacities: Mapping[str, int],
+        seed: int,
+        epoch: int,
+        now: float,
+    ) -> None:
+        """`capacities`: how many may hold a lease at once, by lease name; `epoch`: see `LeaderElection`."""
+        self.actions, self.name, self.capacities = actions, name, dict(capacities)
+        self.election = LeaderElection(self, name, servers, seed, epoch, now)
+        self.grants_from = 0.0  # leases of the leader before us have expired by then
+        self.pools: dict[str, LeasePool] = {}  # by lease name; empty unless we lead
+        self.granted_in_term = 0
+
+    def leads(self, now: float) -> bool:
+        """Whether this server holds the leader lease now."""
+        return self.election.leads(now)
+
+    def tick(self, now: float) -> None:
+        """Handles timers; to be called several times a second."""
+        self.election.tick(now)
+        if not self.leads(now):
+            return
+        for lease_name, pool in self.pools.items():
+            for lease in pool.pop_expired(now):
+                self.actions.log_event(
+                    "turn_ran_out", turn=lease_name, holder=lease.holder, fence=lease.fencing_token
+                )
+            pool.drop_silent_waiters(now)
+            self._grant_waiting(now, lease_name, pool)
+
+    def receive(self, now: float, sender: str, message: ServerMessage) -> None:
+        """Handles a message of a client or of another server."""
+        match message:
+            case AcquireRequest():
+                self.on_acquire_request(now, sender, message)
+            case RenewRequest():
+                self.on_renew_request(now, sender, message)
+            case ReleaseNotice():
+                self.on_release_notice(now, sender, message)
+            case _:
+                self.election.receive(now, sender, message)
+
+    def send_lease_message(self, to: str, message: LeaseMessage) -> None:
+        """Sends a message of the election."""
+        self.actions.send_lease_message(to, message)
+
+    def on_elected(self, now: float, term: int) -> None:
+        """Begins with empty pools; see `ElectionActions`."""
+        self.grants_from = now + LEASE_MS * MAX_CLOCK_RATE_RATIO
+        self.pools = {lease_name: LeasePool(capacity) for lease_name, capacity in self.capacities.items()}
+        self.granted_in_term = 0
+        self.actions.log_event("turns_lead", term=term)
+
+    def on_stepped_down(self, term: int, reason: str) -> None:
+        """Forgets all leases; see `ElectionActions`."""
+        self.pools = {}
+        self.actions.log_event("turns_left", term=term, why=reason)
+
+    def on_acquire_request(self, now: float, sender: str, request: AcquireRequest) -> None:
+        """Grants a lease, or answers with the place in the queue."""
+        pool = self._pool(now, request.lease_name)
+        if pool is None:
+            self._refer_to_leader(sender, request)
+            return
+        request_id = RequestId(request.incarnation, request.request_number)
+        lease = pool.lease_of(sender)
+        if lease is not None and lease.request_id > request_id:
+            return  # a late message of an earlier request
+        if lease is not None and lease.request_id == request_id:  # our answer was lost
+            self._confirm(now, request.lease_name, lease, request.sequence)
+            return
+        if lease is not None:  # the client has released that one; its notice is under way or lost
+            del pool.leases[lease.slot]
+        waiter = self._enqueue(now, sender, request, pool)
+        if waiter is None:
+            return
+        self._grant_waiting(now, request.lease_name, pool)
+        if waiter in pool.waiters:
+            position = QueuePosition(
+                lease_name=request.lease_name,
+                term=self.election.term,
+                queue_position=pool.waiters.index(waiter),
+                sequence=request.sequence,
+            )
+            self.actions.send_lease_message(sender, position)
+
+    def on_renew_request(self, now: float, sender: str, request: RenewRequest) -> None:
+        """Extends a lease; takes one over that the leader before us granted, while we grant none."""
+        pool = self._pool(now, request.lease_name)
+        if pool is None or request.term != self.election.term:
+            self._refer_renewal(now, sender, request)
+            return
+        lease = pool.leases.get(request.slot)
+        if lease is None and now < self.grants_from and 0 <= request.slot < pool.capacity:
+            request_id = RequestId(request.incarnation, request.request_number)
+            lease = Lease(sender, request_id, request.slot, request.fencing_token, now, request.zone)
+            pool.leases[lease.slot] = lease
+        if lease is None or not _is_lease_of(lease, sender, request):
+            revoked = LeaseRevoked(lease_name=request.lease_name, fencing_token=request.fencing_token)
+            self.actions.send_lease_message(sender, revoked)
+            return
+        self._confirm(now, request.lease_name, lease, request.sequence)
+
+    def on_release_notice(self, now: float, sender: str, notice: ReleaseNotice) -> None:
+        """Takes a lease back, or a waiter from the queue."""
+        pool = self._pool(now, notice.lease_name)
+        if pool is None:
+            return  # the lease expires
+        request_id = RequestId(notice.incarnation, notice.request_number)
+        pool.release(sender, notice.fencing_token, request_id)
+        self._grant_waiting(now, notice.lease_name, pool)
+
+    def _pool(self, now: float, lease_name: str) -> LeasePool | None:
+        return self.pools.get(lease_name) if self.leads(now) else None
+
+    def _enqueue(self, now: float, sender: str, request: AcquireRequest, pool: LeasePool) -> Waiter | None:
+        """The waiter of `sender`, up to date; None where the queue is full or the request is a late one."""
+        request_id = RequestId(request.incarnation, request.request_number)
+        waiter = pool.enqueue(now, sender, request_id, request.zone)
+        if waiter is None:
+            self.actions.log_event("turns_full", turn=request.lease_name)
+            return None
+        if (waiter.request_id, waiter.sequence) > (request_id, request.sequence):
+            return None
+        waiter.request_id, waiter.sequence, waiter.last_seen = request_id, request.sequence, now
+        return waiter
+
+    def _grant_waiting(self, now: float, lease_name: str, pool: LeasePool) -> None:
+        if now < self.grants_from:
+            return
+        while pool.waiters and pool.has_free_slot():
+            waiter = pool.pop_next_waiter()
+            self.granted_in_term += 1
+            fencing_token = self.election.term * TOKENS_PER_TERM + self.granted_in_term
+            lease = pool.grant(waiter, fencing_token)
+            self._confirm(now, lease_name, lease, waiter.sequence)
+
+    def _confirm(self, now: float, lease_name: str, lease: Lease, sequence: int) -> None:
+        """Lets a lease begin or go on from now, and says so to its holder."""
+        lease.expires_at = now + LEASE_MS * MAX_CLOCK_RATE_RATIO
+        granted = LeaseGranted(
+            lease_name=lease_name,
+            slot=lease.slot,
+            fencing_token=lease.fencing_token,
+            term=self.election.term,
+            sequence=sequence,
+            request_id=lease.request_id,
+        )
+        self.actions.send_lease_message(lease.holder, granted)
+
+    def _refer_renewal(self, now: float, sender: str, request: RenewRequest) -> None:
+        if self.leads(now):
+            self._refer(sender, request, self.name, self.election.term)
+        else:
+            self._refer_to_leader(sender, request)
+
+    def _refer_to_leader(self, sender: str, request: AcquireRequest | RenewRequest) -> None:
+        self._refer(sender, request, self.election.leader, self.election.leader_term)
+
+    def _refer(self, sender: str, request: AcquireRequest | RenewRequest, leader: str, term: int) -> None:
+        referral = LeaderReferral(
+            lease_name=request.lease_name, leader=leader, term=term, sequence=request.sequence
+        )
+        self.actions.send_lease_message(sender, referral)
+
+
+def _is_lease_of(lease: Lease, sender: str, request: RenewRequest) -> bool:
+    return (lease.holder, lease.request_id.incarnation, lease.fencing_token) == (
+        sender,
+        request.incarnation,
+        request.fencing_token,
+    )
