--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -6,15 +6,12 @@
 
 from vetchford.transport import framing
 from vetchford.transport.framing import Envelope, FrameError
+from vetchford.transport.peers import Identity, LinkState
 from vetchford.transport.session import (
     BACK_OFF_MOST,
     GIVEN_UP,
-    GREETING,
     GREETS,
-    OFF,
     SILENT,
-    SILENT_NOW,
-    UP,
     WINDOW,
     Outbox,
     SessionManager,
@@ -35,7 +32,9 @@
             [],
         )
         self.outlived_by = []
-        self.peers = SessionManager(self, "pay", name, {other: "10.0.0.1" for other in others}, 1, life, 77)
+        self.peers = SessionManager(
+            self, Identity("pay", name, life, 77), {other: "10.0.0.1" for other in others}, 1
+        )
         self.sequences = {}
 
     def dial(self, peer, link):
@@ -51,13 +50,13 @@
     def deliver(self, peer, kind, body):
         self.got.append((peer, kind, body))
 
-    def linked(self, peer, state):
+    def on_link_state(self, peer, state):
         pass
 
-    def met(self, peer, life, nonce):
+    def on_peer_incarnation(self, peer, life, nonce):
         self.met_lives.append((peer, life))
 
-    def outlived(self, life, nonce):
+    def on_later_incarnation(self, life, nonce):
         self.outlived_by.append(life)
 
     def count(self, name, **fields):
@@ -70,25 +69,25 @@
 
     def wait(self, until):
         while self.peers.woken < until:
-            self.peers.woke(self.peers.woken + 100.0)
+            self.peers.tick(self.peers.woken + 100.0)
 
     def up(self, now=0.0):
         """A stream with b, called for by us."""
-        self.peers.woke(now)
+        self.peers.tick(now)
         link = next(link for peer, link in self.dialled[::-1] if peer == "b")
         self.peers.opened(now, link)
-        self.give(now, link, "hello", {"to": self.peers.name, "knows": [0, 0]})
+        self.give(now, link, "hello", {"to": self.peers.identity.name, "knows": [0, 0]})
         return link
 
 
 def test_a_pair_has_one_stream_called_for_by_the_first_in_order():
     first, second = Side("a", ["b"]), Side("b", ["a"])
-    first.peers.woke(0.0)
-    second.peers.woke(0.0)
+    first.peers.tick(0.0)
+    second.peers.tick(0.0)
     assert len(first.dialled) == 1 and not second.dialled
     link = second.peers.accepted(0.0, "10.0.0.1")
     second.give(0.0, link, "hello", {"to": "b", "knows": [3, 77]}, sender="a")
-    assert second.peers.peers["a"].state == UP and second.said[0][1] == "hello"
+    assert second.peers.peers["a"].state is LinkState.UP and second.said[0][1] == "hello"
     newer = second.peers.accepted(1.0, "10.0.0.1")
     second.give(1.0, newer, "hello", {"to": "b", "knows": [3, 77]}, sender="a")
     assert second.shut_links == [link] and second.peers.peers["a"].link == newer
@@ -96,11 +95,11 @@
 
 def test_a_peer_that_accepts_and_says_nothing_is_told_from_one_that_is_gone():
     side = Side()
-    side.peers.woke(0.0)
+    side.peers.tick(0.0)
     gone, mute = (link for _, link in side.dialled)
     side.peers.closed(1.0, gone, "no connection: Connection refused")
     side.peers.opened(1.0, mute)
-    assert side.peers.peers["c"].state == GREETING
+    assert side.peers.peers["c"].state is LinkState.HANDSHAKING
     side.wait(GREETS + 100.0)
     table = {name: peer.last for name, peer in side.peers.peers.items()}
     assert table["b"] == "no connection: Connection refused"
@@ -111,21 +110,21 @@
     side = Side(others=["b"])
     link = side.up()
     for now in range(100, int(SILENT) + 200, 100):
-        side.peers.woke(float(now))
-    assert side.peers.peers["b"].state == SILENT_NOW
+        side.peers.tick(float(now))
+    assert side.peers.peers["b"].state is LinkState.SILENT
     side.give(2800.0, link, "beat")
-    assert side.peers.peers["b"].state == UP
+    assert side.peers.peers["b"].state is LinkState.UP
     for now in range(2900, int(2800 + GIVEN_UP) + 200, 100):
-        side.peers.woke(float(now))
-    assert side.peers.peers["b"].state == OFF and ("peer_dropped", "silent") in side.counted
+        side.peers.tick(float(now))
+    assert side.peers.peers["b"].state is LinkState.OFF and ("peer_dropped", "silent") in side.counted
 
 
 def test_one_that_was_stopped_itself_holds_nobody_for_silent():
     side = Side(others=["b"])
     side.up()
-    side.peers.woke(100.0)
-    side.peers.woke(31_000.0)
-    assert side.peers.peers["b"].state == UP
+    side.peers.tick(100.0)
+    side.peers.tick(31_000.0)
+    assert side.peers.peers["b"].state is LinkState.UP
 
 
 @pytest.mark.parametrize(
@@ -170,7 +169,7 @@
 
 def test_a_later_life_of_ours_that_somebody_knows_is_told():
     side = Side(others=["b"], life=3)
-    side.peers.woke(0.0)
+    side.peers.tick(0.0)
     link = side.dialled[0][1]
     side.peers.opened(0.0, link)
     side.give(0.0, link, "hello", {"to": "a", "knows": [3, 77]})
@@ -194,7 +193,7 @@
     waits = []
     side = Side(others=["b"])
     for n in range(12):
-        side.peers.woke(1e6 * n)
+        side.peers.tick(1e6 * n)
         side.peers.closed(1e6 * n, side.dialled[-1][1], "refused")
         waits.append(side.peers.peers["b"].again_at - 1e6 * n)
     assert waits[0] < 400.0 and 0.5 * BACK_OFF_MOST <= waits[-1] <= 1.5 * BACK_OFF_MOST
@@ -268,7 +267,7 @@
     told = []
     side.tell_life = lambda peer, life, nonce: told.append((peer, life, nonce))
     side.peers.streams = False
-    side.peers.woke(0.0)
+    side.peers.tick(0.0)
     assert not side.dialled and not side.peers.accepted(0.0, "10.0.0.1")
     assert side.peers.datagram(1000.0, "10.0.0.1", Envelope("pay", "b", 9, 4, 1, "news", None))
     for at in range(10):  # its clock went back, or its name is used twice
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -17,7 +17,7 @@
 from vetchford.transport import framing
 from vetchford.transport.connections import Transport
 from vetchford.transport.framing import HEAD, MAGIC, VERSION, Envelope
-from vetchford.transport.session import CALLING, OFF
+from vetchford.transport.peers import Identity, LinkState
 
 
 class Side:
@@ -32,21 +32,18 @@
             self.actor,
             self,
             self.metrics,
-            "pay",
-            "a",
+            Identity("pay", "a", 1, 1),
             f"127.0.0.1:{self.port}",
             {"b": "127.0.0.1:9"},
             1,
-            1,
-            1,
         )
 
-    def datagram(self, peer, body):
+    def on_datagram(self, peer, body):
         self.brought.put((peer, body))
 
-    def linked(self, peer, state): ...
+    def on_link_state(self, peer, state): ...
 
-    def met(self, peer, life, nonce): ...
+    def on_peer_incarnation(self, peer, life, nonce): ...
 
     def begin(self):
         self.actor.start()
@@ -71,25 +68,25 @@
 
 def test_a_dialled_connection_reset_before_its_option_is_set_is_called_for_again(side):
     """It stands, and breaks before the actor has taken it over."""
-    peers = side.talk.decide
-    number = peers.peers["b"].link = peers.begin(0.0, "b", CALLING)
-    peers.to("b", CALLING)
+    peers = side.talk.sessions
+    number = peers.peers["b"].link = peers.begin(0.0, "b", LinkState.CONNECTING)
+    peers.to("b", LinkState.CONNECTING)
     mine, _ = socket.socketpair()
 
     def refuses(*given):
         raise OSError(22, "Invalid argument")
 
     side.talk.dialled(number, Wrapped(mine, setsockopt=refuses))
-    assert not peers.links and peers.peers["b"].state == OFF
+    assert not peers.links and peers.peers["b"].state is LinkState.OFF
     dialled = []
     side.talk.dial = lambda peer, link: dialled.append(peer)
-    peers.woke(1e12)
+    peers.tick(1e12)
     assert dialled == ["b"]
 
 
 def test_a_connection_that_is_shut_keeps_its_number_until_its_reader_is_through(side):
     """The reader is just about to read; closed now, its number could be the next connection's."""
-    peers, gate, closed = side.talk.decide, Checkpoint(), threading.Event()
+    peers, gate, closed = side.talk.sessions, Checkpoint(), threading.Event()
     mine, _ = socket.socketpair()
     wrapped = Wrapped(mine, recv=gate.before(mine.recv), close=closed.set, setsockopt=lambda *given: None)
     number = peers.accepted(0.0, "127.0.0.1")
@@ -156,6 +153,6 @@
 
 def test_an_infinite_number_in_a_view_is_counted_and_no_more():
     one = neighbours()
-    one.datagram("b", ["view", "ping", math.inf, "", []])
-    one.datagram("b", ["view", "ping", 1, "", [["b", "alive", math.inf]]])
+    one.on_datagram("b", ["view", "ping", math.inf, "", []])
+    one.on_datagram("b", ["view", "ping", 1, "", [["b", "alive", math.inf]]])
     assert one.metrics.by_name["peer_malformed"] == 2
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -25,6 +25,7 @@
 from vetchford.subsetting.subsets import View
 from vetchford.transport.connections import Transport
 from vetchford.transport.framing import MALFORMED
+from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
 
@@ -60,13 +61,10 @@
             self,
             self,
             metrics,
-            told["fleet"],
-            self.name,
+            Identity(told["fleet"], self.name, self.life, self.nonce),
             told["listen"],
             servers,
             seed,
-            self.life,
-            self.nonce,
             streams=False,
         )
         now = self.now()
@@ -166,7 +164,7 @@
     # -- hosts of the view, the signals, the turns and the conclusions
 
     def send(self, to: str, kind: str, number: int, about: str, news: list[News]) -> None:
-        self.talk.throw(to, ["view", kind, number, about, news])
+        self.talk.send_datagram(to, ["view", kind, number, about, news])
 
     def seen(self, name: str, state: str) -> None:
         if state != SUSPECT:
@@ -179,13 +177,13 @@
         self.signals.there(there, ring)
 
     def send_rows(self, to: str, rows: list[Row]) -> None:
-        self.talk.throw(to, ["rows", rows])
+        self.talk.send_datagram(to, ["rows", rows])
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
         if to == self.name:
             self.post(self.receive_lease_message, to, message)
         else:
-            self.talk.throw(to, ["turn", lease_messages.encode(message)])
+            self.talk.send_datagram(to, ["turn", lease_messages.encode(message)])
 
     def receive_lease_message(self, sender: str, message: LeaseMessage) -> None:
         if isinstance(message, ClientMessage):
@@ -213,7 +211,7 @@
 
     # -- what `talk` brings
 
-    def datagram(self, peer: str, body: Any) -> None:
+    def on_datagram(self, peer: str, body: Any) -> None:
         try:
             kind, *rest = body
             if kind == "view":
@@ -229,14 +227,14 @@
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
-    def word(self, peer: str, kind: str, body: Any) -> None:
+    def on_message(self, peer: str, kind: str, body: Any) -> None:
         """Nobody has a stream to us."""
 
-    def linked(self, peer: str, state: str) -> None: ...
+    def on_link_state(self, peer: str, state: LinkState) -> None: ...
 
-    def met(self, peer: str, life: int, nonce: int) -> None: ...
+    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None: ...
 
-    def outlived(self, life: int, nonce: int) -> None:
+    def on_later_incarnation(self, life: int, nonce: int) -> None:
         """Somebody knows a later life of our name: the day's clock went back, or the name is used twice."""
         now = self.now()
         self.raised = [at for at in self.raised if now - at < 60_000.0]
@@ -250,7 +248,7 @@
         self.views.news[self.name] = 0
         self.signals.life = self.life
         self.lease_client.begin_incarnation(now, self.life)
-        self.talk.renew(self.life, self.nonce)
+        self.talk.begin_incarnation(self.life, self.nonce)
 
 
 def measure() -> LoadSampler:
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -22,7 +22,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.transport.connections import Transport
 from vetchford.transport.framing import MALFORMED
-from vetchford.transport.session import UP
+from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
 
@@ -68,18 +68,15 @@
             actor,
             self,
             metrics,
-            told["fleet"],
-            self.name,
+            Identity(told["fleet"], self.name, self.life, self.nonce),
             told["listen"],
             agents,
             seed,
-            self.life,
-            self.nonce,
         )
         for kind, name, body in kept:
-            if kind == "peer" and name in self.talk.decide.peers:
-                peer = self.talk.decide.peers[name]
-                peer.life, peer.nonce = body["life"], body["nonce"]
+            if kind == "peer" and name in self.talk.sessions.peers:
+                peer = self.talk.sessions.peers[name]
+                peer.incarnation, peer.nonce = body["life"], body["nonce"]
         self.views = failure_detector.FailureDetector(
             self, self.name, agents, seed + self.life, self.life * DENIALS, listed=True, now=now
         )
@@ -98,7 +95,7 @@
 
     def woke(self) -> None:
         now = self.now()
-        self.talk.woke()
+        self.talk.tick()
         self.views.woke(now)
         self.across.woke(now)
 
@@ -107,7 +104,7 @@
 
     # -- what `talk` brings
 
-    def word(self, peer: str, kind: str, body: Any) -> None:
+    def on_message(self, peer: str, kind: str, body: Any) -> None:
         try:
             self.across.heard(self.now(), peer, kind, body)
         except MALFORMED as problem:
@@ -115,7 +112,7 @@
                 "peer_malformed", peer=peer, kind=kind, problem=f"{type(problem).__name__}: {problem}"
             )
 
-    def datagram(self, peer: str, body: Any) -> None:
+    def on_datagram(self, peer: str, body: Any) -> None:
         try:
             kind, number, about, news = body
             pieces = [(str(name), str(state), int(at)) for name, state, at in news]
@@ -123,17 +120,17 @@
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
-    def linked(self, peer: str, state: str) -> None:
-        if state == UP:
+    def on_link_state(self, peer: str, state: LinkState) -> None:
+        if state is LinkState.UP:
             log.info("peer_up", peer=peer)
 
-    def met(self, peer: str, life: int, nonce: int) -> None:
+    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None:
         try:
             self.owner.store.put("peer", peer, {"life": life, "nonce": nonce})
         except OSError as problem:  # it is known until our own end
             self.metrics.log_sampled("peer_not_kept", problem=str(problem))
 
-    def outlived(self, life: int, nonce: int) -> None:
+    def on_later_incarnation(self, life: int, nonce: int) -> None:
         """Somebody knows a later life of our name: our store is an old copy or empty, or the name is used
         twice.
         """
@@ -157,12 +154,12 @@
         log.warning("life_raised", life=self.life, known=life)
         self.views.incarnation = self.life * DENIALS
         self.views.news[self.name] = 0
-        self.talk.renew(self.life, self.nonce)
+        self.talk.begin_incarnation(self.life, self.nonce)
 
     # -- the host of the membership view
 
     def send(self, to: str, kind: str, number: int, about: str, news: list[failure_detector.News]) -> None:
-        self.talk.throw(to, [kind, number, about, news])
+        self.talk.send_datagram(to, [kind, number, about, news])
 
     def seen(self, name: str, state: str) -> None:
         log.info("peer_seen", peer=name, state=WORDS[state])
@@ -170,7 +167,7 @@
     # -- the host of `across`
 
     def post(self, to: str, kind: str, body: Body) -> bool:
-        return self.talk.post(to, kind, body)
+        return self.talk.send(to, kind, body)
 
     def keep(self, kind: str, name: str, body: Body | None) -> None:
         self.owner.store.put(kind, name, body, history=kind != "book")
@@ -234,7 +231,7 @@
     def table(self) -> Body:
         """Links, views and the record, as this agent sees them."""
         book = self.across.book
-        rows = self.talk.decide.table()
+        rows = self.talk.sessions.table()
         for row in rows:
             member = self.views.members.get(row["name"])
             row["view"] = WORDS[member.state] if member else "not seen"
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -10,6 +10,7 @@
 import threading
 import time
 from collections.abc import Mapping
+from dataclasses import replace
 from typing import Any, Protocol
 
 import structlog
@@ -19,6 +20,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.transport import framing
 from vetchford.transport.framing import Envelope, FrameError
+from vetchford.transport.peers import Identity, LinkState
 from vetchford.transport.session import Outbox, SessionManager
 
 log = structlog.get_logger()
@@ -30,15 +32,15 @@
 class Owner(Protocol):
     """Whose mailbox all of it comes to."""
 
-    def word(self, peer: str, kind: str, body: Any) -> None: ...
+    def on_message(self, peer: str, kind: str, body: Any) -> None: ...
 
-    def datagram(self, peer: str, body: Any) -> None: ...
+    def on_datagram(self, peer: str, body: Any) -> None: ...
 
-    def linked(self, peer: str, state: str) -> None: ...
+    def on_link_state(self, peer: str, state: LinkState) -> None: ...
 
-    def met(self, peer: str, life: int, nonce: int) -> None: ...
+    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None: ...
 
-    def outlived(self, life: int, nonce: int) -> None: ...
+    def on_later_incarnation(self, life: int, nonce: int) -> None: ...
 
 
 class StreamWriter:
@@ -68,33 +70,29 @@
 
 
 class Transport:
-    """Begun by `begin`; `woke` is called by its actor several times a second."""
+    """Begun by `begin`; `tick` is called by its actor several times a second."""
 
     def __init__(
         self,
         actor: Actor,
         owner: Owner,
         metrics: Metrics,
-        fleet: str,
-        name: str,
+        identity: Identity,
         listen: str,
         addresses: Mapping[str, str],
         seed: int,
-        life: int,
-        nonce: int,
         streams: bool = True,
     ) -> None:
         """`addresses`: where each peer is to be found from here. OSError where `listen` can't be had."""
         self.actor, self.owner, self.metrics = actor, owner, metrics
-        self.addresses = {peer: split(address) for peer, address in addresses.items() if peer != name}
-        self.decide = SessionManager(
+        self.addresses = {
+            peer: split(address) for peer, address in addresses.items() if peer != identity.name
+        }
+        self.sessions = SessionManager(
             self,
-            fleet,
-            name,
+            identity,
             {peer: host for peer, (host, _) in self.addresses.items()},
             seed,
-            life,
-            nonce,
             streams,
         )
         self.wires: dict[int, StreamWriter] = {}  # emptied as connections end
@@ -115,22 +113,23 @@
     def now(self) -> float:
         return clock.now()
 
-    def woke(self) -> None:
-        self.decide.woke(self.now())
+    def tick(self) -> None:
+        self.sessions.tick(self.now())
 
-    def renew(self, life: int, nonce: int) -> None:
+    def begin_incarnation(self, incarnation: int, nonce: int) -> None:
         """A new life: all connections are made anew under it."""
-        for number in list(self.decide.links):
-            self.decide.closed(self.now(), number, "a new life of ours")
-        self.decide.life, self.decide.nonce, self.decide.sequence = life, nonce, 0
+        for number in list(self.sessions.links):
+            self.sessions.closed(self.now(), number, "a new life of ours")
+        identity = replace(self.sessions.identity, incarnation=incarnation, nonce=nonce)
+        self.sessions.identity, self.sessions.sequence = identity, 0
 
-    def post(self, peer: str, kind: str, body: Any) -> bool:
-        return self.decide.post(self.now(), peer, kind, body)
+    def send(self, peer: str, kind: str, body: Any) -> bool:
+        return self.sessions.send(self.now(), peer, kind, body)
 
-    def throw(self, peer: str, body: Any, kind: str = "news") -> None:
+    def send_datagram(self, peer: str, body: Any, kind: str = "news") -> None:
         """A datagram; it may be lost."""
         try:
-            data = framing.packed(self.envelope(self.decide.next_datagram(), kind, body))
+            data = framing.packed(self.envelope(self.sessions.next_datagram(), kind, body))
             if len(data) > framing.MOST_DATAGRAM:
                 self.metrics.log_sampled("datagram_too_long", bytes=len(data))
                 return
@@ -141,8 +140,8 @@
             self.metrics.log_sampled("datagram_not_sent", problem=str(problem))
 
     def envelope(self, sequence: int, kind: str, body: Any) -> Envelope:
-        decide = self.decide
-        return Envelope(decide.fleet, decide.name, decide.life, decide.nonce, sequence, kind, body)
+        local = self.sessions.identity
+        return Envelope(local.fleet, local.name, local.incarnation, local.nonce, sequence, kind, body)
 
     # -- the host
 
@@ -181,19 +180,19 @@
             self.wires.pop(link).shut()
 
     def deliver(self, peer: str, kind: str, body: Any) -> None:
-        self.owner.word(peer, kind, body)
+        self.owner.on_message(peer, kind, body)
 
-    def linked(self, peer: str, state: str) -> None:
-        self.owner.linked(peer, state)
+    def on_link_state(self, peer: str, state: LinkState) -> None:
+        self.owner.on_link_state(peer, state)
 
-    def met(self, peer: str, life: int, nonce: int) -> None:
-        self.owner.met(peer, life, nonce)
+    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None:
+        self.owner.on_peer_incarnation(peer, life, nonce)
 
-    def outlived(self, life: int, nonce: int) -> None:
-        self.owner.outlived(life, nonce)
+    def on_later_incarnation(self, life: int, nonce: int) -> None:
+        self.owner.on_later_incarnation(life, nonce)
 
     def tell_life(self, peer: str, life: int, nonce: int) -> None:
-        self.throw(peer, [life, nonce], "life")
+        self.send_datagram(peer, [life, nonce], "life")
 
     def count(self, name: str, **fields: Any) -> None:
         """By its reason, which are few: a crowd of one kind must not hide another."""
@@ -205,14 +204,14 @@
     # -- told to the actor by the threads beside it
 
     def dialled(self, link: int, sock: socket.socket) -> None:
-        if link not in self.decide.links:
+        if link not in self.sessions.links:
             sock.close()
             return
         if self.serve(link, sock):
-            self.decide.opened(self.now(), link)
+            self.sessions.opened(self.now(), link)
 
     def taken(self, sock: socket.socket, address: str) -> None:
-        link = self.decide.accepted(self.now(), address)
+        link = self.sessions.accepted(self.now(), address)
         if not link:
             sock.close()
             return
@@ -231,22 +230,22 @@
         return True
 
     def ended(self, link: int, why: str) -> None:
-        self.decide.closed(self.now(), link, why)
+        self.sessions.closed(self.now(), link, why)
 
     def arrived(self, link: int, envelope: Envelope) -> None:
-        self.decide.heard(self.now(), link, envelope)
+        self.sessions.heard(self.now(), link, envelope)
 
     def thrown(self, address: str, envelope: Envelope) -> None:
-        if not self.decide.datagram(self.now(), address, envelope):
+        if not self.sessions.datagram(self.now(), address, envelope):
             return
         if envelope.kind == "life":
             try:
                 life, nonce = envelope.body
-                self.decide.compare(int(life), int(nonce))
+                self.sessions.compare(int(life), int(nonce))
             except framing.MALFORMED:
                 self.count("peer_refused", why="malformed", peer=envelope.sender)
         else:
-            self.owner.datagram(envelope.sender, envelope.body)
+            self.owner.on_datagram(envelope.sender, envelope.body)
 
     # -- threads
 
--- a/vetchford/transport/session.py
+++ b/vetchford/transport/session.py
@@ -20,7 +20,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-OFF, CALLING, GREETING, UP, SILENT_NOW = "off", "calling", "greeting", "up", "silent"
+from vetchford.transport.peers import Identity, LinkState
+
 BEAT = 500.0  # ms without a word of ours after which we say one: five fit into SILENT
 SILENT = 2500.0  # ms: a machine that is only busy is heard within one
 GIVEN_UP = 8000.0  # ms: a frozen peer that wakes within them keeps its connection and what is queued
@@ -31,7 +32,7 @@
 MOST_QUEUED = 512  # messages for one peer: some seconds of a change's polls and answers
 MOST_BYTES = 4 << 20  # of them: four of the longest
 MOST_LINKS = 4  # for each listed peer, begun or up: the rest of a crowd is closed at once
-ASLEEP = 1500.0  # ms between two calls of `woke` after which we ourselves were stopped
+ASLEEP = 1500.0  # ms between two calls of `tick` after which we ourselves were stopped
 
 
 class Host(Protocol):
@@ -47,13 +48,13 @@
 
     def deliver(self, peer: str, kind: str, body: Any) -> None: ...
 
-    def linked(self, peer: str, state: str) -> None:
+    def on_link_state(self, peer: str, state: LinkState) -> None:
         """The state of a peer's link has changed."""
 
-    def met(self, peer: str, life: int, nonce: int) -> None:
+    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None:
         """A new life of a peer; to be kept, so that earlier ones stay known as such."""
 
-    def outlived(self, life: int, nonce: int) -> None:
+    def on_later_incarnation(self, life: int, nonce: int) -> None:
         """Somebody knows a life of our name that is not ours and not earlier: our store is old, or a twin."""
 
     def tell_life(self, peer: str, life: int, nonce: int) -> None:
@@ -125,7 +126,7 @@
 
     peer: str  # empty until the other side has greeted
     since: float
-    state: str
+    state: LinkState
     heard: float
     said: float
     sent: int = 0
@@ -135,8 +136,8 @@
 @dataclass(slots=True)
 class Peer:
     address: str
-    state: str = OFF
-    life: int = 0  # the newest that was heard of; 0: none
+    state: LinkState = LinkState.OFF
+    incarnation: int = 0  # the newest that was heard of; 0: none
     nonce: int = 0
     link: int = 0  # 0: none
     tries: int = 0
@@ -152,33 +153,29 @@
     def __init__(
         self,
         host: Host,
-        fleet: str,
-        name: str,
+        identity: Identity,
         addresses: Mapping[str, str],
         seed: int,
-        life: int,
-        nonce: int,
         streams: bool = True,
     ) -> None:
         """`addresses`: host of each listed peer by name; nobody else is heard. Without `streams` none is
         called, and lives are told by datagrams.
         """
-        self.host, self.fleet, self.name, self.seed, self.draws = host, fleet, name, seed, 0
-        self.life, self.nonce, self.streams = life, nonce, streams
-        self.peers = {peer: Peer(address) for peer, address in addresses.items() if peer != name}
+        self.host, self.identity, self.seed, self.draws, self.streams = host, identity, seed, 0, streams
+        self.peers = {peer: Peer(address) for peer, address in addresses.items() if peer != identity.name}
         self.links: dict[int, Link] = {}  # emptied as connections end
         self.numbers, self.sequence, self.woken = 0, 0, 0.0
 
     def draw(self, count: int) -> int:
         self.draws += 1
-        return zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % count
+        return zlib.crc32(b"%d:%s:%d" % (self.seed, self.identity.name.encode(), self.draws)) % count
 
     def calls(self, peer: str) -> bool:
-        return self.streams and self.name < peer
+        return self.streams and self.identity.name < peer
 
     # -- time
 
-    def woke(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Some ten times a second."""
         asleep, self.woken = now - self.woken - ASLEEP, now
         if asleep > 0.0 and self.links:  # we were frozen: nobody else is late because of it
@@ -189,26 +186,26 @@
                     link.said + asleep,
                 )
         for name, peer in self.peers.items():
-            if peer.state == OFF and self.calls(name) and now >= peer.again_at:
-                peer.link = self.begin(now, name, CALLING)
-                self.to(name, CALLING)
+            if peer.state == LinkState.OFF and self.calls(name) and now >= peer.again_at:
+                peer.link = self.begin(now, name, LinkState.CONNECTING)
+                self.to(name, LinkState.CONNECTING)
                 self.host.dial(name, peer.link)
         for number, link in list(self.links.items()):
-            if link.state in (UP, SILENT_NOW):
+            if link.state in (LinkState.UP, LinkState.SILENT):
                 quiet = now - link.heard
                 if quiet >= GIVEN_UP:
                     self.drop(now, number, "silent", "accepts and says nothing")
                     continue
-                if quiet >= SILENT and link.state == UP:
-                    link.state = SILENT_NOW
+                if quiet >= SILENT and link.state == LinkState.UP:
+                    link.state = LinkState.SILENT
                     self.host.count("peer_silent", peer=link.peer)
-                    self.to(link.peer, SILENT_NOW)
+                    self.to(link.peer, LinkState.SILENT)
                 if now - link.said >= BEAT:
                     self.say(now, number, "beat", None)
-            elif link.state == GREETING and now - link.since >= GREETS:
+            elif link.state == LinkState.HANDSHAKING and now - link.since >= GREETS:
                 self.drop(now, number, "mute", "connected, and no word came")
 
-    def begin(self, now: float, peer: str, state: str) -> int:
+    def begin(self, now: float, peer: str, state: LinkState) -> int:
         self.numbers += 1
         self.links[self.numbers] = Link(peer, now, state, now, now)
         return self.numbers
@@ -221,8 +218,8 @@
         if link is None:
             self.host.shut(number)
             return
-        link.state, link.since = GREETING, now
-        self.to(link.peer, GREETING)
+        link.state, link.since = LinkState.HANDSHAKING, now
+        self.to(link.peer, LinkState.HANDSHAKING)
         self.greet(now, number, link.peer)
 
     def accepted(self, now: float, address: str) -> int:
@@ -236,7 +233,7 @@
         if sum(not link.peer for link in self.links.values()) >= MOST_LINKS * len(self.peers):
             self.host.count("peer_refused", why="crowd", address=address)
             return 0
-        return self.begin(now, "", GREETING)
+        return self.begin(now, "", LinkState.HANDSHAKING)
 
     def closed(self, now: float, number: int, why: str) -> None:
         """It ended, or could not be made."""
@@ -259,17 +256,17 @@
         wait = min(BACK_OFF_MOST, BACK_OFF * 2.0 ** min(10, peer.tries))
         peer.tries += 1
         peer.again_at = now + wait * (0.5 + self.draw(1000) / 1000.0)  # apart: all lost theirs at once
-        self.to(link.peer, OFF)
+        self.to(link.peer, LinkState.OFF)
 
     def greet(self, now: float, number: int, to: str) -> None:
         known = self.peers[to]
-        self.say(now, number, "hello", {"to": to, "knows": [known.life, known.nonce]})
+        self.say(now, number, "hello", {"to": to, "knows": [known.incarnation, known.nonce]})
 
-    def to(self, name: str, state: str) -> None:
+    def to(self, name: str, state: LinkState) -> None:
         peer = self.peers[name]
         if peer.state != state:
             peer.state = state
-            self.host.linked(name, state)
+            self.host.on_link_state(name, state)
 
     # -- words
 
@@ -279,10 +276,14 @@
         link.said = now
         return self.host.write(number, kind, body, link.sent)
 
-    def post(self, now: float, peer: str, kind: str, body: Any) -> bool:
+    def send(self, now: float, peer: str, kind: str, body: Any) -> bool:
         """A message on the pair's stream; False where there is none: whoever needs it asks again."""
         known = self.peers.get(peer)
-        if known is None or not known.link or self.links[known.link].state not in (UP, SILENT_NOW):
+        if (
+            known is None
+            or not known.link
+            or self.links[known.link].state not in (LinkState.UP, LinkState.SILENT)
+        ):
             return False
         return self.say(now, known.link, kind, body)
 
@@ -312,17 +313,17 @@
                 self.host.count("peer_of_another_life", why=old, peer=envelope.sender)
                 self.greet(now, number, envelope.sender)
             return
-        if link.state == GREETING:
+        if link.state == LinkState.HANDSHAKING:
             self.greeted(now, number, link, envelope)
-        elif link.state == SILENT_NOW:
-            link.state = UP
-            self.to(link.peer, UP)
+        elif link.state == LinkState.SILENT:
+            link.state = LinkState.UP
+            self.to(link.peer, LinkState.UP)
         if envelope.kind not in ("hello", "beat") and number in self.links:
             self.host.deliver(envelope.sender, envelope.kind, envelope.body)
 
     def greeted(self, now: float, number: int, link: Link, envelope: Any) -> None:
         name, body = envelope.sender, envelope.body
-        if envelope.kind != "hello" or not isinstance(body, dict) or body.get("to") != self.name:
+        if envelope.kind != "hello" or not isinstance(body, dict) or body.get("to") != self.identity.name:
             self.host.count("peer_refused", why="no greeting", peer=name)
             self.drop(now, number, "", "no greeting")
             return
@@ -337,34 +338,36 @@
                 self.drop(now, peer.link, "replaced", "a newer connection")
             peer.link = number
             self.greet(now, number, name)
-        link.state, peer.up_since = UP, now
+        link.state, peer.up_since = LinkState.UP, now
         if peer.tries and not called:
             peer.tries = 0
-        self.to(name, UP)
+        self.to(name, LinkState.UP)
         knows = body.get("knows")
         if isinstance(knows, list) and len(knows) == 2 and all(isinstance(part, int) for part in knows):
             self.compare(knows[0], knows[1])
 
     def compare(self, life: int, nonce: int) -> None:
         """What somebody has known of us: a life that we did not begin is another's."""
-        if life > self.life or (life == self.life and nonce != self.nonce):
-            self.host.outlived(life, nonce)
+        if life > self.identity.incarnation or (
+            life == self.identity.incarnation and nonce != self.identity.nonce
+        ):
+            self.host.on_later_incarnation(life, nonce)
 
     def stranger(self, envelope: Any) -> str:
-        if envelope.fleet != self.fleet:
+        if envelope.fleet != self.identity.fleet:
             return "another fleet"
         return "" if envelope.sender in self.peers else "not listed"
 
     def life_of(self, now: float, envelope: Any) -> str:
         """Takes in a newer life; says what is wrong with an old one."""
         peer = self.peers[envelope.sender]
-        if envelope.life < peer.life:
+        if envelope.life < peer.incarnation:
             return "earlier_life"
-        if envelope.life == peer.life and envelope.nonce != peer.nonce:
+        if envelope.life == peer.incarnation and envelope.nonce != peer.nonce:
             return "twin"  # another program by this name: whoever came second has to begin a new life
-        if envelope.life > peer.life:
-            peer.life, peer.nonce, peer.window = envelope.life, envelope.nonce, Window()
-            self.host.met(envelope.sender, envelope.life, envelope.nonce)
+        if envelope.life > peer.incarnation:
+            peer.incarnation, peer.nonce, peer.window = envelope.life, envelope.nonce, Window()
+            self.host.on_peer_incarnation(envelope.sender, envelope.life, envelope.nonce)
         return ""
 
     # -- datagrams
@@ -389,13 +392,18 @@
         peer = self.peers[envelope.sender]
         if old and not self.streams and now >= peer.again_at:
             peer.again_at = now + BACK_OFF  # it hears what is known of its name
-            self.host.tell_life(envelope.sender, peer.life, peer.nonce)
+            self.host.tell_life(envelope.sender, peer.incarnation, peer.nonce)
         return not late
 
     # -- what is told
 
     def table(self) -> list[dict[str, Any]]:
         return [
-            {"name": name, "link": peer.state, "life": peer.life, "why": "" if peer.link else peer.last}
+            {
+                "name": name,
+                "link": peer.state,
+                "life": peer.incarnation,
+                "why": "" if peer.link else peer.last,
+            }
             for name, peer in sorted(self.peers.items())
         ]
