--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -10,12 +10,12 @@
 from vetchford.transport.outbox import Outbox
 from vetchford.transport.peers import Identity, LinkState
 from vetchford.transport.replay_window import WINDOW_SIZE, ReplayWindow
-from vetchford.transport.session_manager import (
+from vetchford.transport.session_manager import SessionManager
+from vetchford.transport.timing import (
     GIVE_UP_TIMEOUT_MS,
     HANDSHAKE_TIMEOUT_MS,
     MAX_BACKOFF_MS,
     SILENCE_TIMEOUT_MS,
-    SessionManager,
 )
 
 
--- a/vetchford/transport/session_manager.py
+++ b/vetchford/transport/session_manager.py
@@ -6,12 +6,14 @@
 dropped after HANDSHAKE_TIMEOUT_MS ("mute"), one that is SILENT after GIVE_UP_TIMEOUT_MS ("silent"): such
 peers are frozen or cut off in one direction. Peers that refuse connections are gone; operators see the
 difference.
+
+The module is longer than most because links, handshake and datagrams are one state machine over one table.
 """
 
 import zlib
 from collections.abc import Mapping
 from dataclasses import replace
-from typing import Any, Protocol
+from typing import Any
 
 from vetchford.transport import handshake
 from vetchford.transport.framing import Envelope
@@ -25,57 +27,25 @@
     Refusal,
 )
 from vetchford.transport.replay_window import SequenceFault
-
-HEARTBEAT_INTERVAL_MS = 500.0  # without a message of ours, then a heartbeat: five fit into SILENCE_TIMEOUT_MS
-SILENCE_TIMEOUT_MS = 2500.0  # a machine that is only busy is heard within one second
-GIVE_UP_TIMEOUT_MS = 8000.0  # a frozen peer that wakes within it keeps its connection and what is queued
-HANDSHAKE_TIMEOUT_MS = 2000.0  # for the first message of a new connection
-MIN_BACKOFF_MS = 200.0  # the time of a restart
-MAX_BACKOFF_MS = 5000.0  # bounds how long a healed link stays unused
-MAX_BACKOFF_EXPONENT = 10
-STABLE_AFTER_MS = 10_000.0  # up, then the backoff begins anew: a flapping link keeps its long one
-MAX_PENDING_PER_PEER = 4  # connections without a handshake for each listed peer; others are closed at once
-SUSPENDED_AFTER_MS = 1500.0  # between two ticks: then this process itself was suspended
-MAX_LOGGED_NAME = 64  # characters of the name of an unknown sender
+from vetchford.transport.session_actions import SessionActions
+from vetchford.transport.timing import (
+    GIVE_UP_TIMEOUT_MS,
+    HANDSHAKE_TIMEOUT_MS,
+    HEARTBEAT_INTERVAL_MS,
+    MAX_BACKOFF_EXPONENT,
+    MAX_BACKOFF_MS,
+    MAX_LOGGED_NAME,
+    MAX_PENDING_PER_PEER,
+    MIN_BACKOFF_MS,
+    SILENCE_TIMEOUT_MS,
+    STABLE_AFTER_MS,
+    SUSPENDED_AFTER_MS,
+)
 
 HEARTBEAT = "beat"
 OWN_KINDS = (handshake.KIND, HEARTBEAT)  # which are not delivered
 
 
-class SessionActions(Protocol):
-    """What the session manager acts through."""
-
-    def connect(self, peer: str, link: int) -> None:
-        """Begins a connection; `on_connected` or `on_closed` tells what came of it."""
-
-    def write(self, link: int, kind: str, body: Any, sequence: int) -> bool:
-        """Puts a message into the link's outbox, without blocking; returns whether it could be."""
-
-    def close_link(self, link: int) -> None:
-        """Closes a connection."""
-
-    def deliver(self, peer: str, kind: str, body: Any) -> None:
-        """Passes on a message of a peer."""
-
-    def on_link_state(self, peer: str, state: LinkState) -> None:
-        """The state of a peer's link has changed."""
-
-    def on_peer_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
-        """A peer began a new incarnation; to be kept, so that earlier ones stay known as such."""
-
-    def on_later_incarnation(self, incarnation: int, nonce: int) -> None:
-        """A peer knows an incarnation of our name that is neither ours nor earlier.
-
-        Our store is old, or two processes have this name.
-        """
-
-    def send_known_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
-        """Tells a peer by datagram which incarnation of it we know; it calls `compare_incarnation`."""
-
-    def count_event(self, name: str, **fields: Any) -> None:
-        """Counts and logs an event; `why` is its reason."""
-
-
 class SessionManager:
     """The sessions of one process with all listed peers."""
 
