--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -6,10 +6,12 @@
 import msgspec
 
 from testkit.simulation.world import Port, World
-from vetchford.gossip.load_gossip import OLD, PERIOD, LoadGossip, MetricDefinition
+from vetchford.gossip.load_gossip import GOSSIP_INTERVAL_MS, REPORT_LIFETIME_MS, LoadGossip
+from vetchford.gossip.messages import LoadReport
+from vetchford.gossip.metrics import MetricDefinition
 from vetchford.subsetting.subsets import View
 
-FIGURES = (
+METRICS = (
     MetricDefinition("pace", 64.0),
     MetricDefinition("lost", 1.0),
     MetricDefinition("full", 1.0),
@@ -28,18 +30,16 @@
     ) -> None:
         self.port, self.truth, self.lies, self.bytes = port, truth, lies, 0
         self.chance = random.Random(f"{port.name}")
-        self.signals = LoadGossip(self, port.name, port.life, FIGURES, 7)
-        self.signals.there(names, rings[port.name])
+        self.signals = LoadGossip(self, port.name, port.life, METRICS, 7)
+        self.signals.set_members(names, rings[port.name])
         self.turns = 0
 
-    def send_rows(self, to: str, rows: list[Any]) -> None:
-        self.bytes += len(packer.encode(rows)) + 60  # the envelope: measured on sockets
-        self.port.send(to, rows)
+    def send_load_reports(self, to: str, reports: list[LoadReport]) -> None:
+        self.bytes += len(packer.encode(reports)) + 60  # the envelope: measured on sockets
+        self.port.send(to, reports)
 
-    def log_event(self, event: str, **fields: Any) -> None: ...
-
-    def heard(self, now: float, sender: str, rows: Any) -> None:
-        self.signals.heard(now, sender, rows)
+    def heard(self, now: float, sender: str, reports: list[LoadReport]) -> None:
+        self.signals.receive(now, sender, reports)
 
     def woke(self, now: float) -> None:
         self.turns += 1
@@ -49,10 +49,10 @@
                 if self.lies
                 else min(1.0, max(0.0, self.truth(self.port.world.now) + self.chance.gauss(0.0, 0.02)))
             )
-            self.signals.measured(
+            self.signals.report_own(
                 now, {"full": own, "pace": 64.0 if self.lies else 1.0, "memory": 0.3, "rate": 40.0}
             )
-        self.signals.woke(now)
+        self.signals.tick(now)
 
 
 def made(count: int, loss: float, liars: bool, truth: Any, seed: int = 1) -> World:
@@ -77,7 +77,7 @@
             continue
         aggregate = program.signals.aggregate(world.clock(name), "full")
         errors.append(abs(aggregate.value - truth) if aggregate else 1.0)
-        ages.append(aggregate.age if aggregate else OLD)
+        ages.append(aggregate.mean_age_ms if aggregate else REPORT_LIFETIME_MS)
     return sum(errors) / len(errors), max(errors), sum(ages) / len(ages)
 
 
@@ -110,5 +110,5 @@
         "jump_ms": whole,
         "with_liars": round(off(lied, 0.1)[0], 4),
         "bytes_per_s": round(sent / count / 10.0),
-        "messages_per_s": round(2000.0 / PERIOD, 1),
+        "messages_per_s": round(2000.0 / GOSSIP_INTERVAL_MS, 1),
     }
--- a/tests/coordination/test_load_sampler.py
+++ b/tests/coordination/test_load_sampler.py
@@ -1,6 +1,6 @@
 """What one server tells of itself."""
 
-from vetchford.coordination.load_sampler import WINDOW, LoadSampler
+from vetchford.coordination.load_sampler import WINDOW_MS, LoadSampler
 
 
 def figures(measure, now, begun=(), usual=40.0, counts=None):
@@ -18,10 +18,10 @@
     told = figures(measure, 10.0)
     assert told["pace"] == 1.0 and told["lost"] == 0.0 and told["well"] == 1.0
     for at in range(5):
-        measure.call_ended(WINDOW + 100.0 + at, "overdue", 1800.0)
-    told = figures(measure, WINDOW + 200.0)
-    assert told["lost"] == 1.0 and told["pace"] == 45.0 and told["well"] == WINDOW + 191.0
-    assert "pace" not in figures(measure, 9 * WINDOW) and "lost" not in figures(measure, 9 * WINDOW)
+        measure.call_ended(WINDOW_MS + 100.0 + at, "overdue", 1800.0)
+    told = figures(measure, WINDOW_MS + 200.0)
+    assert told["lost"] == 1.0 and told["pace"] == 45.0 and told["well"] == WINDOW_MS + 191.0
+    assert "pace" not in figures(measure, 9 * WINDOW_MS) and "lost" not in figures(measure, 9 * WINDOW_MS)
 
 
 def test_a_call_that_is_out_for_long_with_no_end_seen_tells_of_a_service_that_hangs():
--- a/vetchford/coordination/__init__.py
+++ b/vetchford/coordination/__init__.py
@@ -1,1 +1,5 @@
-"""What a server shares with the other servers of its fleet: carries `signals` and `turns` over `peers`."""
+"""A server's part in its fleet: carries membership, load reports and leases over datagrams.
+
+Modules: `settings`, `datagrams` (codec), `load_sampler` (what the server reports of itself), `incarnation`,
+`fleet_member` (the actor). A server that is not told of a fleet imports none of them.
+"""
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -1,8 +1,7 @@
-"""A server's place among the servers of its fleet, on sockets: a view, signals, turns, and what follows for
-it.
+"""A server's part in its fleet: an actor that carries membership, load reports and leases over datagrams.
 
-One thread; datagrams alone. The module is asked for figures and told plain numbers, and never waits.
-Without a neighbour in sight the numbers are those of a server alone.
+One thread. The admission actor is asked for metrics and told signals, and never waits. Without another server
+in sight the signals are those of a server alone.
 """
 
 import time
@@ -11,11 +10,16 @@
 
 import structlog
 
+from vetchford.coordination import datagrams
+from vetchford.coordination.datagrams import LeaseDatagram, LoadReportsDatagram, MembershipDatagram
+from vetchford.coordination.incarnation import IncarnationCounter
 from vetchford.coordination.load_sampler import LoadSampler
+from vetchford.coordination.settings import FleetMemberSettings
 from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
-from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, FleetSignalPolicy, FleetSignals
-from vetchford.gossip.load_gossip import LoadGossip, Row
-from vetchford.leases import messages as lease_messages
+from vetchford.gossip.fleet_signals import PROBE, FleetSignalPolicy, FleetSignals, RecordsState
+from vetchford.gossip.load_gossip import LoadGossip
+from vetchford.gossip.messages import LoadReport
+from vetchford.gossip.metrics import METRICS, Metric
 from vetchford.leases.lease_client import LeaseClient
 from vetchford.leases.lease_server import LeaseServer
 from vetchford.leases.messages import ClientMessage, LeaseMessage
@@ -29,227 +33,267 @@
 
 log = structlog.get_logger()
 
-TURN = 0.05  # s between two looks at what is due
-CHANGED = 0.5  # of the share of calls lost: a service that went or came, told at once
-CONCLUDES = 200.0  # ms between two surveys of the module: a tenth of the window that it measures over
-RINGS = 3  # whom we tell in turn: the next in so many rings of all names
-DENIALS = 1 << 20  # incarnations within one life, as in fleet/coordinator_actor.py
-DISPUTED = 5  # lives begun in a minute because others knew a later one: then two servers have this name
-PROVOKED = frozenset(("turns_full", "turn_ran_out"))  # by what others do: logged ever more rarely
-SUMMARY = 10_000.0  # ms between two lines on what is seen
+TICK_INTERVAL_S = 0.05
+SURVEY_INTERVAL_MS = (
+    200.0  # between two questions for metrics: a tenth of the window that they are taken over
+)
+SURVEY_INTERVAL_WHILE_DEAD_MS = 100.0  # so that the first answer of a dead service is told sooner
+SUMMARY_INTERVAL_MS = 10_000.0  # between two log lines on what is seen
+BROADCAST_CHANGE = 0.5  # of the share of lost calls: a service that failed or recovered, told at once
+RINGS = 3  # of all names; we send reports to our next in each
+REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_actor.py
+SAMPLED_EVENTS = frozenset(("turns_full", "turn_ran_out"))  # caused by others: logged ever more rarely
 
 
 class FleetMember(Actor):
-    """Begun by `begin`, after `module` has been; `figures` and `say` are told on its thread."""
+    """Started by `start` after the admission actor; `survey` and `apply_signals` are posted to the latter."""
 
     def __init__(
         self,
-        told: dict[str, Any],
+        record: dict[str, Any],
         seed: int,
         metrics: Metrics,
         survey: Callable[[Any], None],
-        say: Callable[[FleetSignals], None],
+        apply_signals: Callable[[FleetSignals], None],
     ) -> None:
-        """`told`: the record `together` of the settings; `survey` is given what to call with the figures,
-        `say` what holds from now on. OSError where the address can't be had.
+        """Binds its address; raises OSError where it can't.
+
+        `record`: `together` of the settings; `survey` is given what to call with the metrics;
+        `apply_signals` is told what holds from now on.
         """
         super().__init__("neighbours", metrics)
-        self.told, self.name, self.survey, self.say = told, told["name"], survey, say
-        self.life, self.nonce = int(clock.day() * 1000.0), time.time_ns() & (1 << 62) - 1
-        servers: dict[str, str] = told["servers"]
-        self.talk = Transport(
+        self.settings = settings = FleetMemberSettings.from_record(record)
+        self.name, self.survey, self.apply_signals = settings.name, survey, apply_signals
+        self.counter = IncarnationCounter()
+        incarnation, nonce = self.counter.incarnation, self.counter.nonce
+        self.transport = Transport(
             self,
             self,
             metrics,
-            Identity(told["fleet"], self.name, self.life, self.nonce),
-            told["listen"],
-            servers,
+            Identity(settings.fleet, self.name, incarnation, nonce),
+            settings.listen,
+            settings.servers,
             seed,
             streams=False,
         )
         now = self.now()
-        self.views = FailureDetector(
-            self, self.name, servers, seed, self.life * DENIALS, listed=True, now=now
+        self.membership = FailureDetector(
+            self,
+            self.name,
+            settings.servers,
+            seed,
+            incarnation * REFUTATIONS_PER_INCARNATION,
+            listed=True,
+            now=now,
         )
-        self.signals = LoadGossip(self, self.name, self.life, FIGURES, seed)
-        self.conclusions = FleetSignalPolicy(self, self.name, seed, self.signals)
-        keepers, turns = told["keepers"], {**told["turns"], PROBE: told["probes"]}
+        self.load_gossip = LoadGossip(self, self.name, incarnation, METRICS, seed)
+        self.signal_policy = FleetSignalPolicy(self, self.name, seed, self.load_gossip)
+        self.lease_server = self._make_lease_server(seed, now)
+        self.lease_client = LeaseClient(self, self.name, settings.lease_servers, settings.zone, incarnation)
+        self.next_tick = 0.0  # monotonic s
+        self.next_survey_at, self.next_summary_at = 0.0, now + SUMMARY_INTERVAL_MS
+        self.signals, self.lost_calls = FleetSignals(), 0.0
+        self.is_leaving = False
+        self._update_members()
+
+    def _make_lease_server(self, seed: int, now: float) -> LeaseServer | None:
+        settings = self.settings
+        if self.name not in settings.lease_servers:
+            return None
         epoch = int(clock.day() * 10.0)
-        self.lease_server = (
-            LeaseServer(self, self.name, keepers, turns, seed, epoch, now) if self.name in keepers else None
+        return LeaseServer(
+            self, self.name, settings.lease_servers, settings.lease_capacities, seed, epoch, now
         )
-        self.lease_client = LeaseClient(self, self.name, keepers, told["zone"], self.life)
-        self.seed = told["fleet"]
-        self.raised: list[float] = []
-        self.next_turn, self.next_survey, self.next_summary = 0.0, 0.0, now + SUMMARY
-        self.numbers, self.lost = FleetSignals(), 0.0
-        self.leaving = False
-        self.seen_changed()
+
+    # -- the actor
 
     def start(self) -> None:
+        """Starts this actor and the threads of the transport."""
         super().start()
-        self.talk.start()
+        self.transport.start()
 
     def now(self) -> float:
+        """The clock of all parts, in ms."""
         return clock.now()
 
     def next_timeout(self) -> float | None:
-        return max(0.0, self.next_turn - time.monotonic())
+        """Seconds until the next tick."""
+        return max(0.0, self.next_tick - time.monotonic())
 
     def on_idle(self) -> None:
-        if time.monotonic() < self.next_turn:
+        """Runs the timers of all parts, where a tick is due."""
+        if time.monotonic() < self.next_tick:
             return
-        self.next_turn = time.monotonic() + TURN
+        self.next_tick = time.monotonic() + TICK_INTERVAL_S
         now = self.now()
-        self.views.woke(now)
+        self.membership.woke(now)
         if self.lease_server is not None:
             self.lease_server.tick(now)
         self.lease_client.tick(now)
-        self.signals.woke(now)
-        if now >= self.next_survey:
-            self.next_survey = now + (CONCLUDES if self.conclusions.state != DEAD_NOW else 0.5 * CONCLUDES)
-            self.survey(self.measured)
-        if now >= self.next_summary:
-            self.next_summary = now + SUMMARY
-            self.summarise(now)
-
-    # -- what the module tells, on its thread; and what it is told
-
-    def measured(self, figures: dict[str, float]) -> None:
-        self.post(self.conclude, figures)
-
-    def conclude(self, figures: dict[str, float]) -> None:
+        self.load_gossip.tick(now)
+        if now >= self.next_survey_at:
+            is_dead = self.signal_policy.state is RecordsState.DEAD
+            self.next_survey_at = now + (SURVEY_INTERVAL_WHILE_DEAD_MS if is_dead else SURVEY_INTERVAL_MS)
+            self.survey(self.on_surveyed)
+        if now >= self.next_summary_at:
+            self.next_summary_at = now + SUMMARY_INTERVAL_MS
+            self._log_summary(now)
+
+    # -- the admission actor, and the server process
+
+    def on_surveyed(self, metrics: dict[str, float]) -> None:
+        """Takes the metrics of this server; called on the admission actor's thread."""
+        self.post(self.report, metrics)
+
+    def report(self, metrics: dict[str, float]) -> None:
+        """Reports metrics to the fleet, and tells admission of signals that changed."""
         now = self.now()
-        lost, self.lost = self.lost, figures.get("lost", self.lost)
-        self.signals.measured(now, figures)
-        if abs(self.lost - lost) >= CHANGED:
-            self.signals.news(now)
-        numbers = self.conclusions.turn(now)
-        pace, room = (numbers.pace, numbers.room) if self.told["records"] else (1.0, 1.0)
-        full, stretch = (numbers.full, numbers.stretch) if self.told["full"] else (False, 1.0)
-        numbers = FleetSignals(pace, room, full, stretch)
-        if numbers != self.numbers:
-            self.numbers = numbers
-            self.say(numbers)
-
-    def allow(self, told: dict[str, Any]) -> None:
-        """What may be acted on, by settings that were read anew."""
-        self.told = {**self.told, "records": told["records"], "full": told["full"]}
-        log.info("together_renewed", records=told["records"], full=told["full"])
+        before, self.lost_calls = self.lost_calls, metrics.get(Metric.LOST_CALLS, self.lost_calls)
+        self.load_gossip.report_own(now, metrics)
+        if abs(self.lost_calls - before) >= BROADCAST_CHANGE:
+            self.load_gossip.broadcast_own(now)
+        signals = self._permitted(self.signal_policy.update(now))
+        if signals != self.signals:
+            self.signals = signals
+            self.apply_signals(signals)
+
+    def allow(self, record: dict[str, Any]) -> None:
+        """Takes over from settings that were read anew which signals may be acted on."""
+        self.settings = self.settings.reloaded(record)
+        log.info("together_renewed", records=self.settings.acts_on_records, full=self.settings.acts_on_full)
 
     def leave(self) -> None:
-        """In a drain: turns go back at once, not as their leases end, and none is asked for any more."""
-        self.leaving = True
+        """At the shutdown: releases all leases, so that others needn't wait, and asks for none any more."""
+        self.is_leaving = True
         for lease_name in list(self.lease_client.requests):
             self.lease_client.release(lease_name)
 
-    def summarise(self, now: float) -> None:
+    def _permitted(self, signals: FleetSignals) -> FleetSignals:
+        """The signals without those that the settings don't let act."""
+        alone, settings = FleetSignals(), self.settings
+        records = signals if settings.acts_on_records else alone
+        full = signals if settings.acts_on_full else alone
+        return FleetSignals(
+            records.call_slowdown, records.call_capacity, full.is_full, full.retry_after_factor
+        )
+
+    def _log_summary(self, now: float) -> None:
         seen: dict[str, Any] = {}
-        for figure in FIGURES:
-            aggregate = self.signals.aggregate(now, figure.name)
+        for metric in METRICS:
+            aggregate = self.load_gossip.aggregate(now, metric.name)
             if aggregate is not None:
-                seen[figure.name] = round(aggregate.value, 3)
-                seen[figure.name + "_rows"] = aggregate.rows
-        there = sum(member.state == ALIVE for member in self.views.members.values())
+                seen[metric.name] = round(aggregate.value, 3)
+                seen[f"{metric.name}_rows"] = aggregate.report_count
         log.info(
             "together",
-            there=there,
-            records=self.conclusions.state,
+            there=sum(member.state == ALIVE for member in self.membership.members.values()),
+            records=self.signal_policy.state,
             **seen,
-            room=round(self.numbers.room, 3),
-            bytes_sent=self.talk.bytes_sent,
-            datagrams_sent=self.talk.datagrams_sent,
+            room=round(self.signals.call_capacity, 3),
+            bytes_sent=self.transport.bytes_sent,
+            datagrams_sent=self.transport.datagrams_sent,
         )
 
-    # -- hosts of the view, the signals, the turns and the conclusions
+    # -- what the failure detector acts through
 
     def send(self, to: str, kind: str, number: int, about: str, news: list[News]) -> None:
-        self.talk.send_datagram(to, ["view", kind, number, about, news])
+        """Sends a message of the failure detector."""
+        self.transport.send_datagram(to, datagrams.encode_membership(kind, number, about, news))
 
     def seen(self, name: str, state: str) -> None:
+        """Another server is seen in another state."""
         if state != SUSPECT:
             log.info("neighbour_seen", neighbour=name, there=state == ALIVE)
-        self.seen_changed()
+        self._update_members()
+
+    def _update_members(self) -> None:
+        there = [name for name, member in self.membership.members.items() if member.state != DEAD]
+        ring = View([*there, self.name], self.settings.fleet).listens(RINGS)[self.name]
+        self.load_gossip.set_members(there, ring)
 
-    def seen_changed(self) -> None:
-        there = [name for name, member in self.views.members.items() if member.state != DEAD]
-        ring = View([*there, self.name], self.seed).listens(RINGS)[self.name]
-        self.signals.there(there, ring)
+    # -- what gossip, leases and the signal policy act through
 
-    def send_rows(self, to: str, rows: list[Row]) -> None:
-        self.talk.send_datagram(to, ["rows", rows])
+    def send_load_reports(self, to: str, reports: list[LoadReport]) -> None:
+        """Sends load reports."""
+        self.transport.send_datagram(to, datagrams.encode_load_reports(reports))
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
+        """Sends a message of the lease protocol; one to this process goes through the mailbox."""
         if to == self.name:
             self.post(self.receive_lease_message, to, message)
         else:
-            self.talk.send_datagram(to, ["turn", lease_messages.encode(message)])
+            self.transport.send_datagram(to, datagrams.encode_lease(message))
 
     def receive_lease_message(self, sender: str, message: LeaseMessage) -> None:
+        """Hands a message to the lease client, or to the lease server if there is one."""
         if isinstance(message, ClientMessage):
             self.lease_client.receive(self.now(), sender, message)
         elif self.lease_server is not None:
             self.lease_server.receive(self.now(), sender, message)
 
-    def want_probe(self) -> None:
-        if self.leaving:  # its end would keep the turn from all others for a lease
-            return
-        self.lease_client.acquire(self.now(), PROBE)
+    def request_probe_lease(self) -> None:
+        """Asks for the probe lease; not at the shutdown, which would keep it from all others for a while."""
+        if not self.is_leaving:
+            self.lease_client.acquire(self.now(), PROBE)
 
-    def done_probe(self) -> None:
+    def release_probe_lease(self) -> None:
+        """Gives the probe lease back."""
         self.lease_client.release(PROBE)
 
-    def may_probe(self) -> bool:
+    def holds_probe_lease(self) -> bool:
+        """Whether the probe lease is held now."""
         return self.lease_client.fencing_token(self.now(), PROBE) != 0
 
     def log_event(self, event: str, **fields: Any) -> None:
-        if event in PROVOKED:
+        """Counts and logs an event."""
+        if event in SAMPLED_EVENTS:
             self.metrics.log_sampled(event, **fields)
             return
         self.metrics.increment(event)
         log.info(event, **fields)
 
-    # -- what `talk` brings
+    # -- what the transport tells
 
     def on_datagram(self, peer: str, body: Any) -> None:
+        """Hands a datagram to the part that it is for."""
         try:
-            kind, *rest = body
-            if kind == "view":
-                word, number, about, news = rest
-                pieces = [(str(name), str(state), int(at)) for name, state, at in news]
-                self.views.heard(self.now(), peer, str(word), int(number), str(about), pieces)
-            elif kind == "rows":
-                self.signals.heard(self.now(), peer, rest[0])
-            elif kind == "turn":
-                message = lease_messages.decode(rest[0])
-                if message is not None:
-                    self.receive_lease_message(peer, message)
+            self._receive(peer, body)
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
+    def _receive(self, peer: str, body: Any) -> None:
+        match datagrams.decode(body):
+            case MembershipDatagram(kind, number, about, news):
+                self.membership.heard(self.now(), peer, kind, number, about, news)
+            case LoadReportsDatagram(reports):
+                self.load_gossip.receive(self.now(), peer, reports)
+            case LeaseDatagram(message):
+                self.receive_lease_message(peer, message)
+
     def on_message(self, peer: str, kind: str, body: Any) -> None:
-        """Nobody has a stream to us."""
+        """Does nothing: there are no streams between servers."""
 
-    def on_link_state(self, peer: str, state: LinkState) -> None: ...
+    def on_link_state(self, peer: str, state: LinkState) -> None:
+        """Does nothing: there are no streams between servers."""
 
-    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None: ...
+    def on_peer_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
+        """Does nothing: a server keeps nothing on disk."""
 
-    def on_later_incarnation(self, life: int, nonce: int) -> None:
-        """Somebody knows a later life of our name: the day's clock went back, or the name is used twice."""
-        now = self.now()
-        self.raised = [at for at in self.raised if now - at < 60_000.0]
-        if len(self.raised) >= DISPUTED:
+    def on_later_incarnation(self, incarnation: int, nonce: int) -> None:
+        """Goes on under an incarnation later than the one that another server knows."""
+        now, known = self.now(), incarnation
+        if not self.counter.raise_above(now, known):
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
-        self.raised.append(now)
-        self.life, self.nonce = max(life, self.life) + 1, time.time_ns() & (1 << 62) - 1
-        log.warning("life_raised", life=self.life, known=life)
-        self.views.incarnation = self.life * DENIALS
-        self.views.news[self.name] = 0
-        self.signals.life = self.life
-        self.lease_client.begin_incarnation(now, self.life)
-        self.talk.begin_incarnation(self.life, self.nonce)
+        incarnation = self.counter.incarnation
+        log.warning("life_raised", life=incarnation, known=known)
+        self.membership.incarnation = incarnation * REFUTATIONS_PER_INCARNATION
+        self.membership.news[self.name] = 0
+        self.load_gossip.incarnation = incarnation
+        self.lease_client.begin_incarnation(now, incarnation)
+        self.transport.begin_incarnation(incarnation, self.counter.nonce)
 
 
 def measure() -> LoadSampler:
+    """The sampler that the admission actor tells of its calls."""
     return LoadSampler()
--- /dev/null
+++ b/vetchford/coordination/incarnation.py
@@ -0,0 +1,36 @@
+"""The incarnation of a server in its fleet: begun at its start, and raised where others know a later one.
+
+Others know a later one where the day's clock went back, or where two servers have one name. In the latter
+case both would raise theirs for ever, so this is done a few times a minute only.
+"""
+
+import time
+
+from vetchford.runtime.clock import clock
+
+MAX_RAISES = 5  # in RAISE_WINDOW_MS
+RAISE_WINDOW_MS = 60_000.0
+NONCE_BITS = 62
+
+
+class IncarnationCounter:
+    """The incarnation and nonce of this process; from start to start it grows with the day's clock."""
+
+    def __init__(self) -> None:
+        self.incarnation = int(clock.day() * 1000.0)
+        self.nonce = _draw_nonce()
+        self.raised_at: list[float] = []
+
+    def raise_above(self, now: float, known: int) -> bool:
+        """Begins an incarnation above `known`; False where this happens too often: the name is disputed."""
+        self.raised_at = [at for at in self.raised_at if now - at < RAISE_WINDOW_MS]
+        if len(self.raised_at) >= MAX_RAISES:
+            return False
+        self.raised_at.append(now)
+        self.incarnation = max(known, self.incarnation) + 1
+        self.nonce = _draw_nonce()
+        return True
+
+
+def _draw_nonce() -> int:
+    return time.time_ns() & (1 << NONCE_BITS) - 1
--- a/vetchford/gossip/__init__.py
+++ b/vetchford/gossip/__init__.py
@@ -1,3 +1,6 @@
-"""What many servers see, told to all: rows by origin with age, bounded messages, aggregates no liar moves
-far.
+"""Load reports of all servers of a fleet, spread by gossip, and what one server concludes from them.
+
+Modules: `messages` (reports and their encoded form), `metrics` (what is reported), `load_gossip` (spreads
+reports), `aggregation` (the mean over servers, robust against liars), `fleet_signals` (the policy). None of
+them does I/O, reads a clock or starts a thread.
 """
--- a/vetchford/gossip/fleet_signals.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -1,134 +1,181 @@
-"""What one server does about what all see: a few plain numbers for its admission. No I/O; times in ms.
+"""What one server does about what all servers report: a few numbers for its admission. No I/O; times in ms.
 
 The records service has four states here, each with the evidence that leads out of it:
 
-    well     -> slow     the fleet's calls take SLOW times their usual time
-    any      -> dead     the fleet loses nearly all calls, and nobody was answered for NO_WORD;
-                         only who holds a turn to probe calls then
-    dead     -> opening  a call of somebody's was answered since it was held for dead
-    opening  -> well     after a ramp that begins apart on each server, so that it is not met by all at once
+    HEALTHY    -> SLOW        the fleet's calls take SLOW_FACTOR times their usual time
+    any        -> DEAD        the fleet loses nearly all calls, and nobody was answered for NO_ANSWER_MS;
+                              then only the holders of a probe lease call
+    DEAD       -> RECOVERING  somebody's call was answered since the service was found dead
+    RECOVERING -> HEALTHY     after a ramp that begins at another time on each server, so that the service is
+                              not met by all at once
 
-A server that has not called yet acts with the others. Where the signals say nothing it decides alone: all
-numbers are as if there were none.
+A server that has not called yet acts with the others. Where too few servers report it decides alone: the
+signals are as if there were no fleet.
 """
 
 import math
 import zlib
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any, Protocol
 
-from vetchford.gossip.load_gossip import LoadGossip, MetricDefinition
+from vetchford.gossip.aggregation import Aggregate
+from vetchford.gossip.load_gossip import LoadGossip
+from vetchford.gossip.metrics import Metric
 
-SLOW, SLOW_OVER = 2.5, 1.7  # times the usual: chance and a busy hour stay under 2, a trouble is 5 and more
-DEAD = 0.85  # of the calls lost: a service at a tenth of its speed still answers a tenth or more
-NO_WORD = 1000.0  # ms without one answer to anybody until it is held for dead: a pause of it is shorter
-SHUT_AT_LEAST = 400.0  # ms: a turn to probe is had within that where its keepers are well
-# ms without a word of anybody's probe until this server probes by itself: its own links may be cut
-ALONE = 6000.0
-APART, RAMP = 2.0, 4.0
-# ms for each server that is there: by chance until one opens, then until all its calls go;
-# the slices bound what comes at once, so a few may open as they hear, 200 take a second and a half
-FULL, FULL_OVER = 0.5, 0.3  # share of tasks turned away by the fleet: over half, one in two walks in vain
-MOST_STRETCH = 4.0  # of return times
-FIGURES = (
-    MetricDefinition("pace", 64.0),  # recent call time over the usual
-    MetricDefinition("lost", 1.0),  # share of calls that were cut, refused or broken off
-    MetricDefinition("well", 10_000.0),  # ms since a call was last answered
-    MetricDefinition("full", 1.0),  # share of tasks turned away
-    MetricDefinition("memory", 1.0),  # of its limit
-    MetricDefinition("rate", 100_000.0),  # tasks read a second
-)
-PROBE = "probe"  # the turn
+SLOW_FACTOR = 2.5  # times the usual: chance and a busy hour stay under 2, a fault is 5 and more
+SLOW_OVER_FACTOR = 1.7
+DEAD_SHARE = 0.85  # of the calls lost: a service at a tenth of its speed still answers a tenth or more
+NO_ANSWER_MS = 1000.0  # without one answer to anybody: a pause of the service is shorter
+MIN_DEAD_MS = 400.0  # a probe lease is granted within that where its servers are healthy
+PROBE_TIMEOUT_MS = 6000.0  # without a report of anybody's probe; then this server calls: its links may be cut
+START_SPREAD_MS = 2.0  # for each server: how far apart they begin to recover
+RAMP_MS = 4.0  # for each server: until all its calls go. 200 servers take a second and a half
+FULL_SHARE = 0.5  # of requests rejected by the fleet: at over half of them a retry elsewhere is in vain
+FULL_OVER_SHARE = 0.3
+MAX_RETRY_AFTER_FACTOR = 4.0
+PROBE_CAPACITY = 1e-6  # the least capacity there is: one call at a time
+PROBE = "probe"  # the name of the lease
 
-WELL, SLOWED, DEAD_NOW, OPENING = "well", "slow", "dead", "opening"
 
+class RecordsState(StrEnum):
+    """The state of the records service; the values are the words that operators see."""
 
-class Host(Protocol):
-    """What the conclusions act through."""
+    HEALTHY = "well"
+    SLOW = "slow"
+    DEAD = "dead"
+    RECOVERING = "opening"
 
-    def want_probe(self) -> None: ...
 
-    def done_probe(self) -> None: ...
+class FleetSignalActions(Protocol):
+    """What the policy acts through."""
 
-    def may_probe(self) -> bool:
-        """Whether the turn is ours just now."""
+    def request_probe_lease(self) -> None:
+        """Asks for a lease to probe the dead service, until `release_probe_lease`."""
 
-    def log_event(self, event: str, **fields: Any) -> None: ...
+    def release_probe_lease(self) -> None:
+        """Gives the lease back, or asks for it no more."""
+
+    def holds_probe_lease(self) -> bool:
+        """Whether a lease is held now."""
+
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Counts and logs an event."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSignals:
-    """For the node: see `rules.Node.fleet`."""
+    """What admission is to act on; see `AdmissionController.apply_fleet_signals`."""
 
-    pace: float = 1.0  # times that a call takes longer than usual
-    room: float = 1.0  # part of our slice of the calls; 0: none goes out
-    full: bool = False  # walking on is useless
-    stretch: float = 1.0  # of return times
+    call_slowdown: float = 1.0  # times that a call takes longer than usual
+    call_capacity: float = 1.0  # part of this server's concurrency of calls; 0: no call goes out
+    is_full: bool = False  # the fleet rejects so much that a retry on another server is in vain
+    retry_after_factor: float = 1.0
 
 
 class FleetSignalPolicy:
-    """Asked several times a second."""
-
-    def __init__(self, host: Host, name: str, seed: int, signals: LoadGossip) -> None:
-        self.host, self.signals = host, signals
-        self.chance = zlib.crc32(b"%d:%s" % (seed, name.encode())) % 1000 / 1000.0
-        self.state, self.since, self.full = WELL, 0.0, False
-        self.probing_since = 0.0
-
-    def apart(self) -> float:
-        return self.chance * APART * (1 + len(self.signals.others))
-
-    def ramp(self) -> float:
-        return RAMP * (1 + len(self.signals.others))
-
-    def to(self, now: float, state: str, why: str) -> None:
-        if state != self.state:
-            self.host.log_event("records_seen", state=state, was=self.state, why=why)
-            if self.state == DEAD_NOW:
-                self.host.done_probe()
-            self.state, self.since = state, now
-            if state == DEAD_NOW:
-                self.host.want_probe()
-
-    def turn(self, now: float) -> FleetSignals:
-        """What holds from now on."""
-        pace, lost = self.signals.aggregate(now, "pace"), self.signals.aggregate(now, "lost")
-        if self.state == DEAD_NOW:
-            self.look_for_life(now)
-        elif lost is not None and lost.value >= DEAD and self.last_well(now) >= NO_WORD:
-            self.to(now, DEAD_NOW, f"{lost.value:.2f} of the calls of {lost.rows} servers are lost")
-        elif self.state == OPENING and now - self.since >= self.apart() + self.ramp():
-            self.to(now, WELL, "opened")
-        elif self.state == WELL and pace is not None and pace.value >= SLOW:
-            self.to(now, SLOWED, f"calls of {pace.rows} servers take {pace.value:.1f} times the usual")
-        elif self.state == SLOWED and (pace is None or pace.value < SLOW_OVER):
-            self.to(now, WELL, "calls take the usual time" if pace else "nothing is heard")
-        full = self.signals.aggregate(now, "full")
-        self.full = full is not None and full.value >= (FULL_OVER if self.full else FULL)
-        stretch = 1.0
-        if self.full and full is not None:
-            stretch = min(MOST_STRETCH, 1.0 / max(1e-6, 1.0 - full.value))
-        slow = pace.value if pace is not None and self.state == SLOWED else 1.0
-        return FleetSignals(max(1.0, slow), self.room(now), self.full, stretch)
-
-    def look_for_life(self, now: float) -> None:
+    """Turns the reports of the fleet into signals; `update` is to be called several times a second."""
+
+    def __init__(self, actions: FleetSignalActions, name: str, seed: int, reports: LoadGossip) -> None:
+        self.actions, self.reports = actions, reports
+        self.start_fraction = zlib.crc32(b"%d:%s" % (seed, name.encode())) % 1000 / 1000.0
+        self.state, self.since = RecordsState.HEALTHY, 0.0
+        self.is_full = False
+        self.last_probe_at = 0.0
+
+    def update(self, now: float) -> FleetSignals:
+        """The signals that hold from now on."""
+        slowdown = self.reports.aggregate(now, Metric.CALL_SLOWDOWN)
+        self._update_state(now, slowdown)
+        retry_after_factor = self._update_full(now)
+        is_slow = slowdown is not None and self.state is RecordsState.SLOW
+        call_slowdown = max(1.0, slowdown.value) if is_slow and slowdown is not None else 1.0
+        return FleetSignals(call_slowdown, self._call_capacity(now), self.is_full, retry_after_factor)
+
+    def set_state(self, now: float, state: RecordsState, reason: str) -> None:
+        """Goes over to a state; a probe lease is wanted in DEAD alone."""
+        if state is self.state:
+            return
+        self.actions.log_event("records_seen", state=state, was=self.state, why=reason)
+        if self.state is RecordsState.DEAD:
+            self.actions.release_probe_lease()
+        self.state, self.since = state, now
+        if state is RecordsState.DEAD:
+            self.actions.request_probe_lease()
+
+    def start_delay(self) -> float:
+        """ms from the start of the recovery until this server begins its ramp."""
+        return self.start_fraction * START_SPREAD_MS * self._fleet_size()
+
+    def ramp_duration(self) -> float:
+        """ms from the first call of this server until all its calls go."""
+        return RAMP_MS * self._fleet_size()
+
+    def _fleet_size(self) -> int:
+        return 1 + len(self.reports.members)
+
+    def _update_state(self, now: float, slowdown: Aggregate | None) -> None:
+        lost = self.reports.aggregate(now, Metric.LOST_CALLS)
+        if self.state is RecordsState.DEAD:
+            self._check_recovery(now)
+        elif lost is not None and lost.value >= DEAD_SHARE and self._since_last_answer(now) >= NO_ANSWER_MS:
+            reason = f"{lost.value:.2f} of the calls of {lost.report_count} servers are lost"
+            self.set_state(now, RecordsState.DEAD, reason)
+        elif self.state is RecordsState.RECOVERING:
+            if now - self.since >= self.start_delay() + self.ramp_duration():
+                self.set_state(now, RecordsState.HEALTHY, "opened")
+        elif self.state is RecordsState.HEALTHY:
+            self._check_slow(now, slowdown)
+        else:
+            self._check_slow_over(now, slowdown)
+
+    def _check_slow(self, now: float, slowdown: Aggregate | None) -> None:
+        if slowdown is not None and slowdown.value >= SLOW_FACTOR:
+            servers, factor = slowdown.report_count, slowdown.value
+            reason = f"calls of {servers} servers take {factor:.1f} times the usual"
+            self.set_state(now, RecordsState.SLOW, reason)
+
+    def _check_slow_over(self, now: float, slowdown: Aggregate | None) -> None:
+        if slowdown is None:
+            self.set_state(now, RecordsState.HEALTHY, "nothing is heard")
+        elif slowdown.value < SLOW_OVER_FACTOR:
+            self.set_state(now, RecordsState.HEALTHY, "calls take the usual time")
+
+    def _check_recovery(self, now: float) -> None:
+        """Leaves DEAD where a call was answered since then, or nobody reports a probe."""
         dead_for = now - self.since
-        if dead_for < SHUT_AT_LEAST:
+        if dead_for < MIN_DEAD_MS:
             return
-        if self.last_well(now) < dead_for - SHUT_AT_LEAST:
-            self.to(now, OPENING, "it answers")
-        elif any(age < dead_for - SHUT_AT_LEAST for _, age in self.signals.told(now, "lost")):
-            self.probing_since = now  # somebody tries, and has no luck
-        elif now - max(self.since, self.probing_since) >= ALONE:
-            self.to(now, OPENING, "nobody tells of a probe")
-
-    def last_well(self, now: float) -> float:
+        if self._since_last_answer(now) < dead_for - MIN_DEAD_MS:
+            self.set_state(now, RecordsState.RECOVERING, "it answers")
+        elif self._is_probed(now, dead_for):
+            self.last_probe_at = now
+        elif now - max(self.since, self.last_probe_at) >= PROBE_TIMEOUT_MS:
+            self.set_state(now, RecordsState.RECOVERING, "nobody tells of a probe")
+
+    def _is_probed(self, now: float, dead_for: float) -> bool:
+        """Whether somebody reports on calls made since the service was found dead."""
+        samples = self.reports.samples(now, Metric.LOST_CALLS)
+        return any(sample.age_ms < dead_for - MIN_DEAD_MS for sample in samples)
+
+    def _since_last_answer(self, now: float) -> float:
         """ms since anybody's call was answered, as far as it is known here."""
-        return min((value + age for value, age in self.signals.told(now, "well")), default=math.inf)
-
-    def room(self, now: float) -> float:
-        if self.state == DEAD_NOW:
-            return 1e-6 if self.host.may_probe() else 0.0  # the least there is: one call at a time
-        if self.state == OPENING:
-            return min(1.0, max(0.0, (now - self.since - self.apart()) / self.ramp()))
-        return 1.0  # slow: as many calls as ever keep its slots full; fewer would leave them idle
+        samples = self.reports.samples(now, Metric.SINCE_LAST_ANSWER)
+        return min((sample.value + sample.age_ms for sample in samples), default=math.inf)
+
+    def _update_full(self, now: float) -> float:
+        """Finds whether the fleet is full, with hysteresis; returns the factor of return times."""
+        rejected = self.reports.aggregate(now, Metric.REJECTED_REQUESTS)
+        threshold = FULL_OVER_SHARE if self.is_full else FULL_SHARE
+        self.is_full = rejected is not None and rejected.value >= threshold
+        if rejected is None or not self.is_full:
+            return 1.0
+        return min(MAX_RETRY_AFTER_FACTOR, 1.0 / max(1e-6, 1.0 - rejected.value))
+
+    def _call_capacity(self, now: float) -> float:
+        if self.state is RecordsState.DEAD:
+            return PROBE_CAPACITY if self.actions.holds_probe_lease() else 0.0
+        if self.state is RecordsState.RECOVERING:
+            started_for = now - self.since - self.start_delay()
+            return min(1.0, max(0.0, started_for / self.ramp_duration()))
+        return 1.0  # also where it is slow: fewer calls would leave the service's slots idle
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -326,7 +326,9 @@
 
     def fleet(self, numbers: Any) -> None:
         if self.controller is not None:
-            self.controller.apply_fleet_signals(numbers.pace, numbers.room, numbers.full, numbers.stretch)
+            self.controller.apply_fleet_signals(
+                numbers.call_slowdown, numbers.call_capacity, numbers.is_full, numbers.retry_after_factor
+            )
 
     # -- drain
 
