--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -13,7 +13,7 @@
 import time
 from typing import Any
 
-from vetchford.subsetting.subsets import SLACK, View
+from vetchford.subsetting.subsets import MAX_LOAD_FACTOR, MembershipView
 
 TENANTS, SHARD = 1000, 5
 EACH = 100  # keys a server: at 20 chance alone fills a quarter of them, and each join pushes others on
@@ -27,7 +27,7 @@
     """What one more name moves, over the least that it must; the mean of three names."""
     moved = 0
     for n in range(3):
-        now = View([*names, f"new{n}"], "fleet").owners(keys)
+        now = MembershipView([*names, f"new{n}"], "fleet").owners(keys)
         moved += sum(before[key] != now[key] for key in keys)
     return round(moved / 3 / len(keys) * (len(names) + 1), 3)
 
@@ -35,7 +35,7 @@
 def at(size: int, keys_each: int) -> dict[str, Any]:
     names, chance = [f"s{n:04}" for n in range(size)], random.Random(size)
     keys = [f"k{n}" for n in range(keys_each * size)]
-    view = View(names, "fleet")
+    view = MembershipView(names, "fleet")
     began = time.perf_counter()
     owners = view.owners(keys)
     each = (time.perf_counter() - began) / len(keys)
@@ -80,7 +80,7 @@
     for kind, n in steps[::5]:
         names = [*names, f"s{n}"] if kind == "add" else [name for name in names if name != f"s{n}"]
         loads = {name: 0 for name in names}
-        for owner in View(names, "fleet").owners(keys).values():
+        for owner in MembershipView(names, "fleet").owners(keys).values():
             loads[owner] += 1
         least = min(least, jain(list(loads.values())))
     return round(least, 4)
@@ -95,7 +95,9 @@
         print(size, one, flush=True)
     fair = grows()
     good = (
-        all(one["fullest_over_mean"] <= SLACK + 0.03 for one in sizes.values())  # a whole key at small means
+        all(
+            one["fullest_over_mean"] <= MAX_LOAD_FACTOR + 0.03 for one in sizes.values()
+        )  # a whole key at small means
         and all(one["moved_at_a_join_times_n"] <= 1.1 for one in sizes.values())
         and all(one.get("keep_a_server", 1.0) >= 0.999 for size, one in sizes.items() if size >= 100)
         and fair >= 0.95
--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -9,7 +9,7 @@
 from vetchford.gossip.load_gossip import GOSSIP_INTERVAL_MS, REPORT_LIFETIME_MS, LoadGossip
 from vetchford.gossip.messages import LoadReport
 from vetchford.gossip.metrics import MetricDefinition
-from vetchford.subsetting.subsets import View
+from vetchford.subsetting.subsets import MembershipView
 
 METRICS = (
     MetricDefinition("pace", 64.0),
@@ -57,7 +57,7 @@
 
 def made(count: int, loss: float, liars: bool, truth: Any, seed: int = 1) -> World:
     names = [f"server-{n:04}" for n in range(count)]
-    rings = View(names, "fleet").listens(3)
+    rings = MembershipView(names, "fleet").ring_successors(3)
     lying = set(names[: int(LIARS * count)]) if liars else set()
     return World(
         names,
--- a/tests/subsetting/test_subsets.py
+++ b/tests/subsetting/test_subsets.py
@@ -7,7 +7,7 @@
 import pytest
 import xxhash
 
-from vetchford.subsetting.subsets import SLACK, View
+from vetchford.subsetting.subsets import MAX_LOAD_FACTOR, MembershipView
 
 
 def names(count):
@@ -18,7 +18,7 @@
     return xxhash.xxh3_64_intdigest(f"{len(seed)}:{seed}{len(name)}:{name}{key}")
 
 
-def plain_owners(view, keys, slack=SLACK):
+def plain_owners(view, keys, slack=MAX_LOAD_FACTOR):
     """Rounds of asking until nobody is turned away: the textbook's way, with all lists whole."""
     room = max(1, math.ceil(slack * len(keys) / len(view.names)))
     turn, held = dict.fromkeys(keys, 0), {name: set() for name in view.names}
@@ -41,7 +41,7 @@
     for _ in range(30):
         some, keys = names(chance.randint(1, 12)), [f"k{n}" for n in range(chance.randint(0, 80))]
         shuffled = chance.sample(some, len(some))
-        one, other = View(some, "s"), View(shuffled + shuffled[:2], "s")
+        one, other = MembershipView(some, "s"), MembershipView(shuffled + shuffled[:2], "s")
         assert one.owners(keys) == other.owners(reversed(keys)) == plain_owners(one, keys)
 
 
@@ -49,52 +49,52 @@
 def test_the_fullest_has_no_more_than_the_slack_and_a_join_or_a_leave_moves_little(count):
     keys = [f"tenant-{n}" for n in range(60 * count)]
     some = names(count)
-    before, joined = View(some, "s").owners(keys), View([*some, "new"], "s").owners(keys)
+    before, joined = MembershipView(some, "s").owners(keys), MembershipView([*some, "new"], "s").owners(keys)
     loads = [list(before.values()).count(name) for name in some]
-    assert sorted(before) == sorted(keys) and max(loads) <= -(-SLACK * len(keys) // count)
+    assert sorted(before) == sorted(keys) and max(loads) <= -(-MAX_LOAD_FACTOR * len(keys) // count)
     moved = sum(before[key] != joined[key] for key in keys) / len(keys)
     assert moved <= 2.0 / (count + 1)
-    left = View(some[1:], "s").owners(keys)
+    left = MembershipView(some[1:], "s").owners(keys)
     assert sum(before[key] != left[key] for key in keys) / len(keys) <= 2.0 / count
-    assert View([], "s").owners(keys) == {}
+    assert MembershipView([], "s").owners(keys) == {}
 
 
 def test_a_shard_changes_by_one_place_when_a_name_comes_or_goes_and_two_rarely_share_all():
     some = names(40)
-    view = View(some, "s")
+    view = MembershipView(some, "s")
     shards = {f"t{n}": view.shard(f"t{n}", 4) for n in range(300)}
     assert all(len(set(shard)) == 4 for shard in shards.values())
     for gone in (some[3], some[17]):
-        less = View([name for name in some if name != gone], "s")
+        less = MembershipView([name for name in some if name != gone], "s")
         for tenant, shard in shards.items():
             now = less.shard(tenant, 4)
             assert (now == shard) if gone not in shard else len(set(now) & set(shard)) == 3
     alike = sum(set(a) == set(b) for a, b in itertools.combinations(shards.values(), 2))
     assert alike <= 3  # 44,850 pairs, one in 91,390 by chance
-    assert View(some[:3], "s").shard("t", 5) == View(some[:3], "s").ranked("t")
+    assert MembershipView(some[:3], "s").shard("t", 5) == MembershipView(some[:3], "s").ranked("t")
 
 
 def test_a_shard_is_spread_over_zones_of_unequal_size():
     some = names(21)
     zones = {name: "abc"[0 if n < 14 else 1 if n < 20 else 2] for n, name in enumerate(some)}
-    view = View(some, "s", zones)
+    view = MembershipView(some, "s", zones)
     for n in range(100):
         shard = view.shard(f"t{n}", 4)
         assert len(set(shard)) == 4 and {zones[name] for name in shard} == {"a", "b", "c"}
 
 
 def test_names_that_differ_by_one_character_or_run_into_each_other_are_far_apart():
-    view = View(["a", "b", "ab", "aa"], "s")
+    view = MembershipView(["a", "b", "ab", "aa"], "s")
     weights = {view.weight(name, key) for name in view.names for key in ("x", "bx", "ax")}
     assert len(weights) == 12
-    first = [View([f"n{n}" for n in range(10)], "s").ranked(f"key-{k}")[0] for k in range(2000)]
+    first = [MembershipView([f"n{n}" for n in range(10)], "s").ranked(f"key-{k}")[0] for k in range(2000)]
     assert max(first.count(f"n{n}") for n in range(10)) < 1.3 * 200
 
 
 @pytest.mark.parametrize("count", [2, 10, 60, 300])
 def test_nobody_is_a_hub_and_all_reach_all_also_with_a_tenth_gone(count):
-    view, chance = View(names(count), "s"), random.Random(3)
-    rings = view.listens(3)
+    view, chance = MembershipView(names(count), "s"), random.Random(3)
+    rings = view.ring_successors(3)
     heard = [name for listened in rings.values() for name in listened]
     assert max(heard.count(name) for name in view.names) <= 3 and all(rings.values())
     gone = set(chance.sample(view.names, count // 10))
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -26,7 +26,7 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
-from vetchford.subsetting.subsets import View
+from vetchford.subsetting.subsets import MembershipView
 from vetchford.transport.connections import Transport
 from vetchford.transport.framing import MALFORMED
 from vetchford.transport.peers import Identity, LinkState
@@ -208,7 +208,7 @@
 
     def _update_members(self) -> None:
         there = [name for name, member in self.membership.members.items() if member.state != DEAD]
-        ring = View([*there, self.name], self.settings.fleet).listens(RINGS)[self.name]
+        ring = MembershipView([*there, self.name], self.settings.fleet).ring_successors(RINGS)[self.name]
         self.load_gossip.set_members(there, ring)
 
     # -- what gossip, leases and the signal policy act through
