--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -201,7 +201,7 @@
         (n, loss) for n in ((3, 10, 100) if quick else (3, 10, 100, 300, 1000)) for loss in (0.0, 0.05, 0.2)
     ]
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
-        out["signals"] = thread_pool.starmap(gossip.measured, cases)
+        out["signals"] = thread_pool.starmap(gossip.measure_fleet, cases)
     for one in out["signals"]:
         print("signals:", one, flush=True)
     bytes_at = {one["servers"]: one["bytes_per_s"] for one in out["signals"] if not one["loss"]}
--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -1,4 +1,4 @@
-"""Signals in virtual time: what all see of a figure that changes, by size, loss and liars."""
+"""Load gossip in virtual time: what all know of a metric that changes, by fleet size, loss and liars."""
 
 import random
 from typing import Any
@@ -18,44 +18,45 @@
     MetricDefinition("memory", 1.0),
     MetricDefinition("rate", 1e5),
 )
-LIARS = 0.1  # of the servers: they tell the most that can be told
-packer = msgspec.msgpack.Encoder()
+LIARS = 0.1  # share of the servers, which report the maximum
+ENVELOPE_BYTES = 60  # measured on sockets
+encoder = msgspec.msgpack.Encoder()
 
 
 class Program:
-    """One server that sees a share of its own around the true one."""
+    """One server, which measures a share that is spread around the true one."""
 
     def __init__(
         self, port: Port, names: list[str], rings: dict[str, list[str]], truth: Any, lies: bool
     ) -> None:
         self.port, self.truth, self.lies, self.bytes = port, truth, lies, 0
         self.chance = random.Random(f"{port.name}")
-        self.signals = LoadGossip(self, port.name, port.life, METRICS, 7)
-        self.signals.set_members(names, rings[port.name])
-        self.turns = 0
+        self.gossip = LoadGossip(self, port.name, port.incarnation, METRICS, 7)
+        self.gossip.set_members(names, rings[port.name])
+        self.ticks = 0
 
     def send_load_reports(self, to: str, reports: list[LoadReport]) -> None:
-        self.bytes += len(packer.encode(reports)) + 60  # the envelope: measured on sockets
+        self.bytes += len(encoder.encode(reports)) + ENVELOPE_BYTES
         self.port.send(to, reports)
 
-    def heard(self, now: float, sender: str, reports: list[LoadReport]) -> None:
-        self.signals.receive(now, sender, reports)
+    def receive(self, now: float, sender: str, reports: list[LoadReport]) -> None:
+        self.gossip.receive(now, sender, reports)
 
-    def woke(self, now: float) -> None:
-        self.turns += 1
-        if self.turns % 2:  # each 200 ms
+    def tick(self, now: float) -> None:
+        self.ticks += 1
+        if self.ticks % 2:  # each 200 ms
             own = (
                 1.0
                 if self.lies
                 else min(1.0, max(0.0, self.truth(self.port.world.now) + self.chance.gauss(0.0, 0.02)))
             )
-            self.signals.report_own(
+            self.gossip.report_own(
                 now, {"full": own, "pace": 64.0 if self.lies else 1.0, "memory": 0.3, "rate": 40.0}
             )
-        self.signals.tick(now)
+        self.gossip.tick(now)
 
 
-def made(count: int, loss: float, liars: bool, truth: Any, seed: int = 1) -> World:
+def make_world(count: int, loss: float, liars: bool, truth: Any, seed: int = 1) -> World:
     names = [f"server-{n:04}" for n in range(count)]
     rings = MembershipView(names, "fleet").ring_successors(3)
     lying = set(names[: int(LIARS * count)]) if liars else set()
@@ -69,36 +70,36 @@
     )
 
 
-def off(world: World, truth: float) -> tuple[float, float, float]:
+def errors_and_age(world: World, truth: float) -> tuple[float, float, float]:
     """Mean and worst error over all honest servers, and mean age of what they rest on."""
     errors, ages = [], []
     for name, program in world.programs.items():
         if program.lies:
             continue
-        aggregate = program.signals.aggregate(world.clock(name), "full")
+        aggregate = program.gossip.aggregate(world.clock(name), "full")
         errors.append(abs(aggregate.value - truth) if aggregate else 1.0)
         ages.append(aggregate.mean_age_ms if aggregate else REPORT_LIFETIME_MS)
     return sum(errors) / len(errors), max(errors), sum(ages) / len(ages)
 
 
-def measured(count: int, loss: float) -> dict[str, Any]:
+def measure_fleet(count: int, loss: float) -> dict[str, Any]:
     """Figures of one size: at rest, after a jump from 0.1 to 0.8, and with a tenth of liars."""
-    world = made(count, loss, False, lambda now: 0.1 if now < 10_000.0 else 0.8)
+    world = make_world(count, loss, False, lambda now: 0.1 if now < 10_000.0 else 0.8)
     world.run(10_000.0)
-    rest, worst, age = off(world, 0.1)
+    rest, worst, age = errors_and_age(world, 0.1)
     sent = sum(program.bytes for program in world.programs.values())
     # Until the aggregate of all has gone half of the way, and nine tenths of it.
     half = whole = 0.0
     while world.now < 25_000.0 and not whole:
         world.run(world.now + 100.0)
         seen = [
-            program.signals.aggregate(world.clock(name), "full") for name, program in world.programs.items()
+            program.gossip.aggregate(world.clock(name), "full") for name, program in world.programs.items()
         ]
         if not half and all(one is not None and one.value >= 0.45 for one in seen):
             half = world.now - 10_000.0
         if all(one is not None and one.value >= 0.73 for one in seen):
             whole = world.now - 10_000.0
-    lied = made(count, loss, True, lambda now: 0.1)
+    lied = make_world(count, loss, True, lambda now: 0.1)
     lied.run(8_000.0)
     return {
         "servers": count,
@@ -108,7 +109,7 @@
         "age_ms": round(age),
         "jump_half_ms": half,
         "jump_ms": whole,
-        "with_liars": round(off(lied, 0.1)[0], 4),
+        "with_liars": round(errors_and_age(lied, 0.1)[0], 4),
         "bytes_per_s": round(sent / count / 10.0),
         "messages_per_s": round(2000.0 / GOSSIP_INTERVAL_MS, 1),
     }
--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -37,7 +37,7 @@
             self.server = self.server_class(
                 self, port.name, SERVERS, {LEASE_NAME: capacity}, number, epoch, now
             )
-        self.client = self.client_class(self, port.name, SERVERS, f"z{number % zones}", port.life)
+        self.client = self.client_class(self, port.name, SERVERS, f"z{number % zones}", port.incarnation)
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
         """Sends over the simulated network."""
@@ -47,14 +47,14 @@
         """Keeps the event."""
         self.events.append((event, fields))
 
-    def heard(self, now: float, sender: str, message: LeaseMessage) -> None:
+    def receive(self, now: float, sender: str, message: LeaseMessage) -> None:
         """Delivers a message to the server or the client."""
         if isinstance(message, ClientMessage):
             self.client.receive(now, sender, message)
         elif self.server is not None:
             self.server.receive(now, sender, message)
 
-    def woke(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Runs timers, and begins or ends the work that needs the lease."""
         if self.server is not None:
             self.server.tick(now)
@@ -104,7 +104,7 @@
         """Looks for violations; called after each step of the simulation."""
         now = self.world.now
         slot_of: dict[str, int] = {}
-        for name in self.world.there():
+        for name in self.world.running():
             program = self.world.programs[name]
             token = program.client.fencing_token(program.port.now(), LEASE_NAME)
             if token:
@@ -133,7 +133,7 @@
         while world.now < end and not self.violations:
             world.run(world.now + chance.uniform(300.0, 3000.0))
             kind = chance.choice(FAULT_KINDS)
-            name = chance.choice(sorted(world.lives))
+            name = chance.choice(sorted(world.incarnations))
             self.faults[kind] = self.faults.get(kind, 0) + 1
             FAULTS[kind](world, name)
 
@@ -151,25 +151,25 @@
         world.cut |= {(leader, rival)}
         while world.now < end and not world.programs[rival].server.leads(world.clock(rival)):
             world.run(world.now + 50.0)
-        holders = {name for name in world.lives if name not in SERVERS and name in self.slot_of}
+        holders = {name for name in world.incarnations if name not in SERVERS and name in self.slot_of}
         world.split({leader} | holders)
         world.run(world.now + 10_000.0)
 
     def heal(self) -> None:
         """Ends all faults: heals the network, thaws and restarts processes."""
         self.world.heal()
-        for name in sorted(self.world.lives):
+        for name in sorted(self.world.incarnations):
             if name in self.world.frozen:
                 self.world.thaw(name)
             elif name not in self.world.programs:
-                self.world.begin(name)
+                self.world.start(name)
 
 
 # -- faults
 
 
 def _split(world: World, name: str) -> None:
-    world.split({name, world.chance.choice(sorted(world.lives))})
+    world.split({name, world.chance.choice(sorted(world.incarnations))})
 
 
 def _heal(world: World, name: str) -> None:
@@ -190,9 +190,9 @@
 
 
 def _restart_all(world: World, name: str) -> None:
-    for gone in sorted(world.lives):
+    for gone in sorted(world.incarnations):
         if gone not in world.programs:
-            world.begin(gone)
+            world.start(gone)
 
 
 def _slow(world: World, name: str) -> None:
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -136,23 +136,23 @@
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.2), (10, 0.05), (60, 0.2)])
 def test_all_see_a_jump_within_seconds_in_messages_of_one_size(count, loss):
-    found = gossip.measured(count, loss)
+    found = gossip.measure_fleet(count, loss)
     assert found["error"] < 0.05 and 0.0 < found["jump_ms"] <= 6000.0 and found["with_liars"] < 0.1
     assert found["bytes_per_s"] < 2500 and found["age_ms"] < 2500
 
 
 def test_a_split_leaves_each_side_its_own_and_healing_brings_the_rest():
-    world = gossip.made(12, 0.05, False, lambda now: 0.2)
+    world = gossip.make_world(12, 0.05, False, lambda now: 0.2)
     world.run(5_000.0)
     half = sorted(world.programs)[:6]
     world.split(half)
     world.run(5_000.0 + REPORT_LIFETIME_MS + 3_000.0)
     for name, program in world.programs.items():
-        side = {origin in half for origin in program.signals.reports}
+        side = {origin in half for origin in program.gossip.reports}
         assert side == {name in half}
     world.heal()
     world.run(world.now + 5_000.0)
-    assert all(len(program.signals.reports) >= 11 for program in world.programs.values())
+    assert all(len(program.gossip.reports) >= 11 for program in world.programs.values())
 
 
 def concluding(count=5):
