--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -174,7 +174,7 @@
 
 def test_every_event_stands_on_the_on_call_page_and_the_other_way_round():
     code = "".join(path.read_text() for path in sorted((ROOT / "vetchford").rglob("*.py")))
-    said = set(re.findall(r"(?:log\.\w+|\.note|host\.count|talk\.count|self\.count)\(\s*\"(\w+)\"", code))
+    said = set(re.findall(r"(?:log\.\w+|\.note|\.log_sampled|\.log_event|\.count_event)\(\s*\"(\w+)\"", code))
     table = (ROOT / "docs" / "on-call.md").read_text().split("## Log events")[1].split("\n## ")[0]
     assert said == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(said) > 15
 
