--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -112,8 +112,10 @@
                 "ran_twice": sum(count > 1 for count in ran.values()),
                 "wrong": [line for load in loads.values() for line in load.wrong][:4] + several.broken()[:4],
                 "cut": sum(len(load.cut) for load in loads.values()),
-                "states": [[e["server"], e["state"], e["why"]] for e in several.events("records_seen")],
-                "turns": len(several.events("turn_taken")),
+                "states": [
+                    [e["server"], e["state"], e["why"]] for e in several.events("records_state_changed")
+                ],
+                "turns": len(several.events("lease_acquired")),
                 "probed_at_once": most_at_once(several),
             }
 
--- a/testkit/faults/server_cluster.py
+++ b/testkit/faults/server_cluster.py
@@ -20,9 +20,11 @@
 
 def most_at_once(several: "ServerCluster") -> int:
     """How many held a turn at once, by what they logged: one machine, one clock."""
-    steps = [(entry["timestamp"], 1) for entry in several.events("turn_taken")]
+    steps = [(entry["timestamp"], 1) for entry in several.events("lease_acquired")]
     steps += [
-        (entry["timestamp"], -1) for event in ("turn_given", "turn_lost") for entry in several.events(event)
+        (entry["timestamp"], -1)
+        for event in ("lease_released", "lease_lost")
+        for entry in several.events(event)
     ]
     inside = most = 0
     for _, step in sorted(steps):
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -29,13 +29,13 @@
 def there(several, name):
     """Whom it sees, by its log."""
     last = {}
-    for entry in several.events("neighbour_seen", name):
+    for entry in several.events("fleet_member_seen", name):
         last[entry["neighbour"]] = entry["there"]
     return {other for other, seen in last.items() if seen}
 
 
 def leaders(several):
-    return [entry["server"] for entry in several.events("turns_lead")]
+    return [entry["server"] for entry in several.events("lease_leader_elected")]
 
 
 def test_servers_find_each_other_lose_one_that_dies_and_take_it_back_in_a_new_life(several):
@@ -49,12 +49,14 @@
 def test_the_keeper_that_leads_is_frozen_and_another_leads_and_it_says_so_as_it_wakes(several):
     several.until(lambda: leaders(several), 20.0, "nobody leads")
     first = leaders(several)[-1]
-    left = len(several.events("turns_left", first))
+    left = len(several.events("lease_leader_stepped_down", first))
     several.freeze(first)
     several.until(lambda: leaders(several)[-1] != first, 30.0, "no other leads")
     several.thaw(first)
     several.until(
-        lambda: len(several.events("turns_left", first)) > left, 10.0, "it still takes itself for leading"
+        lambda: len(several.events("lease_leader_stepped_down", first)) > left,
+        10.0,
+        "it still takes itself for leading",
     )
 
 
@@ -77,7 +79,7 @@
             thread.start()
         several.until(
             lambda: (
-                {one["server"] for one in several.events("records_seen") if one["state"] == "dead"}
+                {one["server"] for one in several.events("records_state_changed") if one["state"] == "dead"}
                 == set(several.names)
             ),
             20.0,
@@ -87,7 +89,7 @@
             lambda: (
                 {
                     one["server"]
-                    for one in several.events("records_seen")
+                    for one in several.events("records_state_changed")
                     if one["state"] == "well" and one["was"] == "opening"
                 }
                 == set(several.names)
@@ -97,7 +99,7 @@
         )
         for thread in threads:
             thread.join()
-        assert several.events("turn_taken") and most_at_once(several) == 1
+        assert several.events("lease_acquired") and most_at_once(several) == 1
         assert not [line for load in loads for line in load.wrong] and not any(load.cut for load in loads)
         several.stop()
         assert max(several.ledger.end()["ran"].values()) == 1
@@ -125,8 +127,8 @@
     name = several.names[0]
     several.write_together(name, records=False, full=False)
     several.running[name].send_signal(signal.SIGHUP)
-    several.until(lambda: several.events("together_renewed", name), 20.0, "not renewed")
-    assert several.events("together_renewed", name)[0]["full"] is False
+    several.until(lambda: several.events("fleet_settings_reloaded", name), 20.0, "not renewed")
+    assert several.events("fleet_settings_reloaded", name)[0]["full"] is False
     (several.folder / f"{name}.vet").write_text("version: 1\ntogether: {fleet: 5}\n")
     several.running[name].send_signal(signal.SIGHUP)
     several.until(lambda: several.events("configuration_refused", name), 20.0, "a wrong file was taken")
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -128,7 +128,7 @@
         receive(server, float(at), "b", acquire(number=at))
         server.tick(float(at))
     taken = [body for to, body in actions.take("yours") if to == "b"]
-    assert taken and "turn_ran_out" in actions.events
+    assert taken and "lease_expired" in actions.events
 
 
 def test_turns_go_round_the_zones_and_in_order_within_one():
@@ -187,7 +187,7 @@
     assert client.fencing_token(LEASE_MS - 1.0, "deep") == 7
     assert client.fencing_token(LEASE_MS, "deep") == 0  # from when it asked, not from the answer
     client.tick(LEASE_MS)
-    assert "turn_lost" in actions.events and actions.take("want")  # asks for another
+    assert "lease_lost" in actions.events and actions.take("want")  # asks for another
     receive(
         client,
         LEASE_MS + 1.0,
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -42,7 +42,7 @@
 BROADCAST_CHANGE = 0.5  # of the share of lost calls: a service that failed or recovered, told at once
 RINGS = 3  # of all names; we send reports to our next in each
 REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_actor.py
-SAMPLED_EVENTS = frozenset(("turns_full", "turn_ran_out"))  # caused by others: logged ever more rarely
+SAMPLED_EVENTS = frozenset(("lease_queue_full", "lease_expired"))  # caused by others: logged ever more rarely
 
 
 class FleetMember(Actor):
@@ -160,7 +160,9 @@
     def allow(self, record: dict[str, Any]) -> None:
         """Takes over from settings that were read anew which signals may be acted on."""
         self.settings = self.settings.reloaded(record)
-        log.info("together_renewed", records=self.settings.acts_on_records, full=self.settings.acts_on_full)
+        log.info(
+            "fleet_settings_reloaded", records=self.settings.acts_on_records, full=self.settings.acts_on_full
+        )
 
     def leave(self) -> None:
         """At the shutdown: releases all leases, so that others needn't wait, and asks for none any more."""
@@ -203,7 +205,7 @@
     def seen(self, name: str, state: str) -> None:
         """Another server is seen in another state."""
         if state != SUSPECT:
-            log.info("neighbour_seen", neighbour=name, there=state == ALIVE)
+            log.info("fleet_member_seen", neighbour=name, there=state == ALIVE)
         self._update_members()
 
     def _update_members(self) -> None:
--- a/vetchford/gossip/fleet_signals.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -96,7 +96,7 @@
         """Goes over to a state; a probe lease is wanted in DEAD alone."""
         if state is self.state:
             return
-        self.actions.log_event("records_seen", state=state, was=self.state, why=reason)
+        self.actions.log_event("records_state_changed", state=state, was=self.state, why=reason)
         if self.state is RecordsState.DEAD:
             self.actions.release_probe_lease()
         self.state, self.since = state, now
--- a/vetchford/leases/lease_client.py
+++ b/vetchford/leases/lease_client.py
@@ -80,7 +80,7 @@
         if request is None:
             return
         if request.holds():
-            self.actions.log_event("turn_given", turn=lease_name, fence=request.fencing_token)
+            self.actions.log_event("lease_released", turn=lease_name, fence=request.fencing_token)
         if request.server:
             notice = self._release_notice(lease_name, request.fencing_token, request.number)
             self.actions.send_lease_message(request.server, notice)
@@ -96,7 +96,7 @@
         """Handles timers; to be called several times a second."""
         for lease_name, request in self.requests.items():
             if request.holds() and now >= request.expires_at:
-                self.actions.log_event("turn_lost", turn=lease_name, fence=request.fencing_token)
+                self.actions.log_event("lease_lost", turn=lease_name, fence=request.fencing_token)
                 request.forget_lease()
             request.sent_at = {
                 sequence: at for sequence, at in request.sent_at.items() if now - at <= LEASE_MS
@@ -131,7 +131,7 @@
             return
         if not request.holds():
             self.actions.log_event(
-                "turn_taken", turn=granted.lease_name, slot=granted.slot, fence=granted.fencing_token
+                "lease_acquired", turn=granted.lease_name, slot=granted.slot, fence=granted.fencing_token
             )
         request.slot, request.fencing_token = granted.slot, granted.fencing_token
         request.term, request.server = granted.term, sender
@@ -170,7 +170,7 @@
         """Asks for another lease in place of the one that the leader no longer knows."""
         if request is None or not request.holds() or request.fencing_token != revoked.fencing_token:
             return
-        self.actions.log_event("turn_lost", turn=revoked.lease_name, fence=request.fencing_token)
+        self.actions.log_event("lease_lost", turn=revoked.lease_name, fence=request.fencing_token)
         request.forget_lease()
         request.expires_at, request.next_send_at = 0.0, now
 
--- a/vetchford/leases/lease_server.py
+++ b/vetchford/leases/lease_server.py
@@ -55,7 +55,7 @@
         for lease_name, pool in self.pools.items():
             for lease in pool.pop_expired(now):
                 self.actions.log_event(
-                    "turn_ran_out", turn=lease_name, holder=lease.holder, fence=lease.fencing_token
+                    "lease_expired", turn=lease_name, holder=lease.holder, fence=lease.fencing_token
                 )
             pool.drop_silent_waiters(now)
             self._grant_waiting(now, lease_name, pool)
@@ -81,12 +81,12 @@
         self.grants_from = now + LEASE_MS * MAX_CLOCK_RATE_RATIO
         self.pools = {lease_name: LeasePool(capacity) for lease_name, capacity in self.capacities.items()}
         self.granted_in_term = 0
-        self.actions.log_event("turns_lead", term=term)
+        self.actions.log_event("lease_leader_elected", term=term)
 
     def on_stepped_down(self, term: int, reason: str) -> None:
         """Forgets all leases; see `ElectionActions`."""
         self.pools = {}
-        self.actions.log_event("turns_left", term=term, why=reason)
+        self.actions.log_event("lease_leader_stepped_down", term=term, why=reason)
 
     def on_acquire_request(self, now: float, sender: str, request: AcquireRequest) -> None:
         """Grants a lease, or answers with the place in the queue."""
@@ -150,7 +150,7 @@
         request_id = RequestId(request.incarnation, request.request_number)
         waiter = pool.enqueue(now, sender, request_id, request.zone)
         if waiter is None:
-            self.actions.log_event("turns_full", turn=request.lease_name)
+            self.actions.log_event("lease_queue_full", turn=request.lease_name)
             return None
         if (waiter.request_id, waiter.sequence) > (request_id, request.sequence):
             return None
