--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -36,13 +36,16 @@
         self.ticks = 0
 
     def send_load_reports(self, to: str, reports: list[LoadReport]) -> None:
+        """Sends over the simulated network."""
         self.bytes += len(encoder.encode(reports)) + ENVELOPE_BYTES
         self.port.send(to, reports)
 
     def receive(self, now: float, sender: str, reports: list[LoadReport]) -> None:
+        """Hands reports to the gossip."""
         self.gossip.receive(now, sender, reports)
 
     def tick(self, now: float) -> None:
+        """Measures, each second tick, and runs the timers of the gossip."""
         self.ticks += 1
         if self.ticks % 2:  # each 200 ms
             own = (
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -2,6 +2,8 @@
 
 One thread. The admission actor is asked for metrics and told signals, and never waits. Without another server
 in sight the signals are those of a server alone.
+
+The module is longer than most because one object is what all parts act through; it decides nothing itself.
 """
 
 import time
--- a/vetchford/coordination/incarnation.py
+++ b/vetchford/coordination/incarnation.py
@@ -17,6 +17,7 @@
     """The incarnation and nonce of this process; from start to start it grows with the day's clock."""
 
     def __init__(self) -> None:
+        """Begins a new incarnation."""
         self.incarnation = int(clock.day() * 1000.0)
         self.nonce = _draw_nonce()
         self.raised_at: list[float] = []
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -50,6 +50,7 @@
     """Told of each call by `call_ended`; asked for the metrics by `figures` a few times a second."""
 
     def __init__(self) -> None:
+        """Begins with no calls known."""
         self.calls: deque[EndedCall] = deque(maxlen=MAX_CALLS)
         self.cut_off: deque[EndedCall] = deque(maxlen=MAX_CALLS)  # those cut off took at least so long
         self.counters: deque[CounterSample] = deque(maxlen=MAX_COUNTER_SAMPLES)
--- a/vetchford/gossip/fleet_signals.py
+++ b/vetchford/gossip/fleet_signals.py
@@ -77,6 +77,7 @@
     """Turns the reports of the fleet into signals; `update` is to be called several times a second."""
 
     def __init__(self, actions: FleetSignalActions, name: str, seed: int, reports: LoadGossip) -> None:
+        """`reports`: of `METRICS`; `seed` and `name` choose when this server begins to recover."""
         self.actions, self.reports = actions, reports
         self.start_fraction = zlib.crc32(b"%d:%s" % (seed, name.encode())) % 1000 / 1000.0
         self.state, self.since = RecordsState.HEALTHY, 0.0
@@ -104,11 +105,11 @@
             self.actions.request_probe_lease()
 
     def start_delay(self) -> float:
-        """ms from the start of the recovery until this server begins its ramp."""
+        """Time from the start of the recovery until this server begins its ramp."""
         return self.start_fraction * START_SPREAD_MS * self._fleet_size()
 
     def ramp_duration(self) -> float:
-        """ms from the first call of this server until all its calls go."""
+        """Time from the first call of this server until all its calls go."""
         return RAMP_MS * self._fleet_size()
 
     def _fleet_size(self) -> int:
@@ -159,7 +160,7 @@
         return any(sample.age_ms < dead_for - MIN_DEAD_MS for sample in samples)
 
     def _since_last_answer(self, now: float) -> float:
-        """ms since anybody's call was answered, as far as it is known here."""
+        """Time since anybody's call was answered, as far as it is known here."""
         samples = self.reports.samples(now, Metric.SINCE_LAST_ANSWER)
         return min((sample.value + sample.age_ms for sample in samples), default=math.inf)
 
--- a/vetchford/gossip/load_gossip.py
+++ b/vetchford/gossip/load_gossip.py
@@ -66,6 +66,7 @@
         metrics: Sequence[MetricDefinition],
         seed: int,
     ) -> None:
+        """`metrics`: the same list on all servers; `seed` and `name` choose targets."""
         assert 0 < len(metrics) <= MAX_METRICS
         self.actions, self.name, self.incarnation = actions, name, incarnation
         self.seed, self.draws = seed, 0
--- a/vetchford/gossip/messages.py
+++ b/vetchford/gossip/messages.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from vetchford.errors import MalformedInputError
 from vetchford.gossip.metrics import RESOLUTION, UNKNOWN
 
 MAX_REPORTS_PER_MESSAGE = 12  # under 700 bytes with six metrics and names of 16 characters
@@ -24,13 +25,22 @@
     values: list[Quantized]  # see `MetricDefinition.quantize`; UNKNOWN: not reported
 
 
+class OtherMetricsError(MalformedInputError, ValueError):
+    """A report with more or fewer values than there are metrics: of another version."""
+
+    def __init__(self, value_count: int, metric_count: int) -> None:
+        """Makes the message of the counts."""
+        super().__init__(f"a report of {value_count} values for {metric_count} metrics")
+        self.value_count, self.metric_count = value_count, metric_count
+
+
 def decode_reports(body: Any, metric_count: int) -> Iterator[LoadReport]:
     """The reports of a decoded message, one by one: those before a malformed one count.
 
-    Raises TypeError or ValueError (msgspec.ValidationError) at a malformed one.
+    Raises TypeError or ValueError (msgspec.ValidationError, OtherMetricsError) at a malformed one.
     """
     for row in body[:MAX_REPORTS_PER_MESSAGE]:
         report = msgspec.convert(row, LoadReport)
         if len(report.values) != metric_count:
-            raise ValueError("a report of other metrics")
+            raise OtherMetricsError(len(report.values), metric_count)
         yield report
--- a/vetchford/leases/lease_client.py
+++ b/vetchford/leases/lease_client.py
@@ -53,6 +53,7 @@
     def __init__(
         self, actions: LeaseActions, name: str, servers: Sequence[str], zone: str, incarnation: int
     ) -> None:
+        """`servers`: the lease servers; `zone`: leases go round the zones of their clients."""
         self.actions, self.name, self.servers = actions, name, sorted(servers)
         self.zone, self.incarnation = zone, incarnation
         self.requests: dict[str, LeaseRequest] = {}  # by lease name; removed by `release`
--- a/vetchford/transport/framing.py
+++ b/vetchford/transport/framing.py
@@ -37,6 +37,7 @@
     """A frame that can't be read or written; `fault` says why."""
 
     def __init__(self, fault: FrameFault) -> None:
+        """Makes the message of the fault."""
         super().__init__(fault.value)
         self.fault = fault
 
@@ -79,6 +80,7 @@
     """Turns the bytes of one connection into envelopes; keeps at most one frame beside what was just read."""
 
     def __init__(self) -> None:
+        """Begins with nothing read."""
         self.unread = bytearray()
 
     def feed(self, data: bytes) -> list[Envelope]:
--- a/vetchford/transport/outbox.py
+++ b/vetchford/transport/outbox.py
@@ -15,6 +15,7 @@
     """
 
     def __init__(self, max_messages: int = MAX_MESSAGES, max_bytes: int = MAX_BYTES) -> None:
+        """Begins empty."""
         self.max_messages, self.max_bytes, self.bytes = max_messages, max_bytes, 0
         self.messages: deque[tuple[str, bytes]] = deque()  # kind and frame
         self.dropped = 0
--- a/vetchford/transport/replay_window.py
+++ b/vetchford/transport/replay_window.py
@@ -20,6 +20,7 @@
     """The numbers that were seen from one incarnation of a peer."""
 
     def __init__(self) -> None:
+        """Begins with no number seen; numbers count from 1."""
         self.newest = 0
         self.seen = 0  # bit n: newest - n was seen
 
--- a/vetchford/transport/stream_connection.py
+++ b/vetchford/transport/stream_connection.py
@@ -18,6 +18,7 @@
     """A stream with a thread to read and one to write: a stalled peer delays its own writer alone."""
 
     def __init__(self, sock: socket.socket) -> None:
+        """Takes over a connected socket; the owner starts the threads."""
         self.sock, self.outbox, self.is_open = sock, Outbox(), True
         self.changed = threading.Condition()  # guards `outbox` and `is_open`
         self.reader_done = threading.Event()
