--- a/tests/coordination/test_load_sampler.py
+++ b/tests/coordination/test_load_sampler.py
@@ -7,11 +7,11 @@
     return measure.figures(now, begun, usual, counts or {}, 10.0, 100.0)
 
 
-def test_a_server_without_calls_says_nothing_of_the_service():
+def test_a_server_without_calls_reports_nothing_of_the_service():
     assert figures(LoadSampler(), 0.0) == {"memory": 0.1}
 
 
-def test_pace_and_lost_calls_are_those_of_the_window_and_cut_ones_count_as_slow():
+def test_slowdown_and_lost_calls_are_those_of_the_window_and_calls_cut_off_count_as_slow():
     measure = LoadSampler()
     for at in range(10):
         measure.call_ended(float(at), "completed", 40.0)
@@ -24,7 +24,7 @@
     assert "pace" not in figures(measure, 9 * WINDOW_MS) and "lost" not in figures(measure, 9 * WINDOW_MS)
 
 
-def test_a_call_that_is_out_for_long_with_no_end_seen_tells_of_a_service_that_hangs():
+def test_a_call_in_flight_for_long_with_none_answered_counts_as_lost():
     measure = LoadSampler()
     for at in range(10):
         measure.call_ended(float(at), "completed", 40.0)
@@ -34,7 +34,7 @@
     assert figures(measure, 3000.0, begun=[1900.0])["lost"] == 0.0
 
 
-def test_the_share_turned_away_is_that_of_the_last_seconds():
+def test_the_share_of_rejected_requests_is_that_of_the_window():
     measure = LoadSampler()
     assert "full" not in figures(measure, 0.0, counts={"read": 100, "rejected_at_door": 90})
     told = figures(measure, 1000.0, counts={"read": 200, "rejected_at_door": 110, "rejected_held": 5})
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -38,7 +38,7 @@
     return [entry["server"] for entry in several.events("lease_leader_elected")]
 
 
-def test_servers_find_each_other_lose_one_that_dies_and_take_it_back_in_a_new_life(several):
+def test_servers_find_each_other_lose_one_that_dies_and_take_it_back_in_a_new_incarnation(several):
     gone = several.names[3]
     several.kill(gone)
     several.until(lambda: gone not in there(several, several.names[0]), 30.0, "its death is seen")
@@ -46,7 +46,7 @@
     several.until(lambda: gone in there(several, several.names[0]), 20.0, "it is seen again")
 
 
-def test_the_keeper_that_leads_is_frozen_and_another_leads_and_it_says_so_as_it_wakes(several):
+def test_a_frozen_lease_leader_is_replaced_and_steps_down_as_it_wakes(several):
     several.until(lambda: leaders(several), 20.0, "nobody leads")
     first = leaders(several)[-1]
     left = len(several.events("lease_leader_stepped_down", first))
@@ -115,7 +115,7 @@
     several.until(lambda: len(there(several, one)) == 3, 40.0, "it sees all again")
 
 
-def test_what_is_no_neighbour_is_counted_and_changes_nothing(several):
+def test_datagrams_of_no_server_of_the_fleet_are_counted_and_change_nothing(several):
     address = several.programs[several.names[0]]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"", b"GET /", b"vf\x09" + b"\0" * 30, b"vf\x01\0" + b"\xff" * 40, b"\0" * 1400):
@@ -134,7 +134,7 @@
     several.until(lambda: several.events("configuration_refused", name), 20.0, "a wrong file was taken")
 
 
-def test_a_file_that_names_no_such_keeper_or_server_is_refused_in_one_line_with_its_place(tmp_path):
+def test_a_file_that_names_no_such_server_is_refused_in_one_line_with_its_place(tmp_path):
     from vetchford.configuration.isolated_reader import read
     from vetchford.errors import MalformedInputError
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -58,7 +58,7 @@
     return made, host
 
 
-def test_a_row_counts_once_by_life_and_sequence_and_grows_old():
+def test_a_report_counts_once_by_incarnation_and_sequence_and_expires():
     one, _ = signals(["b", "c", "d"])
     receive(one, 0.0, "b", [["b", 1, 5, 100, [500]]])
     receive(one, 1.0, "c", [["b", 1, 4, 0, [900]]])  # late
@@ -78,7 +78,7 @@
     assert len(samples(one, 5.0, "full")) == 1  # too old, our own name, not of the fleet
 
 
-def test_what_leaves_counts_no_more_and_the_table_and_the_message_are_bounded():
+def test_reports_of_members_that_left_are_dropped_and_table_and_message_are_bounded():
     names = [f"n{n:03}" for n in range(400)]
     one, host = signals(names)
     for at, name in enumerate(names):
@@ -108,7 +108,7 @@
         [["b", 1, 1, 0, ["x"]]],
     ],
 )
-def test_what_is_no_row_is_refused(rows):
+def test_a_malformed_report_is_refused(rows):
     one, _ = signals(["b"])
     with pytest.raises((ValueError, TypeError)):
         receive(one, 0.0, "b", rows)
@@ -182,7 +182,7 @@
     assert concludes.update(300.0).call_slowdown == 1.0 and concludes.state == "well"
 
 
-def test_nothing_heard_means_alone_as_before():
+def test_without_recent_reports_a_server_decides_alone():
     one, concludes, _ = concluding()
     say(one, 0.0, 1, pace=10.0, full=0.9)
     assert concludes.update(0.0).is_full
@@ -195,7 +195,7 @@
     )
 
 
-def test_a_dead_service_is_called_by_who_holds_the_turn_alone_and_by_all_once_it_answers():
+def test_a_dead_service_is_called_by_holders_of_the_lease_alone_and_by_all_once_it_answers():
     one, concludes, host = concluding()
     say(one, 0.0, 1, lost=1.0, well=400.0)
     assert (
@@ -218,7 +218,7 @@
     assert rooms == sorted(rooms) and rooms[0] < 0.5 and rooms[-1] == 1.0 and concludes.state == "well"
 
 
-def test_where_nobody_tells_of_a_probe_a_server_tries_by_itself():
+def test_where_nobody_reports_a_probe_a_server_calls_by_itself():
     one, concludes, host = concluding()
     say(one, 0.0, 1, lost=1.0, well=2000.0)
     assert concludes.update(0.0).call_capacity == 0.0
@@ -227,7 +227,7 @@
     assert concludes.state == "opening"
 
 
-def test_a_full_fleet_ends_walks_and_stretches_return_times_within_bounds():
+def test_a_full_fleet_is_told_and_its_retry_after_factor_is_bounded():
     one, concludes, _ = concluding()
     say(one, 0.0, 1, full=0.4)
     assert not concludes.update(0.0).is_full
@@ -239,7 +239,7 @@
     assert not concludes.update(9.0).is_full
 
 
-def test_servers_open_apart_by_their_names():
+def test_servers_begin_to_recover_apart_by_their_names():
     starts = set()
     for name in ("s1", "s2", "s3", "s11", "s12"):
         one = LoadGossip(RecordedActions(), name, 1, METRICS, 3)
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -62,7 +62,7 @@
     return {"do": "want", "turn": "deep", "life": life, "wish": wish, "zone": zone, "number": number}
 
 
-def test_schedules_of_faults_leave_never_more_than_k_and_growing_fences_and_all_goes_on_after_healing():
+def test_under_faults_at_most_k_hold_leases_tokens_grow_and_leases_are_granted_after_healing():
     faults = {}
     for seed in range(1, 13):
         run = LeaseSimulation(seed, loss=0.05, doubled=0.1)
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("mutation", sorted(MUTATIONS))
-def test_a_planted_mistake_is_found(mutation):
+def test_a_mutation_of_the_protocol_is_found(mutation):
     assert schedules_until_caught(mutation)
 
 
@@ -93,7 +93,7 @@
     )
 
 
-def test_with_no_faults_all_get_turns_alike():
+def test_without_faults_all_clients_get_leases_alike():
     run = LeaseSimulation(5, count=9, capacity=1, zones=3)
     run.world.run(300_000.0)
     assert (
@@ -103,7 +103,7 @@
     )
 
 
-def test_a_keeper_that_just_started_gives_no_vote_and_does_not_stand():
+def test_a_server_that_just_started_gives_no_vote_and_does_not_stand():
     actions = RecordedActions()
     server = LeaseServer(actions, "k1", ["k1", "k2", "k3"], {"deep": 1}, 1, 100, 0.0)
     vote = {"do": "vote", "term": 100_000, "number": 1}
@@ -131,7 +131,7 @@
     assert taken and "lease_expired" in actions.events
 
 
-def test_turns_go_round_the_zones_and_in_order_within_one():
+def test_leases_go_round_the_zones_and_in_order_within_one():
     server, actions = leading(capacity=1)
     for at, (name, zone) in enumerate((("a1", "a"), ("a2", "a"), ("a3", "a"), ("b1", "b"), ("c1", "c"))):
         receive(server, 10_000.0 + at, name, acquire(zone=zone))
@@ -148,7 +148,7 @@
     assert order == ["a1", "b1", "c1", "a2", "a3"]
 
 
-def test_a_wish_that_overtakes_the_end_of_the_last_one_gets_a_permit_of_its_own():
+def test_a_request_that_overtakes_the_release_of_the_last_lease_gets_a_lease_of_its_own():
     # Found by schedule 15: renewal, end and the next wish arrived in the wrong order, 2 s late; the new
     # wish was
     # given the old permit, which the end then took away from under it.
@@ -165,7 +165,7 @@
     assert not actions.take("yours")  # still held under the second
 
 
-def test_a_holder_that_was_stopped_knows_that_its_turn_is_over_before_it_acts():
+def test_a_holder_that_was_suspended_knows_that_its_lease_expired_before_it_acts():
     actions = RecordedActions()
     client = LeaseClient(actions, "a", SERVERS, "", 1)
     client.acquire(0.0, "deep")
@@ -205,7 +205,7 @@
     assert client.fencing_token(LEASE_MS + 1.0, "deep") == 0  # the same answer, late
 
 
-def test_words_of_another_life_term_or_turn_change_nothing():
+def test_messages_of_another_request_term_or_lease_name_change_nothing():
     server, actions = leading(capacity=1)
     receive(server, 10_000.0, "a", acquire(wish=2))
     ((_, given),) = actions.take("yours")
--- a/tests/subsetting/test_subsets.py
+++ b/tests/subsetting/test_subsets.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 10, 100])
-def test_the_fullest_has_no_more_than_the_slack_and_a_join_or_a_leave_moves_little(count):
+def test_the_load_of_the_fullest_is_bounded_and_a_join_or_a_leave_moves_few_keys(count):
     keys = [f"tenant-{n}" for n in range(60 * count)]
     some = names(count)
     before, joined = MembershipView(some, "s").owners(keys), MembershipView([*some, "new"], "s").owners(keys)
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -106,7 +106,7 @@
     assert table["c"] == "connected, and no word came" and ("peer_dropped", "mute") in side.counted
 
 
-def test_a_silent_one_keeps_its_stream_for_a_while_and_is_then_given_up():
+def test_a_silent_peer_keeps_its_stream_for_a_while_and_is_then_dropped():
     side = Side(others=["b"])
     link = side.up()
     for now in range(100, int(SILENCE_TIMEOUT_MS) + 200, 100):
@@ -119,7 +119,7 @@
     assert side.peers.peers["b"].state is LinkState.OFF and ("peer_dropped", "silent") in side.counted
 
 
-def test_one_that_was_stopped_itself_holds_nobody_for_silent():
+def test_a_process_that_was_suspended_takes_no_peer_for_silent():
     side = Side(others=["b"])
     side.up()
     side.peers.tick(100.0)
@@ -135,14 +135,14 @@
         ({"sender": "c"}, "another's name"),
     ],
 )
-def test_strangers_are_refused_in_one_counted_line(given, why):
+def test_unknown_peers_are_refused_and_counted(given, why):
     side = Side()
     link = side.up()
     side.give(1.0, link, "news", **given)
     assert not side.got and ("peer_refused", why) in side.counted and link in side.shut_links
 
 
-def test_an_address_that_is_not_listed_and_a_crowd_of_silent_ones_are_refused_at_the_door():
+def test_an_unlisted_address_and_too_many_pending_connections_are_refused():
     side = Side("z", ["b"])
     assert side.peers.on_accepted(0.0, "10.9.9.9") == 0
     taken = [side.peers.on_accepted(0.0, "10.0.0.1") for _ in range(10)]
@@ -151,7 +151,7 @@
     assert not side.peers.links
 
 
-def test_words_of_an_earlier_life_and_of_a_twin_are_known_and_the_speaker_hears_so():
+def test_stale_incarnations_and_duplicate_identities_are_refused_and_told():
     side = Side("z", ["b"])
     link = side.peers.on_accepted(0.0, "10.0.0.1")
     side.give(0.0, link, "hello", {"to": "z", "knows": [0, 0]}, life=5)
@@ -167,7 +167,7 @@
     assert side.got == [("b", "news", "of now")]
 
 
-def test_a_later_life_of_ours_that_somebody_knows_is_told():
+def test_a_later_incarnation_of_ours_that_a_peer_knows_is_told():
     side = Side(others=["b"], life=3)
     side.peers.tick(0.0)
     link = side.dialled[0][1]
@@ -189,7 +189,7 @@
     assert {why for name, why in side.counted if name == "peer_out_of_sequence"} == {"doubled", "gap"}
 
 
-def test_back_off_doubles_to_its_bound_and_is_spread():
+def test_backoff_doubles_to_its_bound_with_jitter():
     waits = []
     side = Side(others=["b"])
     for n in range(12):
@@ -213,7 +213,7 @@
         newest = max(newest, sequence)
 
 
-def test_an_outbox_is_bounded_and_its_oldest_news_goes_first():
+def test_an_outbox_is_bounded_and_drops_its_oldest_repeated_message_first():
     box = Outbox(max_messages=4, max_bytes=100)
     for n, kind in enumerate(("look", "book", "look", "book")):
         box.put(kind, b"%d" % n)
@@ -238,7 +238,7 @@
     assert heard == said and not stream.unread
 
 
-def test_what_is_no_frame_of_ours_is_refused_by_one_word():
+def test_what_is_no_frame_is_refused_by_its_fault():
     good = framing.encode_frame(Envelope("pay", "a", 1, 2, 3, "news", None))
     assert framing.decode_datagram(good).sequence == 3
     wrong = {
@@ -262,7 +262,7 @@
             assert str(problem) in set(FrameFault) and problem.fault == str(problem)
 
 
-def test_without_streams_nobody_is_called_and_an_old_life_hears_of_the_later_one_rarely():
+def test_without_streams_nobody_is_connected_and_a_stale_incarnation_is_told_seldom():
     side = Side()
     told = []
     side.send_known_incarnation = lambda peer, life, nonce: told.append((peer, life, nonce))
