--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -112,8 +112,10 @@
                 "ran_twice": sum(count > 1 for count in ran.values()),
                 "wrong": [line for load in loads.values() for line in load.wrong][:4] + several.broken()[:4],
                 "cut": sum(len(load.cut) for load in loads.values()),
-                "states": [[e["server"], e["state"], e["why"]] for e in several.events("records_seen")],
-                "turns": len(several.events("turn_taken")),
+                "states": [
+                    [e["server"], e["state"], e["why"]] for e in several.events("records_state_changed")
+                ],
+                "turns": len(several.events("lease_acquired")),
                 "probed_at_once": most_at_once(several),
             }
 
@@ -173,10 +175,9 @@
 
 def turns(count: int) -> dict[str, Any]:
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
-        played = thread_pool.map(leases.played, range(1, count + 1))
-        found = dict(
-            zip(sorted(leases.MISTAKES), thread_pool.map(leases.caught, sorted(leases.MISTAKES)), strict=True)
-        )
+        played = thread_pool.map(leases.run_schedule, range(1, count + 1))
+        mutations = sorted(leases.MUTATIONS)
+        found = dict(zip(mutations, thread_pool.map(leases.schedules_until_caught, mutations), strict=True))
     return {
         "schedules": count,
         "wrong": [one["wrong"] for one in played if one["wrong"]][:3],
@@ -202,7 +203,7 @@
         (n, loss) for n in ((3, 10, 100) if quick else (3, 10, 100, 300, 1000)) for loss in (0.0, 0.05, 0.2)
     ]
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
-        out["signals"] = thread_pool.starmap(gossip.measured, cases)
+        out["signals"] = thread_pool.starmap(gossip.measure_fleet, cases)
     for one in out["signals"]:
         print("signals:", one, flush=True)
     bytes_at = {one["servers"]: one["bytes_per_s"] for one in out["signals"] if not one["loss"]}
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -54,10 +54,10 @@
 class FleetSignals(Protocol):
     """What the servers of a fleet see together; see `vetchford.gossip.fleet_signals`."""
 
-    pace: float
-    room: float
-    full: bool
-    stretch: float
+    call_slowdown: float
+    call_capacity: float
+    is_full: bool
+    retry_after_factor: float
 
 
 class AdmissionActor(Actor):
@@ -254,7 +254,9 @@
     def fleet_signals_changed(self, signals: FleetSignals) -> None:
         """Hand what the fleet sees to the controller."""
         if self.controller is not None:
-            self.controller.apply_fleet_signals(signals.pace, signals.room, signals.full, signals.stretch)
+            self.controller.apply_fleet_signals(
+                signals.call_slowdown, signals.call_capacity, signals.is_full, signals.retry_after_factor
+            )
 
     def log_summary(self) -> None:
         """Log all counts, now and each `SUMMARY_INTERVAL` from now on."""
