--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -12,7 +12,9 @@
 from vetchford.fleet import consensus as books
 from vetchford.fleet import fleet_rollout
 from vetchford.fleet.coordinator import FleetCoordinator
-from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
+from vetchford.fleet.instance import InstanceSettings
+from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.rollout_controller import RolloutController
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
 SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
@@ -63,14 +65,16 @@
             self.lives,
         )
         for name in self.instances:
-            self.fleet.declare(name, Terms("pay", STOP, READY), "v1")
+            self.fleet.declare(name, InstanceSettings("pay", STOP, READY), "v1")
         for (kind, name), body in sorted((key, body) for key, body in self.disk.items() if key != "store"):
             if kind in ("instance", "change"):
                 self.fleet.restore(kind, name, copy.deepcopy(body))
             else:
                 self.across.restore(kind, name, copy.deepcopy(body))
         for name in self.instances:
-            self.fleet.found(world.now, name, self.up[name]["version"] if name in self.up else None)
+            self.fleet.on_process_found(
+                world.now, name, self.up[name]["version"] if name in self.up else None
+            )
 
     def end(self):
         self.across = self.fleet = None
@@ -88,7 +92,7 @@
         if self.acts == self.dies_at:
             raise KilledError(self)
 
-    def record(self, kind, name, body):
+    def save_record(self, kind, name, body):
         self.maybe_die()
         if self.full:
             raise OSError("full")
@@ -97,7 +101,7 @@
         else:
             self.disk[kind, name] = copy.deepcopy(body)
 
-    keep = record
+    keep = save_record
 
     def post(self, to, kind, body):
         self.maybe_die()
@@ -112,7 +116,7 @@
         self.maybe_die()
         self.up[name] = {"version": version, "ready": ready, "ends": 1e15, "hangs": hangs}
 
-    def term(self, name):
+    def terminate(self, name):
         self.maybe_die()
         self.world.checks_floor(self, name)
         process = self.up[name]
@@ -132,18 +136,18 @@
             "instances": {
                 one.name: {
                     "state": one.state,
-                    "unseen": one.unseen,
-                    "group": one.terms.group,
-                    "version": one.runs or one.version,
+                    "unseen": one.awaiting_first_check,
+                    "group": one.settings.group,
+                    "version": one.running_version or one.version,
                     "declared": "v1",
                     "wanted": one.wanted,
-                    "change": owner.id if (owner := fleet.owner(one.name)) else "",
+                    "change": owner.id if (owner := fleet.rollout_of(one.name)) else "",
                 }
                 for one in fleet.instances.values()
             },
             "locals": {
-                id: [change.state, change.why, list(change.killed)]
-                for id, change in fleet.changes.items()
+                id: [change.state, change.reason, list(change.killed)]
+                for id, change in fleet.rollouts.items()
                 if id.partition("/")[0] in known
             },
             "versions": ["v2", "bad"],
@@ -155,11 +159,11 @@
             act["kind"],
             [act["name"]],
             version=act["version"],
-            soak=act["soak"],
+            minimum_ready_ms=act["soak"],
             on_failure="go_on",
         )
         try:
-            if self.fleet.ask(self.world.now, change).state == "paused":
+            if self.fleet.submit(self.world.now, change).state == "paused":
                 self.fleet.resume(self.world.now, change.id)
         except (RefusedError, OSError) as problem:
             return str(problem)
@@ -177,7 +181,7 @@
             if process["ends"] <= now:
                 del self.up[name]
                 if self.fleet is not None and now >= self.frozen_until:
-                    self.fleet.exited(now, name, 0)
+                    self.fleet.on_process_exit(now, name, 0)
                 else:
                     self.inbox.append(("exited", name))
         if self.fleet is None or now < self.frozen_until:
@@ -186,13 +190,13 @@
         for kind, *given in waiting:
             if kind == "exited":
                 if given[0] not in self.up:
-                    self.fleet.exited(now, given[0], None)
+                    self.fleet.on_process_exit(now, given[0], None)
             else:
                 self.across.heard(now, *given)
         for name in self.instances:
             if name in self.up:
-                self.fleet.checked(now, name, self.serves(name))
-        self.fleet.woke(now)
+                self.fleet.on_health_check(now, name, self.serves(name))
+        self.fleet.on_tick(now)
         self.across.woke(now)
 
 
@@ -266,7 +270,7 @@
 
     def checks_floor(self, machine, name):
         """Before a change takes one out: those that serve, and those that fell too late to be known."""
-        owner = machine.fleet.owner(name)
+        owner = machine.fleet.rollout_of(name)
         if owner is None or not machine.serves(name):
             return
         late = sum(self.now - at <= SEEN_BY for at in self.fallen.values())
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -15,9 +15,11 @@
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import Checkpoint, beside, until
 from vetchford.fleet import agent as agent_file
-from vetchford.fleet import rollout, supervisor
+from vetchford.fleet import supervisor
 from vetchford.fleet.agent import Agent
-from vetchford.fleet.rollout import Rollout, RolloutController, Terms
+from vetchford.fleet.instance import InstanceSettings, InstanceState
+from vetchford.fleet.rollout import ENDED_STATES, Rollout, RolloutState, StepState
+from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.runtime.metrics import Metrics
 
 # -- the ready check
@@ -121,7 +123,7 @@
     def __init__(self):
         self.acts, self.kept, self.full = [], {}, False
 
-    def record(self, kind, name, body):
+    def save_record(self, kind, name, body):
         if self.full:
             raise OSError("full")
         self.kept[kind, name] = body
@@ -138,128 +140,130 @@
     world = World()
     fleet = RolloutController(world)
     for name in names:
-        fleet.declare(name, Terms(stop_ms=400.0, ready_ms=1500.0), "v1")
-        fleet.found(0.0, name, None)
-    fleet.ask(0.0, Rollout("up", "start", list(names), batch=9, soak=0.0))
+        fleet.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
+        fleet.on_process_found(0.0, name, None)
+    fleet.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
     for name in names:
-        fleet.checked(1.0, name, True)
-    fleet.woke(2.0)
-    assert fleet.changes["up"].state == rollout.FINISHED
+        fleet.on_health_check(1.0, name, True)
+    fleet.on_tick(2.0)
+    assert fleet.rollouts["up"].state == RolloutState.FINISHED
     return world, fleet
 
 
 def out_and_up(fleet, now, name):
     """It ends as it was told to, and its next process serves."""
-    assert fleet.instances[name].state == rollout.DRAINING
-    fleet.exited(now, name, 0)
-    fleet.checked(now + 1.0, name, True)
+    assert fleet.instances[name].state == InstanceState.DRAINING
+    fleet.on_process_exit(now, name, 0)
+    fleet.on_health_check(now + 1.0, name, True)
 
 
 def test_one_that_hangs_in_its_drain_is_killed_also_where_its_change_was_aborted_meanwhile():
     world, fleet = up()
-    fleet.ask(10.0, Rollout("r", "restart", ["a"], soak=0.0))
+    fleet.submit(10.0, Rollout("r", "restart", ["a"], minimum_ready_ms=0.0))
     fleet.abort(20.0, "r")
     for now in range(100, 2500, 50):
-        fleet.woke(float(now))
+        fleet.on_tick(float(now))
     assert "a" in world.did("kill")
-    fleet.exited(2500.0, "a", -9)
-    fleet.woke(2600.0)
-    assert world.did("spawn").count("a") == 2 and fleet.instances["a"].state == rollout.STARTING
+    fleet.on_process_exit(2500.0, "a", -9)
+    fleet.on_tick(2600.0)
+    assert world.did("spawn").count("a") == 2 and fleet.instances["a"].state == InstanceState.STARTING
 
 
 def rolled_back(fleet, now):
     """A roll over all, one by one; the second one's new version fails, so that both go back."""
-    fleet.ask(now, Rollout("r", "roll", ["a", "b", "c"], "v2", soak=0.0, on_failure="back"))
+    fleet.submit(now, Rollout("r", "roll", ["a", "b", "c"], "v2", minimum_ready_ms=0.0, on_failure="back"))
     out_and_up(fleet, now + 10.0, "a")
-    fleet.woke(now + 20.0)
-    fleet.exited(now + 30.0, "b", 0)  # it leaves, and its next one
-    fleet.exited(now + 40.0, "b", 1)  # crashes
+    fleet.on_tick(now + 20.0)
+    fleet.on_process_exit(now + 30.0, "b", 0)  # it leaves, and its next one
+    fleet.on_process_exit(now + 40.0, "b", 1)  # crashes
 
 
 def test_a_way_back_that_is_paused_goes_on_back_once_resumed_also_by_the_next_agent():
     world, fleet = up()
     rolled_back(fleet, 100.0)
-    assert fleet.changes["r"].state == rollout.BACK
-    fleet.pause(150.0, "r")
+    assert fleet.rollouts["r"].state == RolloutState.ROLLING_BACK
+    fleet.pause("r")
     again = RolloutController(world)  # the agent is started anew in between
     for name in fleet.instances:
-        again.declare(name, Terms(stop_ms=400.0, ready_ms=1500.0), "v1")
+        again.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
         again.restore("instance", name, world.kept["instance", name])
     again.restore("change", "r", world.kept["change", "r"])
     for name, one in fleet.instances.items():
-        again.found(160.0, name, one.runs or None)
+        again.on_process_found(160.0, name, one.running_version or None)
     again.resume(200.0, "r")
     for now in range(210, 900, 10):
         for name, one in again.instances.items():
-            if one.state == rollout.DRAINING:
-                again.exited(now, name, 0)
-            elif one.state == rollout.STARTING:
-                again.checked(now, name, True)
-        again.woke(float(now))
-    assert (again.changes["r"].state, again.changes["r"].why) == (rollout.BROKEN, "gone back")
-    assert {name: one.runs for name, one in again.instances.items()} == dict.fromkeys("abc", "v1")
+            if one.state == InstanceState.DRAINING:
+                again.on_process_exit(now, name, 0)
+            elif one.state == InstanceState.STARTING:
+                again.on_health_check(now, name, True)
+        again.on_tick(float(now))
+    assert (again.rollouts["r"].state, again.rollouts["r"].reason) == (RolloutState.FAILED, "gone back")
+    assert {name: one.running_version for name, one in again.instances.items()} == dict.fromkeys("abc", "v1")
 
 
 def test_a_store_that_fails_as_a_change_turns_back_leaves_its_steps_as_they_are_on_record():
     world, fleet = up()
-    record, failed = world.record, []
+    record, failed = world.save_record, []
 
     def fails_once(kind, name, body):
-        if kind == "change" and body["state"] == rollout.BACK and not failed:
+        if kind == "change" and body["state"] == RolloutState.ROLLING_BACK and not failed:
             failed.append(name)
             raise OSError("full")
         record(kind, name, body)
 
-    world.record = fails_once
+    world.save_record = fails_once
     rolled_back(fleet, 100.0)
-    assert failed == ["r"] and fleet.changes["r"].state == rollout.PAUSED
-    assert fleet.changes["r"].steps == {"a": rollout.DONE, "b": rollout.LOST, "c": rollout.PENDING}
-    assert fleet.changes["r"].steps == world.kept["change", "r"]["steps"]
+    assert failed == ["r"] and fleet.rollouts["r"].state == RolloutState.PAUSED
+    assert fleet.rollouts["r"].steps == {"a": StepState.DONE, "b": StepState.FAILED, "c": StepState.PENDING}
+    assert fleet.rollouts["r"].steps == world.kept["change", "r"]["steps"]
 
 
 def test_an_abort_that_the_store_cannot_take_has_not_happened_and_can_be_given_again():
     world, fleet = up()
-    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], soak=0.0))
+    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     world.full = True
     with pytest.raises(OSError):
         fleet.abort(20.0, "r")
-    assert fleet.changes["r"].state not in rollout.ENDED
+    assert fleet.rollouts["r"].state not in ENDED_STATES
     world.full = False
-    assert fleet.abort(30.0, "r").state == rollout.ABORTED
-    fleet.exited(100.0, "a", 0)
-    fleet.woke(1100.0)
-    assert fleet.instances["a"].state == rollout.STARTING
+    assert fleet.abort(30.0, "r").state == RolloutState.ABORTED
+    fleet.on_process_exit(100.0, "a", 0)
+    fleet.on_tick(1100.0)
+    assert fleet.instances["a"].state == InstanceState.STARTING
 
 
 def test_a_pause_that_the_store_cannot_take_holds_and_is_logged():
     world, fleet = up()
-    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], soak=0.0))
+    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     noted = []
     world.note = lambda event, **fields: noted.append((event, fields.get("now")))
     world.full = True
     with pytest.raises(OSError):
-        fleet.pause(20.0, "r")
-    assert fleet.changes["r"].state == rollout.PAUSED and noted == [("change_moved", rollout.PAUSED)]
-    fleet.exited(30.0, "a", 0)
-    assert fleet.instances["a"].state == rollout.STOPPED  # nothing more is begun
+        fleet.pause("r")
+    assert fleet.rollouts["r"].state == RolloutState.PAUSED and noted == [
+        ("change_moved", RolloutState.PAUSED)
+    ]
+    fleet.on_process_exit(30.0, "a", 0)
+    assert fleet.instances["a"].state == InstanceState.STOPPED  # nothing more is begun
 
 
 def test_a_store_that_fails_in_the_middle_of_an_abort_keeps_no_instance_down():
     """The change is on record as aborted; what follows for its instances is not."""
     world, fleet = up()
-    fleet.ask(10.0, Rollout("r", "restart", ["a", "b"], batch=2, soak=0.0))
-    fleet.pause(20.0, "r")
+    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], batch=2, minimum_ready_ms=0.0))
+    fleet.pause("r")
     for name in "ab":
-        fleet.exited(30.0, name, 0)
-    record = world.record
+        fleet.on_process_exit(30.0, name, 0)
+    record = world.save_record
 
     def only_changes(kind, name, body):
         if kind == "instance":
             raise OSError("full")
         record(kind, name, body)
 
-    world.record = only_changes
+    world.save_record = only_changes
     fleet.abort(40.0, "r")
-    world.record = record
-    fleet.woke(2000.0)
-    assert {name: fleet.instances[name].state for name in "ab"} == dict.fromkeys("ab", rollout.STARTING)
+    world.save_record = record
+    fleet.on_tick(2000.0)
+    assert {name: fleet.instances[name].state for name in "ab"} == dict.fromkeys("ab", InstanceState.STARTING)
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -23,7 +23,9 @@
 
 from vetchford.fleet import supervisor
 from vetchford.fleet.history_store import Store, StoreError
-from vetchford.fleet.rollout import ALIVE, ENDED, RefusedError, Rollout, RolloutController, Terms
+from vetchford.fleet.instance import InstanceSettings
+from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.runtime.actor import Actor, ThreadPool
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -81,14 +83,11 @@
         if token is None:
             self.store.put("agent", "token", {"token": self.token})
         for name, spec in self.specs.items():
-            terms = Terms(spec["group"], spec["stop_ms"], spec["ready_ms"], spec["restart"])
-            self.fleet.declare(name, terms, spec["version"])
+            settings = InstanceSettings(spec["group"], spec["stop_ms"], spec["ready_ms"], spec["restart"])
+            self.fleet.declare(name, settings, spec["version"])
         for kind, name, body in kept:
             self.fleet.restore(kind, name, body)
-        for change in list(self.fleet.changes.values()):
-            gone = [name for name in change.targets if name not in self.specs]
-            if gone and change.state not in ENDED:
-                self.fleet.turn(change, "broken", f"no longer in the settings: {', '.join(gone)}")
+        self.fleet.fail_rollouts_without_settings()
         found = supervisor.find(self.token)
         for name, several in found.items():
             for process, _ in several[1:] if name in self.specs else several:
@@ -99,12 +98,12 @@
             ours = found.get(name, [])
             if ours:
                 self.ours[name] = ours[0][0]
-            self.fleet.found(self.now(), name, ours[0][1] if ours else None)
+            self.fleet.on_process_found(self.now(), name, ours[0][1] if ours else None)
 
     # -- the host
 
-    def record(self, kind: str, name: str, body: dict[str, Any] | None) -> None:
-        self.store.put(kind, name, body)
+    def save_record(self, kind: str, name: str, record: dict[str, Any] | None) -> None:
+        self.store.put(kind, name, record)
 
     def spawn(self, name: str, version: str) -> None:
         spec = self.specs[name]
@@ -124,9 +123,9 @@
         os.write(self.wake_write, b"x")
 
     def spawn_failed(self, name: str, why: str) -> None:
-        self.fleet.spawn_failed(self.now(), name, why)
+        self.fleet.on_spawn_failed(self.now(), name, why)
 
-    def term(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         if name in self.ours:
             self.ours[name].signal(signal.SIGTERM)
 
@@ -146,10 +145,10 @@
             most = self.specs[name]["memory_mb"]
             if most is None or supervisor.memory_kb(process.pid) <= most << 10:
                 continue
-            for change in self.fleet.changes.values():
-                if change.state in ("running", "back"):
+            for change in self.fleet.rollouts.values():
+                if change.active:
                     with contextlib.suppress(OSError):  # the store can't: it pauses for that
-                        self.fleet.pause(self.now(), change.id, f"{name} takes over {most} MB")
+                        self.fleet.pause(change.id, f"{name} takes over {most} MB")
 
     # -- the actor
 
@@ -159,7 +158,7 @@
     def on_idle(self) -> None:
         if time.monotonic() >= self.next_turn:
             self.next_turn = time.monotonic() + TURN
-            self.fleet.woke(self.now())
+            self.fleet.on_tick(self.now())
             if self.joined is not None:
                 self.joined.woke()
         if time.monotonic() >= self.next_look:
@@ -196,7 +195,7 @@
     def gone(self, name: str, process: supervisor.Process) -> None:
         if self.ours.get(name) is process:
             del self.ours[name]
-            self.fleet.exited(self.now(), name, process.ended())
+            self.fleet.on_process_exit(self.now(), name, process.ended())
 
     def check_all(self) -> None:
         # A crew of ours: where no thread is to be had, its work waits for one that is busy, and goes on.
@@ -226,7 +225,7 @@
 
     def checked(self, name: str, process: supervisor.Process, good: bool) -> None:
         if self.ours.get(name) is process:  # else it has ended meanwhile: this is not its successor's
-            self.fleet.checked(self.now(), name, good)
+            self.fleet.on_health_check(self.now(), name, good)
 
     # -- tools
 
@@ -254,23 +253,23 @@
                 {
                     "name": one.name,
                     "state": one.state,
-                    "version": one.runs or one.version,
-                    "why": one.why,
-                    "group": one.terms.group,
+                    "version": one.running_version or one.version,
+                    "why": one.reason,
+                    "group": one.settings.group,
                     "labels": self.specs[one.name]["labels"],
                     "wanted": one.wanted,
-                    "for_ms": round(now - one.since),
+                    "for_ms": round(now - one.state_since),
                     "restarts": one.restarts,
-                    "killed": one.killed,
+                    "killed": one.kill_count,
                     "pid": self.ours[one.name].pid if one.name in self.ours else 0,
                     "memory_kb": supervisor.memory_kb(self.ours[one.name].pid)
                     if one.name in self.ours
                     else 0,
-                    "change": owner.id if (owner := self.fleet.owner(one.name)) else "",
+                    "change": owner.id if (owner := self.fleet.rollout_of(one.name)) else "",
                 }
                 for one in self.fleet.instances.values()
             ],
-            "changes": [self.told_of(change) for change in self.fleet.changes.values()],
+            "changes": [self.told_of(change) for change in self.fleet.rollouts.values()],
         }
 
     def told_of(self, change: Rollout) -> dict[str, Any]:
@@ -278,14 +277,14 @@
             "id": change.id,
             "kind": change.kind,
             "state": change.state,
-            "why": change.why,
+            "why": change.reason,
             "steps": change.steps,
             "killed": change.killed,
         }
 
     def on_change(self, request: dict[str, Any]) -> dict[str, Any]:
         fields = {key: value for key, value in request.items() if key not in ("ask", "dry_run")}
-        change = Rollout(**{"id": uuid.uuid4().hex[:12], **fields})
+        change = Rollout.from_request({"id": uuid.uuid4().hex[:12], **fields})
         if change.kind == "roll":
             missing = [
                 name
@@ -295,15 +294,12 @@
             if missing and change.version not in self.told["versions"]:
                 raise RefusedError(f"no command for version '{change.version}' in the settings")
         if request.get("dry_run"):
-            trial = RolloutController(Silent())
-            trial.instances, trial.changes = dict(self.fleet.instances), dict(self.fleet.changes)
-            trial.go_on = lambda now: None  # type: ignore[method-assign]
-            change = trial.ask(self.now(), change)
-            return {"plan": change.targets, "batch": change.batch, "floor": change.floor}
-        return self.told_of(self.fleet.ask(self.now(), change))
+            plan = self.fleet.plan(change)
+            return {"plan": plan.targets, "batch": plan.batch, "floor": plan.minimum_available}
+        return self.told_of(self.fleet.submit(self.now(), change))
 
     def on_pause(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.pause(self.now(), request["id"]))
+        return self.told_of(self.fleet.pause(request["id"]))
 
     def on_resume(self, request: dict[str, Any]) -> dict[str, Any]:
         return self.told_of(self.fleet.resume(self.now(), request["id"]))
@@ -312,7 +308,7 @@
         return self.told_of(self.fleet.abort(self.now(), request["id"]))
 
     def on_find(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.known(request["id"]))
+        return self.told_of(self.fleet.table.get(request["id"]))
 
     def on_history(self, request: dict[str, Any]) -> dict[str, Any]:
         return {"history": self.store.history(min(1000, int(request.get("most", 50))))}
@@ -327,21 +323,14 @@
             if entry["name"] == name or name in (entry["body"] or {}).get("steps", {})
         ]
         one = self.fleet.instances[name]
-        said = f"{name} is {one.state} ({one.why}); it is{'' if one.wanted else ' not'} wanted"
-        if one.again_at:
-            said += f"; started again in {max(0, round(one.again_at - self.now()))} ms"
-        if one.state not in ALIVE and one.wanted and not one.again_at:
+        said = f"{name} is {one.state} ({one.reason}); it is{'' if one.wanted else ' not'} wanted"
+        if one.restart_at:
+            said += f"; started again in {max(0, round(one.restart_at - self.now()))} ms"
+        if not one.has_process and one.wanted and not one.restart_at:
             said += "; nothing will start it until somebody does"
         return {"said": said, "history": about[:20]}
 
 
-class Silent:
-    """A host that does nothing, for plans."""
-
-    def __getattr__(self, name: str) -> Any:
-        return lambda *given, **fields: None
-
-
 def ready(address: str) -> bool:
     """Whether a server there says that it serves, within CHECK_WAITS, in however many pieces."""
     host, _, port = address.rpartition(":")
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -16,7 +16,8 @@
 from vetchford.fleet import failure_detector, fleet_rollout
 from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.history_store import Store
-from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
+from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -181,21 +182,21 @@
             "instances": {
                 one.name: {
                     "state": one.state,
-                    "unseen": one.unseen,
-                    "group": one.terms.group,
-                    "why": one.why,
-                    "version": one.runs or one.version,
+                    "unseen": one.awaiting_first_check,
+                    "group": one.settings.group,
+                    "why": one.reason,
+                    "version": one.running_version or one.version,
                     "declared": specs[one.name]["version"],
                     "wanted": one.wanted,
                     "labels": specs[one.name]["labels"],
-                    "killed": one.killed,
-                    "change": owner.id if (owner := fleet.owner(one.name)) else "",
+                    "killed": one.kill_count,
+                    "change": owner.id if (owner := fleet.rollout_of(one.name)) else "",
                 }
                 for one in fleet.instances.values()
             },
             "locals": {
-                id: [change.state, change.why, list(change.killed)]
-                for id, change in fleet.changes.items()
+                id: [change.state, change.reason, list(change.killed)]
+                for id, change in fleet.rollouts.items()
                 if id.partition("/")[0] in known
             },
             "versions": sorted(self.owner.told["versions"]),
@@ -207,11 +208,11 @@
             str(act["kind"]),
             [str(act["name"])],
             version=str(act["version"]),
-            soak=float(act["soak"]),
+            minimum_ready_ms=float(act["soak"]),
             on_failure="go_on",
         )
         try:
-            if self.owner.fleet.ask(self.now(), change).state == "paused":
+            if self.owner.fleet.submit(self.now(), change).state == "paused":
                 self.owner.fleet.resume(self.now(), change.id)
         except (RefusedError, OSError) as problem:
             return str(problem)
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -16,9 +16,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from vetchford.fleet.rollout import KINDS, ON_FAILURE, SERVING, RefusedError
+from vetchford.fleet.instance import InstanceState
+from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 
+SERVING = InstanceState.SERVING
+
 POLL = 250.0  # ms between two reports of one agent while a change runs
 POLL_IDLE = 1000.0  # ms between them else: they hold what `--across` selects from
 FRESH = 2000.0  # ms: eight polls; what was seen earlier proves nothing
@@ -171,7 +174,7 @@
     def checked(self, now: float, request: Body) -> Body:
         """The span of a request; RefusedError where it must not begin."""
         targets = request["targets"]
-        if request["kind"] not in KINDS or request["on_failure"] not in ON_FAILURE:
+        if request["kind"] not in KINDS or request["on_failure"] not in FAILURE_POLICIES:
             raise RefusedError(f"'{request['kind']}' or '{request['on_failure']}' is none that is known")
         if not targets or len(set(targets)) < len(targets) or len(targets) > MOST_TARGETS:
             raise RefusedError(f"it must name 1 to {MOST_TARGETS} instances, each once")
--- /dev/null
+++ b/vetchford/fleet/instance.py
@@ -0,0 +1,81 @@
+"""One instance as its agent sees it: settings, states and the record that survives the agent.
+
+    absent -> starting -> serving -> draining -> stopped
+                 |           |          | (past its stop timeout) stopping -> stopped
+                 +-- failed <+ (exits unexpectedly, again and again)          unknown: not looked for yet
+
+Plain data; the transitions are in `instance_manager`. Times are in ms on the caller's monotonic clock.
+"""
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+
+class InstanceState(StrEnum):
+    """The observed state of an instance; the words of replies, logs and `fleet status`."""
+
+    ABSENT = "absent"  # wanted, no process: waits for its next start
+    STARTING = "starting"  # a process that has not passed a health check yet
+    SERVING = "serving"
+    DRAINING = "draining"  # SIGTERM was sent, the stop timeout has not passed
+    STOPPING = "stopping"  # SIGKILL was sent
+    STOPPED = "stopped"  # not wanted, no process
+    FAILED = "failed"  # wanted, no process, and no further restart
+    UNKNOWN = "unknown"  # the process table was not read yet
+
+
+STATES_WITH_PROCESS = frozenset(
+    (InstanceState.STARTING, InstanceState.SERVING, InstanceState.DRAINING, InstanceState.STOPPING)
+)
+STATES_BEING_STOPPED = frozenset((InstanceState.DRAINING, InstanceState.STOPPING))
+
+
+@dataclass(slots=True)
+class InstanceSettings:
+    """What the settings file says of one instance, as far as the decisions need it."""
+
+    group: str = ""
+    stop_timeout_ms: float = 3200.0  # from SIGTERM to SIGKILL
+    ready_timeout_ms: float = 30_000.0  # from the start to the first health check that passes
+    restart: bool = True  # whether an instance that exits unexpectedly is started again
+
+
+@dataclass(slots=True)
+class Instance:
+    """The desired and the observed state of one instance."""
+
+    name: str
+    settings: InstanceSettings
+    version: str  # the desired one
+    state: InstanceState = InstanceState.UNKNOWN
+    wanted: bool = False  # whether it is to run
+    running_version: str = ""  # of its process; empty without one
+    state_since: float = 0.0
+    deadline: float = 0.0  # of the states starting, draining and stopping
+    restarts: int = 0  # consecutive
+    restart_at: float = 0.0  # when a pending restart is due; 0: none is pending
+    failed_checks: int = 0  # consecutive health checks failed while serving
+    reason: str = ""  # of the last transition
+    kill_count: int = 0  # how often it outlived its stop timeout
+    awaiting_first_check: bool = False  # adopted and not checked yet: it may count towards the minimum
+
+    @property
+    def has_process(self) -> bool:
+        """Whether there is a process of it, in whatever state."""
+        return self.state in STATES_WITH_PROCESS
+
+    @property
+    def being_stopped(self) -> bool:
+        """Whether its process was sent SIGTERM or SIGKILL and has not ended."""
+        return self.state in STATES_BEING_STOPPED
+
+    def to_record(self) -> dict[str, Any]:
+        """Return what the store keeps of it."""
+        return {"wanted": self.wanted, "version": self.version, "killed": self.kill_count}
+
+    def restore(self, record: dict[str, Any]) -> None:
+        """Take over what the store kept of it."""
+        self.wanted = record["wanted"]
+        self.kill_count = record["killed"]
+        self.version = record["version"] or self.version
--- /dev/null
+++ b/vetchford/fleet/rollout_validation.py
@@ -0,0 +1,59 @@
+"""Checks of a requested rollout before it begins. Nothing is changed; RefusedError says what is wrong."""
+
+from vetchford.fleet.instance import InstanceState
+from vetchford.fleet.instance_manager import InstanceManager
+from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError, Rollout, RolloutKind
+from vetchford.fleet.rollout_table import RolloutTable
+
+
+def find_submitted(rollout: Rollout, table: RolloutTable) -> Rollout | None:
+    """Return the rollout that an earlier, equal request with this id began.
+
+    Raises RefusedError if the id belongs to another request.
+    """
+    known = table.rollouts.get(rollout.id)
+    if known is None:
+        return None
+    if (known.kind, known.targets, known.version) != (rollout.kind, rollout.targets, rollout.version):
+        raise RefusedError(f"id {rollout.id} is another change's ({known.kind} of {len(known.targets)})")
+    return known
+
+
+def validate(rollout: Rollout, manager: InstanceManager, table: RolloutTable) -> None:
+    """Raise RefusedError if this rollout must not begin."""
+    if rollout.kind not in KINDS or rollout.on_failure not in FAILURE_POLICIES:
+        raise RefusedError(f"'{rollout.kind}' or '{rollout.on_failure}' is none that is known")
+    _check_targets(rollout, manager)
+    _check_no_other_rollout(rollout, table)
+    if rollout.batch < 1 or rollout.minimum_available < 0:
+        raise RefusedError("batch must be 1 or more, floor 0 or more")
+    _check_minimum_available(rollout, manager)
+
+
+def _check_targets(rollout: Rollout, manager: InstanceManager) -> None:
+    unknown = [name for name in rollout.targets if name not in manager.instances]
+    if unknown:
+        raise RefusedError(f"no such instance: {', '.join(unknown)}")
+    if not rollout.targets:
+        raise RefusedError("it names no instance")
+    if len(set(rollout.targets)) < len(rollout.targets):
+        raise RefusedError("an instance is named twice")
+
+
+def _check_no_other_rollout(rollout: Rollout, table: RolloutTable) -> None:
+    for name in rollout.targets:
+        other = table.rollout_of(name)
+        if other is not None:
+            raise RefusedError(f"{name} is in change {other.id}, which is {other.state}")
+
+
+def _check_minimum_available(rollout: Rollout, manager: InstanceManager) -> None:
+    """Refuse a stop that would leave too few, and the others if not even one may go out of service."""
+    minimum = rollout.minimum_available
+    serving = manager.count_serving(manager.in_groups_of(rollout.targets))
+    affected = sum(manager.instances[name].state == InstanceState.SERVING for name in rollout.targets)
+    if rollout.kind == RolloutKind.STOP:
+        if serving - affected < minimum:
+            raise RefusedError(f"{serving - affected} would be left serving, under the floor of {minimum}")
+    elif rollout.kind != RolloutKind.START and minimum and affected and serving <= minimum:
+        raise RefusedError(f"{serving} serve and the floor is {minimum}: none may go out")
