--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -21,6 +21,7 @@
 from vetchford.fleet.commands.machine import ask
 from vetchford.fleet.failure_detector import DEAD
 from vetchford.fleet.history_store import Store
+from vetchford.fleet.process_table import read_memory_kb
 
 INSTANCES = 200
 STATUS = 0.3  # s at the median, by the aim
@@ -77,11 +78,11 @@
         serving = sum(one["state"] == "serving" for one in status["instances"])
         out = {"start_200_s": round(up, 1), "change": ended["state"], "serving": serving}
         out |= {"status_median_s": round(sorted(times)[20], 4), "status_worst_s": round(max(times), 4)}
-        return out | {"agent_memory_mb": supervisor.memory_kb(agent.process.pid) // 1024}
+        return out | {"agent_memory_mb": read_memory_kb(agent.process.pid) // 1024}
     finally:
         agent.kill()
-        token = next(body["token"] for kind, _, body in Store(f"{folder}/store").all() if kind == "agent")
-        for several in supervisor.find(token).values():
+        token = next(body["token"] for kind, _, body in Store(f"{folder}/store").records() if kind == "agent")
+        for several in supervisor.find_processes(token).values():
             for process, _ in several:
                 process.signal(9)
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,8 +25,8 @@
 from testkit.fakes.load_generator import Flow, Load
 from testkit.fakes.schedule import Apart
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent import ready
 from vetchford.fleet.commands.machine import ask
+from vetchford.fleet.health_checker import is_ready
 from vetchford.fleet.history_store import Store
 
 COUNT, BATCH, FLOOR, FROZEN = 20, 4, 12, (5, 13)
@@ -132,8 +132,8 @@
         finally:
             agent.kill()
             store = Store(str(folder / "store"))
-            token = next(body["token"] for kind, _, body in store.all() if kind == "agent")
-            for several in supervisor.find(token).values():
+            token = next(body["token"] for kind, _, body in store.records() if kind == "agent")
+            for several in supervisor.find_processes(token).values():
                 for process, _ in several:
                     process.signal(signal.SIGKILL)
 
@@ -163,7 +163,7 @@
         while not over.is_set():
             least[0] = min(
                 least[0],
-                sum(ready(f"127.0.0.1:{port}") for at, port in enumerate(ports) if at not in FROZEN),
+                sum(is_ready(f"127.0.0.1:{port}") for at, port in enumerate(ports) if at not in FROZEN),
             )
             time.sleep(0.05)
 
@@ -200,9 +200,12 @@
     for thread in (*threads, watcher):
         thread.join()
     status = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
-    token = next(body["token"] for kind, _, body in Store(f"{agent.folder}/store").all() if kind == "agent")
+    token = next(
+        body["token"] for kind, _, body in Store(f"{agent.folder}/store").records() if kind == "agent"
+    )
     table = {
-        name: [process.pid for process, _ in several] for name, several in supervisor.find(token).items()
+        name: [process.pid for process, _ in several]
+        for name, several in supervisor.find_processes(token).items()
     }
     wrong = {word for load in loads for word in load.wrong}
     times = []
--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -261,9 +261,9 @@
 
     def found(self, name: str) -> dict[str, Any]:
         store = Store(str(self.folder / name / "store"))
-        token = next((body["token"] for kind, _, body in store.all() if kind == "agent"), "")
+        token = next((body["token"] for kind, _, body in store.records() if kind == "agent"), "")
         store.close()
-        return supervisor.find(token) if token else {}
+        return supervisor.find_processes(token) if token else {}
 
     def end(self) -> None:
         for process in self.running.values():
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -101,15 +101,19 @@
 
     def __exit__(self, *problem):
         token = next(
-            (body["token"] for kind, _, body in Store(str(self.folder / "store")).all() if kind == "agent"),
+            (
+                body["token"]
+                for kind, _, body in Store(str(self.folder / "store")).records()
+                if kind == "agent"
+            ),
             "",
         )
         if self.agent.poll() is None:
             self.kill()
-        for several in supervisor.find(token).values() if token else ():
+        for several in supervisor.find_processes(token).values() if token else ():
             for process, _ in several:
                 process.signal(signal.SIGKILL)
-                process.ended()
+                process.reap()
 
 
 def test_three_are_started_rolled_and_stopped_and_one_that_hangs_is_killed_and_told(tmp_path):
@@ -142,9 +146,9 @@
         assert json.loads(again.stdout)["state"] == "finished"
         status = machine.status()
         token = next(
-            body["token"] for kind, _, body in Store(str(tmp_path / "store")).all() if kind == "agent"
+            body["token"] for kind, _, body in Store(str(tmp_path / "store")).records() if kind == "agent"
         )
-        found = supervisor.find(token)
+        found = supervisor.find_processes(token)
         assert {name: [process.pid for process, _ in several] for name, several in found.items()} == {
             name: [one["pid"]] for name, one in status.items()
         }
@@ -205,17 +209,17 @@
 def test_a_store_that_is_torn_or_of_another_version_is_said_and_its_history_is_bounded(tmp_path, monkeypatch):
     path = str(tmp_path / "store")
     store = Store(path)
-    monkeypatch.setattr("vetchford.fleet.history_store.HISTORY", 20)
-    monkeypatch.setattr("vetchford.fleet.history_store.PRUNE", 10)
+    monkeypatch.setattr("vetchford.fleet.history_store.MAX_HISTORY_ENTRIES", 20)
+    monkeypatch.setattr("vetchford.fleet.history_store.PRUNE_INTERVAL", 10)
     for n in range(100):
         store.put("instance", "n1", {"wanted": bool(n % 2)})
-    assert len(store.history(1000)) <= 30 and store.all() == [("instance", "n1", {"wanted": True})]
+    assert len(store.history(1000)) <= 30 and store.records() == [("instance", "n1", {"wanted": True})]
     store.close()
     base = sqlite3.connect(path)
     base.execute("UPDATE newest SET body = '{}'")
     base.commit()
     with pytest.raises(StoreError, match="record of instance n1 is not what was written"):
-        Store(path).all()
+        Store(path).records()
     base.execute("UPDATE meta SET version = 9")
     base.commit()
     with pytest.raises(StoreError, match="version 9, this program reads 1"):
@@ -231,34 +235,34 @@
 def test_a_store_that_cannot_write_raises_and_keeps_what_it_had(tmp_path):
     store = Store(str(tmp_path / "store"))
     store.put("instance", "n1", {"wanted": True})
-    store.base.execute("PRAGMA max_page_count = 1")
+    store.connection.execute("PRAGMA max_page_count = 1")
     with pytest.raises(OSError, match="full"):
         for n in range(1000):
             store.put("change", f"c{n}", {"text": "x" * 1000})
-    store.base.execute("PRAGMA max_page_count = 100000")
-    assert ("instance", "n1", {"wanted": True}) in store.all()
+    store.connection.execute("PRAGMA max_page_count = 100000")
+    assert ("instance", "n1", {"wanted": True}) in store.records()
 
 
 def test_a_history_that_cannot_be_read_refuses_the_question_and_no_more(tmp_path):
     store = Store(str(tmp_path / "store"))
     store.put("instance", "n0", {"wanted": True})
-    store.base.execute("DROP TABLE history")
+    store.connection.execute("DROP TABLE history")
     with pytest.raises(OSError, match="no such table"):
         store.history(5)
-    assert [name for _, name, _ in store.all()] == ["n0"]
-    store.base.execute("DROP TABLE newest")
+    assert [name for _, name, _ in store.records()] == ["n0"]
+    store.connection.execute("DROP TABLE newest")
     with pytest.raises(StoreError, match="move it away"):
-        store.all()
+        store.records()
 
 
 def test_a_long_log_is_turned_over_and_its_writer_goes_on(tmp_path):
     path = str(tmp_path / "n1.log")
-    assert not supervisor.turn_over(path, 100)  # not there yet
+    assert not supervisor.rotate_log(path, 100)  # not there yet
     with open(path, "ab", buffering=0) as writer:
         writer.write(b"a" * 100)
-        assert not supervisor.turn_over(path, 100)
+        assert not supervisor.rotate_log(path, 100)
         writer.write(b"b")
-        assert supervisor.turn_over(path, 100)
+        assert supervisor.rotate_log(path, 100)
         writer.write(b"c")
     assert Path(path).read_bytes() == b"c" and Path(path + ".1").read_bytes() == b"a" * 100 + b"b"
 
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -14,8 +14,7 @@
 
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import Checkpoint, beside, until
-from vetchford.fleet import agent as agent_file
-from vetchford.fleet import supervisor
+from vetchford.fleet import health_checker, supervisor
 from vetchford.fleet.agent import Agent
 from vetchford.fleet.instance import InstanceSettings, InstanceState
 from vetchford.fleet.rollout import ENDED_STATES, Rollout, RolloutState, StepState
@@ -44,7 +43,7 @@
 
         answering, _ = beside(answer)
         monkeypatch.setattr(socket, "socket", ByteByByte)
-        assert agent_file.ready(f"127.0.0.1:{listener.getsockname()[1]}") is (word == b"true")
+        assert health_checker.is_ready(f"127.0.0.1:{listener.getsockname()[1]}") is (word == b"true")
         answering.join(PATIENCE)
         held[0].close()
 
@@ -73,17 +72,17 @@
 
     monkeypatch.setattr(_thread, "start_new_thread", starts)
     monkeypatch.setattr(threading, "_start_new_thread", starts)
-    monkeypatch.setattr(agent_file, "CHECK", 0.01)
-    one = SimpleNamespace(metrics=Metrics(), ours=Ours(), check=check)
+    monkeypatch.setattr(health_checker, "CHECK_INTERVAL", 0.01)
+    checker = health_checker.HealthChecker(Metrics(), Ours(), check)
 
     def checking():
         with contextlib.suppress(SystemExit):
-            Agent.check_all(one)
+            checker.run()
 
     thread, _ = beside(checking)
     assert looked.wait(PATIENCE)
     scarce.set()
-    one.ours = Ours(n0=1, n1=2, n2=3)
+    checker.processes = Ours(n0=1, n1=2, n2=3)
     assert refused.wait(PATIENCE)
     scarce.clear()
     gate.open()
@@ -105,7 +104,7 @@
     )
     try:
         adopted = supervisor.Process(other.pid, "another's start", pidfd, None)
-        Agent.kill(SimpleNamespace(ours={"n0": adopted}), "n0")
+        Agent.kill(SimpleNamespace(processes={"n0": adopted}), "n0")
         other.terminate()
         assert other.wait(PATIENCE) == -signal.SIGTERM  # else SIGKILL was there first
     finally:
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -100,7 +100,7 @@
 
 def run_agent(asked: dict) -> int:
     from vetchford.configuration import isolated_reader  # a server does without both
-    from vetchford.fleet import agent
+    from vetchford.fleet import agent_main
 
     try:
         told = isolated_reader.read(asked["--with"], None)["agent"] if asked["--with"] else None
@@ -110,7 +110,7 @@
         return complain("no file given by --with has the key 'agent'")
     writer = log_setup.start(asked["--log-level"], asked["--log-form"])
     try:
-        return agent.serve(told)
+        return agent_main.serve(told)
     finally:
         writer.close()
 
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -1,428 +1,227 @@
-"""The agent: owns the processes of its instances, checks them, and carries out what `decide` says.
+"""The agent: owns the processes of its instances and carries out what the rollout controller decides.
 
-An actor with a mailbox, as the server's: one thread decides and writes the store; threads beside it wait for
-ends of processes, ask for readiness and speak to tools. The agent's own end stops no instance.
+An actor with a mailbox: its thread makes the decisions and writes the store. Beside it run a thread that
+waits for the ends of processes, one that checks health (with a pool), and those that serve tools. The end of
+the agent stops no instance; the next agent adopts them.
 """
 
 import contextlib
 import fcntl
-import json
 import os
-import re
-import select
 import signal
-import socket
-import threading
 import time
 import uuid
-from functools import partial
-from queue import Queue
-from typing import Any
+from collections.abc import Callable
+from typing import IO, TYPE_CHECKING, Any
 
 import structlog
 
 from vetchford.fleet import supervisor
+from vetchford.fleet.agent_messages import Reply
+from vetchford.fleet.agent_requests import RequestHandler
+from vetchford.fleet.agent_settings import AgentSettings
+from vetchford.fleet.health_checker import HealthChecker, is_ready
 from vetchford.fleet.history_store import Store, StoreError
-from vetchford.fleet.instance import InstanceSettings
-from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.process_table import read_memory_kb
+from vetchford.fleet.process_watcher import ProcessWatcher
 from vetchford.fleet.rollout_controller import RolloutController
-from vetchford.runtime.actor import Actor, ThreadPool
+from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
 
+if TYPE_CHECKING:
+    from vetchford.fleet.coordinator_actor import CoordinatorActor
+
 log = structlog.get_logger()
 
-TURN = 0.05  # s between looks at deadlines: a kill is late by this at most
-CHECK = 0.2  # s between ready checks of one instance: three that fail take a drain's notice's time
-CHECK_WAITS = 1.0  # s for an answer: a server that is only busy answers from store in a few ms
-LOOK = 2.0  # s between two looks at logs and memory: both grow by the minute
-CHECKERS = 8  # threads for checks: one that hangs holds up an eighth of them for a second
-STACK = 512 * 1024  # bytes a thread: a few for each peer, and the store's calls nest deepest
-MOST_LINE = 1 << 20  # bytes of a command
-CLIENTS = 64  # tools at once; more wait in the backlog
-SERVING_SAID = re.compile(rb'"serving":\s*(true|false)')
-CHECK_BODY = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
-ASKED = ("status", "change", "pause", "resume", "abort", "history", "explain", "find")
+TICK_INTERVAL = 0.05  # s between looks at deadlines: a kill is late by this at most
+LIMITS_INTERVAL = 2.0  # s between looks at logs and memory: both grow by the minute
 
 
 class Agent(Actor):
-    """The host of `RolloutController`."""
+    """The actor; implements `RolloutActions`. Its methods run on its own thread where not said otherwise."""
 
-    def __init__(self, told: dict[str, Any], metrics: Metrics) -> None:
-        """`told`: the checked record of the settings. StoreError where the store can't be used."""
+    def __init__(self, settings: AgentSettings, metrics: Metrics) -> None:
+        """Open the store, and adopt the instances that run. Raises StoreError, OSError."""
         super().__init__("agent", metrics)
-        self.told, self.specs = told, told["instances"]
-        os.makedirs(told["logs"], exist_ok=True)
-        # Held until the process ends.
-        self.guard = open(told["store"] + ".lock", "a")  # noqa: SIM115
-        try:
-            fcntl.flock(self.guard, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            raise StoreError(f"store {told['store']}: another agent has it") from None
-        self.store = Store(told["store"])
-        self.fleet = RolloutController(self)
-        self.ours: dict[str, supervisor.Process] = {}  # emptied as processes end
-        self.token, self.next_turn, self.next_look = "", 0.0, 0.0
-        self.joined: Any = None
-        self.wake_read, self.wake_write = os.pipe()
-        self.restore()
-        if told.get("peers"):
-            from vetchford.fleet.coordinator_actor import CoordinatorActor  # an agent alone does without it
-
-            self.joined = CoordinatorActor(self, self, told["peers"], metrics)
+        self.settings = settings
+        os.makedirs(settings.logs, exist_ok=True)
+        self.store_lock = lock_store(settings.store)
+        self.store = Store(settings.store)
+        self.controller = RolloutController(self)
+        self.processes: dict[str, supervisor.Process] = {}  # by instance; emptied as they end
+        self.next_tick = 0.0  # s, monotonic
+        self.next_limits_check = 0.0  # s, monotonic
+        self.watcher = ProcessWatcher(self.processes, self.report_exit)
+        self.health_checker = HealthChecker(metrics, self.processes, self.check_health)
+        self.token = self.restore()
+        self.adopt_processes()
+        self.requests = RequestHandler(settings, self.controller, self.store, self.processes, self.now)
+        self.coordinator = self.join_fleet(settings.peers) if settings.peers else None
+        self.requests.coordination = self.coordinator
 
     def now(self) -> float:
-        return clock.now()  # no deadline of ours may depend on a time of day that is set
+        """Return the time of all deadlines, in ms; it does not move with the time of day."""
+        return clock.now()
 
-    # -- what outlives it
+    # -- at its start
 
-    def restore(self) -> None:
-        kept = self.store.all()
-        token = next((body["token"] for kind, _, body in kept if kind == "agent"), None)
-        self.token = token or uuid.uuid4().hex
+    def restore(self) -> str:
+        """Take over what the store holds; return the token that marks the agent's processes."""
+        records = self.store.records()
+        token = next((body["token"] for kind, _, body in records if kind == "agent"), None)
         if token is None:
-            self.store.put("agent", "token", {"token": self.token})
-        for name, spec in self.specs.items():
-            settings = InstanceSettings(spec["group"], spec["stop_ms"], spec["ready_ms"], spec["restart"])
-            self.fleet.declare(name, settings, spec["version"])
-        for kind, name, body in kept:
-            self.fleet.restore(kind, name, body)
-        self.fleet.fail_rollouts_without_settings()
-        found = supervisor.find(self.token)
-        for name, several in found.items():
-            for process, _ in several[1:] if name in self.specs else several:
-                log.warning("fleet_stray", instance=name, pid=process.pid)
-                process.signal(signal.SIGTERM)
-                process.ended()
-        for name in self.specs:
-            ours = found.get(name, [])
-            if ours:
-                self.ours[name] = ours[0][0]
-            self.fleet.on_process_found(self.now(), name, ours[0][1] if ours else None)
-
-    # -- the host
+            token = uuid.uuid4().hex
+            self.store.put("agent", "token", {"token": token})
+        for name, definition in self.settings.instances.items():
+            self.controller.declare(name, definition.for_decisions(), definition.version)
+        for kind, name, body in records:
+            self.controller.restore(kind, name, body)
+        self.controller.fail_rollouts_without_settings()
+        return str(token)
+
+    def adopt_processes(self) -> None:
+        """Find the processes that an earlier agent started, and tell the controller of each instance."""
+        adopted = supervisor.adopt_processes(self.token, self.settings.instances)
+        for name in self.settings.instances:
+            found = adopted.get(name)
+            if found is not None:
+                self.processes[name] = found.process
+            self.controller.on_process_found(self.now(), name, found.version if found is not None else None)
+
+    def join_fleet(self, peers: dict[str, Any]) -> "CoordinatorActor":
+        """Return the agent's part in a fleet of agents. OSError if its address cannot be had."""
+        from vetchford.fleet.coordinator_actor import CoordinatorActor  # an agent alone does without it
+
+        return CoordinatorActor(self, self, peers, self.metrics)
+
+    # -- what the controller acts through
 
     def save_record(self, kind: str, name: str, record: dict[str, Any] | None) -> None:
+        """Write the store; OSError if it cannot."""
         self.store.put(kind, name, record)
 
     def spawn(self, name: str, version: str) -> None:
-        spec = self.specs[name]
-        command = spec["command"] if version == spec["version"] else self.told["versions"].get(version)
+        """Start the process of an instance."""
+        command = self.settings.command_of(name, version)
         if command is None:
-            self.post(self.spawn_failed, name, f"no command for version {version}")
+            self.post(self.on_spawn_failed, name, f"no command for version {version}")
             return
-        told = [word.replace("{name}", name).replace("{listen}", spec["listen"]) for word in command]
+        definition = self.settings.instances[name]
+        options = supervisor.StartOptions(
+            self.token, definition.environment, self.log_path(name), definition.descriptors
+        )
         try:
-            file = os.path.join(self.told["logs"], f"{name}.log")
-            self.ours[name] = supervisor.start(
-                told, name, version, self.token, spec["environment"], file, spec["descriptors"]
-            )
+            self.processes[name] = supervisor.start_process(command, name, version, options)
         except OSError as problem:
-            self.post(self.spawn_failed, name, str(problem))
+            self.post(self.on_spawn_failed, name, str(problem))
             return
-        os.write(self.wake_write, b"x")
-
-    def spawn_failed(self, name: str, why: str) -> None:
-        self.fleet.on_spawn_failed(self.now(), name, why)
+        self.watcher.wake()
 
     def terminate(self, name: str) -> None:
-        if name in self.ours:
-            self.ours[name].signal(signal.SIGTERM)
+        """Send SIGTERM to the process of an instance, if there is one."""
+        if name in self.processes:
+            self.processes[name].signal(signal.SIGTERM)
 
     def kill(self, name: str) -> None:
-        if name in self.ours:
-            self.ours[name].kill()
+        """Send SIGKILL to the session of an instance, if there is one."""
+        if name in self.processes:
+            self.processes[name].kill()
 
     def note(self, event: str, **fields: Any) -> None:
+        """Write a log event."""
         log.info(event, **fields)
 
-    def look_after(self) -> None:
-        """Logs that have grown long, and instances that take more memory than they are to."""
-        for name in self.specs:
-            path = os.path.join(self.told["logs"], f"{name}.log")
-            supervisor.turn_over(path, self.specs[name]["log_mb"] << 20)
-        for name, process in self.ours.items():
-            most = self.specs[name]["memory_mb"]
-            if most is None or supervisor.memory_kb(process.pid) <= most << 10:
-                continue
-            for change in self.fleet.rollouts.values():
-                if change.active:
-                    with contextlib.suppress(OSError):  # the store can't: it pauses for that
-                        self.fleet.pause(change.id, f"{name} takes over {most} MB")
-
     # -- the actor
 
-    def next_timeout(self) -> float | None:
-        return max(0.0, self.next_turn - time.monotonic())
-
-    def on_idle(self) -> None:
-        if time.monotonic() >= self.next_turn:
-            self.next_turn = time.monotonic() + TURN
-            self.fleet.on_tick(self.now())
-            if self.joined is not None:
-                self.joined.woke()
-        if time.monotonic() >= self.next_look:
-            self.next_look = time.monotonic() + LOOK
-            self.look_after()
-
     def run(self) -> None:
-        if self.joined is not None:
-            self.joined.start()
-        for act in (self.watch, self.check_all):
-            threading.Thread(target=act, daemon=True).start()
+        """Start the other threads, then serve the mailbox."""
+        if self.coordinator is not None:
+            self.coordinator.start()
+        self.watcher.start()
+        self.health_checker.start()
         super().run()
 
-    def watch(self) -> None:
-        """Waits for processes to end."""
-        told: set[int] = set()  # of those that are still in the table; emptied as the actor takes them out
-        while True:
-            poll, by_fd = select.poll(), {}
-            poll.register(self.wake_read, select.POLLIN)
-            now = list(self.ours.items())
-            told &= {id(process) for _, process in now}
-            for name, process in now:
-                if id(process) not in told:
-                    poll.register(process.pidfd, select.POLLIN)
-                    by_fd[process.pidfd] = (name, process)
-            for fd, _ in poll.poll(1000 if not told else 20):
-                if fd == self.wake_read:
-                    os.read(self.wake_read, 4096)
-                else:
-                    name, process = by_fd[fd]
-                    told.add(id(process))
-                    self.post(self.gone, name, process)
-
-    def gone(self, name: str, process: supervisor.Process) -> None:
-        if self.ours.get(name) is process:
-            del self.ours[name]
-            self.fleet.on_process_exit(self.now(), name, process.ended())
-
-    def check_all(self) -> None:
-        # A crew of ours: where no thread is to be had, its work waits for one that is busy, and goes on.
-        thread_pool, asked = (
-            ThreadPool(self.metrics, CHECKERS),
-            set[str](),
-        )  # whose check is under way; emptied by its end
-        thread_pool.start()
-
-        def act(name: str, process: supervisor.Process) -> None:
-            try:
-                self.check(name, process)
-            finally:
-                asked.discard(name)
-
-        while True:
-            for name, process in list(self.ours.items()):
-                if name not in asked:
-                    asked.add(name)
-                    thread_pool.run(partial(act, name, process))
-            time.sleep(CHECK)
-
-    def check(self, name: str, process: supervisor.Process) -> None:
-        good = ready(self.specs[name]["listen"])
-        if self.ours.get(name) is process:
-            self.post(self.checked, name, process, good)
-
-    def checked(self, name: str, process: supervisor.Process, good: bool) -> None:
-        if self.ours.get(name) is process:  # else it has ended meanwhile: this is not its successor's
-            self.fleet.on_health_check(self.now(), name, good)
+    def next_timeout(self) -> float | None:
+        """Return the seconds until the next tick."""
+        return max(0.0, self.next_tick - time.monotonic())
+
+    def on_idle(self) -> None:
+        """Do what is due by time."""
+        if time.monotonic() >= self.next_tick:
+            self.next_tick = time.monotonic() + TICK_INTERVAL
+            self.controller.on_tick(self.now())
+            if self.coordinator is not None:
+                self.coordinator.woke()
+        if time.monotonic() >= self.next_limits_check:
+            self.next_limits_check = time.monotonic() + LIMITS_INTERVAL
+            self.rotate_logs()
+            self.check_memory()
+
+    def on_spawn_failed(self, name: str, reason: str) -> None:
+        """Tell the controller that no process could be started."""
+        self.controller.on_spawn_failed(self.now(), name, reason)
+
+    # -- ends of processes, and health
+
+    def report_exit(self, name: str, process: supervisor.Process) -> None:
+        """Pass on that a process has ended. Called on the watcher's thread."""
+        self.post(self.on_exit, name, process)
+
+    def on_exit(self, name: str, process: supervisor.Process) -> None:
+        """Reap a process that has ended."""
+        if self.processes.get(name) is process:
+            del self.processes[name]
+            self.controller.on_process_exit(self.now(), name, process.reap())
+
+    def check_health(self, name: str, process: supervisor.Process) -> None:
+        """Ask an instance whether it serves. Called on a thread of the health checker's pool."""
+        healthy = is_ready(self.settings.instances[name].listen)
+        if self.processes.get(name) is process:
+            self.post(self.on_health_check, name, process, healthy)
+
+    def on_health_check(self, name: str, process: supervisor.Process, healthy: bool) -> None:
+        """Take in the result of a check, unless the process that it was of has ended meanwhile."""
+        if self.processes.get(name) is process:
+            self.controller.on_health_check(self.now(), name, healthy)
+
+    # -- limits
+
+    def log_path(self, name: str) -> str:
+        """Return the file that the output of an instance goes to."""
+        return os.path.join(self.settings.logs, f"{name}.log")
+
+    def rotate_logs(self) -> None:
+        """Rotate the logs that have grown long."""
+        for name, definition in self.settings.instances.items():
+            supervisor.rotate_log(self.log_path(name), definition.log_mb << 20)
+
+    def check_memory(self) -> None:
+        """Pause the active rollouts if an instance takes more memory than it may."""
+        for name, process in self.processes.items():
+            limit_mb = self.settings.instances[name].memory_mb
+            if limit_mb is not None and read_memory_kb(process.pid) > limit_mb << 10:
+                self.pause_rollouts(f"{name} takes over {limit_mb} MB")
+
+    def pause_rollouts(self, reason: str) -> None:
+        """Pause all active rollouts."""
+        for rollout in self.controller.rollouts.values():
+            if rollout.active:
+                with contextlib.suppress(OSError):  # the store cannot record it: it is paused all the same
+                    self.controller.pause(rollout.id, reason)
 
     # -- tools
 
-    def answer(self, request: Any, reply: "Queue[dict[str, Any]]") -> None:
-        try:
-            if isinstance(request, dict) and request.get("ask") == "across":
-                if self.joined is None:
-                    raise RefusedError("this agent is of no fleet: its settings have no 'peers'")
-                self.joined.request(request["request"], reply.put)
-                return
-            if not isinstance(request, dict) or request.get("ask") not in ASKED:
-                raise RefusedError(f"'ask' must be one of {', '.join(ASKED)}")
-            reply.put(getattr(self, "on_" + request["ask"])(request))
-        except RefusedError as problem:
-            reply.put({"refused": str(problem)})
-        except OSError as problem:
-            reply.put({"refused": str(problem)})
-        except (TypeError, KeyError, ValueError, AttributeError) as problem:
-            reply.put({"refused": f"a malformed command: {type(problem).__name__}: {problem}"})
-
-    def on_status(self, request: dict[str, Any]) -> dict[str, Any]:
-        now = self.now()
-        return {
-            "instances": [
-                {
-                    "name": one.name,
-                    "state": one.state,
-                    "version": one.running_version or one.version,
-                    "why": one.reason,
-                    "group": one.settings.group,
-                    "labels": self.specs[one.name]["labels"],
-                    "wanted": one.wanted,
-                    "for_ms": round(now - one.state_since),
-                    "restarts": one.restarts,
-                    "killed": one.kill_count,
-                    "pid": self.ours[one.name].pid if one.name in self.ours else 0,
-                    "memory_kb": supervisor.memory_kb(self.ours[one.name].pid)
-                    if one.name in self.ours
-                    else 0,
-                    "change": owner.id if (owner := self.fleet.rollout_of(one.name)) else "",
-                }
-                for one in self.fleet.instances.values()
-            ],
-            "changes": [self.told_of(change) for change in self.fleet.rollouts.values()],
-        }
-
-    def told_of(self, change: Rollout) -> dict[str, Any]:
-        return {
-            "id": change.id,
-            "kind": change.kind,
-            "state": change.state,
-            "why": change.reason,
-            "steps": change.steps,
-            "killed": change.killed,
-        }
-
-    def on_change(self, request: dict[str, Any]) -> dict[str, Any]:
-        fields = {key: value for key, value in request.items() if key not in ("ask", "dry_run")}
-        change = Rollout.from_request({"id": uuid.uuid4().hex[:12], **fields})
-        if change.kind == "roll":
-            missing = [
-                name
-                for name in change.targets
-                if name in self.specs and self.specs[name]["version"] != change.version
-            ]
-            if missing and change.version not in self.told["versions"]:
-                raise RefusedError(f"no command for version '{change.version}' in the settings")
-        if request.get("dry_run"):
-            plan = self.fleet.plan(change)
-            return {"plan": plan.targets, "batch": plan.batch, "floor": plan.minimum_available}
-        return self.told_of(self.fleet.submit(self.now(), change))
-
-    def on_pause(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.pause(request["id"]))
-
-    def on_resume(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.resume(self.now(), request["id"]))
-
-    def on_abort(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.abort(self.now(), request["id"]))
-
-    def on_find(self, request: dict[str, Any]) -> dict[str, Any]:
-        return self.told_of(self.fleet.table.get(request["id"]))
-
-    def on_history(self, request: dict[str, Any]) -> dict[str, Any]:
-        return {"history": self.store.history(min(1000, int(request.get("most", 50))))}
-
-    def on_explain(self, request: dict[str, Any]) -> dict[str, Any]:
-        name = request["name"]
-        if name not in self.specs:
-            raise RefusedError(f"no such instance: {name}")
-        about = [
-            entry
-            for entry in self.store.history(1000)
-            if entry["name"] == name or name in (entry["body"] or {}).get("steps", {})
-        ]
-        one = self.fleet.instances[name]
-        said = f"{name} is {one.state} ({one.reason}); it is{'' if one.wanted else ' not'} wanted"
-        if one.restart_at:
-            said += f"; started again in {max(0, round(one.restart_at - self.now()))} ms"
-        if not one.has_process and one.wanted and not one.restart_at:
-            said += "; nothing will start it until somebody does"
-        return {"said": said, "history": about[:20]}
-
-
-def ready(address: str) -> bool:
-    """Whether a server there says that it serves, within CHECK_WAITS, in however many pieces."""
-    host, _, port = address.rpartition(":")
-    until, heard, said = time.monotonic() + CHECK_WAITS, b"", None
-    try:
-        with socket.create_connection((host, int(port)), CHECK_WAITS) as sock:
-            sock.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(CHECK_BODY), CHECK_BODY))
-            while said is None and len(heard) < 4096 and (left := until - time.monotonic()) > 0.0:
-                sock.settimeout(left)  # for all of it: one that answers a byte a second holds up a checker
-                more = sock.recv(4096)
-                if not more:
-                    break
-                heard += more
-                said = SERVING_SAID.search(heard)  # whole: half a word is no verdict yet
-    except OSError:
-        return False
-    return said is not None and said[1] == b"true"
-
-
-def listen(path: str) -> socket.socket:
-    """The agent's socket, for its own user alone; in the place of one that nobody listens on any more."""
-    with socket.socket(socket.AF_UNIX) as probe:
-        if probe.connect_ex(path) == 0:
-            raise OSError(f"somebody listens at {path}")
-    with contextlib.suppress(FileNotFoundError):
-        os.unlink(path)
-    sock = socket.socket(socket.AF_UNIX)
-    before = os.umask(0o177)
-    try:
-        sock.bind(path)
-    finally:
-        os.umask(before)
-    sock.listen(128)
-    return sock
+    def submit_request(self, request: Any, reply: Callable[[Reply], None]) -> None:
+        """Have a tool's request answered on the agent's thread. Any thread may call it."""
+        self.post(self.requests.handle, request, reply)
 
 
-def talk(agent: Agent, sock: socket.socket, free: threading.Semaphore) -> None:
-    """One tool: a JSON object a line, and its answers."""
+def lock_store(path: str) -> IO[str]:
+    """Return the lock file of a store, locked until the process ends. StoreError if another agent has it."""
+    lock_file = open(path + ".lock", "a")  # noqa: SIM115
     try:
-        sock.settimeout(30.0)
-        with sock, sock.makefile("rwb") as lines:
-            while line := lines.readline(MOST_LINE):
-                reply: Queue[dict[str, Any]] = Queue()
-                try:
-                    request = json.loads(line)
-                except ValueError:
-                    request = None
-                agent.post(agent.answer, request, reply)
-                lines.write(json.dumps(reply.get(timeout=30.0)).encode() + b"\n")
-                lines.flush()
-    except Exception as problem:  # a tool that goes away, or a line that is none: its own affair
-        agent.metrics.log_sampled("fleet_tool_lost", problem=f"{type(problem).__name__}: {problem}")
-    finally:
-        free.release()
-
-
-def serve(told: dict[str, Any]) -> int:
-    """Runs until SIGTERM or SIGINT; the instances go on."""
-    # Handled and not blocked: what is blocked here would be in the instances too, which then never leave.
-    threading.stack_size(STACK)
-    leaving = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *given: leaving.set())
-    metrics = Metrics()
-    try:
-        agent = Agent(told, metrics)
-        sock = listen(told["socket"])
-    except (StoreError, OSError) as problem:
-        log.error("agent_cannot_start", problem=str(problem))
-        return 1
-    free = threading.Semaphore(CLIENTS)
-
-    def accept() -> None:
-        while True:
-            free.acquire()
-            try:
-                threading.Thread(target=talk, args=(agent, sock.accept()[0], free), daemon=True).start()
-            except (OSError, RuntimeError) as problem:  # descriptors or threads ran out: tools wait
-                free.release()
-                metrics.log_sampled("accept_failed", problem=str(problem))
-                time.sleep(0.1)
-
-    agent.start()
-    threading.Thread(target=accept, daemon=True).start()
-    log.info(
-        "agent_serving", socket=told["socket"], instances=len(told["instances"]), adopted=len(agent.ours)
-    )
-    if agent.joined is not None:
-        log.info("agent_joins", fleet=told["peers"]["fleet"], name=agent.joined.name, life=agent.joined.life)
-    while not leaving.wait(0.2):
-        pass  # in short waits: a handler runs in this thread alone
-    with contextlib.suppress(FileNotFoundError):  # somebody was sooner
-        os.unlink(told["socket"])
-    log.info("agent_stopped", left_running=len(agent.ours))
-    return 0
+        fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError:
+        raise StoreError(path, "another agent has it") from None
+    return lock_file
--- /dev/null
+++ b/vetchford/fleet/agent_main.py
@@ -0,0 +1,68 @@
+"""Runs an agent as a process: from the checked settings to the exit status."""
+
+import signal
+import threading
+from typing import Any
+
+import structlog
+
+from vetchford.fleet.agent import Agent
+from vetchford.fleet.agent_settings import AgentSettings
+from vetchford.fleet.history_store import StoreError
+from vetchford.fleet.tool_server import ToolServer
+from vetchford.runtime.metrics import Metrics
+
+log = structlog.get_logger()
+
+TERMINATION_POLL_INTERVAL = 0.2  # s: a signal handler runs in the waiting thread, between two waits
+THREAD_STACK_BYTES = 512 * 1024  # there are a few threads for each peer; the store's calls nest deepest
+
+
+def serve(record: dict[str, Any]) -> int:
+    """Run an agent until SIGTERM or SIGINT; the instances go on. Returns the exit status.
+
+    `record`: the checked settings. Called on the main thread.
+    """
+    settings = AgentSettings.from_record(record)
+    threading.stack_size(THREAD_STACK_BYTES)
+    terminated = handle_termination()
+    metrics = Metrics()
+    try:
+        agent = Agent(settings, metrics)
+        tool_server = ToolServer(settings.socket, agent.submit_request, metrics)
+    except (StoreError, OSError) as problem:
+        log.error("agent_cannot_start", problem=str(problem))
+        return 1
+    agent.start()
+    tool_server.start()
+    log_started(agent)
+    while not terminated.wait(TERMINATION_POLL_INTERVAL):
+        pass
+    tool_server.close()
+    log.info("agent_stopped", left_running=len(agent.processes))
+    return 0
+
+
+def handle_termination() -> threading.Event:
+    """Return an event that SIGTERM and SIGINT set.
+
+    Handled and not blocked: instances would inherit the blocked signals, and never drain.
+    """
+    terminated = threading.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *given: terminated.set())
+    return terminated
+
+
+def log_started(agent: Agent) -> None:
+    """Log that an agent serves, and the fleet that it is part of."""
+    settings = agent.settings
+    log.info(
+        "agent_serving",
+        socket=settings.socket,
+        instances=len(settings.instances),
+        adopted=len(agent.processes),
+    )
+    if settings.peers and agent.coordinator is not None:
+        coordinator = agent.coordinator
+        log.info("agent_joins", fleet=settings.peers["fleet"], name=coordinator.name, life=coordinator.life)
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -14,6 +14,7 @@
 import structlog
 
 from vetchford.fleet import failure_detector, fleet_rollout
+from vetchford.fleet.agent_settings import AgentSettings
 from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.rollout import RefusedError, Rollout
@@ -43,9 +44,8 @@
     """The agent."""
 
     store: Store
-    fleet: RolloutController
-    specs: dict[str, dict[str, Any]]
-    told: dict[str, Any]
+    controller: RolloutController
+    settings: AgentSettings
 
 
 class CoordinatorActor:
@@ -54,7 +54,7 @@
     def __init__(self, actor: Actor, owner: Owner, told: dict[str, Any], metrics: Metrics) -> None:
         """`told`: the record `peers` of the settings. OSError where its address can't be had."""
         self.owner, self.told, self.metrics, self.name = owner, told, metrics, told["name"]
-        kept = owner.store.all()
+        kept = owner.store.records()
         mine = next(
             (body for kind, _, body in kept if kind == "self"), {"life": 0, "store": uuid.uuid4().hex}
         )
@@ -177,7 +177,7 @@
         self.owner.store.put(kind, name, body, history=kind != "book")
 
     def report(self, known: set[str]) -> Body:
-        fleet, specs = self.owner.fleet, self.owner.specs
+        fleet, definitions = self.owner.controller, self.owner.settings.instances
         return {
             "instances": {
                 one.name: {
@@ -186,9 +186,9 @@
                     "group": one.settings.group,
                     "why": one.reason,
                     "version": one.running_version or one.version,
-                    "declared": specs[one.name]["version"],
+                    "declared": definitions[one.name].version,
                     "wanted": one.wanted,
-                    "labels": specs[one.name]["labels"],
+                    "labels": definitions[one.name].labels,
                     "killed": one.kill_count,
                     "change": owner.id if (owner := fleet.rollout_of(one.name)) else "",
                 }
@@ -199,7 +199,7 @@
                 for id, change in fleet.rollouts.items()
                 if id.partition("/")[0] in known
             },
-            "versions": sorted(self.owner.told["versions"]),
+            "versions": sorted(self.owner.settings.versions),
         }
 
     def begin_step(self, act: Body) -> str:
@@ -212,8 +212,8 @@
             on_failure="go_on",
         )
         try:
-            if self.owner.fleet.submit(self.now(), change).state == "paused":
-                self.owner.fleet.resume(self.now(), change.id)
+            if self.owner.controller.submit(self.now(), change).state == "paused":
+                self.owner.controller.resume(self.now(), change.id)
         except (RefusedError, OSError) as problem:
             return str(problem)
         return ""
--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -1,20 +1,24 @@
-"""What outlives the agent: the newest record of each instance and change, and a bounded history, in SQLite.
+"""What outlives the agent: the newest record of each kind and name, and a bounded history, in SQLite.
 
-Every record has a checksum, the file a version. What is torn, of another version or full is said, never
-guessed: `StoreError` names the file and the mend. One thread uses it.
+Every record has a checksum, the file a version. A store that is damaged, of another version or full is
+reported and never repaired by guessing: `StoreError` names the file and what to do. One thread uses a store.
 """
 
 import json
 import sqlite3
 import zlib
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
+from vetchford.errors import VetchfordError
+from vetchford.fleet.agent_messages import HistoryEntry
 from vetchford.runtime.clock import clock
 
-VERSION = 1
-HISTORY = 10_000  # entries kept: a roll over a hundred instances writes some five hundred
-PRUNE = 500  # entries beyond before the oldest go, so that not every write deletes
+SCHEMA_VERSION = 1
+MAX_HISTORY_ENTRIES = 10_000  # a roll over a hundred instances writes some five hundred
+PRUNE_INTERVAL = 500  # writes between two deletions of the oldest entries, so that not every write deletes
+BUSY_TIMEOUT = 2.0  # s to wait for a lock that another process holds, such as an operator's sqlite3
+RESTORE_ADVICE = "move it away to begin anew, or restore a copy"
 TABLES = """
 CREATE TABLE meta (version INTEGER NOT NULL);
 CREATE TABLE newest
@@ -23,95 +27,123 @@
 """
 
 
-class StoreError(Exception):
-    """The store can't be used as it is; says which file and what to do."""
+class StoreError(VetchfordError):
+    """The store at `path` cannot be used as it is, for `reason`, which says what to do."""
+
+    def __init__(self, path: str, reason: str) -> None:
+        """`path`: of the store's file."""
+        super().__init__(f"store {path}: {reason}")
+        self.path = path
+        self.reason = reason
+
+
+class StoredRecord(NamedTuple):
+    """The newest record of a kind and name."""
+
+    kind: str
+    name: str
+    body: dict[str, Any]
 
 
 class Store:
-    """`put` is durable when it returns: write-ahead log, synchronous=FULL."""
+    """A record is durable when `put` returns: write-ahead log, synchronous=FULL."""
 
     def __init__(self, path: str) -> None:
-        self.path, self.puts = path, 0
-        fresh = not Path(path).exists() or Path(path).stat().st_size == 0
+        """Open the file, or make a new one. Raises StoreError."""
+        self.path = path
+        self.history_writes = 0
+        is_new = not Path(path).exists() or Path(path).stat().st_size == 0
         try:
-            self.base = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=2.0)
-            self.base.execute("PRAGMA journal_mode=WAL")
-            self.base.execute("PRAGMA synchronous=FULL")
-            if fresh:
-                self.base.executescript(f"BEGIN; {TABLES} INSERT INTO meta VALUES ({VERSION}); COMMIT;")
-            version = self.base.execute("SELECT version FROM meta").fetchone()
-            sound = self.base.execute("PRAGMA quick_check").fetchone()
+            self.connection = sqlite3.connect(
+                path, isolation_level=None, check_same_thread=False, timeout=BUSY_TIMEOUT
+            )
+            self.connection.execute("PRAGMA journal_mode=WAL")
+            self.connection.execute("PRAGMA synchronous=FULL")
+            if is_new:
+                self._create_tables()
+            self._check()
         except sqlite3.Error as problem:
-            raise StoreError(
-                f"store {path}: {problem}; move it away to begin anew, or restore a copy"
-            ) from None
-        if version is None or version[0] != VERSION:
+            raise StoreError(path, f"{problem}; {RESTORE_ADVICE}") from None
+
+    def _create_tables(self) -> None:
+        self.connection.executescript(f"BEGIN; {TABLES} INSERT INTO meta VALUES ({SCHEMA_VERSION}); COMMIT;")
+
+    def _check(self) -> None:
+        """Raise StoreError if the file is of another version or damaged."""
+        version = self.connection.execute("SELECT version FROM meta").fetchone()
+        check_result = self.connection.execute("PRAGMA quick_check").fetchone()
+        if version is None or version[0] != SCHEMA_VERSION:
             found = "none" if version is None else version[0]
-            raise StoreError(
-                f"store {path}: version {found}, this program reads {VERSION}; use the one that wrote it"
-            )
-        if sound != ("ok",):
-            raise StoreError(
-                f"store {path}: torn ({sound[0]}); move it away to begin anew, or restore a copy"
-            )
+            reason = f"version {found}, this program reads {SCHEMA_VERSION}; use the one that wrote it"
+            raise StoreError(self.path, reason)
+        if check_result != ("ok",):
+            raise StoreError(self.path, f"torn ({check_result[0]}); {RESTORE_ADVICE}")
 
     def put(self, kind: str, name: str, body: dict[str, Any] | None, history: bool = True) -> None:
-        """None drops it; `history`: whether it is remembered beside the newest. OSError where the disk is
-        full or fails: then nothing of it is kept.
+        """Write a record; None deletes it. `history`: whether it goes into the history, too.
+
+        Raises OSError if the disk is full or fails; then nothing of it is kept.
         """
         text = json.dumps(body, sort_keys=True)
         try:
-            self.base.execute("BEGIN IMMEDIATE")
+            self.connection.execute("BEGIN IMMEDIATE")
             if body is None:
-                self.base.execute("DELETE FROM newest WHERE kind = ? AND name = ?", (kind, name))
+                self.connection.execute("DELETE FROM newest WHERE kind = ? AND name = ?", (kind, name))
             else:
-                self.base.execute(
-                    "INSERT OR REPLACE INTO newest VALUES (?, ?, ?, ?)", (kind, name, text, summed(text))
-                )
+                row = (kind, name, text, checksum(text))
+                self.connection.execute("INSERT OR REPLACE INTO newest VALUES (?, ?, ?, ?)", row)
             if history:
-                self.base.execute("INSERT INTO history VALUES (?, ?, ?, ?)", (clock.day(), kind, name, text))
-                self.puts += 1
-            if history and self.puts % PRUNE == 0:
-                last = "SELECT max(rowid) FROM history"
-                self.base.execute(f"DELETE FROM history WHERE rowid <= ({last}) - ?", (HISTORY,))
-            self.base.execute("COMMIT")
+                self._append_history(kind, name, text)
+            self.connection.execute("COMMIT")
         except sqlite3.Error as problem:
-            if self.base.in_transaction:
-                self.base.execute("ROLLBACK")
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
             raise OSError(f"store {self.path}: {problem}") from None
 
-    def all(self) -> list[tuple[str, str, dict[str, Any]]]:
-        """Kind, name and body of each, in the order they were first put."""
-        out = []
+    def _append_history(self, kind: str, name: str, text: str) -> None:
+        row = (clock.day(), kind, name, text)
+        self.connection.execute("INSERT INTO history VALUES (?, ?, ?, ?)", row)
+        self.history_writes += 1
+        if self.history_writes % PRUNE_INTERVAL == 0:
+            oldest_kept = "(SELECT max(rowid) FROM history) - ?"
+            self.connection.execute(
+                f"DELETE FROM history WHERE rowid <= {oldest_kept}", (MAX_HISTORY_ENTRIES,)
+            )
+
+    def records(self) -> list[StoredRecord]:
+        """Return the newest record of each kind and name, in the order of the table. Raises StoreError."""
+        query = "SELECT kind, name, body, sum FROM newest ORDER BY rowid"
         try:
-            rows = self.base.execute("SELECT kind, name, body, sum FROM newest ORDER BY rowid").fetchall()
+            rows = self.connection.execute(query).fetchall()
         except sqlite3.Error as problem:
-            raise StoreError(
-                f"store {self.path}: {problem}; move it away to begin anew, or restore a copy"
-            ) from None
-        for kind, name, text, total in rows:
-            if summed(text) != total:
-                raise StoreError(
-                    f"store {self.path}: the record of {kind} {name} is not what was written; "
-                    "move the store away to begin anew, or restore a copy"
-                )
-            out.append((kind, name, json.loads(text)))
-        return out
-
-    def history(self, most: int) -> list[dict[str, Any]]:
-        """The last entries, the newest first. OSError where the disk fails."""
-        wanted = "SELECT at, kind, name, body FROM history ORDER BY rowid DESC LIMIT ?"
+            raise StoreError(self.path, f"{problem}; {RESTORE_ADVICE}") from None
+        records = []
+        for kind, name, text, stored_checksum in rows:
+            if checksum(text) != stored_checksum:
+                reason = f"the record of {kind} {name} is not what was written; "
+                raise StoreError(self.path, reason + "move the store away to begin anew, or restore a copy")
+            records.append(StoredRecord(kind, name, json.loads(text)))
+        return records
+
+    def history(self, count: int) -> list[HistoryEntry]:
+        """Return the last entries, the newest first.
+
+        Raises OSError if the disk fails: only a tool asks, so the agent goes on.
+        """
+        query = "SELECT at, kind, name, body FROM history ORDER BY rowid DESC LIMIT ?"
         try:
-            rows = self.base.execute(wanted, (most,)).fetchall()
-        except sqlite3.Error as problem:  # a tool's question alone: no reason for the agent's thread to end
+            rows = self.connection.execute(query, (count,)).fetchall()
+        except sqlite3.Error as problem:
             raise OSError(f"store {self.path}: {problem}") from None
         return [
             {"at": at, "kind": kind, "name": name, "body": json.loads(body)} for at, kind, name, body in rows
         ]
 
     def close(self) -> None:
-        self.base.close()
+        """Close the file."""
+        self.connection.close()
 
 
-def summed(text: str) -> int:
+def checksum(text: str) -> int:
+    """Return the checksum that is stored with a record."""
     return zlib.crc32(text.encode())
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -43,6 +43,10 @@
         """Return the rollout that an instance is part of and that has not ended."""
         return self.table.rollout_of(instance)
 
+    def get(self, id: str) -> Rollout:
+        """Return a rollout by its id; RefusedError if there is none."""
+        return self.table.get(id)
+
     # -- at the agent's start: declare, restore, fail_rollouts_without_settings, on_process_found
 
     def declare(self, name: str, settings: InstanceSettings, version: str) -> Instance:
@@ -138,7 +142,7 @@
 
     def pause(self, id: str, reason: str = "asked to") -> Rollout:
         """Begin nothing more for this rollout until it is resumed. Raises RefusedError, OSError."""
-        rollout = self.table.get(id)
+        rollout = self.get(id)
         if rollout.active:
             self.table.transition(rollout, RolloutState.PAUSED, reason)
         return rollout
@@ -148,7 +152,7 @@
 
         Raises RefusedError, OSError.
         """
-        rollout = self.table.get(id)
+        rollout = self.get(id)
         if rollout.state == RolloutState.PAUSED:
             self._retry_failed_steps(rollout)
             direction = RolloutState.ROLLING_BACK if rollout.rolling_back else RolloutState.RUNNING
@@ -170,7 +174,7 @@
 
         Raises RefusedError, OSError; then it has not been aborted.
         """
-        rollout = self.table.get(id)
+        rollout = self.get(id)
         if rollout.ended:
             return rollout
         out_of_service = rollout.names_in(StepState.OUT, StepState.STARTING)
