--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -18,7 +18,7 @@
 from benchmarks.fleet import Agent, free_ports
 from testkit.simulation.network import Net
 from vetchford.fleet import supervisor
-from vetchford.fleet.commands.machine import ask
+from vetchford.fleet.agent_client import ask
 from vetchford.fleet.failure_detector import DEAD
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.process_table import read_memory_kb
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,7 @@
 from testkit.fakes.load_generator import Flow, Load
 from testkit.fakes.schedule import Apart
 from vetchford.fleet import supervisor
-from vetchford.fleet.commands.machine import ask
+from vetchford.fleet.agent_client import ask
 from vetchford.fleet.health_checker import is_ready
 from vetchford.fleet.history_store import Store
 
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -52,9 +52,9 @@
 def main(argv: list[str] | None = None) -> int:
     given = sys.argv[1:] if argv is None else argv
     if given[:1] == ["fleet"]:
-        from vetchford.fleet.commands import machine  # a server does without it
+        from vetchford.fleet.commands import command_line  # a server does without it
 
-        return machine.main(given[1:])
+        return command_line.main(given[1:])
     try:
         asked = docopt(__doc__, given, version=vetchford.__version__)
     except DocoptExit:
--- a/vetchford/fleet/agent_client.py
+++ b/vetchford/fleet/agent_client.py
@@ -1,50 +1,55 @@
-"""How the tool asks one agent, and what its exit status says."""
+"""Asks one agent over its Unix socket: one request, one reply."""
 
 import json
 import socket
-import sys
-from collections.abc import Callable
+from collections.abc import Mapping
+from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-WAITS = 10.0  # s for an agent's answer
-DONE, FAILED, REFUSED, PARTLY, UNKNOWN = range(5)
-STATES = {"finished": DONE, "broken": PARTLY, "aborted": PARTLY, "paused": FAILED}
+from vetchford.errors import VetchfordError
 
+DEFAULT_TIMEOUT = 10.0  # s for an agent's reply
 
-class UnreachableError(Exception):
-    """No answer from an agent: what it does is unknown."""
+Answer = dict[str, Any]  # one of `agent_messages.Reply`, as it was decoded
 
 
-def ask(path: str, request: dict[str, Any], waits: float = WAITS) -> dict[str, Any]:
+class UnreachableError(VetchfordError):
+    """No reply from an agent, for `reason`: what it does is unknown."""
+
+    def __init__(self, reason: str) -> None:
+        """`reason`: names the agent's socket."""
+        super().__init__(reason)
+        self.reason = reason
+
+
+def ask(path: str, request: Mapping[str, Any], timeout: float = DEFAULT_TIMEOUT) -> Answer:
+    """Return the reply of the agent at `path`; `timeout` in s. Raises UnreachableError."""
     try:
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(waits)
+            sock.settimeout(timeout)
             sock.connect(path)
             with sock.makefile("rwb") as lines:
                 lines.write(json.dumps(request).encode() + b"\n")
                 lines.flush()
-                return json.loads(lines.readline())
+                answer: Answer = json.loads(lines.readline())
+                return answer
     except (OSError, ValueError) as problem:
         raise UnreachableError(f"{path}: {problem}") from None
 
 
-def refused(answer: dict[str, Any]) -> int:
-    if "refused" in answer:
-        print(f"vetchford: {answer['refused']}", file=sys.stderr)
-        return REFUSED
-    return DONE
-
+def ask_all(
+    paths: list[str], request: Mapping[str, Any], timeout: float = DEFAULT_TIMEOUT
+) -> dict[str, Answer]:
+    """Return the reply of each agent by its path; all are asked at once, so none holds up another.
 
-def ended(id: str, answer: dict[str, Any], plain: bool) -> int:
-    """The exit status of a change that has ended or paused; says how, where a person reads it."""
-    if plain:
-        killed = answer["killed"]
-        late = f"; killed at their stop time: {', '.join(killed)}" if killed else ""
-        print(f"change {id} {answer['state']}: {answer['why']}{late}")
-    return STATES[answer["state"]]
+    In place of a reply that does not come there is {"unknown": reason}.
+    """
 
+    def ask_one(path: str) -> Answer:
+        try:
+            return ask(path, request, timeout)
+        except UnreachableError as problem:
+            return {"unknown": str(problem)}
 
-def columns(rows: list[tuple[str, ...]], out: Callable[[str], None] = print) -> None:
-    widths = [max(len(row[at]) for row in rows) for at in range(len(rows[0]))]
-    for row in rows:
-        out("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
+    with ThreadPoolExecutor(len(paths)) as pool:
+        return dict(zip(paths, pool.map(ask_one, paths), strict=True))
--- /dev/null
+++ b/vetchford/fleet/commands/options.py
@@ -0,0 +1,99 @@
+"""The command line as typed values; made from what docopt returns."""
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+from vetchford.fleet.rollout import RolloutKind
+
+
+class Command(StrEnum):
+    """The sub-commands of `vetchford fleet`."""
+
+    STATUS = "status"
+    WATCH = "watch"
+    START = "start"
+    STOP = "stop"
+    DRAIN = "drain"
+    RESTART = "restart"
+    ROLL = "roll"
+    PAUSE = "pause"
+    RESUME = "resume"
+    ABORT = "abort"
+    WAIT = "wait"
+    HISTORY = "history"
+    EXPLAIN = "explain"
+    PEERS = "peers"
+    ADMIT = "admit"
+    DISMISS = "dismiss"
+
+
+ROLLOUT_KINDS = {
+    Command.START: RolloutKind.START,
+    Command.STOP: RolloutKind.STOP,
+    Command.DRAIN: RolloutKind.STOP,
+    Command.RESTART: RolloutKind.RESTART,
+    Command.ROLL: RolloutKind.ROLL,
+}
+CONTROL_COMMANDS = frozenset((Command.PAUSE, Command.RESUME, Command.ABORT))
+FLEET_COMMANDS = frozenset((Command.WATCH, Command.PEERS, Command.ADMIT, Command.DISMISS))
+
+
+@dataclass(frozen=True, slots=True)
+class Options:
+    """One call of the tool; names and units as in its usage."""
+
+    command: Command
+    sockets: list[str]
+    across: bool
+    select: list[str]
+    rollout_id: str  # ID; empty where the command has none
+    requested_id: str  # --id; empty: one is made up
+    instance: str
+    agent: str
+    by: str
+    version: str
+    batch: int
+    floor: int
+    spacing: float
+    soak: float
+    on_failure: str
+    dry_run: bool
+    no_wait: bool
+    patience: float
+    json: bool
+
+    @classmethod
+    def from_arguments(cls, arguments: dict[str, Any]) -> "Options":
+        """Read docopt's dictionary. Raises ValueError for a number that is none."""
+        return cls(
+            command=next(command for command in Command if arguments[command]),
+            sockets=list(dict.fromkeys(arguments["--socket"])),  # docopt repeats a repeated option
+            across=bool(arguments["--across"]),
+            select=arguments["SELECT"],
+            rollout_id=arguments["ID"] or "",
+            requested_id=arguments["--id"] or "",
+            instance=arguments["INSTANCE"] or "",
+            agent=arguments["AGENT"] or "",
+            by=arguments["--by"] or "",
+            version=arguments["--to"] or "",
+            batch=int(arguments["--batch"]),
+            floor=int(arguments["--floor"]),
+            spacing=float(arguments["--spacing"]),
+            soak=float(arguments["--soak"]),
+            on_failure=arguments["--on-failure"],
+            dry_run=bool(arguments["--dry-run"]),
+            no_wait=bool(arguments["--no-wait"]),
+            patience=float(arguments["--patience"]),
+            json=bool(arguments["--json"]),
+        )
+
+    @property
+    def plain(self) -> bool:
+        """Whether a person reads the output."""
+        return not self.json
+
+    @property
+    def of_whole_fleet(self) -> bool:
+        """Whether the command goes to all agents of a fleet together."""
+        return self.across or self.command in FLEET_COMMANDS
