--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -318,7 +318,7 @@
             newest[agent] = max(entry["term"], newest.get(agent, 0))
             if drivers.get(entry["term"], entry["driver"]) != entry["driver"]:
                 found.append(f"an order of {entry['driver']} under another's term {entry['term']}")
-        elif event == "instance_moved":
+        elif event == "instance_state_changed":
             key = f"{entry['instance']}@{agent}"
             if entry["now"] == "serving":
                 serving.add(key)
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -241,7 +241,7 @@
     with pytest.raises(OSError):
         fleet.pause("r")
     assert fleet.rollouts["r"].state == RolloutState.PAUSED and noted == [
-        ("change_moved", RolloutState.PAUSED)
+        ("rollout_state_changed", RolloutState.PAUSED)
     ]
     fleet.on_process_exit(30.0, "a", 0)
     assert fleet.instances["a"].state == InstanceState.STOPPED  # nothing more is begun
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -31,7 +31,7 @@
         agent = Agent(settings, metrics)
         tool_server = ToolServer(settings.socket, agent.submit_request, metrics)
     except (StoreError, OSError) as problem:
-        log.error("agent_cannot_start", problem=str(problem))
+        log.error("agent_start_failed", problem=str(problem))
         return 1
     agent.start()
     tool_server.start()
@@ -58,11 +58,13 @@
     """Log that an agent serves, and the fleet that it is part of."""
     settings = agent.settings
     log.info(
-        "agent_serving",
+        "agent_started",
         socket=settings.socket,
         instances=len(settings.instances),
         adopted=len(agent.processes),
     )
     if settings.peers and agent.coordinator is not None:
         coordinator = agent.coordinator
-        log.info("agent_joins", fleet=settings.peers["fleet"], name=coordinator.name, life=coordinator.life)
+        log.info(
+            "agent_joined_fleet", fleet=settings.peers["fleet"], name=coordinator.name, life=coordinator.life
+        )
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -208,7 +208,7 @@
     def _transition(self, now: float, instance: Instance, state: InstanceState, reason: str) -> None:
         if state != instance.state:
             self.actions.note(
-                "instance_moved",
+                "instance_state_changed",
                 instance=instance.name,
                 was=str(instance.state),
                 now=str(state),
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -141,7 +141,9 @@
 
     def _fail_step(self, rollout: Rollout, instance: Instance) -> None:
         self.table.set_step(rollout, instance.name, StepState.FAILED)
-        self.table.actions.note("change_lost", change=rollout.id, instance=instance.name, why=instance.reason)
+        self.table.actions.note(
+            "rollout_instance_failed", change=rollout.id, instance=instance.name, why=instance.reason
+        )
         if rollout.state == RolloutState.ROLLING_BACK or rollout.on_failure == FailurePolicy.CONTINUE:
             return
         reason = f"{instance.name}: {instance.reason}"
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -26,7 +26,9 @@
         """Record a new rollout. Raises OSError if the store cannot write; then it has not begun."""
         self.save(rollout)
         self.rollouts[rollout.id] = rollout
-        self.actions.note("change_begins", change=rollout.id, kind=rollout.kind, targets=len(rollout.targets))
+        self.actions.note(
+            "rollout_started", change=rollout.id, kind=rollout.kind, targets=len(rollout.targets)
+        )
 
     def get(self, id: str) -> Rollout:
         """Return the rollout of this id; RefusedError if there is none."""
@@ -73,7 +75,7 @@
 
     def _log_transition(self, rollout: Rollout, previous: RolloutState) -> None:
         self.actions.note(
-            "change_moved",
+            "rollout_state_changed",
             change=rollout.id,
             was=str(previous),
             now=str(rollout.state),
--- a/vetchford/fleet/supervisor.py
+++ b/vetchford/fleet/supervisor.py
@@ -148,7 +148,7 @@
         if name in names:
             adopted[name] = strays.pop(0)
         for stray, _ in strays:
-            log.warning("fleet_stray", instance=name, pid=stray.pid)
+            log.warning("stray_process_terminated", instance=name, pid=stray.pid)
             stray.signal(signal.SIGTERM)
             stray.reap()
     return adopted
--- a/vetchford/fleet/tool_server.py
+++ b/vetchford/fleet/tool_server.py
@@ -68,7 +68,7 @@
         try:
             self._answer_requests(sock)
         except Exception as problem:  # a tool that goes away, or sends no valid line, concerns no other
-            self.metrics.log_sampled("fleet_tool_lost", problem=f"{type(problem).__name__}: {problem}")
+            self.metrics.log_sampled("tool_connection_failed", problem=f"{type(problem).__name__}: {problem}")
         finally:
             self.free_connections.release()
 
