--- /dev/null
+++ b/tests/fleet/test_rollout_record.py
@@ -0,0 +1,86 @@
+"""Stored rollouts and requests of tools keep their form: agents and tools of other versions read them."""
+
+import json
+
+import pytest
+
+from vetchford.fleet.instance import Instance, InstanceSettings, InstanceState
+from vetchford.fleet.rollout import Rollout, RolloutState, StepState
+
+# As version 0.2.0 wrote it in the middle of a roll.
+HALF_DONE = {
+    "id": "r1",
+    "kind": "roll",
+    "targets": ["n2", "n0", "n1"],
+    "version": "v2",
+    "batch": 2,
+    "floor": 1,
+    "spacing": 100.0,
+    "soak": 300.0,
+    "on_failure": "back",
+    "state": "running",
+    "steps": {"n0": "done", "n1": "coming", "n2": "pending"},
+    "before": {"n0": "v1", "n1": "v1", "n2": "v1"},
+    "was_up": {"n0": True, "n1": True, "n2": False},
+    "why": "",
+    "killed": ["n0"],
+}
+
+
+def test_a_record_is_read_and_written_in_the_same_words():
+    rollout = Rollout.from_record(HALF_DONE)
+    assert (rollout.minimum_available, rollout.start_spacing_ms, rollout.minimum_ready_ms) == (
+        1,
+        100.0,
+        300.0,
+    )
+    assert rollout.steps == {"n0": StepState.DONE, "n1": StepState.STARTING, "n2": StepState.PENDING}
+    assert rollout.previous_versions["n1"] == "v1" and rollout.previously_wanted["n2"] is False
+    assert json.dumps(rollout.to_record(), sort_keys=True) == json.dumps(HALF_DONE, sort_keys=True)
+
+
+@pytest.mark.parametrize("state", list(RolloutState))
+def test_a_record_without_a_direction_goes_back_only_where_its_state_says_so(state):
+    rollout = Rollout.from_record({**HALF_DONE, "state": state.value})
+    assert rollout.rolling_back is (state is RolloutState.ROLLING_BACK)
+
+
+def test_a_paused_way_back_is_written_and_read():
+    record = {**HALF_DONE, "state": "paused", "why": "asked to", "back": True}
+    rollout = Rollout.from_record(record)
+    assert rollout.rolling_back and rollout.to_record() == record
+
+
+def test_words_that_are_stored_and_replied():
+    assert [str(step) for step in StepState] == ["pending", "out", "coming", "soaking", "done", "lost"]
+    assert [str(state) for state in RolloutState] == [
+        "running",
+        "paused",
+        "back",
+        "finished",
+        "broken",
+        "aborted",
+    ]
+    assert [str(state) for state in InstanceState] == [
+        "absent",
+        "starting",
+        "serving",
+        "draining",
+        "stopping",
+        "stopped",
+        "failed",
+        "unknown",
+    ]
+
+
+@pytest.mark.parametrize("name", ["minimum_available", "rolling_back", "reason", "melt"])
+def test_a_request_with_a_name_that_no_version_sends_is_refused(name):
+    with pytest.raises(TypeError, match=f"unexpected keyword argument '{name}'"):
+        Rollout.from_request({"id": "x", "kind": "stop", "targets": ["n0"], name: 1})
+
+
+def test_an_instance_is_stored_as_before():
+    instance = Instance("n0", InstanceSettings(), "1")
+    instance.restore({"wanted": True, "version": "v2", "killed": 3})
+    assert (instance.wanted, instance.version, instance.kill_count) == (True, "v2", 3)
+    assert instance.to_record() == {"wanted": True, "version": "v2", "killed": 3}
