--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -1,4 +1,4 @@
-"""An agent and its instances between two lines. Rows and their state: docs/crossings.md."""
+"""Races between an agent and its instances, each forced. Rows and their state: docs/crossings.md."""
 
 import _thread
 import contextlib
@@ -21,11 +21,11 @@
 from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.runtime.metrics import Metrics
 
-# -- the ready check
+# -- the health check
 
 
 class ByteByByte(socket.socket):
-    """Its peer's words come in pieces of one byte: cut between any two."""
+    """What its peer sends arrives byte by byte."""
 
     def recv(self, size):
         return super().recv(1)
@@ -35,25 +35,25 @@
 def test_an_answer_cut_between_any_two_bytes_says_what_it_says_whole(monkeypatch, word):
     body = b'{"jsonrpc":"2.0","id":1,"result":{"serving":%b}}' % word
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        held = []  # not closed on what it has not read: that would reset its answer
+        connections = []  # not closed on what it has not read: that would reset its answer
 
         def answer():
-            held.append(listener.accept()[0])
-            held[0].sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+            connections.append(listener.accept()[0])
+            connections[0].sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
         answering, _ = beside(answer)
         monkeypatch.setattr(socket, "socket", ByteByByte)
         assert health_checker.is_ready(f"127.0.0.1:{listener.getsockname()[1]}") is (word == b"true")
         answering.join(PATIENCE)
-        held[0].close()
+        connections[0].close()
 
 
 def test_where_no_thread_is_to_be_had_checks_go_on_once_there_is(monkeypatch):
     """Threads run out between two checks of a round, and are there again for the next."""
-    scarce, refused, looked, over = (threading.Event() for _ in range(4))
+    no_threads, refused, looked, over = (threading.Event() for _ in range(4))
     gate, checked, start = Checkpoint(), set(), _thread.start_new_thread
 
-    class Ours(dict):
+    class Processes(dict):
         def items(self):
             looked.set()
             if over.is_set():
@@ -61,7 +61,7 @@
             return super().items()
 
     def starts(*given, **named):
-        if scarce.is_set():
+        if no_threads.is_set():
             refused.set()
             raise RuntimeError("can't start new thread")
         return start(*given, **named)
@@ -73,7 +73,7 @@
     monkeypatch.setattr(_thread, "start_new_thread", starts)
     monkeypatch.setattr(threading, "_start_new_thread", starts)
     monkeypatch.setattr(health_checker, "CHECK_INTERVAL", 0.01)
-    checker = health_checker.HealthChecker(Metrics(), Ours(), check)
+    checker = health_checker.HealthChecker(Metrics(), Processes(), check)
 
     def checking():
         with contextlib.suppress(SystemExit):
@@ -81,10 +81,10 @@
 
     thread, _ = beside(checking)
     assert looked.wait(PATIENCE)
-    scarce.set()
-    checker.processes = Ours(n0=1, n1=2, n2=3)
+    no_threads.set()
+    checker.processes = Processes(n0=1, n1=2, n2=3)
     assert refused.wait(PATIENCE)
-    scarce.clear()
+    no_threads.clear()
     gate.open()
     until(lambda: checked == {"n0", "n1", "n2"}, "all are checked")
     over.set()
@@ -117,15 +117,15 @@
 
 
 class World:
-    """The host: what it was asked to do; a store that can be full."""
+    """What the decisions act through: keeps what they did; its store can be full."""
 
     def __init__(self):
-        self.acts, self.kept, self.full = [], {}, False
+        self.acts, self.records, self.full = [], {}, False
 
     def save_record(self, kind, name, body):
         if self.full:
             raise OSError("full")
-        self.kept[kind, name] = body
+        self.records[kind, name] = body
 
     def __getattr__(self, name):
         return lambda *given, **fields: self.acts.append((name, *given))
@@ -134,75 +134,82 @@
         return [given[1] for given in self.acts if given[0] == act]
 
 
-def up(names="abc"):
+def all_serving(names="abc"):
     """All serve, under the old version."""
     world = World()
-    fleet = RolloutController(world)
+    controller = RolloutController(world)
     for name in names:
-        fleet.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
-        fleet.on_process_found(0.0, name, None)
-    fleet.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
+        controller.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
+        controller.on_process_found(0.0, name, None)
+    controller.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
     for name in names:
-        fleet.on_health_check(1.0, name, True)
-    fleet.on_tick(2.0)
-    assert fleet.rollouts["up"].state == RolloutState.FINISHED
-    return world, fleet
+        controller.on_health_check(1.0, name, True)
+    controller.on_tick(2.0)
+    assert controller.rollouts["up"].state == RolloutState.FINISHED
+    return world, controller
 
 
-def out_and_up(fleet, now, name):
-    """It ends as it was told to, and its next process serves."""
-    assert fleet.instances[name].state == InstanceState.DRAINING
-    fleet.on_process_exit(now, name, 0)
-    fleet.on_health_check(now + 1.0, name, True)
+def exit_and_serve(controller, now, name):
+    """It ends as it should, and its next process serves."""
+    assert controller.instances[name].state == InstanceState.DRAINING
+    controller.on_process_exit(now, name, 0)
+    controller.on_health_check(now + 1.0, name, True)
 
 
 def test_one_that_hangs_in_its_drain_is_killed_also_where_its_change_was_aborted_meanwhile():
-    world, fleet = up()
-    fleet.submit(10.0, Rollout("r", "restart", ["a"], minimum_ready_ms=0.0))
-    fleet.abort(20.0, "r")
+    world, controller = all_serving()
+    controller.submit(10.0, Rollout("r", "restart", ["a"], minimum_ready_ms=0.0))
+    controller.abort(20.0, "r")
     for now in range(100, 2500, 50):
-        fleet.on_tick(float(now))
+        controller.on_tick(float(now))
     assert "a" in world.did("kill")
-    fleet.on_process_exit(2500.0, "a", -9)
-    fleet.on_tick(2600.0)
-    assert world.did("spawn").count("a") == 2 and fleet.instances["a"].state == InstanceState.STARTING
+    controller.on_process_exit(2500.0, "a", -9)
+    controller.on_tick(2600.0)
+    assert world.did("spawn").count("a") == 2 and controller.instances["a"].state == InstanceState.STARTING
 
 
-def rolled_back(fleet, now):
+def roll_and_fail(controller, now):
     """A roll over all, one by one; the second one's new version fails, so that both go back."""
-    fleet.submit(now, Rollout("r", "roll", ["a", "b", "c"], "v2", minimum_ready_ms=0.0, on_failure="back"))
-    out_and_up(fleet, now + 10.0, "a")
-    fleet.on_tick(now + 20.0)
-    fleet.on_process_exit(now + 30.0, "b", 0)  # it leaves, and its next one
-    fleet.on_process_exit(now + 40.0, "b", 1)  # crashes
+    controller.submit(
+        now, Rollout("r", "roll", ["a", "b", "c"], "v2", minimum_ready_ms=0.0, on_failure="back")
+    )
+    exit_and_serve(controller, now + 10.0, "a")
+    controller.on_tick(now + 20.0)
+    controller.on_process_exit(now + 30.0, "b", 0)  # it ends, and its next process
+    controller.on_process_exit(now + 40.0, "b", 1)  # crashes
 
 
 def test_a_way_back_that_is_paused_goes_on_back_once_resumed_also_by_the_next_agent():
-    world, fleet = up()
-    rolled_back(fleet, 100.0)
-    assert fleet.rollouts["r"].state == RolloutState.ROLLING_BACK
-    fleet.pause("r")
-    again = RolloutController(world)  # the agent is started anew in between
-    for name in fleet.instances:
-        again.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
-        again.restore("instance", name, world.kept["instance", name])
-    again.restore("change", "r", world.kept["change", "r"])
-    for name, one in fleet.instances.items():
-        again.on_process_found(160.0, name, one.running_version or None)
-    again.resume(200.0, "r")
+    world, controller = all_serving()
+    roll_and_fail(controller, 100.0)
+    assert controller.rollouts["r"].state == RolloutState.ROLLING_BACK
+    controller.pause("r")
+    restarted = RolloutController(world)  # the agent is restarted in between
+    for name in controller.instances:
+        restarted.declare(name, InstanceSettings(stop_timeout_ms=400.0, ready_timeout_ms=1500.0), "v1")
+        restarted.restore("instance", name, world.records["instance", name])
+    restarted.restore("change", "r", world.records["change", "r"])
+    for name, one in controller.instances.items():
+        restarted.on_process_found(160.0, name, one.running_version or None)
+    restarted.resume(200.0, "r")
     for now in range(210, 900, 10):
-        for name, one in again.instances.items():
+        for name, one in restarted.instances.items():
             if one.state == InstanceState.DRAINING:
-                again.on_process_exit(now, name, 0)
+                restarted.on_process_exit(now, name, 0)
             elif one.state == InstanceState.STARTING:
-                again.on_health_check(now, name, True)
-        again.on_tick(float(now))
-    assert (again.rollouts["r"].state, again.rollouts["r"].reason) == (RolloutState.FAILED, "gone back")
-    assert {name: one.running_version for name, one in again.instances.items()} == dict.fromkeys("abc", "v1")
+                restarted.on_health_check(now, name, True)
+        restarted.on_tick(float(now))
+    assert (restarted.rollouts["r"].state, restarted.rollouts["r"].reason) == (
+        RolloutState.FAILED,
+        "gone back",
+    )
+    assert {name: one.running_version for name, one in restarted.instances.items()} == dict.fromkeys(
+        "abc", "v1"
+    )
 
 
 def test_a_store_that_fails_as_a_change_turns_back_leaves_its_steps_as_they_are_on_record():
-    world, fleet = up()
+    world, controller = all_serving()
     record, failed = world.save_record, []
 
     def fails_once(kind, name, body):
@@ -212,48 +219,52 @@
         record(kind, name, body)
 
     world.save_record = fails_once
-    rolled_back(fleet, 100.0)
-    assert failed == ["r"] and fleet.rollouts["r"].state == RolloutState.PAUSED
-    assert fleet.rollouts["r"].steps == {"a": StepState.DONE, "b": StepState.FAILED, "c": StepState.PENDING}
-    assert fleet.rollouts["r"].steps == world.kept["change", "r"]["steps"]
+    roll_and_fail(controller, 100.0)
+    assert failed == ["r"] and controller.rollouts["r"].state == RolloutState.PAUSED
+    assert controller.rollouts["r"].steps == {
+        "a": StepState.DONE,
+        "b": StepState.FAILED,
+        "c": StepState.PENDING,
+    }
+    assert controller.rollouts["r"].steps == world.records["change", "r"]["steps"]
 
 
 def test_an_abort_that_the_store_cannot_take_has_not_happened_and_can_be_given_again():
-    world, fleet = up()
-    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
+    world, controller = all_serving()
+    controller.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     world.full = True
     with pytest.raises(OSError):
-        fleet.abort(20.0, "r")
-    assert fleet.rollouts["r"].state not in ENDED_STATES
+        controller.abort(20.0, "r")
+    assert controller.rollouts["r"].state not in ENDED_STATES
     world.full = False
-    assert fleet.abort(30.0, "r").state == RolloutState.ABORTED
-    fleet.on_process_exit(100.0, "a", 0)
-    fleet.on_tick(1100.0)
-    assert fleet.instances["a"].state == InstanceState.STARTING
+    assert controller.abort(30.0, "r").state == RolloutState.ABORTED
+    controller.on_process_exit(100.0, "a", 0)
+    controller.on_tick(1100.0)
+    assert controller.instances["a"].state == InstanceState.STARTING
 
 
 def test_a_pause_that_the_store_cannot_take_holds_and_is_logged():
-    world, fleet = up()
-    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
+    world, controller = all_serving()
+    controller.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     noted = []
     world.note = lambda event, **fields: noted.append((event, fields.get("now")))
     world.full = True
     with pytest.raises(OSError):
-        fleet.pause("r")
-    assert fleet.rollouts["r"].state == RolloutState.PAUSED and noted == [
+        controller.pause("r")
+    assert controller.rollouts["r"].state == RolloutState.PAUSED and noted == [
         ("rollout_state_changed", RolloutState.PAUSED)
     ]
-    fleet.on_process_exit(30.0, "a", 0)
-    assert fleet.instances["a"].state == InstanceState.STOPPED  # nothing more is begun
+    controller.on_process_exit(30.0, "a", 0)
+    assert controller.instances["a"].state == InstanceState.STOPPED  # nothing more is begun
 
 
 def test_a_store_that_fails_in_the_middle_of_an_abort_keeps_no_instance_down():
     """The change is on record as aborted; what follows for its instances is not."""
-    world, fleet = up()
-    fleet.submit(10.0, Rollout("r", "restart", ["a", "b"], batch=2, minimum_ready_ms=0.0))
-    fleet.pause("r")
+    world, controller = all_serving()
+    controller.submit(10.0, Rollout("r", "restart", ["a", "b"], batch=2, minimum_ready_ms=0.0))
+    controller.pause("r")
     for name in "ab":
-        fleet.on_process_exit(30.0, name, 0)
+        controller.on_process_exit(30.0, name, 0)
     record = world.save_record
 
     def only_changes(kind, name, body):
@@ -262,7 +273,9 @@
         record(kind, name, body)
 
     world.save_record = only_changes
-    fleet.abort(40.0, "r")
+    controller.abort(40.0, "r")
     world.save_record = record
-    fleet.on_tick(2000.0)
-    assert {name: fleet.instances[name].state for name in "ab"} == dict.fromkeys("ab", InstanceState.STARTING)
+    controller.on_tick(2000.0)
+    assert {name: controller.instances[name].state for name in "ab"} == dict.fromkeys(
+        "ab", InstanceState.STARTING
+    )
--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -1,4 +1,4 @@
-"""Roll-outs over a world of processes that crash, hang and never come up, with the agent killed in between.
+"""Rollouts over a world of processes that crash, hang and never get ready, with the agent killed in between.
 
 The world is the plain model: it knows each process and checks every act of the decisions against it.
 """
@@ -13,7 +13,10 @@
 from vetchford.fleet.rollout import ENDED_STATES, RefusedError, Rollout, RolloutState, StepState
 from vetchford.fleet.rollout_controller import RolloutController
 
-STOP, READY = 400.0, 1500.0
+STOP_TIMEOUT, READY_TIMEOUT = 400.0, 1500.0  # ms
+ROUND = 50.0  # ms between two rounds of events
+ROLL_AT = 3000.0  # ms: all serve by then
+NEVER = 1e12  # ms
 
 
 class KilledError(Exception):
@@ -21,187 +24,245 @@
 
 
 class World:
-    """Processes by instance: when each is ready, will end, and what it does on SIGTERM."""
+    """Processes by instance: when each is ready, when it will end, and what it does on SIGTERM."""
 
     def __init__(self, seed):
-        self.chance, self.now, self.store = random.Random(seed), 0.0, {}
-        self.up, self.told, self.kills, self.serving, self.floor, self.scope = {}, {}, [], set(), 0, set()
-        self.dies_in, self.full, self.orders, self.bad = -1, False, set(), ()
+        self.random, self.now, self.store = random.Random(seed), 0.0, {}
+        self.processes, self.terminated_at, self.kills = {}, {}, []
+        self.serving, self.minimum_available, self.counted = set(), 0, set()
+        self.acts_left, self.full, self.bad_versions = -1, False, ()
 
     def maybe_die(self):
-        self.dies_in -= 1
-        if self.dies_in == 0:
+        self.acts_left -= 1
+        if self.acts_left == 0:
             raise KilledError
 
-    def save_record(self, kind, name, body):
+    # -- what the decisions act through
+
+    def save_record(self, kind, name, record):
         self.maybe_die()
         if self.full:
             raise OSError("full")
-        if body is None:
+        if record is None:
             self.store.pop((kind, name), None)
         else:
-            self.store[kind, name] = copy.deepcopy(body)
+            self.store[kind, name] = copy.deepcopy(record)
 
     def spawn(self, name, version):
         self.maybe_die()
-        assert name not in self.up, "a second process of one instance"
-        bad = version in self.bad
-        hang = self.chance.random() < 0.15
-        self.up[name] = {
+        assert name not in self.processes, "a second process of one instance"
+        hangs = self.random.random() < 0.15
+        ready_in = 1e9 if version in self.bad_versions else self.random.uniform(50, 400)
+        self.processes[name] = {
             "version": version,
-            "ready": self.now + (1e9 if bad else self.chance.uniform(50, 400)),
-            "ends": 1e12,
-            "hangs": hang,
+            "ready": self.now + ready_in,
+            "ends": NEVER,
+            "hangs": hangs,
         }
         self.maybe_die()
 
     def terminate(self, name):
         self.maybe_die()
-        assert name in self.up, "SIGTERM to nobody"
-        if name in self.serving and name in self.scope:
-            assert len((self.serving & self.scope) - {name}) >= self.floor, "under the floor"
+        assert name in self.processes, "SIGTERM to no process"
+        if name in self.serving and name in self.counted:
+            left = (self.serving & self.counted) - {name}
+            assert len(left) >= self.minimum_available, "under the minimum"
         self.serving.discard(name)
-        process = self.up[name]
-        self.told.setdefault(name, self.now)
+        process = self.processes[name]
+        self.terminated_at.setdefault(name, self.now)
         if not process["hangs"]:
-            process["ends"] = min(process["ends"], self.now + self.chance.uniform(10, 300))
+            process["ends"] = min(process["ends"], self.now + self.random.uniform(10, 300))
         self.maybe_die()
 
     def kill(self, name):
-        assert name in self.up and self.now - self.told[name] >= STOP, "killed before its stop time"
+        assert name in self.processes, "SIGKILL to no process"
+        assert self.now - self.terminated_at[name] >= STOP_TIMEOUT, "killed before its stop timeout"
         self.kills.append(name)
-        self.up[name]["ends"] = self.now
+        self.processes[name]["ends"] = self.now
         self.maybe_die()
 
     def note(self, event, **fields):
         assert "event" not in fields
 
+    # -- its processes
+
+    def versions(self):
+        return [process["version"] for process in self.processes.values()]
+
+    def end_process(self, name):
+        del self.processes[name]
+        self.terminated_at.pop(name, None)
+        self.serving.discard(name)
+
+    def is_healthy(self, name):
+        healthy = self.now >= self.processes[name]["ready"] and name not in self.terminated_at
+        if healthy:
+            self.serving.add(name)
+        return healthy
+
 
-def fleet_of(world, names, restored):
-    fleet = RolloutController(world)
+def start_agent(world, names, restored):
+    controller = RolloutController(world)
     for name in names:
-        fleet.declare(
-            name, InstanceSettings(group=name[0], stop_timeout_ms=STOP, ready_timeout_ms=READY), "v1"
-        )
+        settings = InstanceSettings(name[0], STOP_TIMEOUT, READY_TIMEOUT)
+        controller.declare(name, settings, "v1")
     if restored:
-        for (kind, name), body in world.store.items():
-            fleet.restore(kind, name, copy.deepcopy(body))
+        for (kind, name), record in world.store.items():
+            controller.restore(kind, name, copy.deepcopy(record))
     world.serving = set()
     for name in names:
-        fleet.on_process_found(world.now, name, world.up[name]["version"] if name in world.up else None)
-    return fleet
-
-
-def play(seed, crashes, length=12_000.0, batch=2, floor=4, on_failure="go_on", random_exits=True, bad=()):
-    world, names = World(seed), [f"{group}{n}" for group in "ab" for n in range(4)]
-    world.bad = bad
-    chance = random.Random(seed + 1000)
-    fleet = fleet_of(world, names, False)
-    fleet.submit(0.0, Rollout("up", "start", names, batch=8))
-    asked, died = False, 0
-    while world.now < length:
-        world.now += 50.0
-        if crashes and chance.random() < 0.2:
-            world.dies_in = chance.randrange(1, 12)
-        try:
-            for name in list(world.up):
-                process = world.up[name]
-                if (
-                    random_exits
-                    and not asked
-                    and fleet.rollouts["up"].state in ENDED_STATES
-                    and chance.random() < 0.0005
-                ):
-                    process["ends"] = world.now
-                if process["ends"] <= world.now:
-                    del world.up[name]
-                    world.told.pop(name, None)
-                    world.serving.discard(name)
-                    fleet.on_process_exit(world.now, name, 0)
-            for name, process in list(world.up.items()):
-                good = world.now >= process["ready"] and name not in world.told
-                if good:
-                    world.serving.add(name)
-                fleet.on_health_check(world.now, name, good)
-            if world.now >= 3000.0 and not asked and fleet.rollouts["up"].state in ENDED_STATES:
-                asked, world.floor, world.scope = True, floor, set(names)
-                change = Rollout("roll", "roll", names, "v2", batch, floor, 100.0, 300.0, on_failure)
-                fleet.submit(world.now, change)
-            elif asked and "roll" not in fleet.rollouts:  # died before it was on record: asked again
-                asked = False
-            fleet.on_tick(world.now)
-        except KilledError:
-            died, world.dies_in = died + 1, -1
-            world.told = {name: at for name, at in world.told.items() if name in world.up}
+        process = world.processes.get(name)
+        controller.on_process_found(world.now, name, process["version"] if process else None)
+    return controller
+
+
+class Play:
+    """One agent over eight instances, which starts them all and rolls them to another version."""
+
+    def __init__(self, seed, roll, random_exits, bad_versions):
+        self.world, self.random = World(seed), random.Random(seed + 1000)
+        self.world.bad_versions = bad_versions
+        self.names = [f"{group}{number}" for group in "ab" for number in range(4)]
+        self.roll, self.random_exits = roll, random_exits
+        self.submitted, self.deaths = False, 0
+        self.controller = start_agent(self.world, self.names, False)
+        self.submit_start()
+
+    def submit_start(self):
+        self.controller.submit(self.world.now, Rollout("up", "start", self.names, batch=8))
+
+    def run(self, length, crashes):
+        while self.world.now < length:
+            self.world.now += ROUND
+            if crashes and self.random.random() < 0.2:
+                self.world.acts_left = self.random.randrange(1, 12)
             try:
-                fleet = fleet_of(world, names, True)
-            except RefusedError:
-                raise AssertionError("a restart that refuses") from None
-            if "up" not in fleet.rollouts:
-                fleet.submit(world.now, Rollout("up", "start", names, batch=8))
-    return world, fleet, died
+                self.play_round()
+            except KilledError:
+                self.restart_agent()
+
+    def play_round(self):
+        world, controller = self.world, self.controller
+        for name in list(world.processes):
+            self.maybe_exit(name)
+            if world.processes[name]["ends"] <= world.now:
+                world.end_process(name)
+                controller.on_process_exit(world.now, name, 0)
+        for name in list(world.processes):
+            controller.on_health_check(world.now, name, world.is_healthy(name))
+        if world.now >= ROLL_AT and not self.submitted and self.all_started():
+            self.submit_roll()
+        elif self.submitted and "roll" not in controller.rollouts:
+            self.submitted = False  # the agent died before it was on record: submitted again
+        controller.on_tick(world.now)
+
+    def all_started(self):
+        return self.controller.rollouts["up"].state in ENDED_STATES
+
+    def maybe_exit(self, name):
+        may_exit = self.random_exits and not self.submitted and self.all_started()
+        if may_exit and self.random.random() < 0.0005:
+            self.world.processes[name]["ends"] = self.world.now
+
+    def submit_roll(self):
+        self.submitted = True
+        self.world.minimum_available, self.world.counted = self.roll["minimum_available"], set(self.names)
+        rollout = Rollout(
+            "roll",
+            "roll",
+            self.names,
+            "v2",
+            start_spacing_ms=100.0,
+            minimum_ready_ms=300.0,
+            **self.roll,
+        )
+        self.controller.submit(self.world.now, rollout)
+
+    def restart_agent(self):
+        world = self.world
+        self.deaths += 1
+        world.acts_left = -1
+        world.terminated_at = {
+            name: at for name, at in world.terminated_at.items() if name in world.processes
+        }
+        try:
+            self.controller = start_agent(world, self.names, True)
+        except RefusedError:
+            raise AssertionError("a restart that refuses") from None
+        if "up" not in self.controller.rollouts:
+            self.submit_start()
+
+
+def play(seed, crashes, length=12_000.0, on_failure="go_on", random_exits=True, bad_versions=()):
+    roll = {"batch": 2, "minimum_available": 4, "on_failure": on_failure}
+    played = Play(seed, roll, random_exits, bad_versions)
+    played.run(length, crashes)
+    return played.world, played.controller, played.deaths
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_a_roll_ends_with_every_instance_on_the_new_version_and_the_floor_held(seed):
-    world, fleet, _ = play(seed, crashes=False, length=25_000.0)
-    assert fleet.rollouts["roll"].state == RolloutState.FINISHED
-    assert {process["version"] for process in world.up.values()} == {"v2"} and len(world.up) == 8
-    assert set(world.kills) <= set(fleet.rollouts["roll"].killed) | set(fleet.rollouts["up"].killed)
+    world, controller, _ = play(seed, crashes=False, length=25_000.0)
+    assert controller.rollouts["roll"].state == RolloutState.FINISHED
+    assert world.versions() == ["v2"] * 8
+    assert set(world.kills) <= set(controller.rollouts["roll"].killed) | set(controller.rollouts["up"].killed)
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_an_agent_killed_anywhere_goes_on_and_never_starts_a_second_process(seed):
-    world, fleet, died = play(seed, crashes=True, length=60_000.0, random_exits=False)
-    assert died >= 2
-    assert fleet.rollouts["roll"].state in ENDED_STATES
-    for name, instance in fleet.instances.items():
-        assert (instance.state in STATES_WITH_PROCESS) == (name in world.up)
-        if name in world.up and instance.state == InstanceState.SERVING:
-            assert world.up[name]["version"] == "v2"
+    world, controller, deaths = play(seed, crashes=True, length=60_000.0, random_exits=False)
+    assert deaths >= 2
+    assert controller.rollouts["roll"].state in ENDED_STATES
+    for name, instance in controller.instances.items():
+        assert (instance.state in STATES_WITH_PROCESS) == (name in world.processes)
+        if name in world.processes and instance.state == InstanceState.SERVING:
+            assert world.processes[name]["version"] == "v2"
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_version_that_never_gets_ready_is_rolled_back_and_the_floor_held(seed):
-    world, fleet, _ = play(seed, False, 40_000.0, on_failure="back", random_exits=False, bad=("v2",))
-    change = fleet.rollouts["roll"]
+    world, controller, _ = play(
+        seed, False, 40_000.0, on_failure="back", random_exits=False, bad_versions=("v2",)
+    )
+    change = controller.rollouts["roll"]
     assert change.state == RolloutState.FAILED and change.reason == "gone back"
-    assert {process["version"] for process in world.up.values()} == {"v1"} and len(world.up) == 8
-    assert sum(name in world.up and world.up[name]["version"] == "v2" for name in world.up) == 0
+    assert world.versions() == ["v1"] * 8
 
 
 def test_a_version_that_never_gets_ready_pauses_the_change_after_its_first_batch_and_resumes():
-    world, fleet, _ = play(3, False, 12_000.0, on_failure="pause", random_exits=False, bad=("v2",))
-    change = fleet.rollouts["roll"]
+    world, controller, _ = play(
+        3, False, 12_000.0, on_failure="pause", random_exits=False, bad_versions=("v2",)
+    )
+    change = controller.rollouts["roll"]
     assert change.state == RolloutState.PAUSED and list(change.steps.values()).count(StepState.PENDING) >= 6
-    world.bad = ()
-    fleet.resume(world.now, "roll")
+    world.bad_versions = ()
+    controller.resume(world.now, "roll")
     assert change.state == RolloutState.RUNNING and StepState.FAILED not in change.steps.values()
 
 
-def settled(names="abc", group="g"):
+def all_serving(names="abc", group="g"):
     world = World(1)
-    world.chance = random.Random(5)
-    fleet = RolloutController(world)
+    world.random = random.Random(5)
+    controller = RolloutController(world)
     for name in names:
-        fleet.declare(name, InstanceSettings(group=group, stop_timeout_ms=STOP, ready_timeout_ms=READY), "v1")
-        fleet.on_process_found(0.0, name, None)
-    fleet.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
+        controller.declare(name, InstanceSettings(group, STOP_TIMEOUT, READY_TIMEOUT), "v1")
+        controller.on_process_found(0.0, name, None)
+    controller.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
     for name in names:
-        fleet.on_health_check(1.0, name, True)
-    fleet.on_tick(10.0)
-    assert fleet.rollouts["up"].state == RolloutState.FINISHED
-    return world, fleet
+        controller.on_health_check(1.0, name, True)
+    controller.on_tick(10.0)
+    assert controller.rollouts["up"].state == RolloutState.FINISHED
+    return world, controller
 
 
 def test_the_same_command_twice_is_one_change_and_two_on_the_same_instances_are_refused():
-    world, fleet = settled()
-    first = fleet.submit(20.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0))
-    assert fleet.submit(21.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0)) is first
+    world, controller = all_serving()
+    first = controller.submit(20.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0))
+    assert controller.submit(21.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0)) is first
     with pytest.raises(RefusedError, match="id r is another"):
-        fleet.submit(22.0, Rollout("r", "restart", ["a"]))
+        controller.submit(22.0, Rollout("r", "restart", ["a"]))
     with pytest.raises(RefusedError, match="b is in change r, which is running"):
-        fleet.submit(22.0, Rollout("s", "stop", ["b", "c"]))
+        controller.submit(22.0, Rollout("s", "stop", ["b", "c"]))
     for wrong, why in (
         (Rollout("x", "stop", ["z"]), "no such instance: z"),
         (Rollout("x", "stop", []), "names no"),
@@ -210,75 +271,77 @@
         (Rollout("x", "stop", ["c"], minimum_available=3), "under the floor of 3"),
     ):
         with pytest.raises(RefusedError, match=why):
-            fleet.submit(23.0, wrong)
+            controller.submit(23.0, wrong)
 
 
 def test_one_that_hangs_in_its_drain_is_killed_at_its_stop_time_and_reported():
-    world, fleet = settled("a")
-    world.up["a"]["hangs"] = True
+    world, controller = all_serving("a")
+    world.processes["a"]["hangs"] = True
     world.now = 100.0
-    fleet.submit(100.0, Rollout("stop", "stop", ["a"]))
-    fleet.on_tick(100.0 + STOP - 1.0)
+    controller.submit(100.0, Rollout("stop", "stop", ["a"]))
+    controller.on_tick(100.0 + STOP_TIMEOUT - 1.0)
     assert not world.kills
-    world.now = 100.0 + STOP
-    fleet.on_tick(100.0 + STOP)
-    assert world.kills == ["a"] and fleet.instances["a"].state == InstanceState.STOPPING
-    fleet.on_process_exit(510.0, "a", -9)
-    assert fleet.rollouts["stop"].state == RolloutState.FINISHED and fleet.rollouts["stop"].killed == ["a"]
-    assert fleet.instances["a"].kill_count == 1
+    world.now = 100.0 + STOP_TIMEOUT
+    controller.on_tick(100.0 + STOP_TIMEOUT)
+    assert world.kills == ["a"] and controller.instances["a"].state == InstanceState.STOPPING
+    controller.on_process_exit(510.0, "a", -9)
+    rollout = controller.rollouts["stop"]
+    assert rollout.state == RolloutState.FINISHED and rollout.killed == ["a"]
+    assert controller.instances["a"].kill_count == 1
 
 
 def test_a_crash_loop_backs_off_and_ends_and_a_stable_one_starts_afresh():
-    world, fleet = settled("a")
+    world, controller = all_serving("a")
     now, starts = 100.0, []
     for _ in range(400):
-        if "a" in world.up:
-            del world.up["a"]
+        if "a" in world.processes:
+            del world.processes["a"]
             starts.append(now)
-            fleet.on_process_exit(now, "a", 1)
+            controller.on_process_exit(now, "a", 1)
         now += 500.0
-        fleet.on_tick(now)
+        controller.on_tick(now)
     gaps = [b - a for a, b in zip(starts, starts[1:], strict=False)]
-    assert fleet.instances["a"].state == InstanceState.FAILED and len(starts) == MAX_CONSECUTIVE_RESTARTS + 1
+    assert controller.instances["a"].state == InstanceState.FAILED
+    assert len(starts) == MAX_CONSECUTIVE_RESTARTS + 1
     assert gaps == sorted(gaps) and gaps[-1] >= 8 * gaps[0]
 
 
 def test_a_full_store_begins_nothing_more_and_pauses_the_change():
-    world, fleet = settled()
-    fleet.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
+    world, controller = all_serving()
+    controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
     world.full = True
-    world.up.pop("a")
-    fleet.on_process_exit(300.0, "a", 0)
-    assert (
-        fleet.rollouts["r"].state == RolloutState.PAUSED and "the store failed" in fleet.rollouts["r"].reason
-    )
-    assert set(world.up) == {"b", "c"}
+    world.processes.pop("a")
+    controller.on_process_exit(300.0, "a", 0)
+    rollout = controller.rollouts["r"]
+    assert rollout.state == RolloutState.PAUSED and "the store failed" in rollout.reason
+    assert set(world.processes) == {"b", "c"}
     world.full = False
-    fleet.resume(400.0, "r")
-    assert set(world.up) == {"a", "b", "c"}
+    controller.resume(400.0, "r")
+    assert set(world.processes) == {"a", "b", "c"}
 
 
 def test_a_full_store_keeps_no_hung_instance_from_its_kill_and_no_crashed_one_down_for_good():
-    world, fleet = settled("ab")
-    world.up["a"]["hangs"], world.now = True, 100.0
-    fleet.submit(100.0, Rollout("stop", "stop", ["a"]))
+    world, controller = all_serving("ab")
+    world.processes["a"]["hangs"], world.now = True, 100.0
+    controller.submit(100.0, Rollout("stop", "stop", ["a"]))
     world.full = True
-    del world.up["b"]
-    fleet.on_process_exit(150.0, "b", 1)
+    del world.processes["b"]
+    controller.on_process_exit(150.0, "b", 1)
     world.now = 1000.0
-    fleet.on_tick(1000.0)
-    assert world.kills == ["a"] and "b" not in world.up and "the store failed" in fleet.instances["b"].reason
+    controller.on_tick(1000.0)
+    assert world.kills == ["a"] and "b" not in world.processes
+    assert "the store failed" in controller.instances["b"].reason
     world.full = False
-    fleet.on_tick(2500.0)
-    assert "b" in world.up
+    controller.on_tick(2500.0)
+    assert "b" in world.processes
 
 
 def test_an_aborted_change_brings_back_what_is_out_and_takes_no_more():
-    world, fleet = settled()
-    fleet.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
-    fleet.abort(30.0, "r")
-    world.up.pop("a")
-    fleet.on_process_exit(200.0, "a", 0)
-    fleet.on_tick(300.0)
-    assert set(world.up) == {"a", "b", "c"} and fleet.rollouts["r"].state == RolloutState.ABORTED
-    assert not [name for name in "bc" if fleet.instances[name].state != InstanceState.SERVING]
+    world, controller = all_serving()
+    controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
+    controller.abort(30.0, "r")
+    world.processes.pop("a")
+    controller.on_process_exit(200.0, "a", 0)
+    controller.on_tick(300.0)
+    assert set(world.processes) == {"a", "b", "c"} and controller.rollouts["r"].state == RolloutState.ABORTED
+    assert not [name for name in "bc" if controller.instances[name].state != InstanceState.SERVING]
