--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -34,6 +34,9 @@
 
 log = structlog.get_logger()
 
+# The record of the store that holds the token: its kind and its name.
+AGENT_RECORD, TOKEN_NAME = "agent", "token"
+
 TICK_INTERVAL = 0.05  # s between looks at deadlines: a kill is late by this at most
 LIMITS_INTERVAL = 2.0  # s between looks at logs and memory: both grow by the minute
 
@@ -69,10 +72,10 @@
     def restore(self) -> str:
         """Take over what the store holds; return the token that marks the agent's processes."""
         records = self.store.records()
-        token = next((body["token"] for kind, _, body in records if kind == "agent"), None)
+        token = next((body["token"] for kind, _, body in records if kind == AGENT_RECORD), None)
         if token is None:
             token = uuid.uuid4().hex
-            self.store.put("agent", "token", {"token": token})
+            self.store.put(AGENT_RECORD, TOKEN_NAME, {"token": token})
         for name, definition in self.settings.instances.items():
             self.controller.declare(name, definition.for_decisions(), definition.version)
         for kind, name, body in records:
--- a/vetchford/fleet/agent_client.py
+++ b/vetchford/fleet/agent_client.py
@@ -42,7 +42,7 @@
 ) -> dict[str, Answer]:
     """Return the reply of each agent by its path; all are asked at once, so none holds up another.
 
-    In place of a reply that does not come there is {"unknown": reason}.
+    An agent that does not reply has {"unknown": reason}.
     """
 
     def ask_one(path: str) -> Answer:
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -1,5 +1,6 @@
 """Runs an agent as a process: from the checked settings to the exit status."""
 
+import contextlib
 import signal
 import threading
 from typing import Any
@@ -19,7 +20,7 @@
 
 
 def serve(record: dict[str, Any]) -> int:
-    """Run an agent until SIGTERM or SIGINT; the instances go on. Returns the exit status.
+    """Run an agent until SIGTERM or SIGINT; the instances keep running. Returns the exit status.
 
     `record`: the checked settings. Called on the main thread.
     """
@@ -33,12 +34,12 @@
     except (StoreError, OSError) as problem:
         log.error("agent_start_failed", problem=str(problem))
         return 1
-    agent.start()
-    tool_server.start()
-    log_started(agent)
-    while not terminated.wait(TERMINATION_POLL_INTERVAL):
-        pass
-    tool_server.close()
+    with contextlib.closing(tool_server):
+        agent.start()
+        tool_server.start()
+        log_started(agent)
+        while not terminated.wait(TERMINATION_POLL_INTERVAL):
+            pass
     log.info("agent_stopped", left_running=len(agent.processes))
     return 0
 
--- a/vetchford/fleet/agent_messages.py
+++ b/vetchford/fleet/agent_messages.py
@@ -1,6 +1,6 @@
 """Requests of tools to an agent and its replies, as they are on its socket: one JSON object a line.
 
-Agents and tools of different versions speak to each other, so the words here do not change.
+Agents and tools of different versions communicate, so the encoded values here do not change.
 """
 
 from enum import StrEnum
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -17,7 +17,7 @@
     from blessed import Terminal
 
 WATCH_INTERVAL = 0.4  # s between two looks
-DEFAULT_HEIGHT, DEFAULT_WIDTH = 24, 80  # of a terminal that does not tell
+DEFAULT_HEIGHT, DEFAULT_WIDTH = 24, 80  # if the terminal does not report its size
 STATUS_HEADINGS = ("NAME", "STATE", "VERSION", "CHANGE", "WHY")
 PEER_HEADINGS = ("PEER", "VIEW", "LINK", "LIFE", "MEMBER", "VOTER", "WHY")
 COMPARED_COLUMNS = 4  # all but WHY: a reason alone is no change worth a line
@@ -54,7 +54,7 @@
 
 
 def print_unended_rollouts(rollouts: list[Answer]) -> None:
-    """Print a line for each rollout that goes on or is paused."""
+    """Print a line for each rollout that is running or paused."""
     for rollout in rollouts:
         if rollout["state"] in (RolloutState.RUNNING, RolloutState.PAUSED):
             waits = f"; waits: {rollout['waits']}" if rollout["waits"] else ""
--- a/vetchford/fleet/commands/options.py
+++ b/vetchford/fleet/commands/options.py
@@ -95,5 +95,5 @@
 
     @property
     def of_whole_fleet(self) -> bool:
-        """Whether the command goes to all agents of a fleet together."""
+        """Whether the command is sent to all agents of a fleet together."""
         return self.across or self.command in FLEET_COMMANDS
--- a/vetchford/fleet/commands/rollout_commands.py
+++ b/vetchford/fleet/commands/rollout_commands.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Follower:
-    """Waits until a rollout ends or pauses, and says how it goes on.
+    """Waits until a rollout ends or pauses, and prints its progress.
 
     An agent that is restarted meanwhile is asked again.
     """
--- a/vetchford/fleet/commands/whole_fleet.py
+++ b/vetchford/fleet/commands/whole_fleet.py
@@ -119,7 +119,7 @@
 
 
 def reason_to_wait(answer: Answer) -> str:
-    """Return why a rollout does not go on; empty if nothing is known of it."""
+    """Return why a rollout makes no progress; empty if no reason is known."""
     if answer["waits"]:
         return str(answer["waits"])
     return "" if answer["driver"] else f"nobody that drives is seen from {answer['told_by']}"
--- a/vetchford/fleet/health_checker.py
+++ b/vetchford/fleet/health_checker.py
@@ -17,7 +17,7 @@
 MAX_REPLY_BYTES = 4096
 REQUEST_BODY = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
 REQUEST = b"Content-Length: %d\r\n\r\n%b" % (len(REQUEST_BODY), REQUEST_BODY)
-SERVING_FIELD = re.compile(rb'"serving":\s*(true|false)')  # whole words: a part of one is no answer yet
+SERVING_FIELD = re.compile(rb'"serving":\s*(true|false)')  # complete values: a part of one is no answer yet
 
 
 class HealthChecker:
@@ -36,7 +36,7 @@
         self.in_progress: set[str] = set()  # names; emptied by the ends of the checks
 
     def start(self) -> None:
-        """Begin the checks; they go on until the process ends."""
+        """Begin the checks; they continue until the agent ends."""
         threading.Thread(target=self.run, name="health checks", daemon=True).start()
 
     def run(self) -> None:
@@ -71,7 +71,7 @@
 
 
 def _read_serving(sock: socket.socket, deadline: float) -> bool:
-    """Read until the answer is complete, in however many pieces it comes."""
+    """Read until the answer is complete, in however many pieces it arrives."""
     received = b""
     while len(received) < MAX_REPLY_BYTES and (remaining := deadline - time.monotonic()) > 0.0:
         sock.settimeout(remaining)  # for the whole answer: a byte a second must not hold up a thread
--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -80,7 +80,7 @@
             raise StoreError(self.path, f"torn ({check_result[0]}); {RESTORE_ADVICE}")
 
     def put(self, kind: str, name: str, body: dict[str, Any] | None, history: bool = True) -> None:
-        """Write a record; None deletes it. `history`: whether it goes into the history, too.
+        """Write a record; None deletes it. `history`: whether to append it to the history, too.
 
         Raises OSError if the disk is full or fails; then nothing of it is kept.
         """
@@ -128,7 +128,7 @@
     def history(self, count: int) -> list[HistoryEntry]:
         """Return the last entries, the newest first.
 
-        Raises OSError if the disk fails: only a tool asks, so the agent goes on.
+        Raises OSError if the disk fails: only the request of a tool fails then.
         """
         query = "SELECT at, kind, name, body FROM history ORDER BY rowid DESC LIMIT ?"
         try:
--- a/vetchford/fleet/instance.py
+++ b/vetchford/fleet/instance.py
@@ -13,7 +13,7 @@
 
 
 class InstanceState(StrEnum):
-    """The observed state of an instance; the words of replies, logs and `fleet status`."""
+    """The observed state of an instance; the values are those of replies, logs and `fleet status`."""
 
     ABSENT = "absent"  # wanted, no process: waits for its next start
     STARTING = "starting"  # a process that has not passed a health check yet
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -1,6 +1,6 @@
 """Decides when the process of an instance is started, drained, killed and restarted. No I/O.
 
-It is told what is seen of each process and of its health check, and acts through `RolloutActions`. Times
+It receives what is observed of each process and its health checks, and acts through `RolloutActions`. Times
 are in ms on the caller's monotonic clock.
 """
 
--- a/vetchford/fleet/process_table.py
+++ b/vetchford/fleet/process_table.py
@@ -1,4 +1,4 @@
-"""Reads what the system tells of a process under /proc."""
+"""Reads facts about a process from /proc."""
 
 import os
 
--- a/vetchford/fleet/process_watcher.py
+++ b/vetchford/fleet/process_watcher.py
@@ -23,7 +23,7 @@
         self.reported: set[int] = set()  # ids of objects in the table; emptied as the agent removes them
 
     def start(self) -> None:
-        """Begin to watch; it goes on until the process ends."""
+        """Begin to watch; it continues until the agent ends."""
         threading.Thread(target=self.run, name="process watcher", daemon=True).start()
 
     def wake(self) -> None:
--- a/vetchford/fleet/rollout.py
+++ b/vetchford/fleet/rollout.py
@@ -1,7 +1,7 @@
 """The record of one rollout: an operation (start, stop, restart, roll) over some instances of one agent.
 
 The record holds everything that is needed to continue: it is written before each act, so an agent that was
-killed goes on from it. This module is also the codec between the record's fields and the words of tool
+killed continues from it. This module is also the codec between the record's fields and the names in tool
 requests and stored records; an agent of another version reads both.
 """
 
@@ -41,7 +41,7 @@
 
 
 class StepState(StrEnum):
-    """How far one instance of a rollout has come."""
+    """The progress of one instance within a rollout."""
 
     PENDING = "pending"
     OUT = "out"  # out of service: draining, or about to be started
--- a/vetchford/fleet/rollout_actions.py
+++ b/vetchford/fleet/rollout_actions.py
@@ -5,7 +5,7 @@
 
 
 class RecordKind(StrEnum):
-    """Kinds of record in the agent's store that belong to instances and rollouts; the stored words."""
+    """Kinds of record in the agent's store that belong to instances and rollouts, as stored."""
 
     INSTANCE = "instance"
     ROLLOUT = "change"
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -170,7 +170,7 @@
                 instance.restarts = 0
 
     def abort(self, now: float, id: str) -> Rollout:
-        """End a rollout: what is out of service is started again as it is, and nothing more goes out.
+        """End a rollout: what is out of service is started again as it is, and nothing more is taken out.
 
         Raises RefusedError, OSError; then it has not been aborted.
         """
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -83,7 +83,7 @@
         )
 
     def set_step(self, rollout: Rollout, instance: str, step: StepState) -> None:
-        """Record how far one instance has come; OSError if the store cannot: then it stays where it was."""
+        """Record the progress of one instance. OSError if the store cannot write; then nothing changes."""
         previous = rollout.steps[instance]
         rollout.steps[instance] = step
         try:
--- a/vetchford/fleet/rollout_validation.py
+++ b/vetchford/fleet/rollout_validation.py
@@ -48,7 +48,7 @@
 
 
 def _check_minimum_available(rollout: Rollout, manager: InstanceManager) -> None:
-    """Refuse a stop that would leave too few, and the others if not even one may go out of service."""
+    """Refuse a stop that would leave too few, and the other kinds if not even one may be taken out."""
     minimum = rollout.minimum_available
     serving = manager.count_serving(manager.in_groups_of(rollout.targets))
     affected = sum(manager.instances[name].state == InstanceState.SERVING for name in rollout.targets)
--- a/vetchford/fleet/supervisor.py
+++ b/vetchford/fleet/supervisor.py
@@ -32,8 +32,8 @@
 
     pid: int
     start_time: str  # of the process that had this number when it was seen, in clock ticks
-    pidfd: int  # readable once it has ended; names this process whatever its number comes to mean
-    child: subprocess.Popen[bytes] | None  # None: adopted, and its status goes to another process
+    pidfd: int  # readable once it has ended; names this process even after its number is reused
+    child: subprocess.Popen[bytes] | None  # None: adopted, so its status is not ours to read
 
     def signal(self, number: int) -> None:
         """Send a signal to it alone; nothing happens if it has ended."""
@@ -157,7 +157,7 @@
 def rotate_log(path: str, max_bytes: int) -> bool:
     """Move what a log holds to `path`.1 once it is longer than `max_bytes`; return whether it was.
 
-    Its writer appends, and so goes on at the start of the emptied file.
+    Its writer appends, and so continues at the start of the emptied file.
     """
     try:
         if os.path.getsize(path) <= max_bytes:
--- a/vetchford/fleet/tool_server.py
+++ b/vetchford/fleet/tool_server.py
@@ -16,7 +16,7 @@
 MAX_REQUEST_BYTES = 1 << 20  # of one line
 MAX_CONNECTIONS = 64  # tools at once; more wait in the backlog
 BACKLOG = 128
-TOOL_TIMEOUT = 30.0  # s for a request to come, and for its reply
+TOOL_TIMEOUT = 30.0  # s to wait for a request, and for its reply
 ACCEPT_RETRY_INTERVAL = 0.1  # s, where descriptors or threads ran out
 OWNER_ONLY_UMASK = 0o177
 
@@ -41,12 +41,12 @@
         self.free_connections = threading.Semaphore(MAX_CONNECTIONS)
 
     def start(self) -> None:
-        """Begin to accept; it goes on until the process ends."""
+        """Begin to accept; it continues until the agent ends."""
         threading.Thread(target=self._accept, name="tool server", daemon=True).start()
 
     def close(self) -> None:
-        """Remove the socket, so that tools see that nobody answers."""
-        with contextlib.suppress(FileNotFoundError):  # somebody removed it before
+        """Remove the socket, so that tools see at once that no agent runs."""
+        with contextlib.suppress(FileNotFoundError):  # an operator removed it
             os.unlink(self.path)
 
     def _accept(self) -> None:
@@ -67,7 +67,7 @@
     def _serve(self, sock: socket.socket) -> None:
         try:
             self._answer_requests(sock)
-        except Exception as problem:  # a tool that goes away, or sends no valid line, concerns no other
+        except Exception as problem:  # a tool that disconnects, or a malformed line: no concern of others
             self.metrics.log_sampled("tool_connection_failed", problem=f"{type(problem).__name__}: {problem}")
         finally:
             self.free_connections.release()
@@ -91,9 +91,9 @@
 
 
 def listen(path: str) -> socket.socket:
-    """Return a listening socket for the agent's own user, in place of one that nobody listens on any more.
+    """Return a listening socket for the agent's own user, replacing a stale one.
 
-    Raises OSError if somebody does, or if it cannot be had.
+    Raises OSError if another process listens there, or if the socket cannot be bound.
     """
     with socket.socket(socket.AF_UNIX) as probe:
         if probe.connect_ex(path) == 0:
