--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -261,9 +261,9 @@
 
     def found(self, name: str) -> dict[str, Any]:
         store = Store(str(self.folder / name / "store"))
-        token = next((body["token"] for kind, _, body in store.all() if kind == "agent"), "")
+        token = next((body["token"] for kind, _, body in store.records() if kind == "agent"), "")
         store.close()
-        return supervisor.find(token) if token else {}
+        return supervisor.find_processes(token) if token else {}
 
     def end(self) -> None:
         for process in self.running.values():
@@ -318,7 +318,7 @@
             newest[agent] = max(entry["term"], newest.get(agent, 0))
             if drivers.get(entry["term"], entry["driver"]) != entry["driver"]:
                 found.append(f"an order of {entry['driver']} under another's term {entry['term']}")
-        elif event == "instance_moved":
+        elif event == "instance_state_changed":
             key = f"{entry['instance']}@{agent}"
             if entry["now"] == "serving":
                 serving.add(key)
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -52,9 +52,9 @@
 def main(argv: list[str] | None = None) -> int:
     given = sys.argv[1:] if argv is None else argv
     if given[:1] == ["fleet"]:
-        from vetchford.fleet.commands import machine  # a server does without it
+        from vetchford.fleet.commands import command_line  # a server does without it
 
-        return machine.main(given[1:])
+        return command_line.main(given[1:])
     try:
         asked = docopt(__doc__, given, version=vetchford.__version__)
     except DocoptExit:
@@ -100,7 +100,7 @@
 
 def run_agent(asked: dict) -> int:
     from vetchford.configuration import isolated_reader  # a server does without both
-    from vetchford.fleet import agent
+    from vetchford.fleet import agent_main
 
     try:
         told = isolated_reader.read(asked["--with"], None)["agent"] if asked["--with"] else None
@@ -110,7 +110,7 @@
         return complain("no file given by --with has the key 'agent'")
     writer = log_setup.start(asked["--log-level"], asked["--log-form"])
     try:
-        return agent.serve(told)
+        return agent_main.serve(told)
     finally:
         writer.close()
 
