--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from testkit.simulation import agents
-from vetchford.fleet import consensus, coordinator, fleet_rollout
+from vetchford.fleet import coordinator, fleet_rollout
+from vetchford.fleet.consensus import ReplicatedRecord
 
 
 @contextlib.contextmanager
@@ -25,15 +26,15 @@
     """Whoever speaks is taken for the driver, whatever was promised."""
 
     def unfenced(act: Callable, less: int) -> Callable:
-        def on_word(self, now, sender, word, *given):
-            self.promised = min(self.promised, word["term"] - less)
-            act(self, now, sender, word, *given)
+        def on_message(self, now, sender, message):
+            self.promised_term = min(self.promised_term, message.term - less)
+            act(self, now, sender, message)
 
-        return on_word
+        return on_message
 
     return put(
-        (consensus.ReplicatedRecord, "take", unfenced(consensus.ReplicatedRecord.take, 0)),
-        (consensus.ReplicatedRecord, "on_promise", unfenced(consensus.ReplicatedRecord.on_promise, 1)),
+        (ReplicatedRecord, "on_append", unfenced(ReplicatedRecord.on_append, 0)),
+        (ReplicatedRecord, "on_vote_request", unfenced(ReplicatedRecord.on_vote_request, 1)),
         (coordinator.FleetCoordinator, "current", lambda self, sender, term: True),
     )
 
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -9,8 +9,8 @@
 import heapq
 import random
 
-from vetchford.fleet import consensus as books
 from vetchford.fleet import fleet_rollout
+from vetchford.fleet.consensus import Role
 from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
 
@@ -78,8 +78,8 @@
 
     def outlived(self):
         """Others knew a later life of it: its disk has lost promises, so it takes a new identity."""
-        self.across.book.renamed(self.world.now, f"{self.name}.{self.lives}")
-        self.disk["store"] = self.across.book.store
+        self.across.record.replace_store(self.world.now, f"{self.name}.{self.lives}")
+        self.disk["store"] = self.across.record.store
 
     # -- hosts of the decisions
 
@@ -419,9 +419,9 @@
     def span(self, id):
         """The newest copy of it."""
         found = [
-            (m.across.book.at, m.across.book.body["spans"][id])
+            (m.across.record.version, m.across.record.body["spans"][id])
             for m in self.machines.values()
-            if m.across is not None and id in m.across.book.body["spans"]
+            if m.across is not None and id in m.across.record.body["spans"]
         ]
         return max(found, key=lambda one: one[0])[1] if found else None
 
@@ -441,7 +441,7 @@
         assert self.run(
             self.now + 30_000.0,
             lambda: any(
-                m.across is not None and m.across.book.role == books.DRIVES for m in self.machines.values()
+                m.across is not None and m.across.record.role == Role.LEADER for m in self.machines.values()
             ),
         )
 
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -8,7 +8,8 @@
 
 from testkit.faults.mutations import MISTAKES, caught
 from testkit.simulation.agents import World, play
-from vetchford.fleet import consensus, rollout_controls
+from vetchford.fleet import rollout_controls
+from vetchford.fleet.consensus import Role
 
 FLOOR = 14
 
@@ -48,9 +49,7 @@
 
 
 def drives(world, among=None):
-    return [
-        name for name in among or world.names if world.machines[name].across.book.role == consensus.DRIVES
-    ]
+    return [name for name in among or world.names if world.machines[name].across.record.role == Role.LEADER]
 
 
 def split(world, side):
@@ -174,11 +173,11 @@
     driver = drives(world)[0]
     deaf = next(name for name in world.names if name != driver)
     world.cut |= {(other, deaf) for other in world.names}
-    before = world.machines[driver].across.book.promised
+    before = world.machines[driver].across.record.promised_term
     world.run(world.now + 60_000.0)
     world.heal()
     world.run(world.now + 10_000.0)
-    assert drives(world) == [driver] and world.machines[driver].across.book.promised == before
+    assert drives(world) == [driver] and world.machines[driver].across.record.promised_term == before
 
 
 def test_a_pause_holds_at_once_on_its_side_and_wins_over_a_resume_that_did_not_know_of_it():
@@ -250,10 +249,10 @@
     gone = next(name for name in world.names if name != driver)
     world.machines[gone].end()
     world.run(world.now + 20_000.0)
-    assert gone in world.machines[driver].across.book.body["members"]  # silence changes no list
+    assert gone in world.machines[driver].across.record.body["members"]  # silence changes no list
     out = world.request(driver, "dismiss", name=gone, by="ops")
     world.run(world.now + 5000.0)
-    body = world.machines[driver].across.book.body
+    body = world.machines[driver].across.record.body
     assert (
         gone not in out[0]["members"]
         and gone not in body["voters"]
@@ -263,13 +262,13 @@
     world.run(world.now + 15_000.0)
     back = world.machines[gone].across
     assert (
-        back.book.role == consensus.FOLLOWS and gone not in back.book.body["members"]
+        back.record.role == Role.FOLLOWER and gone not in back.record.body["members"]
     )  # it was told, and asks nobody
     world.request(driver, "admit", name=gone, by="ops")
     world.run(world.now + 8000.0)
     assert (
-        gone in world.machines[driver].across.book.body["voters"]
-        and world.machines[gone].across.book.driver == driver
+        gone in world.machines[driver].across.record.body["voters"]
+        and world.machines[gone].across.record.leader == driver
     )
 
 
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -1,376 +1,468 @@
-"""The record that the agents of a fleet hold together, and which one of them may write it. No I/O; times in
-ms.
-
-One register, replaced whole: (term, revision, body). An agent drives under a term that a majority of the
-voters has promised, and what it writes is in force once a majority holds it; a term is a fencing number, and
-whoever has promised a higher one takes nothing of a lower. So whoever drives next finds in some promise
-whatever was in force before (Lamport, The part-time parliament, 1998; the driver's steady state and the
-question before a candidacy as in Ongaro's thesis on Raft, 2014, 9.6). No step rests on a clock: they only
-say when to ask.
-
-The body names its voters with the identity of each one's store. A store that was emptied or put back from an
-old copy has lost its promises: it takes a new identity and is counted in no majority until the driver has
-seen it hold the newest record and has listed it anew. Voters change one at a time, and such a record needs
-the majority of the old ones and of the new ones.
+"""The record that the agents of a fleet replicate, and the election of the one that may write it. No I/O.
+
+One register, replaced whole: (term, revision, body). An agent leads under a term in which a majority of the
+voters has voted for it, and what it writes is committed once a majority has it on disk. A term is a fencing
+number: whoever has voted in a higher one accepts nothing of a lower. So the next leader finds in some vote
+whatever was committed before (Lamport, The part-time parliament, 1998; the leader's steady state and the
+pre-vote as in Ongaro's thesis on Raft, 2014, 9.6). Safety rests on no clock: times, in ms, only say when to
+act.
+
+The body names its voters with the identity of each one's store (`quorum.py`). Voters change one at a time,
+and such a record needs a majority of the old list and of the new one.
+
+`ReplicatedRecord` is one state machine over five roles, hence longer than most modules: its transitions are
+read together. The agent's thread alone calls it.
 """
 
 import zlib
-from collections.abc import Iterable
+from enum import StrEnum
 from typing import Any, Protocol
 
-BEAT = 500.0  # ms between two words of the driver to each member
-AWAY = 3000.0  # ms without one until somebody asks to drive: six, so that one stall deposes nobody
-SPREAD = 2000.0  # ms by which chance parts those who ask
-ASKS = 1500.0  # ms for an answer to a question or a candidacy
-BY_TERM = 64  # term = round * BY_TERM + place of the agent: no two agents ever have one term
-MOST_VOTERS = 7  # three may be away; more would only make each write dearer
-MOST_PLACES = BY_TERM
-SECOND = "~"  # begins the identity of a store that took another's place: it founds nothing
+from vetchford.fleet.consensus_messages import (
+    Acknowledge,
+    AppendRecord,
+    EncodedMessage,
+    Heartbeat,
+    InstallSnapshot,
+    Message,
+    PersistentState,
+    PreVoteRequest,
+    PreVoteResponse,
+    RecordBody,
+    RecordVersion,
+    Rejected,
+    UnknownMessageError,
+    VoteGranted,
+    VoteRequest,
+    decode_message,
+    encode_message,
+    sender_store,
+)
+from vetchford.fleet.quorum import StoreIdentities, is_majority
+from vetchford.fleet.replication import ReplicationProgress
+
+HEARTBEAT_INTERVAL = 500.0  # ms between two messages of the leader to each member
+ELECTION_TIMEOUT = 3000.0  # ms without one until an election: six, so that one stall deposes no leader
+ELECTION_JITTER = 2000.0  # ms by which chance spreads the candidates
+VOTE_TIMEOUT = 1500.0  # ms for the answers to a pre-vote or a vote request
+PRE_VOTE_SILENCE = ELECTION_TIMEOUT * 0.8  # ms without a leader from which on a pre-vote is granted
+TERMS_PER_ROUND = 64  # term = round * this + index of the agent: no two agents ever have one term
+MAX_VOTERS = 7  # three may be away; more would only make each write dearer
+
 
-FOLLOWS, ASKING, STANDING, TAKING, DRIVES = "follows", "asking", "standing", "taking over", "drives"
-Body = dict[str, Any]
+class Role(StrEnum):
+    """What an agent is in the current election; the values are what tools are told."""
 
+    FOLLOWER = "follows"
+    PRE_CANDIDATE = "asking"
+    CANDIDATE = "standing"
+    ELECTED = "taking over"  # has a majority of the votes, and has not committed the record in its term yet
+    LEADER = "drives"
 
-class Host(Protocol):
-    """What the decisions act through."""
 
-    def tell(self, to: str, body: Body) -> None:
-        """A message to the book of another agent; it may be lost."""
+LEADING = frozenset((Role.ELECTED, Role.LEADER))
+CAMPAIGNING = frozenset((Role.PRE_CANDIDATE, Role.CANDIDATE))
 
-    def keep_book(self, state: Body) -> None:
-        """Durable before it returns; OSError where the store can't: nothing was promised."""
 
-    def drives(self, now: float) -> None:
-        """We drive from now on, and the record is in force under our term."""
+class RecordActions(Protocol):
+    """What the state machine acts through."""
 
-    def in_force(self, now: float) -> None:
-        """What was proposed is in force."""
+    def send_to_record(self, to: str, message: EncodedMessage) -> None:
+        """Sends a message to the `ReplicatedRecord` of another agent; it may be lost."""
 
-    def deposed(self, now: float, why: str) -> None: ...
+    def save_record(self, stored: dict[str, Any]) -> None:
+        """Durable before it returns; OSError where the store fails, and then nothing was voted for."""
 
-    def held(self, now: float) -> None:
-        """A newer record is held; perhaps not in force yet."""
+    def on_elected(self, now: float) -> None:
+        """This agent leads from now on, and the record is committed under its term."""
 
-    def note(self, event: str, **fields: Any) -> None: ...
+    def on_committed(self, now: float) -> None:
+        """What was proposed is committed."""
 
+    def on_deposed(self, now: float, why: str) -> None:
+        """This agent no longer leads."""
 
-def majority(votes: Iterable[str], voters: Iterable[str]) -> bool:
-    among = set(voters)
-    return 2 * len(among & set(votes)) > len(among)
+    def on_appended(self, now: float) -> None:
+        """A leader was heard, or a newer record arrived; it may not be committed yet."""
+
+    def note(self, event: str, **fields: Any) -> None:
+        """A log event."""
 
 
 class ReplicatedRecord:
-    """One agent's copy, and its part in who drives."""
+    """One agent's copy of the record, and its part in the elections."""
 
     def __init__(
-        self, host: Host, name: str, seed: int, store: str, founding: Body, now: float = 0.0
+        self,
+        actions: RecordActions,
+        name: str,
+        seed: int,
+        store: str,
+        founding: RecordBody,
+        now: float = 0.0,
     ) -> None:
-        """`store`: the identity of what `keep_book` writes to; `founding`: the same on all at their first
-        start.
+        """`store`: the identity of what `save_record` writes to; `founding`: the body with which all agents
+        first start.
         """
-        self.host, self.name, self.seed, self.store, self.draws = host, name, seed, store, 0
-        self.promised, self.at, self.body = 0, (0, 0), founding
-        self.highest = 0  # term that was heard of; promised or not
-        self.role, self.driver, self.role_since = FOLLOWS, "", now
-        self.heard_at = now  # of the driver
-        self.patience = AWAY + self.draw(SPREAD)
-        self.votes: set[str] = set()  # of the question or the candidacy; emptied as the next begins
-        self.newest: tuple[tuple[int, int], Body] = (self.at, self.body)
-        self.standing_for = 0
-        self.holds: dict[str, tuple[int, int]] = {}  # members by what they hold, while we drive
-        self.stores: dict[str, str] = {}  # what each told of its store's identity, by listed name
-        self.answered: dict[str, float] = {}  # members by their last answer, while we drive
-        self.needs: list[dict[str, str]] = []  # voters of whom each list must hold a majority
-        self.force = (0, 0)  # what is in force, as far as we know
-        self.next_beat = 0.0
-
-    def draw(self, most: float) -> float:
+        self.actions, self.name, self.seed, self.draws = actions, name, seed, 0
+        self.identities = StoreIdentities(name, store)
+        self.promised_term, self.version, self.body = 0, (0, 0), founding  # as on the disk
+        self.committed: RecordVersion = (0, 0)  # the newest that this agent knows to be committed
+        self.highest_seen_term = 0
+        self.role, self.role_since, self.leader = Role.FOLLOWER, now, ""
+        self.leader_heard_at = now
+        self.election_timeout = self.draw_election_timeout()
+        self.campaign_term = 0  # of this agent's last candidacy; while it leads, its term
+        self.votes: set[str] = set()  # of the current pre-vote or vote; replaced as the next begins
+        self.newest_version, self.newest_body = self.version, self.body  # among the votes and our own
+        self.progress = ReplicationProgress(name, self.identities)
+        self.next_heartbeat_at = 0.0
+
+    def draw_election_timeout(self) -> float:
+        """In ms; by seed, name and the number of draws alone, so that a simulation can be repeated."""
         self.draws += 1
-        return (
-            zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % 10_000 / 10_000.0 * most
-        )
+        drawn = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % 10_000
+        return ELECTION_TIMEOUT + drawn / 10_000.0 * ELECTION_JITTER
+
+    # -- the copy on the disk
 
-    def restore(self, state: Body) -> None:
-        self.promised, self.at, self.body = state["promised"], tuple(state["at"]), state["body"]
+    def restore(self, stored: dict[str, Any]) -> None:
+        """What `save_record` was given last, at the start of the agent."""
+        state = PersistentState.from_stored(stored)
+        self.promised_term, self.version, self.body = state.promised_term, state.version, state.body
 
-    def keep(self, promised: int, at: tuple[int, int], body: Body) -> bool:
-        """On the disk first; False where that failed, and nothing was taken."""
+    def save(self, promised_term: int, version: RecordVersion, body: RecordBody) -> bool:
+        """Writes to the disk, then to memory; False where the disk failed, and nothing has changed."""
+        state = PersistentState(promised_term, version, body)
         try:
-            self.host.keep_book({"promised": promised, "at": list(at), "body": body})
+            self.actions.save_record(state.to_stored())
         except OSError as problem:
-            self.host.note("book_not_kept", problem=str(problem))
+            self.actions.note("book_not_kept", problem=str(problem))
             return False
-        self.promised, self.at, self.body = promised, at, body
+        self.promised_term, self.version, self.body = promised_term, version, body
         return True
 
-    # -- who counts
+    def replace_store(self, now: float, store: str) -> None:
+        """The store was emptied or restored, so its votes may be lost: `store` is its new identity."""
+        self.step_down(now, "the store is not what it was")
+        self.identities.replace_own(store)
+
+    @property
+    def store(self) -> str:
+        """The identity of this agent's store."""
+        return self.identities.own_store
+
+    # -- members and voters
 
     def voters(self) -> dict[str, str]:
-        return self.body["voters"]
+        """The voters, and the store identity that the record lists for each."""
+        voters: dict[str, str] = self.body["voters"]
+        return voters
 
     def members(self) -> list[str]:
+        """The members' names, sorted."""
         return sorted(self.body["members"])
 
-    def counts(self, name: str, voters: dict[str, str]) -> bool:
-        """Whether its word counts: one not listed yet is taken once, unless it is a second one."""
-        listed = voters.get(name)
-        mine = self.store if name == self.name else self.stores.get(name, "")
-        return listed is not None and (listed == mine or (listed == "" and not mine.startswith(SECOND)))
+    def is_member(self, name: str) -> bool:
+        """Whether the record lists an agent as a member."""
+        return name in self.body["members"]
 
-    def agreed(self, names: Iterable[str], voters: dict[str, str]) -> bool:
-        return majority((name for name in names if self.counts(name, voters)), voters)
+    def is_counted(self, name: str) -> bool:
+        """Whether a vote of this agent counts, going by its store."""
+        return self.identities.is_counted(name, self.voters())
 
-    def place(self) -> int:
-        return sorted(self.body["members"]).index(self.name) % MOST_PLACES
+    def send(self, to: str, message: Message) -> None:
+        """Sends one message, with the identity of our store."""
+        self.actions.send_to_record(to, encode_message(message, self.store))
 
-    # -- time
-
-    def woke(self, now: float) -> None:
-        """Some ten times a second."""
-        if self.role == DRIVES or self.role == TAKING:
-            if now >= self.next_beat:
-                self.beat(now)
-            there = {name for name, at in self.answered.items() if now - at < AWAY} | {self.name}
-            if now - self.role_since > AWAY and not self.agreed(there, self.voters()):
-                self.depose(now, "no majority of the voters answers")
-        elif self.role in (ASKING, STANDING):
-            if now - self.role_since >= ASKS:
-                self.follow(now, "")
-        elif now - self.heard_at >= self.patience:
-            self.ask(now)
-
-    def slept(self, now: float, gap: float) -> None:
-        """We were stopped for `gap`: nobody was late, and what we were about to write is old."""
-        self.heard_at += gap
-        if self.role != FOLLOWS:
-            self.depose(now, "was stopped meanwhile")
-
-    def follow(self, now: float, driver: str) -> None:
-        self.role, self.driver, self.role_since = FOLLOWS, driver, now
-        self.heard_at, self.patience = now, AWAY + self.draw(SPREAD)
-
-    def depose(self, now: float, why: str) -> None:
-        drove = self.role in (DRIVES, TAKING)
-        self.follow(now, "")
-        if drove:
-            self.host.note("driver_left", term=self.standing_for, why=why)
-            self.host.deposed(now, why)
-
-    def renamed(self, now: float, store: str) -> None:
-        """Our store has a new identity: what we promised may be lost, so our word counts for nothing."""
-        self.depose(now, "the store is not what it was")
-        self.store = SECOND + store
-
-    # -- becoming the one that drives
-
-    def ask(self, now: float) -> None:
-        """First a question, which moves nobody: one that hears nobody must not raise the terms."""
-        self.heard_at, self.patience = now, AWAY + self.draw(SPREAD)
-        if not self.counts(self.name, self.voters()):
-            return
-        self.role, self.role_since, self.votes, self.driver = ASKING, now, {self.name}, ""
+    def send_to_other_voters(self, message: Message) -> None:
+        """Sends one message to every voter but this agent."""
         for name in self.voters():
             if name != self.name:
-                self.host.tell(name, {"do": "would", "at": list(self.at)})
-        self.count_yes(now)
+                self.send(name, message)
 
-    def count_yes(self, now: float) -> None:
-        if majority(self.votes, self.voters()):
-            self.stand(now)
+    # -- time
 
-    def stand(self, now: float) -> None:
-        term = (max(self.promised, self.highest) // BY_TERM + 1) * BY_TERM + self.place()
-        if not self.keep(term, self.at, self.body):
-            self.follow(now, "")
+    def tick(self, now: float) -> None:
+        """Called about ten times a second."""
+        if self.role in LEADING:
+            self.tick_leader(now)
+        elif self.role in CAMPAIGNING:
+            if now - self.role_since >= VOTE_TIMEOUT:
+                self.become_follower(now, "")
+        elif now - self.leader_heard_at >= self.election_timeout:
+            self.start_pre_vote(now)
+
+    def tick_leader(self, now: float) -> None:
+        """Heartbeats, and the end of a leadership that no majority answers."""
+        if now >= self.next_heartbeat_at:
+            self.replicate(now)
+        if now - self.role_since <= ELECTION_TIMEOUT:
             return
-        self.role, self.role_since, self.votes, self.standing_for = STANDING, now, {self.name}, term
-        self.newest = (self.at, self.body)
-        for name in self.voters():
-            if name != self.name:
-                self.host.tell(name, {"do": "promise", "term": term})
-        self.count_promises(now)
-
-    def count_promises(self, now: float) -> None:
-        """The newest of what a majority holds is taken over, under our term."""
-        at, body = self.newest
-        self.needs = [self.voters(), body["voters"]]
-        if not all(self.agreed(self.votes, voters) for voters in self.needs):
+        answering = self.progress.answering(now, ELECTION_TIMEOUT)
+        if not self.identities.is_quorum(answering, self.voters()):
+            self.step_down(now, "no majority of the voters answers")
+
+    def on_process_stopped(self, now: float, gap: float) -> None:
+        """This process did not run for `gap` ms: no leader was late, and what we were writing is old."""
+        self.leader_heard_at += gap
+        if self.role != Role.FOLLOWER:
+            self.step_down(now, "was stopped meanwhile")
+
+    # -- elections
+
+    def become_follower(self, now: float, leader: str) -> None:
+        """Follows `leader`, or nobody yet where that is empty."""
+        self.role, self.role_since, self.leader = Role.FOLLOWER, now, leader
+        self.restart_election_timer(now)
+
+    def restart_election_timer(self, now: float) -> None:
+        """The next election is a freshly drawn timeout away."""
+        self.leader_heard_at = now
+        self.election_timeout = self.draw_election_timeout()
+
+    def step_down(self, now: float, why: str) -> None:
+        """Ends a candidacy or a leadership."""
+        was_leading = self.role in LEADING
+        self.become_follower(now, "")
+        if was_leading:
+            self.actions.note("driver_left", term=self.campaign_term, why=why)
+            self.actions.on_deposed(now, why)
+
+    def start_pre_vote(self, now: float) -> None:
+        """Asks first, which changes no term: an agent that hears nobody must not raise the terms."""
+        self.restart_election_timer(now)
+        if not self.is_counted(self.name):
+            return
+        self.role, self.role_since, self.leader = Role.PRE_CANDIDATE, now, ""
+        self.votes = {self.name}
+        self.send_to_other_voters(PreVoteRequest(self.version))
+        self.count_pre_votes(now)
+
+    def count_pre_votes(self, now: float) -> None:
+        """Becomes a candidate once a majority would vote for this agent."""
+        if is_majority(self.votes, self.voters()):
+            self.start_election(now)
+
+    def start_election(self, now: float) -> None:
+        """Votes for itself in a new term, on the disk first, and asks for the votes of the others."""
+        term = self.next_own_term()
+        if not self.save(term, self.version, self.body):
+            self.become_follower(now, "")
             return
-        self.holds, self.answered = {}, {}
-        if not self.keep(self.standing_for, (self.standing_for, 1), body):
-            self.follow(now, "")
+        self.role, self.role_since, self.campaign_term = Role.CANDIDATE, now, term
+        self.votes = {self.name}
+        self.newest_version, self.newest_body = self.version, self.body
+        self.send_to_other_voters(VoteRequest(term))
+        self.count_votes(now)
+
+    def next_own_term(self) -> int:
+        """The lowest term above all that were seen that only this agent may use."""
+        completed_rounds = max(self.promised_term, self.highest_seen_term) // TERMS_PER_ROUND
+        index = self.members().index(self.name) % TERMS_PER_ROUND
+        return (completed_rounds + 1) * TERMS_PER_ROUND + index
+
+    def count_votes(self, now: float) -> None:
+        """With a majority, writes the newest record among the votes anew, under our term."""
+        electorates = self.voters(), self.newest_body["voters"]
+        if not all(self.identities.is_quorum(self.votes, voters) for voters in electorates):
             return
-        self.role, self.role_since, self.driver = TAKING, now, self.name
-        self.host.held(now)
-        self.beat(now)
-        self.look(now)
+        self.progress = ReplicationProgress(self.name, self.identities)
+        self.progress.require(*electorates)
+        if not self.save(self.campaign_term, (self.campaign_term, 1), self.newest_body):
+            self.become_follower(now, "")
+            return
+        self.role, self.role_since, self.leader = Role.ELECTED, now, self.name
+        self.actions.on_appended(now)
+        self.replicate(now)
+        self.commit_if_replicated(now)
+
+    # -- leading
 
-    # -- driving
+    def propose(self, now: float, body: RecordBody) -> bool:
+        """Writes the next record; `on_committed` tells when a majority has it.
 
-    def propose(self, now: float, body: Body) -> bool:
-        """The next record; `in_force` tells when a majority holds it. One at a time."""
-        if self.role != DRIVES or self.force != self.at:
+        False where this agent does not lead, its last proposal is not committed yet, or its store failed.
+        ValueError where `body` changes more than one voter.
+        """
+        if self.role != Role.LEADER or self.committed != self.version:
             return False
         before, after = self.voters(), body["voters"]
         if sum(before.get(name) != after.get(name) for name in before.keys() | after.keys()) > 1:
             raise ValueError("voters change one at a time")
-        if not self.keep(self.standing_for, (self.standing_for, self.at[1] + 1), body):
-            self.depose(now, "the store failed")  # another's may be well
+        if not self.save(self.campaign_term, (self.campaign_term, self.version[1] + 1), body):
+            self.step_down(now, "the store failed")  # another agent's may work
             return False
-        self.needs = [before, after]
-        self.beat(now)
-        self.look(now)
+        self.progress.require(before, after)
+        self.replicate(now)
+        self.commit_if_replicated(now)
         return True
 
-    def beat(self, now: float) -> None:
-        self.next_beat = now + BEAT
+    def replicate(self, now: float) -> None:
+        """A heartbeat to every other member, with the record for those that have not acknowledged it."""
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL
+        heartbeat = Heartbeat(self.campaign_term, self.version, self.committed)
+        append = AppendRecord(self.campaign_term, self.version, self.committed, self.body)
         for name in self.body["members"]:
             if name != self.name:
-                word: Body = {
-                    "do": "beat",
-                    "term": self.standing_for,
-                    "at": list(self.at),
-                    "force": list(self.force),
-                }
-                if self.holds.get(name) != self.at:
-                    word |= {"do": "hold", "body": self.body}
-                self.host.tell(name, word)
-
-    def look(self, now: float) -> None:
-        """Whether what we wrote last is in force."""
-        if self.force == self.at:
+                self.send(name, heartbeat if self.progress.has(name, self.version) else append)
+
+    def commit_if_replicated(self, now: float) -> None:
+        """Whether the record that was written last is committed now; once, the first in a term elects us."""
+        if self.committed == self.version or not self.progress.is_committed(self.version):
             return
-        holding = [name for name, at in self.holds.items() if at == self.at] + [self.name]
-        if not all(self.agreed(holding, voters) for voters in self.needs):
+        self.committed = self.version
+        self.actions.note("record_in_force", term=self.version[0], revision=self.version[1])
+        if self.role != Role.ELECTED:
+            self.actions.on_committed(now)
             return
-        self.force = self.at
-        self.host.note("record_in_force", term=self.at[0], revision=self.at[1])
-        if self.role == TAKING:
-            self.role, self.role_since = DRIVES, now
-            self.host.note(
-                "drives", term=self.standing_for, took_over=list(self.newest[0]), voters=len(self.voters())
-            )
-            self.host.drives(now)
-        else:
-            self.host.in_force(now)
-
-    def relist(self, body: Body) -> str:
-        """Puts one voter's store as it is now into a record to be proposed: one that holds the newest."""
+        self.role, self.role_since = Role.LEADER, now
+        self.actions.note(
+            "drives",
+            term=self.campaign_term,
+            took_over=list(self.newest_version),
+            voters=len(self.voters()),
+        )
+        self.actions.on_elected(now)
+
+    def update_one_voter(self, body: RecordBody) -> str:
+        """Lists in a body to be proposed one voter whose store has changed, or one new voter.
+
+        Only agents that have the newest record are listed. Returns the name; empty where there was none.
+        """
         for name in sorted(body["voters"]):
-            known = self.store if name == self.name else self.stores.get(name, "")
-            if (
-                known
-                and known != body["voters"][name]
-                and (name == self.name or self.holds.get(name) == self.at)
-            ):
-                body["voters"] = {**body["voters"], name: known}
-                return name
-        if len(body["voters"]) < MOST_VOTERS:
-            for name in sorted(body["members"]):
-                if name not in body["voters"] and self.holds.get(name) == self.at:
-                    body["voters"] = {**body["voters"], name: self.stores.get(name, "")}
-                    return name
+            store = self.identities.of(name)
+            up_to_date = name == self.name or self.progress.has(name, self.version)
+            if store and store != body["voters"][name] and up_to_date:
+                body["voters"] = {**body["voters"], name: store}
+                return str(name)
+        if len(body["voters"]) >= MAX_VOTERS:
+            return ""
+        for name in sorted(body["members"]):
+            if name not in body["voters"] and self.progress.has(name, self.version):
+                body["voters"] = {**body["voters"], name: self.identities.stated.get(name, "")}
+                return str(name)
         return ""
 
     # -- messages
 
-    def heard(self, now: float, sender: str, word: Body) -> None:
-        """`word` of another agent's book; `store` in it is the identity of the sender's store."""
-        self.stores[sender] = str(word.get("store", ""))
-        getattr(self, "on_" + word["do"], self.on_unknown)(now, sender, word)
-
-    def on_unknown(self, now: float, sender: str, word: Body) -> None:
-        self.host.note("book_unknown_word", sender=sender)
+    def receive(self, now: float, sender: str, encoded: EncodedMessage) -> None:
+        """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
+        self.identities.stated[sender] = sender_store(encoded)
+        try:
+            message = decode_message(sender, encoded)
+        except UnknownMessageError:
+            self.actions.note("book_unknown_word", sender=sender)
+            return
+        match message:
+            case PreVoteRequest():
+                self.on_pre_vote_request(now, sender)
+            case PreVoteResponse():
+                self.on_pre_vote_response(now, sender, message)
+            case VoteRequest():
+                self.on_vote_request(now, sender, message)
+            case VoteGranted():
+                self.on_vote_granted(now, sender, message)
+            case Rejected():
+                self.on_rejected(now, sender, message)
+            case Heartbeat() | AppendRecord():
+                self.on_append(now, sender, message)
+            case Acknowledge():
+                self.on_acknowledge(now, sender, message)
+            case InstallSnapshot():
+                self.on_install_snapshot(now, sender, message)
+
+    def on_pre_vote_request(self, now: float, sender: str) -> None:
+        """Granted where no leader was heard for a while; whoever is no member learns so from the record."""
+        if not self.is_member(sender):
+            self.send(sender, InstallSnapshot(self.version, self.body))
+            return
+        granted = self.role != Role.LEADER and now - self.leader_heard_at >= PRE_VOTE_SILENCE
+        self.send(sender, PreVoteResponse(granted, self.promised_term))
 
-    def on_would(self, now: float, sender: str, word: Body) -> None:
-        if sender not in self.body["members"]:  # it learns what it missed, also that it was dismissed
-            self.host.tell(sender, {"do": "teach", "at": list(self.at), "body": self.body})
+    def on_pre_vote_response(self, now: float, sender: str, message: PreVoteResponse) -> None:
+        """Counts a pre-vote, and remembers the voter's term so that ours will be higher."""
+        if self.role != Role.PRE_CANDIDATE or not message.granted or not self.is_counted(sender):
             return
-        quiet = self.role != DRIVES and now - self.heard_at >= AWAY * 0.8
-        self.host.tell(sender, {"do": "answer", "yes": quiet, "promised": self.promised})
+        self.votes.add(sender)
+        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
+        self.count_pre_votes(now)
 
-    def on_answer(self, now: float, sender: str, word: Body) -> None:
-        if self.role != ASKING:
+    def on_vote_request(self, now: float, sender: str, message: VoteRequest) -> None:
+        """Votes in a higher term; a request that came twice is answered twice."""
+        if message.term < self.promised_term:
+            self.send(sender, Rejected(message.term, self.promised_term))
             return
-        if word["yes"] and self.counts(sender, self.voters()):
-            self.votes.add(sender)
-            self.highest = max(self.highest, int(word["promised"]))  # so that ours will be higher
-            self.count_yes(now)
-
-    def on_promise(self, now: float, sender: str, word: Body) -> None:
-        term = word["term"]
-        if term > self.promised:
-            if not self.keep(term, self.at, self.body):
+        if message.term > self.promised_term:
+            if not self.save(message.term, self.version, self.body):
                 return
-            if self.role != FOLLOWS:
-                self.depose(now, f"{sender} stands for a higher term")
-            self.follow(now, "")
-        elif term < self.promised:
-            self.host.tell(sender, {"do": "passed", "term": term, "promised": self.promised})
+            if self.role != Role.FOLLOWER:
+                self.step_down(now, f"{sender} stands for a higher term")
+            self.become_follower(now, "")
+        self.send(sender, VoteGranted(message.term, self.version, self.body))
+
+    def on_vote_granted(self, now: float, sender: str, message: VoteGranted) -> None:
+        """Counts a vote, and keeps the newest record among the votes."""
+        if self.role != Role.CANDIDATE or message.term != self.campaign_term:
             return
-        self.host.tell(sender, {"do": "promised", "term": term, "at": list(self.at), "body": self.body})
-
-    def on_promised(self, now: float, sender: str, word: Body) -> None:
-        if self.role != STANDING or word["term"] != self.standing_for:
-            return
-        at = tuple(word["at"])
-        if at > self.newest[0]:
-            self.newest = (at, word["body"])
+        if message.version > self.newest_version:
+            self.newest_version, self.newest_body = message.version, message.body
         self.votes.add(sender)
-        self.count_promises(now)
+        self.count_votes(now)
+
+    def on_rejected(self, now: float, sender: str, message: Rejected) -> None:
+        """A voter has voted in a higher term than ours."""
+        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
+        if self.role != Role.FOLLOWER and message.term == self.campaign_term:
+            self.step_down(now, f"{sender} has promised a higher term")
+
+    def on_append(self, now: float, sender: str, message: Heartbeat | AppendRecord) -> None:
+        """Follows the leader of a term that is not lower than our vote, and acknowledges its record."""
+        if message.term < self.promised_term:
+            self.send(sender, Rejected(message.term, self.promised_term))
+            return
+        if not self.save_appended(message):
+            return
+        if self.role != Role.FOLLOWER:
+            self.step_down(now, f"{sender} drives under a higher term")
+        if self.leader != sender:
+            self.actions.note("follows", driver=sender, term=message.term)
+        self.become_follower(now, sender)
+        self.committed = message.committed
+        self.actions.on_appended(now)
+        self.send(sender, Acknowledge(message.term, self.version))
+
+    def save_appended(self, message: Heartbeat | AppendRecord) -> bool:
+        """Writes what is new in a leader's message; False where the disk failed."""
+        if isinstance(message, AppendRecord) and message.version > self.version:
+            return self.save(message.term, message.version, message.body or self.body)
+        if message.term > self.promised_term:
+            return self.save(message.term, self.version, self.body)
+        return True
 
-    def on_passed(self, now: float, sender: str, word: Body) -> None:
-        self.highest = max(self.highest, int(word["promised"]))
-        if self.role != FOLLOWS and word["term"] == self.standing_for:
-            self.depose(now, f"{sender} has promised a higher term")
+    def on_acknowledge(self, now: float, sender: str, message: Acknowledge) -> None:
+        """A member has a record of our term on its disk."""
+        if self.role in LEADING and message.term == self.campaign_term:
+            self.progress.record_answer(now, sender, message.version)
+            self.commit_if_replicated(now)
 
-    def on_hold(self, now: float, sender: str, word: Body) -> None:
-        self.take(now, sender, word, word["body"])
+    def on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
+        """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
+        if message.version > self.version and self.save(self.promised_term, message.version, message.body):
+            self.actions.note("book_taught", by=sender, member=self.is_member(self.name))
+            self.actions.on_appended(now)
 
-    def on_beat(self, now: float, sender: str, word: Body) -> None:
-        self.take(now, sender, word, None)
+    # -- for tools
 
-    def take(self, now: float, sender: str, word: Body, body: Body | None) -> None:
-        term, at = word["term"], tuple(word["at"])
-        if term < self.promised:
-            self.host.tell(sender, {"do": "passed", "term": term, "promised": self.promised})
-            return
-        if term > self.promised or (body is not None and at > self.at):
-            newer = body is not None and at > self.at
-            if not self.keep(term, at if newer else self.at, body if newer and body else self.body):
-                return
-        if self.role != FOLLOWS:
-            self.depose(now, f"{sender} drives under a higher term")
-        if self.driver != sender:
-            self.host.note("follows", driver=sender, term=term)
-        self.follow(now, sender)
-        self.force = tuple(word["force"])
-        self.host.held(now)
-        self.host.tell(sender, {"do": "held", "term": term, "at": list(self.at)})
-
-    def on_held(self, now: float, sender: str, word: Body) -> None:
-        if self.role in (DRIVES, TAKING) and word["term"] == self.standing_for:
-            self.answered[sender] = now
-            self.holds[sender] = tuple(word["at"])
-            self.look(now)
-
-    def on_teach(self, now: float, sender: str, word: Body) -> None:
-        """We are no member where we asked: what they hold is newer, or we would be one."""
-        at = tuple(word["at"])
-        if at > self.at and self.keep(self.promised, at, word["body"]):
-            self.host.note("book_taught", by=sender, member=self.name in self.body["members"])
-            self.host.held(now)
-
-    # -- what is told
-
-    def table(self, now: float) -> Body:
+    def status(self) -> dict[str, Any]:
+        """What `fleet peers` shows; the keys are those of the tools' protocol."""
         return {
-            "role": self.role,
-            "driver": self.driver,
-            "promised": self.promised,
-            "at": list(self.at),
+            "role": self.role.value,
+            "driver": self.leader,
+            "promised": self.promised_term,
+            "at": list(self.version),
             "voters": sorted(self.voters()),
             "members": self.members(),
-            "member": self.name in self.body["members"],
-            "counted": self.counts(self.name, self.voters()),
+            "member": self.is_member(self.name),
+            "counted": self.is_counted(self.name),
         }
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -1,8 +1,9 @@
 """One agent's part in the fleet: it holds the record, obeys orders that are in force, and drives where it is
 to.
 
-Puts `book`, `spans` and `orders` together. No I/O; times in ms, monotonic. What comes from other agents is
-taken as it comes: late, doubled, or from one that no longer drives. An order is carried out only
+Puts `consensus`, `fleet_rollout` and `rollout_controls` together. No I/O; times in ms, monotonic. What comes
+from other agents is taken as it comes: late, doubled, or from one that no longer drives. An order is carried
+out only
 - under the newest term that was promised here,
 - resting on a report that this agent itself sent GO ago at most, by its own clock, and
 - where no pause or abort that is known here stands against it.
@@ -12,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from vetchford.fleet.consensus import DRIVES, ReplicatedRecord
+from vetchford.fleet.consensus import ReplicatedRecord, Role
 from vetchford.fleet.fleet_rollout import ENDED, FleetRolloutController, split
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, PAUSE, RolloutControls
@@ -61,7 +62,7 @@
         self, host: Host, name: str, seed: int, store: str, founding: Body, now: float, life: int
     ) -> None:
         self.host, self.name, self.life = host, name, life
-        self.book = ReplicatedRecord(self, name, seed, store, founding, now)
+        self.record = ReplicatedRecord(self, name, seed, store, founding, now)
         self.orders = RolloutControls(name)
         self.driver: FleetRolloutController | None = None  # while we drive
         self.reports: dict[int, float] = {}  # when each was sent; the oldest go
@@ -73,13 +74,13 @@
 
     def restore(self, kind: str, name: str, body: Body) -> None:
         if kind == "book":
-            self.book.restore(body)
+            self.record.restore(body)
             self.learn()
         elif kind == "orders":
             self.orders.by_change[name] = body
 
     def unended(self) -> set[str]:
-        return {id for id, span in self.book.body["spans"].items() if span["state"] not in ENDED}
+        return {id for id, span in self.record.body["spans"].items() if span["state"] not in ENDED}
 
     # -- time
 
@@ -87,8 +88,8 @@
         gap, self.woken = now - self.woken, now
         if gap > ASLEEP:
             self.host.note("was_stopped", ms=round(gap))
-            self.book.slept(now, gap)
-        self.book.woke(now)
+            self.record.on_process_stopped(now, gap)
+        self.record.tick(now)
         if self.driver is not None:
             self.driver.woke(now)
         for number in [number for number, at in self.polls.items() if now - at > GO]:
@@ -96,35 +97,35 @@
         for ref, job in list(self.jobs.items()):
             self.try_job(now, ref, job)
 
-    # -- the book's host
+    # -- actions of the replicated record
 
-    def tell(self, to: str, body: Body) -> None:
-        self.host.post(to, "book", {**body, "store": self.book.store})
+    def send_to_record(self, to: str, message: Body) -> None:
+        self.host.post(to, "book", message)
 
-    def keep_book(self, state: Body) -> None:
-        self.host.keep("book", "newest", state)
+    def save_record(self, stored: Body) -> None:
+        self.host.keep("book", "newest", stored)
 
-    def drives(self, now: float) -> None:
-        self.driver = FleetRolloutController(self, self.name, self.book.body, self.orders)
+    def on_elected(self, now: float) -> None:
+        self.driver = FleetRolloutController(self, self.name, self.record.body, self.orders)
         self.driver.woke(now)
 
-    def in_force(self, now: float) -> None:
+    def on_committed(self, now: float) -> None:
         self.learn()  # first: a pause that stands in the record is an order from now on
         if self.driver is not None:
-            self.driver.in_force(now, self.book.body)
+            self.driver.in_force(now, self.record.body)
 
-    def deposed(self, now: float, why: str) -> None:
+    def on_deposed(self, now: float, why: str) -> None:
         self.driver = None
         self.polls.clear()
 
-    def held(self, now: float) -> None:
+    def on_appended(self, now: float) -> None:
         self.learn()
 
     def learn(self) -> None:
         """What the record that is held says of changes: which there are, and the pauses that stand in it."""
         self.known = self.unended()
         for id in self.known:
-            halts = self.book.body["spans"][id]["halts"]
+            halts = self.record.body["spans"][id]["halts"]
             if halts:
                 self.orders.merge({id: {"halts": halts, "lifted": []}}, self.known)
         for change in self.orders.dropped(self.known):
@@ -143,7 +144,7 @@
         self.polls[number] = self.woken
         word = {
             "number": number,
-            "term": self.book.standing_for,
+            "term": self.record.campaign_term,
             "orders": self.orders.by_change,
             "said": self.driver.said,
         }
@@ -155,23 +156,28 @@
     def order(self, agent: str, number: int, act: Body) -> None:
         if self.driver is None:
             return
-        word = {"number": number, "term": self.book.standing_for, "revision": self.book.force[1], "act": act}
+        word = {
+            "number": number,
+            "term": self.record.campaign_term,
+            "revision": self.record.committed[1],
+            "act": act,
+        }
         if agent == self.name:
             self.on_order(self.woken, self.name, word)
         else:
             self.host.post(agent, "order", word)
 
     def propose(self, now: float, body: Body) -> bool:
-        return self.book.propose(now, body)
+        return self.record.propose(now, body)
 
     def relist(self, body: Body) -> str:
-        return self.book.relist(body)
+        return self.record.update_one_voter(body)
 
     # -- words of other agents
 
     def heard(self, now: float, sender: str, kind: str, body: Body) -> None:
         act = {
-            "book": self.book.heard,
+            "book": self.record.receive,
             "look": self.on_look,
             "seen": self.on_seen,
             "order": self.on_order,
@@ -186,11 +192,11 @@
 
     def current(self, sender: str, term: int) -> bool:
         """Whether it drives under the newest term that was promised here."""
-        return term == self.book.promised and (sender == self.name or sender == self.book.driver)
+        return term == self.record.promised_term and (sender == self.name or sender == self.record.leader)
 
     def on_look(self, now: float, sender: str, word: Body) -> None:
         if not self.current(sender, word["term"]):
-            return  # the book's own words tell it
+            return  # a message of the replicated record tells it
         self.said = dict(word["said"])
         self.take_orders(word["orders"])
         self.reports[word["number"]] = now
@@ -209,7 +215,7 @@
 
     def on_seen(self, now: float, sender: str, word: Body) -> None:
         asked = self.polls.pop(word["number"], None)
-        if self.driver is None or asked is None or word["term"] != self.book.standing_for:
+        if self.driver is None or asked is None or word["term"] != self.record.campaign_term:
             return
         self.take_orders(word["orders"])
         self.driver.seen(now, sender, word["number"], asked, word["report"])
@@ -220,7 +226,7 @@
         stands, why = self.orders.stands(act["span"])
         refused = ""
         if not self.current(sender, word["term"]):
-            refused = f"term {word['term']} of {sender}, promised {self.book.promised}"
+            refused = f"term {word['term']} of {sender}, promised {self.record.promised_term}"
         elif sent is None or now - sent > GO:
             refused = "it rests on a report that is old"
         elif stands:
@@ -264,7 +270,7 @@
         elif ask == "find":
             reply(self.told_of(now, request["id"]))
         elif ask == "peers":
-            reply({"book": self.book.table(now), "log": self.book.body["log"]})
+            reply({"book": self.record.status(), "log": self.record.body["log"]})
         elif len(self.jobs) >= MOST_JOBS:
             raise RefusedError(f"{MOST_JOBS} requests wait already")
         else:
@@ -274,7 +280,7 @@
 
     def on_halt(self, ask: str, id: str) -> Body:
         if id not in self.known:
-            known = self.book.body["spans"].get(id)
+            known = self.record.body["spans"].get(id)
             raise RefusedError(
                 f"change {id} is {known['state']}" if known else f"no change {id} is known here"
             )
@@ -288,7 +294,7 @@
             if not self.orders.halt(id, kind, "asked to", f"{self.life}.{self.numbers}"):
                 raise RefusedError(f"change {id} has too many pauses; abort it")
         self.keep_orders(id)
-        for agent in self.book.body["members"]:
+        for agent in self.record.body["members"]:
             if agent != self.name:
                 self.host.post(agent, "orders", {"orders": {id: self.orders.of(id)}})
         stands = self.orders.stands(id)[0]
@@ -301,13 +307,13 @@
         }
 
     def seen_driver(self) -> str:
-        return self.name if self.book.role == DRIVES else self.book.driver
+        return self.name if self.record.role == Role.LEADER else self.record.leader
 
     def told_of(self, now: float, id: str) -> Body:
-        span = self.book.body["spans"].get(id)
+        span = self.record.body["spans"].get(id)
         if span is None:
             raise RefusedError(f"no change {id} is known here")
-        quiet = now - self.book.heard_at if self.book.role != DRIVES else 0.0
+        quiet = now - self.record.leader_heard_at if self.record.role != Role.LEADER else 0.0
         stands, why = self.orders.stands(id)
         state = "paused" if stands == PAUSE and span["state"] == "running" else span["state"]
         return {
@@ -317,8 +323,8 @@
             "waits": self.said.get(id, ""),
             "driver": self.seen_driver(),
             "driver_heard_ms": round(quiet),
-            "term": self.book.at[0],
-            "revision": self.book.at[1],
+            "term": self.record.version[0],
+            "revision": self.record.version[1],
             "told_by": self.name,
         }
 
@@ -328,15 +334,15 @@
             if answer is not None:
                 self.done(ref, answer)
                 return
-        elif self.book.driver and now - job.sent_at >= ASKS_AGAIN:
+        elif self.record.leader and now - job.sent_at >= ASKS_AGAIN:
             job.sent_at = now
             word = {"ref": ref, "request": job.request, "waited": now - job.since}
-            self.host.post(self.book.driver, "ask", word)
+            self.host.post(self.record.leader, "ask", word)
         if now >= job.until:
             if job.request["ask"] == "all":
                 self.done(ref, self.alone())
                 return
-            voters, driver = sorted(self.book.voters()), self.seen_driver()
+            voters, driver = sorted(self.record.voters()), self.seen_driver()
             self.done(
                 ref,
                 {
@@ -356,7 +362,7 @@
         return {
             "instances": {f"{name}@{self.name}": one for name, one in mine.items()},
             "driver": "",
-            "unknown": [agent for agent in self.book.members() if agent != self.name],
+            "unknown": [agent for agent in self.record.members() if agent != self.name],
             "spans": self.listed(),
         }
 
@@ -364,7 +370,7 @@
         return [
             {key: span[key] for key in ("id", "kind", "state", "why")}
             | {"waits": self.said.get(span["id"], "")}
-            for span in self.book.body["spans"].values()
+            for span in self.record.body["spans"].values()
         ]
 
     def safely(self, now: float, request: Body, waited: float) -> Body | None:
@@ -380,7 +386,7 @@
         """As the one that drives; None while it is not in force, or not seen enough; `waited`: ms so far."""
         assert self.driver is not None
         driver, ask = self.driver, request["ask"]
-        unknown = [agent for agent in self.book.members() if not driver.fresh(now, agent)]
+        unknown = [agent for agent in self.record.members() if not driver.fresh(now, agent)]
         if ask in ("all", "span", "plan") and unknown and now - driver.began < GO:
             return None  # it has just begun to look
         if ask in ("span", "plan") and waited < LOOKS:
@@ -401,9 +407,9 @@
             span = driver.checked(now, request["change"])
             return {"plan": list(span["steps"]), "batch": span["batch"], "floor": span["floor"]}
         if ask in ("admit", "dismiss"):
-            there = request["name"] in self.book.body["members"]
+            there = request["name"] in self.record.body["members"]
             if there == (ask == "admit"):
-                return {"members": self.book.members(), "log": self.book.body["log"]}
+                return {"members": self.record.members(), "log": self.record.body["log"]}
             if all(what.get("name") != request["name"] for _, what in driver.asked):
                 if ask == "admit":
                     driver.admit(request["name"], request["by"])
@@ -422,5 +428,5 @@
             self.host.post(sender, "told", {"ref": ref, "answer": answer})
 
     def on_told(self, now: float, sender: str, word: Body) -> None:
-        if word["ref"] in self.jobs and sender == self.book.driver:
+        if word["ref"] in self.jobs and sender == self.record.leader:
             self.done(word["ref"], word["answer"])
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -146,8 +146,8 @@
         before = self.life, self.store
         self.life, self.nonce = max(life, self.life) + 1, random.SystemRandom().getrandbits(62)
         # What the store promised may be lost: its word counts once it is listed anew.
-        self.across.book.renamed(self.now(), uuid.uuid4().hex)
-        self.store = self.across.book.store
+        self.across.record.replace_store(self.now(), uuid.uuid4().hex)
+        self.store = self.across.record.store
         try:
             self.keep_self()
         except OSError as problem:  # others go on refusing this life, and tell so with each new connection
@@ -233,20 +233,20 @@
 
     def table(self) -> Body:
         """Links, views and the record, as this agent sees them."""
-        book = self.across.book
+        record = self.across.record
         rows = self.talk.decide.table()
         for row in rows:
             member = self.views.members.get(row["name"])
             row["view"] = WORDS[member.state] if member else "not seen"
-            row["member"] = row["name"] in book.body["members"]
-            row["voter"] = row["name"] in book.voters()
+            row["member"] = record.is_member(row["name"])
+            row["voter"] = row["name"] in record.voters()
         return {
             "name": self.name,
             "fleet": self.told["fleet"],
             "life": self.life,
             "peers": rows,
-            "book": book.table(self.now()),
-            "log": book.body["log"],
+            "book": record.status(),
+            "log": record.body["log"],
             "bytes_sent": self.talk.bytes_out,
             "datagrams_sent": self.talk.datagrams_out,
         }
