--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from testkit.simulation import agents
-from vetchford.fleet import coordinator, fleet_rollout
+from vetchford.fleet import coordinator, fleet_view
+from vetchford.fleet.availability import Availability
 from vetchford.fleet.consensus import ReplicatedRecord
 
 
@@ -41,16 +42,16 @@
 
 def floor_by_the_old_view() -> contextlib.AbstractContextManager[None]:
     """What was seen once is taken for seen."""
-    return put((fleet_rollout, "FRESH", 1e12))
+    return put((fleet_view, "MAX_REPORT_AGE", 1e12))
 
 
 def floor_without_what_is_out() -> contextlib.AbstractContextManager[None]:
     """What was ordered out and still serves is counted."""
 
-    def proven(self, now, body, span):
-        return sum(one["state"] == "serving" for one in self.all_seen(now).values())
+    def count(self, rollout):
+        return sum(instance["state"] == "serving" for instance in self.instances().values())
 
-    return put((fleet_rollout.FleetRolloutController, "proven", proven))
+    return put((Availability, "count", count))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -9,9 +9,9 @@
 import heapq
 import random
 
-from vetchford.fleet import fleet_rollout
 from vetchford.fleet.consensus import Role
 from vetchford.fleet.coordinator import FleetCoordinator
+from vetchford.fleet.fleet_record import ENDED_STATES, founding_record
 from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
@@ -58,7 +58,7 @@
             self.name,
             world.seed,
             self.disk["store"],
-            fleet_rollout.founding(world.names),
+            founding_record(world.names),
             world.now,
             self.lives,
         )
@@ -427,7 +427,7 @@
 
     def ended(self, id):
         span = self.span(id)
-        return span is not None and span["state"] in fleet_rollout.ENDED
+        return span is not None and span["state"] in ENDED_STATES
 
     def up(self, seconds=60.0):
         """All instances of a new world serving."""
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -26,7 +26,7 @@
             key = f"{name}@{machine.name}"
             if span["steps"][key] == "done" and not span["back"] and "leaving" not in process:
                 assert process["version"] == "v2", key
-        assert not machine.across.orders.by_change and not machine.across.jobs  # emptied as the change ended
+        assert not machine.across.orders.by_rollout and not machine.across.jobs  # emptied as the change ended
 
 
 def test_one_seed_is_one_history():
@@ -228,19 +228,19 @@
         one, other = chance.sample(sides, 2)
         draw = chance.random()
         if draw < 0.1:
-            one.halt("c", "pause", "asked to", str(n))
+            one.add("c", "pause", "asked to", str(n))
         elif draw < 0.2:
-            one.lift("c")
+            one.resume("c")
         else:
-            other.merge(dict(one.by_change), {"c"})
+            other.merge(dict(one.by_rollout), {"c"})
     for _ in range(3):
         for one in sides:
             for other in sides:
-                other.merge(dict(one.by_change), {"c"})
-    assert sides[0].by_change == sides[1].by_change == sides[2].by_change
+                other.merge(dict(one.by_rollout), {"c"})
+    assert sides[0].by_rollout == sides[1].by_rollout == sides[2].by_rollout
     lost = {id for id, _ in sides[0].of("c")["halts"].items()} - set(sides[0].of("c")["lifted"])
-    assert (sides[0].stands("c")[0] == "pause") == bool(lost)
-    assert sides[0].dropped(set()) == ["c"] and not sides[0].by_change
+    assert (sides[0].active("c").kind == "pause") == bool(lost)
+    assert sides[0].forget_all_but(set()) == ["c"] and not sides[0].by_rollout
 
 
 def test_a_machine_leaves_and_another_joins_by_changes_of_their_own():
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -15,6 +15,7 @@
 """
 
 import zlib
+from collections.abc import Iterable, Mapping
 from enum import StrEnum
 from typing import Any, Protocol
 
@@ -325,24 +326,22 @@
         )
         self.actions.on_elected(now)
 
-    def update_one_voter(self, body: RecordBody) -> str:
-        """Lists in a body to be proposed one voter whose store has changed, or one new voter.
+    def find_voter_update(self, voters: Mapping[str, str], members: Iterable[str]) -> tuple[str, str] | None:
+        """One voter whose store is not the one listed in `voters`, or one member that may become a voter.
 
-        Only agents that have the newest record are listed. Returns the name; empty where there was none.
+        Returns its name and the identity of its store; only agents that have the newest record are taken.
         """
-        for name in sorted(body["voters"]):
+        for name in sorted(voters):
             store = self.identities.of(name)
             up_to_date = name == self.name or self.progress.has(name, self.version)
-            if store and store != body["voters"][name] and up_to_date:
-                body["voters"] = {**body["voters"], name: store}
-                return str(name)
-        if len(body["voters"]) >= MAX_VOTERS:
-            return ""
-        for name in sorted(body["members"]):
-            if name not in body["voters"] and self.progress.has(name, self.version):
-                body["voters"] = {**body["voters"], name: self.identities.stated.get(name, "")}
-                return str(name)
-        return ""
+            if store and store != voters[name] and up_to_date:
+                return name, store
+        if len(voters) >= MAX_VOTERS:
+            return None
+        for name in sorted(members):
+            if name not in voters and self.progress.has(name, self.version):
+                return name, self.identities.stated.get(name, "")
+        return None
 
     # -- messages
 
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -14,9 +14,11 @@
 from typing import Any, Protocol
 
 from vetchford.fleet.consensus import ReplicatedRecord, Role
-from vetchford.fleet.fleet_rollout import ENDED, FleetRolloutController, split
+from vetchford.fleet.fleet_record import ENDED_STATES, FleetRecord, agent_of
+from vetchford.fleet.fleet_rollout import FleetRolloutController
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, PAUSE, RolloutControls
+from vetchford.fleet.rollout_request import RolloutRequest
 
 GO = 3000.0  # ms that a report of ours may be old when an order rests on it: six rounds of a busy site
 ANSWERS = 6000.0  # ms for a tool's request: a new driver is found in less
@@ -77,10 +79,10 @@
             self.record.restore(body)
             self.learn()
         elif kind == "orders":
-            self.orders.by_change[name] = body
+            self.orders.by_rollout[name] = body
 
     def unended(self) -> set[str]:
-        return {id for id, span in self.record.body["spans"].items() if span["state"] not in ENDED}
+        return {id for id, span in self.record.body["spans"].items() if span["state"] not in ENDED_STATES}
 
     # -- time
 
@@ -91,7 +93,7 @@
             self.record.on_process_stopped(now, gap)
         self.record.tick(now)
         if self.driver is not None:
-            self.driver.woke(now)
+            self.driver.tick(now)
         for number in [number for number, at in self.polls.items() if now - at > GO]:
             del self.polls[number]
         for ref, job in list(self.jobs.items()):
@@ -107,12 +109,12 @@
 
     def on_elected(self, now: float) -> None:
         self.driver = FleetRolloutController(self, self.name, self.record.body, self.orders)
-        self.driver.woke(now)
+        self.driver.tick(now)
 
     def on_committed(self, now: float) -> None:
         self.learn()  # first: a pause that stands in the record is an order from now on
         if self.driver is not None:
-            self.driver.in_force(now, self.record.body)
+            self.driver.on_committed(now, self.record.body)
 
     def on_deposed(self, now: float, why: str) -> None:
         self.driver = None
@@ -128,7 +130,7 @@
             halts = self.record.body["spans"][id]["halts"]
             if halts:
                 self.orders.merge({id: {"halts": halts, "lifted": []}}, self.known)
-        for change in self.orders.dropped(self.known):
+        for change in self.orders.forget_all_but(self.known):
             self.said.pop(change, None)
             with contextlib.suppress(OSError):  # it stays on the disk, of a change that is no more
                 self.host.keep("orders", change, None)
@@ -145,8 +147,8 @@
         word = {
             "number": number,
             "term": self.record.campaign_term,
-            "orders": self.orders.by_change,
-            "said": self.driver.said,
+            "orders": self.orders.by_rollout,
+            "said": self.driver.wait_reasons,
         }
         if agent == self.name:
             self.on_look(self.woken, self.name, word)
@@ -170,8 +172,8 @@
     def propose(self, now: float, body: Body) -> bool:
         return self.record.propose(now, body)
 
-    def relist(self, body: Body) -> str:
-        return self.record.update_one_voter(body)
+    def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
+        return self.record.find_voter_update(record.voters, record.members)
 
     # -- words of other agents
 
@@ -206,7 +208,7 @@
             "number": word["number"],
             "term": word["term"],
             "report": self.host.report(self.known),
-            "orders": self.orders.by_change,
+            "orders": self.orders.by_rollout,
         }
         if sender == self.name:
             self.on_seen(now, self.name, report)
@@ -218,12 +220,12 @@
         if self.driver is None or asked is None or word["term"] != self.record.campaign_term:
             return
         self.take_orders(word["orders"])
-        self.driver.seen(now, sender, word["number"], asked, word["report"])
+        self.driver.receive_report(now, sender, word["number"], asked, word["report"])
 
     def on_order(self, now: float, sender: str, word: Body) -> None:
         act = word["act"]
         sent = self.reports.get(word["number"])
-        stands, why = self.orders.stands(act["span"])
+        stands, why = self.orders.active(act["span"])
         refused = ""
         if not self.current(sender, word["term"]):
             refused = f"term {word['term']} of {sender}, promised {self.record.promised_term}"
@@ -285,23 +287,23 @@
                 f"change {id} is {known['state']}" if known else f"no change {id} is known here"
             )
         if ask == "resume":
-            lifted = self.orders.lift(id)
+            lifted = self.orders.resume(id)
             if not lifted:
                 raise RefusedError(f"change {id} has no pause that is known here")
         else:
             self.numbers += 1
             kind = ABORT if ask == "abort" else PAUSE
-            if not self.orders.halt(id, kind, "asked to", f"{self.life}.{self.numbers}"):
+            if not self.orders.add(id, kind, "asked to", f"{self.life}.{self.numbers}"):
                 raise RefusedError(f"change {id} has too many pauses; abort it")
         self.keep_orders(id)
         for agent in self.record.body["members"]:
             if agent != self.name:
                 self.host.post(agent, "orders", {"orders": {id: self.orders.of(id)}})
-        stands = self.orders.stands(id)[0]
+        stands = self.orders.active(id)[0]
         return {
             "id": id,
             "state": {"": "running", PAUSE: "paused", ABORT: "aborted"}[stands],
-            "why": self.orders.stands(id)[1],
+            "why": self.orders.active(id)[1],
             "obeyed_by": self.name,
             "driver": self.seen_driver(),
         }
@@ -314,7 +316,7 @@
         if span is None:
             raise RefusedError(f"no change {id} is known here")
         quiet = now - self.record.leader_heard_at if self.record.role != Role.LEADER else 0.0
-        stands, why = self.orders.stands(id)
+        stands, why = self.orders.active(id)
         state = "paused" if stands == PAUSE and span["state"] == "running" else span["state"]
         return {
             **span,
@@ -386,31 +388,36 @@
         """As the one that drives; None while it is not in force, or not seen enough; `waited`: ms so far."""
         assert self.driver is not None
         driver, ask = self.driver, request["ask"]
-        unknown = [agent for agent in self.record.members() if not driver.fresh(now, agent)]
-        if ask in ("all", "span", "plan") and unknown and now - driver.began < GO:
+        unknown = [agent for agent in self.record.members() if not driver.view.is_fresh(now, agent)]
+        if ask in ("all", "span", "plan") and unknown and now - driver.started_at < GO:
             return None  # it has just begun to look
         if ask in ("span", "plan") and waited < LOOKS:
-            touched = {split(key)[1] for key in request["change"]["targets"]}
+            touched = {agent_of(key) for key in request["change"]["targets"]}
             if touched & set(unknown):
                 return None  # one that has just come back is seen with the next report
         if ask == "all":
             return {
-                "instances": driver.all_seen(now),
+                "instances": driver.view.fresh_instances(now),
                 "unknown": unknown,
                 "driver": self.name,
                 "spans": self.listed(),
             }
         if ask == "span":
-            known = driver.ask(now, request["change"])
-            return None if known is None else self.told_of(now, known["id"])
+            rollout_request = RolloutRequest.decode(request["change"])
+            is_known = driver.request_rollout(now, rollout_request)
+            return self.told_of(now, rollout_request.id) if is_known else None
         if ask == "plan":
-            span = driver.checked(now, request["change"])
-            return {"plan": list(span["steps"]), "batch": span["batch"], "floor": span["floor"]}
+            planned = driver.make_rollout(now, RolloutRequest.decode(request["change"]))
+            return {
+                "plan": list(planned.steps),
+                "batch": planned.batch,
+                "floor": planned.minimum_available,
+            }
         if ask in ("admit", "dismiss"):
             there = request["name"] in self.record.body["members"]
             if there == (ask == "admit"):
                 return {"members": self.record.members(), "log": self.record.body["log"]}
-            if all(what.get("name") != request["name"] for _, what in driver.asked):
+            if not driver.is_member_change_queued(request["name"]):
                 if ask == "admit":
                     driver.admit(request["name"], request["by"])
                 else:
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -13,8 +13,9 @@
 
 import structlog
 
-from vetchford.fleet import failure_detector, fleet_rollout
+from vetchford.fleet import failure_detector
 from vetchford.fleet.coordinator import FleetCoordinator
+from vetchford.fleet.fleet_record import founding_record
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
 from vetchford.runtime.actor import Actor
@@ -84,7 +85,7 @@
             self, self.name, agents, seed + self.life, self.life * DENIALS, listed=True, now=now
         )
         self.across = FleetCoordinator(
-            self, self.name, seed, self.store, fleet_rollout.founding(sorted(agents)), now, self.life
+            self, self.name, seed, self.store, founding_record(sorted(agents)), now, self.life
         )
         for kind, name, body in kept:
             if kind in ("book", "orders"):
--- /dev/null
+++ b/vetchford/fleet/fleet_view.py
@@ -0,0 +1,102 @@
+"""What the leader has seen of the fleet's instances: the newest report of each agent. No I/O; times in ms.
+
+Only reports that were asked for a short while ago prove anything; an instance that is not seen counts as not
+serving.
+"""
+
+from collections.abc import Container, Iterable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple, TypedDict
+
+from vetchford.fleet.fleet_record import split_instance_key
+
+MAX_REPORT_AGE = 2000.0  # ms since it was asked for: eight polls; an older report proves nothing
+NEVER = -1e12  # ms: before any time of the clock
+
+
+class InstanceReport(TypedDict):
+    """One instance, in the words of the agents' reports."""
+
+    state: str
+    unseen: bool  # its process was not checked yet
+    group: str
+    version: str
+    declared: str  # the version of the settings
+    wanted: bool
+    change: str  # the id of the local rollout that it is in, or empty
+
+
+class AgentReport(TypedDict):
+    """What an agent reports."""
+
+    instances: dict[str, InstanceReport]
+    locals: dict[str, list[Any]]  # by attempt id: what became of it, see `AttemptResult`
+    versions: list[str]  # those that it has a command for
+
+
+class AttemptResult(NamedTuple):
+    """What became of a local rollout that an agent made of one step."""
+
+    state: str
+    reason: str
+    killed: list[str]
+
+    def is_going_on(self) -> bool:
+        """Not ended; one that paused, as its store failed, is ordered again."""
+        return self.state in ("running", "back", "paused")
+
+
+def empty_report() -> AgentReport:
+    """The report of an agent that has sent none."""
+    return {"instances": {}, "locals": {}, "versions": []}
+
+
+@dataclass(slots=True)
+class AgentView:
+    """What one agent reported last, and what it was ordered."""
+
+    requested_at: float = NEVER  # when the newest report that came was asked for
+    number: int = 0
+    report: AgentReport = field(default_factory=empty_report)
+    polled_at: float = NEVER
+    ordered_at: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
+
+    def result(self, attempt_id: str) -> AttemptResult | None:
+        """What became of an attempt; None where the agent has not begun it."""
+        reported = self.report["locals"].get(attempt_id)
+        return AttemptResult(*reported[:3]) if reported else None
+
+
+class FleetView:
+    """The reports of all members."""
+
+    def __init__(self, members: Iterable[str]) -> None:
+        """No member has reported yet."""
+        self.agents = {agent: AgentView() for agent in members}
+
+    def agent(self, name: str) -> AgentView:
+        """The view of a member, which may be a new one."""
+        return self.agents.setdefault(name, AgentView())
+
+    def forget_all_but(self, members: Container[str]) -> None:
+        """Drops agents that are no members any more."""
+        for agent in [agent for agent in self.agents if agent not in members]:
+            del self.agents[agent]
+
+    def is_fresh(self, now: float, agent: str) -> bool:
+        """Whether the newest report of an agent still proves something."""
+        return agent in self.agents and now - self.agents[agent].requested_at <= MAX_REPORT_AGE
+
+    def instance(self, key: str) -> InstanceReport | None:
+        """One instance as it was reported last, however long ago."""
+        name, agent = split_instance_key(key)
+        return self.agents[agent].report["instances"].get(name) if agent in self.agents else None
+
+    def fresh_instances(self, now: float) -> dict[str, InstanceReport]:
+        """The instances of all agents with a fresh report, by key."""
+        return {
+            f"{name}@{agent}": instance
+            for agent, view in sorted(self.agents.items())
+            if self.is_fresh(now, agent)
+            for name, instance in view.report["instances"].items()
+        }
