--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -5,9 +5,10 @@
 from typing import Any
 
 from testkit.simulation import agents
-from vetchford.fleet import coordinator, fleet_view
+from vetchford.fleet import fleet_view
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.consensus import ReplicatedRecord
+from vetchford.fleet.coordinator import FleetCoordinator
 
 
 @contextlib.contextmanager
@@ -36,7 +37,7 @@
     return put(
         (ReplicatedRecord, "on_append", unfenced(ReplicatedRecord.on_append, 0)),
         (ReplicatedRecord, "on_vote_request", unfenced(ReplicatedRecord.on_vote_request, 1)),
-        (coordinator.FleetCoordinator, "current", lambda self, sender, term: True),
+        (FleetCoordinator, "is_current_leader", lambda self, sender, term: True),
     )
 
 
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -12,7 +12,8 @@
 from vetchford.fleet.consensus import Role
 from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.fleet_record import ENDED_STATES, founding_record
-from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController, Terms
+from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.rollout import RefusedError, RolloutController, Terms
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
 SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
@@ -41,7 +42,7 @@
     def __init__(self, world, name, instances):
         self.world, self.name, self.instances = world, name, instances
         self.disk, self.old_disk, self.up, self.life, self.full = {}, {}, {}, 0, False
-        self.frozen_until, self.across, self.fleet, self.lives = 0.0, None, None, 0
+        self.frozen_until, self.coordinator, self.fleet, self.lives = 0.0, None, None, 0
         self.inbox = []  # what came while it was frozen
         self.acts, self.dies_at = 0, 0  # acts on its host so far, and the one at which it dies; 0: none
 
@@ -53,7 +54,7 @@
         self.disk.setdefault("store", f"{self.name}.{self.lives}")
         self.fleet = RolloutController(self)
         world = self.world
-        self.across = FleetCoordinator(
+        self.coordinator = FleetCoordinator(
             self,
             self.name,
             world.seed,
@@ -68,18 +69,18 @@
             if kind in ("instance", "change"):
                 self.fleet.restore(kind, name, copy.deepcopy(body))
             else:
-                self.across.restore(kind, name, copy.deepcopy(body))
+                self.coordinator.restore(kind, name, copy.deepcopy(body))
         for name in self.instances:
             self.fleet.found(world.now, name, self.up[name]["version"] if name in self.up else None)
 
     def end(self):
-        self.across = self.fleet = None
+        self.coordinator = self.fleet = None
         self.inbox.clear()
 
     def outlived(self):
         """Others knew a later life of it: its disk has lost promises, so it takes a new identity."""
-        self.across.record.replace_store(self.world.now, f"{self.name}.{self.lives}")
-        self.disk["store"] = self.across.record.store
+        self.coordinator.record.replace_store(self.world.now, f"{self.name}.{self.lives}")
+        self.disk["store"] = self.coordinator.record.store
 
     # -- hosts of the decisions
 
@@ -141,29 +142,12 @@
                 }
                 for one in fleet.instances.values()
             },
-            "locals": {
-                id: [change.state, change.why, list(change.killed)]
-                for id, change in fleet.changes.items()
-                if id.partition("/")[0] in known
-            },
+            "locals": step_results(fleet, known),
             "versions": ["v2", "bad"],
         }
 
-    def begin_step(self, act):
-        change = Rollout(
-            act["id"],
-            act["kind"],
-            [act["name"]],
-            version=act["version"],
-            soak=act["soak"],
-            on_failure="go_on",
-        )
-        try:
-            if self.fleet.ask(self.world.now, change).state == "paused":
-                self.fleet.resume(self.world.now, change.id)
-        except (RefusedError, OSError) as problem:
-            return str(problem)
-        return ""
+    def begin_step(self, step):
+        return begin_step(self.fleet, self.world.now, step)
 
     # -- time
 
@@ -188,12 +172,12 @@
                 if given[0] not in self.up:
                     self.fleet.exited(now, given[0], None)
             else:
-                self.across.heard(now, *given)
+                self.coordinator.receive(now, *given)
         for name in self.instances:
             if name in self.up:
                 self.fleet.checked(now, name, self.serves(name))
         self.fleet.woke(now)
-        self.across.woke(now)
+        self.coordinator.tick(now)
 
 
 class World:
@@ -252,12 +236,12 @@
 
     def arrive(self, sender, to, kind, body):
         machine = self.machines.get(to)
-        if machine is None or machine.across is None:
+        if machine is None or machine.coordinator is None:
             return
         if self.now < machine.frozen_until:
             machine.inbox.append(("heard", sender, kind, body))
         else:
-            machine.across.heard(self.now, sender, kind, body)
+            machine.coordinator.receive(self.now, sender, kind, body)
 
     # -- what must hold
 
@@ -344,7 +328,7 @@
             if up:
                 machine.up[up[0]]["ends"] = self.now
                 self.fallen[name, up[0], self.now] = self.now
-        elif machine.across is not None and self.now >= machine.frozen_until:
+        elif machine.coordinator is not None and self.now >= machine.frozen_until:
             if kind == "machine":  # with all that runs on it
                 for one in machine.instances:
                     if machine.serves(one):
@@ -360,7 +344,7 @@
             self.at(heals, self.restart, machine, kind)
 
     def restart(self, machine, kind):
-        if machine.across is not None:
+        if machine.coordinator is not None:
             return
         if kind == "old_disk":
             machine.disk = {
@@ -384,7 +368,7 @@
         self.slow.clear()
         for machine in self.machines.values():
             machine.frozen_until, machine.full = 0.0, False
-            if machine.across is None:
+            if machine.coordinator is None:
                 machine.begin()
 
     # -- what tools ask
@@ -392,10 +376,10 @@
     def request(self, agent, ask, **fields):
         """The answer goes to the returned list."""
         out, machine = [], self.machines[agent]
-        if machine.across is None or self.now < machine.frozen_until:
+        if machine.coordinator is None or self.now < machine.frozen_until:
             return out
         try:
-            self.run_guarded(machine.across.request, self.now, {"ask": ask, **fields}, out.append)
+            self.run_guarded(machine.coordinator.request, self.now, {"ask": ask, **fields}, out.append)
         except RefusedError as problem:
             out.append({"refused": str(problem)})
         return out
@@ -419,9 +403,9 @@
     def span(self, id):
         """The newest copy of it."""
         found = [
-            (m.across.record.version, m.across.record.body["spans"][id])
+            (m.coordinator.record.version, m.coordinator.record.body["spans"][id])
             for m in self.machines.values()
-            if m.across is not None and id in m.across.record.body["spans"]
+            if m.coordinator is not None and id in m.coordinator.record.body["spans"]
         ]
         return max(found, key=lambda one: one[0])[1] if found else None
 
@@ -441,7 +425,8 @@
         assert self.run(
             self.now + 30_000.0,
             lambda: any(
-                m.across is not None and m.across.record.role == Role.LEADER for m in self.machines.values()
+                m.coordinator is not None and m.coordinator.record.role == Role.LEADER
+                for m in self.machines.values()
             ),
         )
 
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -19,14 +19,19 @@
 def test_rolls_among_faults_end_and_break_nothing(seed):
     world = play(seed)
     assert not world.wrong()
-    assert world.ended("r1"), (world.span("r1"), [m.across.said for m in world.machines.values()])
+    assert world.ended("r1"), (
+        world.span("r1"),
+        [m.coordinator.wait_reasons for m in world.machines.values()],
+    )
     span = world.span("r1")
     for machine in world.machines.values():
         for name, process in machine.up.items():
             key = f"{name}@{machine.name}"
             if span["steps"][key] == "done" and not span["back"] and "leaving" not in process:
                 assert process["version"] == "v2", key
-        assert not machine.across.orders.by_rollout and not machine.across.jobs  # emptied as the change ended
+        assert (
+            not machine.coordinator.controls.by_rollout and not machine.coordinator.tool_requests.pending
+        )  # emptied as the change ended
 
 
 def test_one_seed_is_one_history():
@@ -49,7 +54,9 @@
 
 
 def drives(world, among=None):
-    return [name for name in among or world.names if world.machines[name].across.record.role == Role.LEADER]
+    return [
+        name for name in among or world.names if world.machines[name].coordinator.record.role == Role.LEADER
+    ]
 
 
 def split(world, side):
@@ -71,10 +78,10 @@
     assert span["state"] == "running" and {
         span["steps"][f"n{n}@{name}"] for n in range(4) for name in away
     } != {"done"}
-    said = world.machines[drives(world, side)[0]].across.said["r1"]
+    said = world.machines[drives(world, side)[0]].coordinator.wait_reasons["r1"]
     assert "proven to serve, the floor of r1 is 14" in said and away[0] in said
     out = []
-    world.machines[away[0]].across.request(
+    world.machines[away[0]].coordinator.request(
         world.now, {"ask": "span", "change": {"id": "r2", "kind": "restart", "targets": []}}, out.append
     )
     assert (
@@ -144,7 +151,7 @@
         assert world.run(world.now + 60_000.0, lambda w=world: w.ended("r1")), at
         assert world.span("r1")["state"] == "finished" and not world.wrong(), at
         assert {one["version"] for m in world.machines.values() for one in m.up.values()} == {"v2"}
-        if machine.acts - before < at and machine.across is not None and machine.lives == 1:
+        if machine.acts - before < at and machine.coordinator is not None and machine.lives == 1:
             break  # the roll was over before
     assert at > (60 if who == "driver" else 20)
 
@@ -173,11 +180,11 @@
     driver = drives(world)[0]
     deaf = next(name for name in world.names if name != driver)
     world.cut |= {(other, deaf) for other in world.names}
-    before = world.machines[driver].across.record.promised_term
+    before = world.machines[driver].coordinator.record.promised_term
     world.run(world.now + 60_000.0)
     world.heal()
     world.run(world.now + 10_000.0)
-    assert drives(world) == [driver] and world.machines[driver].across.record.promised_term == before
+    assert drives(world) == [driver] and world.machines[driver].coordinator.record.promised_term == before
 
 
 def test_a_pause_holds_at_once_on_its_side_and_wins_over_a_resume_that_did_not_know_of_it():
@@ -249,10 +256,10 @@
     gone = next(name for name in world.names if name != driver)
     world.machines[gone].end()
     world.run(world.now + 20_000.0)
-    assert gone in world.machines[driver].across.record.body["members"]  # silence changes no list
+    assert gone in world.machines[driver].coordinator.record.body["members"]  # silence changes no list
     out = world.request(driver, "dismiss", name=gone, by="ops")
     world.run(world.now + 5000.0)
-    body = world.machines[driver].across.record.body
+    body = world.machines[driver].coordinator.record.body
     assert (
         gone not in out[0]["members"]
         and gone not in body["voters"]
@@ -260,15 +267,15 @@
     )
     world.machines[gone].begin()
     world.run(world.now + 15_000.0)
-    back = world.machines[gone].across
+    back = world.machines[gone].coordinator
     assert (
         back.record.role == Role.FOLLOWER and gone not in back.record.body["members"]
     )  # it was told, and asks nobody
     world.request(driver, "admit", name=gone, by="ops")
     world.run(world.now + 8000.0)
     assert (
-        gone in world.machines[driver].across.record.body["voters"]
-        and world.machines[gone].across.record.leader == driver
+        gone in world.machines[driver].coordinator.record.body["voters"]
+        and world.machines[gone].coordinator.record.leader == driver
     )
 
 
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -161,7 +161,7 @@
             self.next_turn = time.monotonic() + TURN
             self.fleet.woke(self.now())
             if self.joined is not None:
-                self.joined.woke()
+                self.joined.tick()
         if time.monotonic() >= self.next_look:
             self.next_look = time.monotonic() + LOOK
             self.look_after()
@@ -430,7 +430,9 @@
         "agent_serving", socket=told["socket"], instances=len(told["instances"]), adopted=len(agent.ours)
     )
     if agent.joined is not None:
-        log.info("agent_joins", fleet=told["peers"]["fleet"], name=agent.joined.name, life=agent.joined.life)
+        log.info(
+            "agent_joins", fleet=told["peers"]["fleet"], name=agent.joined.name, life=agent.joined.incarnation
+        )
     while not leaving.wait(0.2):
         pass  # in short waits: a handler runs in this thread alone
     with contextlib.suppress(FileNotFoundError):  # somebody was sooner
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -1,11 +1,11 @@
-"""One agent's part in the fleet: it holds the record, obeys orders that are in force, and drives where it is
-to.
-
-Puts `consensus`, `fleet_rollout` and `rollout_controls` together. No I/O; times in ms, monotonic. What comes
-from other agents is taken as it comes: late, doubled, or from one that no longer drives. An order is carried
-out only
-- under the newest term that was promised here,
-- resting on a report that this agent itself sent GO ago at most, by its own clock, and
+"""One agent's part in its fleet: it has the record, obeys committed orders, and leads where it is elected.
+
+Connects `consensus`, `fleet_rollout`, `rollout_controls` and `tool_requests`. No I/O; times in ms, monotonic.
+The agent's thread alone calls it. Messages of other agents are taken as they come: late, doubled, or from one
+that no longer leads. An order is carried out only
+
+- under the highest term that this agent has voted in,
+- resting on a report that this agent itself sent MAX_ORDER_AGE ago at most, by its own clock, and
 - where no pause or abort that is known here stands against it.
 """
 
@@ -13,427 +13,299 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from vetchford.fleet.consensus import ReplicatedRecord, Role
-from vetchford.fleet.fleet_record import ENDED_STATES, FleetRecord, agent_of
+from vetchford.fleet.consensus import ReplicatedRecord
+from vetchford.fleet.consensus_messages import EncodedMessage, UnknownMessageError
+from vetchford.fleet.coordinator_messages import (
+    RECORD_KIND,
+    ControlsUpdate,
+    CoordinatorMessage,
+    ForwardedAnswer,
+    ForwardedRequest,
+    ReportRequest,
+    ReportResponse,
+    Step,
+    StepOrder,
+    decode_message,
+    encode_message,
+)
+from vetchford.fleet.fleet_record import ENDED_STATES, EncodedRecord, FleetRecord
 from vetchford.fleet.fleet_rollout import FleetRolloutController
-from vetchford.fleet.rollout import RefusedError
-from vetchford.fleet.rollout_controls import ABORT, PAUSE, RolloutControls
-from vetchford.fleet.rollout_request import RolloutRequest
-
-GO = 3000.0  # ms that a report of ours may be old when an order rests on it: six rounds of a busy site
-ANSWERS = 6000.0  # ms for a tool's request: a new driver is found in less
-LOOKS = 3000.0  # ms of that for agents that a change names to be seen: three idle polls
-ASKS_AGAIN = 1000.0  # ms until a request is passed on once more
-REPORTS = 16  # numbers of our reports that are known; older ones are over GO
-MOST_JOBS = 256  # requests of tools at once; more are refused
-ASLEEP = 1500.0  # ms between two calls of `woke` after which we were stopped, not busy
+from vetchford.fleet.fleet_view import AgentReport
+from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
+from vetchford.fleet.tool_requests import Answer, ToolRequests
 
-Body = dict[str, Any]
+MAX_ORDER_AGE = 3000.0  # ms since the report that an order rests on: six rounds of a busy site
+MAX_KNOWN_REPORTS = 16  # numbers of our reports; older ones are over MAX_ORDER_AGE
+STOPPED_AFTER = 1500.0  # ms between two ticks after which this process was stopped, not busy
 
+RECORD_NAME = "newest"  # under which the store has the record
+CONTROLS_KIND = "orders"  # of the store's records of controls
 
-class Host(Protocol):
-    """What the decisions act through."""
 
-    def post(self, to: str, kind: str, body: Body) -> bool:
-        """A message to another agent; False where it is known not to go."""
+class CoordinatorActions(Protocol):
+    """What the coordinator acts through."""
 
-    def keep(self, kind: str, name: str, body: Body | None) -> None:
-        """Durable before it returns; OSError where the store can't."""
+    def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
+        """Sends a message to another agent; False where it is known not to go."""
 
-    def report(self, spans: set[str]) -> Body:
-        """What there is here: instances, the changes made for these spans, versions."""
+    def keep(self, kind: str, name: str, body: Any) -> None:
+        """Stores a record, or drops it for None; durable before it returns. OSError where the store fails."""
 
-    def begin_step(self, act: Body) -> str:
-        """Begins a change over one instance; empty, or why not. The same id again is the same change."""
+    def report(self, rollouts: set[str]) -> AgentReport:
+        """This agent's instances, the local rollouts made for `rollouts`, and the versions that it knows."""
 
-    def note(self, event: str, **fields: Any) -> None: ...
+    def begin_step(self, step: Step) -> str:
+        """Starts a local rollout over one instance; empty, or why not. The same id again is the same one."""
 
-
-class Job:
-    """A tool's request that only the driver can answer."""
-
-    def __init__(self, request: Body, now: float, reply: Callable[[Body], None]) -> None:
-        self.request, self.since, self.reply, self.sent_at = request, now, reply, -1e12
-        self.until = now + ANSWERS
+    def note(self, event: str, **fields: Any) -> None:
+        """A log event."""
 
 
 class FleetCoordinator:
-    """The decisions of one agent about its fleet."""
+    """The decisions of one agent about its fleet; acts for the record and for the controller."""
 
     def __init__(
-        self, host: Host, name: str, seed: int, store: str, founding: Body, now: float, life: int
+        self,
+        actions: CoordinatorActions,
+        name: str,
+        seed: int,
+        store: str,
+        founding: EncodedRecord,
+        now: float,
+        incarnation: int,
     ) -> None:
-        self.host, self.name, self.life = host, name, life
+        """`store`: the identity of the agent's store; `incarnation`: counts its starts."""
+        self.actions, self.name, self.incarnation = actions, name, incarnation
         self.record = ReplicatedRecord(self, name, seed, store, founding, now)
-        self.orders = RolloutControls(name)
-        self.driver: FleetRolloutController | None = None  # while we drive
-        self.reports: dict[int, float] = {}  # when each was sent; the oldest go
-        self.polls: dict[int, float] = {}  # when each was asked for; emptied as they come or grow old
-        self.jobs: dict[int, Job] = {}  # emptied by answers and their time
-        self.said: dict[str, str] = {}  # why spans wait, as the driver told last
-        self.known: set[str] = set()  # spans of the record that have not ended
-        self.numbers, self.woken = 0, now
-
-    def restore(self, kind: str, name: str, body: Body) -> None:
-        if kind == "book":
+        self.controls = RolloutControls(name)
+        self.controller: FleetRolloutController | None = None  # while this agent leads
+        self.tool_requests = ToolRequests(self)
+        self.reports_sent_at: dict[int, float] = {}  # by number; the oldest go
+        self.polls_sent_at: dict[int, float] = {}  # by number; removed as they are answered or grow old
+        self.wait_reasons: dict[str, str] = {}  # of rollouts, as the leader told last
+        self.unfinished: set[str] = set()  # rollouts of the record that have not ended
+        self.last_tick_at = now
+
+    def restore(self, kind: str, name: str, body: Any) -> None:
+        """One stored record, at the start of the agent."""
+        if kind == RECORD_KIND:
             self.record.restore(body)
-            self.learn()
-        elif kind == "orders":
-            self.orders.by_rollout[name] = body
-
-    def unended(self) -> set[str]:
-        return {id for id, span in self.record.body["spans"].items() if span["state"] not in ENDED_STATES}
+            self.learn_from_record()
+        elif kind == CONTROLS_KIND:
+            self.controls.by_rollout[name] = body
 
     # -- time
 
-    def woke(self, now: float) -> None:
-        gap, self.woken = now - self.woken, now
-        if gap > ASLEEP:
-            self.host.note("was_stopped", ms=round(gap))
+    def tick(self, now: float) -> None:
+        """Called about ten times a second."""
+        gap, self.last_tick_at = now - self.last_tick_at, now
+        if gap > STOPPED_AFTER:
+            self.actions.note("was_stopped", ms=round(gap))
             self.record.on_process_stopped(now, gap)
         self.record.tick(now)
-        if self.driver is not None:
-            self.driver.tick(now)
-        for number in [number for number, at in self.polls.items() if now - at > GO]:
-            del self.polls[number]
-        for ref, job in list(self.jobs.items()):
-            self.try_job(now, ref, job)
+        if self.controller is not None:
+            self.controller.tick(now)
+        for number in [number for number, at in self.polls_sent_at.items() if now - at > MAX_ORDER_AGE]:
+            del self.polls_sent_at[number]
+        self.tool_requests.tick(now)
 
     # -- actions of the replicated record
 
-    def send_to_record(self, to: str, message: Body) -> None:
-        self.host.post(to, "book", message)
+    def send_to_record(self, to: str, message: EncodedMessage) -> None:
+        """Sends a message to the record of another agent."""
+        self.actions.post(to, RECORD_KIND, message)
 
-    def save_record(self, stored: Body) -> None:
-        self.host.keep("book", "newest", stored)
+    def save_record(self, stored: dict[str, Any]) -> None:
+        """Stores the record; OSError where the store fails."""
+        self.actions.keep(RECORD_KIND, RECORD_NAME, stored)
 
     def on_elected(self, now: float) -> None:
-        self.driver = FleetRolloutController(self, self.name, self.record.body, self.orders)
-        self.driver.tick(now)
+        """This agent leads from now on."""
+        self.controller = FleetRolloutController(self, self.name, self.record.body, self.controls)
+        self.controller.tick(now)
 
     def on_committed(self, now: float) -> None:
-        self.learn()  # first: a pause that stands in the record is an order from now on
-        if self.driver is not None:
-            self.driver.on_committed(now, self.record.body)
+        """Learns first: a pause that stands in the record is a control from now on."""
+        self.learn_from_record()
+        if self.controller is not None:
+            self.controller.on_committed(now, self.record.body)
 
     def on_deposed(self, now: float, why: str) -> None:
-        self.driver = None
-        self.polls.clear()
+        """This agent no longer leads."""
+        self.controller = None
+        self.polls_sent_at.clear()
 
     def on_appended(self, now: float) -> None:
-        self.learn()
-
-    def learn(self) -> None:
-        """What the record that is held says of changes: which there are, and the pauses that stand in it."""
-        self.known = self.unended()
-        for id in self.known:
-            halts = self.record.body["spans"][id]["halts"]
-            if halts:
-                self.orders.merge({id: {"halts": halts, "lifted": []}}, self.known)
-        for change in self.orders.forget_all_but(self.known):
-            self.said.pop(change, None)
-            with contextlib.suppress(OSError):  # it stays on the disk, of a change that is no more
-                self.host.keep("orders", change, None)
+        """The record may be a newer one."""
+        self.learn_from_record()
+
+    def learn_from_record(self) -> None:
+        """Takes in which rollouts there are and the pauses that stand in them."""
+        rollouts = self.record.body["spans"]
+        self.unfinished = {id for id, rollout in rollouts.items() if rollout["state"] not in ENDED_STATES}
+        for id in self.unfinished:
+            pauses = rollouts[id]["halts"]
+            if pauses:
+                self.controls.merge({id: {"halts": pauses, "lifted": []}}, self.unfinished)
+        for id in self.controls.forget_all_but(self.unfinished):
+            self.wait_reasons.pop(id, None)
+            with contextlib.suppress(OSError):  # it stays on the disk, of a rollout that has ended
+                self.actions.keep(CONTROLS_KIND, id, None)
 
     def note(self, event: str, **fields: Any) -> None:
-        self.host.note(event, **fields)
+        """A log event of the record or the controller."""
+        self.actions.note(event, **fields)
 
-    # -- the driver's host
+    # -- actions of the controller
 
     def poll(self, agent: str, number: int) -> None:
-        if self.driver is None:
+        """Asks a member, perhaps this agent, for a report."""
+        if self.controller is None:
             return  # deposed by what an earlier answer of this round led to
-        self.polls[number] = self.woken
-        word = {
-            "number": number,
-            "term": self.record.campaign_term,
-            "orders": self.orders.by_rollout,
-            "said": self.driver.wait_reasons,
-        }
+        self.polls_sent_at[number] = self.last_tick_at
+        request = ReportRequest(
+            number,
+            self.record.campaign_term,
+            self.controls.encoded(),
+            self.controller.wait_reasons,
+        )
         if agent == self.name:
-            self.on_look(self.woken, self.name, word)
+            self.on_report_request(self.last_tick_at, self.name, request)
         else:
-            self.host.post(agent, "look", word)
+            self.send(agent, request)
 
-    def order(self, agent: str, number: int, act: Body) -> None:
-        if self.driver is None:
+    def order(self, agent: str, number: int, step: Step) -> None:
+        """Orders a member, perhaps this agent, to carry out a committed step."""
+        if self.controller is None:
             return
-        word = {
-            "number": number,
-            "term": self.record.campaign_term,
-            "revision": self.record.committed[1],
-            "act": act,
-        }
+        order = StepOrder(number, self.record.campaign_term, self.record.committed[1], step)
         if agent == self.name:
-            self.on_order(self.woken, self.name, word)
+            self.on_step_order(self.last_tick_at, self.name, order)
         else:
-            self.host.post(agent, "order", word)
+            self.send(agent, order)
 
-    def propose(self, now: float, body: Body) -> bool:
+    def propose(self, now: float, body: EncodedRecord) -> bool:
+        """Proposes the next record."""
         return self.record.propose(now, body)
 
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
+        """A voter to list in a record, and its store's identity."""
         return self.record.find_voter_update(record.voters, record.members)
 
-    # -- words of other agents
-
-    def heard(self, now: float, sender: str, kind: str, body: Body) -> None:
-        act = {
-            "book": self.record.receive,
-            "look": self.on_look,
-            "seen": self.on_seen,
-            "order": self.on_order,
-            "orders": self.on_orders,
-            "ask": self.on_ask,
-            "told": self.on_told,
-        }.get(kind)
-        if act is None:
-            self.host.note("peer_unknown_word", sender=sender, kind=kind)
+    # -- messages of other agents
+
+    def send(self, to: str, message: CoordinatorMessage) -> None:
+        """Sends a message to the coordinator of another agent; it may be lost."""
+        self.actions.post(to, message.KIND, encode_message(message))
+
+    def receive(self, now: float, sender: str, kind: str, body: Any) -> None:
+        """A message of another agent; MalformedMessageError and its like where it can't be read."""
+        if kind == RECORD_KIND:
+            self.record.receive(now, sender, body)
+            return
+        try:
+            message = decode_message(sender, kind, body)
+        except UnknownMessageError:
+            self.actions.note("peer_unknown_word", sender=sender, kind=kind)
             return
-        act(now, sender, body)
-
-    def current(self, sender: str, term: int) -> bool:
-        """Whether it drives under the newest term that was promised here."""
-        return term == self.record.promised_term and (sender == self.name or sender == self.record.leader)
-
-    def on_look(self, now: float, sender: str, word: Body) -> None:
-        if not self.current(sender, word["term"]):
-            return  # a message of the replicated record tells it
-        self.said = dict(word["said"])
-        self.take_orders(word["orders"])
-        self.reports[word["number"]] = now
-        while len(self.reports) > REPORTS:
-            del self.reports[next(iter(self.reports))]
-        report = {
-            "number": word["number"],
-            "term": word["term"],
-            "report": self.host.report(self.known),
-            "orders": self.orders.by_rollout,
-        }
+        match message:
+            case ReportRequest():
+                self.on_report_request(now, sender, message)
+            case ReportResponse():
+                self.on_report_response(now, sender, message)
+            case StepOrder():
+                self.on_step_order(now, sender, message)
+            case ControlsUpdate():
+                self.merge_controls(message.controls)
+            case ForwardedRequest():
+                self.tool_requests.on_forwarded_request(now, sender, message)
+            case ForwardedAnswer():
+                self.tool_requests.on_forwarded_answer(sender, message)
+
+    def is_current_leader(self, sender: str, term: int) -> bool:
+        """Whether it leads in the highest term that this agent has voted in."""
+        return term == self.record.promised_term and sender in (self.name, self.record.leader)
+
+    def on_report_request(self, now: float, sender: str, message: ReportRequest) -> None:
+        """Reports to the leader; one that was deposed learns so from the record's messages."""
+        if not self.is_current_leader(sender, message.term):
+            return
+        self.wait_reasons = dict(message.wait_reasons)
+        self.merge_controls(message.controls)
+        self.reports_sent_at[message.number] = now
+        while len(self.reports_sent_at) > MAX_KNOWN_REPORTS:
+            del self.reports_sent_at[next(iter(self.reports_sent_at))]
+        report: Any = self.actions.report(self.unfinished)
+        response = ReportResponse(message.number, message.term, report, self.controls.encoded())
         if sender == self.name:
-            self.on_seen(now, self.name, report)
+            self.on_report_response(now, self.name, response)
         else:
-            self.host.post(sender, "seen", report)
+            self.send(sender, response)
 
-    def on_seen(self, now: float, sender: str, word: Body) -> None:
-        asked = self.polls.pop(word["number"], None)
-        if self.driver is None or asked is None or word["term"] != self.record.campaign_term:
+    def on_report_response(self, now: float, sender: str, message: ReportResponse) -> None:
+        """A report that was asked for in this term."""
+        requested_at = self.polls_sent_at.pop(message.number, None)
+        if self.controller is None or requested_at is None or message.term != self.record.campaign_term:
             return
-        self.take_orders(word["orders"])
-        self.driver.receive_report(now, sender, word["number"], asked, word["report"])
-
-    def on_order(self, now: float, sender: str, word: Body) -> None:
-        act = word["act"]
-        sent = self.reports.get(word["number"])
-        stands, why = self.orders.active(act["span"])
-        refused = ""
-        if not self.current(sender, word["term"]):
-            refused = f"term {word['term']} of {sender}, promised {self.record.promised_term}"
-        elif sent is None or now - sent > GO:
-            refused = "it rests on a report that is old"
-        elif stands:
-            refused = f"{stands}: {why}"
-        if not refused:
-            refused = self.host.begin_step(act)
-        if refused:
-            self.host.note("order_refused", span=act["span"], instance=act["name"], why=refused)
+        self.merge_controls(message.controls)
+        report: Any = message.report
+        self.controller.receive_report(now, sender, message.number, requested_at, report)
+
+    def on_step_order(self, now: float, sender: str, order: StepOrder) -> None:
+        """Carries out a step, or logs why not."""
+        step = order.step
+        refusal = self.find_refusal(now, sender, order) or self.actions.begin_step(step)
+        if refusal:
+            self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
-        self.host.note(
+        self.actions.note(
             "order_done",
-            span=act["span"],
-            instance=act["name"],
-            step=act["id"],
-            kind=act["kind"],
-            term=word["term"],
-            revision=word["revision"],
+            span=step.rollout_id,
+            instance=step.name,
+            step=step.id,
+            kind=step.kind,
+            term=order.term,
+            revision=order.revision,
             driver=sender,
         )
 
-    def on_orders(self, now: float, sender: str, word: Body) -> None:
-        self.take_orders(word["orders"])
-
-    def take_orders(self, theirs: Body) -> None:
-        for change in self.orders.merge(theirs, self.known):
-            self.keep_orders(change)
-
-    def keep_orders(self, change: str) -> None:
+    def find_refusal(self, now: float, sender: str, order: StepOrder) -> str:
+        """Why an order must not be carried out; empty where it may."""
+        if not self.is_current_leader(sender, order.term):
+            return f"term {order.term} of {sender}, promised {self.record.promised_term}"
+        report_sent_at = self.reports_sent_at.get(order.number)
+        if report_sent_at is None or now - report_sent_at > MAX_ORDER_AGE:
+            return "it rests on a report that is old"
+        control = self.controls.active(order.step.rollout_id)
+        return f"{control.kind}: {control.reason}" if control.kind else ""
+
+    # -- controls
+
+    def merge_controls(self, theirs: dict[str, EncodedControls]) -> None:
+        """Takes in another agent's controls, and stores what is new."""
+        for rollout_id in self.controls.merge(theirs, self.unfinished):
+            self.save_controls(rollout_id)
+
+    def save_controls(self, rollout_id: str) -> None:
+        """Stores the controls of one rollout; they are obeyed also where the store fails."""
         try:
-            self.host.keep("orders", change, self.orders.of(change))
-        except OSError as problem:  # obeyed all the same; others keep it too
-            self.host.note("orders_not_kept", problem=str(problem))
+            self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.of(rollout_id))
+        except OSError as problem:  # other agents keep it too
+            self.actions.note("orders_not_kept", problem=str(problem))
+
+    def share_controls(self, rollout_id: str) -> None:
+        """Stores the controls of one rollout, and sends them to all members."""
+        self.save_controls(rollout_id)
+        update = ControlsUpdate({rollout_id: self.controls.of(rollout_id)})
+        for agent in self.record.body["members"]:
+            if agent != self.name:
+                self.send(agent, update)
 
     # -- tools
 
-    def request(self, now: float, request: Body, reply: Callable[[Body], None]) -> None:
-        """`reply` is called once, now or within ANSWERS."""
-        ask = request["ask"]
-        if ask in ("pause", "resume", "abort"):
-            reply(self.on_halt(ask, request["id"]))
-        elif ask == "find":
-            reply(self.told_of(now, request["id"]))
-        elif ask == "peers":
-            reply({"book": self.record.status(), "log": self.record.body["log"]})
-        elif len(self.jobs) >= MOST_JOBS:
-            raise RefusedError(f"{MOST_JOBS} requests wait already")
-        else:
-            self.numbers += 1
-            self.jobs[self.numbers] = Job(request, now, reply)
-            self.try_job(now, self.numbers, self.jobs[self.numbers])
-
-    def on_halt(self, ask: str, id: str) -> Body:
-        if id not in self.known:
-            known = self.record.body["spans"].get(id)
-            raise RefusedError(
-                f"change {id} is {known['state']}" if known else f"no change {id} is known here"
-            )
-        if ask == "resume":
-            lifted = self.orders.resume(id)
-            if not lifted:
-                raise RefusedError(f"change {id} has no pause that is known here")
-        else:
-            self.numbers += 1
-            kind = ABORT if ask == "abort" else PAUSE
-            if not self.orders.add(id, kind, "asked to", f"{self.life}.{self.numbers}"):
-                raise RefusedError(f"change {id} has too many pauses; abort it")
-        self.keep_orders(id)
-        for agent in self.record.body["members"]:
-            if agent != self.name:
-                self.host.post(agent, "orders", {"orders": {id: self.orders.of(id)}})
-        stands = self.orders.active(id)[0]
-        return {
-            "id": id,
-            "state": {"": "running", PAUSE: "paused", ABORT: "aborted"}[stands],
-            "why": self.orders.active(id)[1],
-            "obeyed_by": self.name,
-            "driver": self.seen_driver(),
-        }
-
-    def seen_driver(self) -> str:
-        return self.name if self.record.role == Role.LEADER else self.record.leader
-
-    def told_of(self, now: float, id: str) -> Body:
-        span = self.record.body["spans"].get(id)
-        if span is None:
-            raise RefusedError(f"no change {id} is known here")
-        quiet = now - self.record.leader_heard_at if self.record.role != Role.LEADER else 0.0
-        stands, why = self.orders.active(id)
-        state = "paused" if stands == PAUSE and span["state"] == "running" else span["state"]
-        return {
-            **span,
-            "state": state,
-            "why": span["why"] or why,
-            "waits": self.said.get(id, ""),
-            "driver": self.seen_driver(),
-            "driver_heard_ms": round(quiet),
-            "term": self.record.version[0],
-            "revision": self.record.version[1],
-            "told_by": self.name,
-        }
-
-    def try_job(self, now: float, ref: int, job: Job) -> None:
-        if self.driver is not None:
-            answer = self.safely(now, job.request, now - job.since)
-            if answer is not None:
-                self.done(ref, answer)
-                return
-        elif self.record.leader and now - job.sent_at >= ASKS_AGAIN:
-            job.sent_at = now
-            word = {"ref": ref, "request": job.request, "waited": now - job.since}
-            self.host.post(self.record.leader, "ask", word)
-        if now >= job.until:
-            if job.request["ask"] == "all":
-                self.done(ref, self.alone())
-                return
-            voters, driver = sorted(self.record.voters()), self.seen_driver()
-            self.done(
-                ref,
-                {
-                    "refused": f"nobody drives that can be seen from {self.name}: a majority of "
-                    f"{', '.join(voters)} is needed"
-                    if not driver
-                    else f"{driver} drives, and it is not in force yet; the same command with --id asks again"
-                },
-            )
-
-    def done(self, ref: int, answer: Body) -> None:
-        self.jobs.pop(ref).reply(answer)
-
-    def alone(self) -> Body:
-        """What can be told without the one that drives."""
-        mine = self.host.report(self.known)["instances"]
-        return {
-            "instances": {f"{name}@{self.name}": one for name, one in mine.items()},
-            "driver": "",
-            "unknown": [agent for agent in self.record.members() if agent != self.name],
-            "spans": self.listed(),
-        }
-
-    def listed(self) -> list[Body]:
-        return [
-            {key: span[key] for key in ("id", "kind", "state", "why")}
-            | {"waits": self.said.get(span["id"], "")}
-            for span in self.record.body["spans"].values()
-        ]
-
-    def safely(self, now: float, request: Body, waited: float) -> Body | None:
-        """What tools send is theirs: it may refuse them, and nothing more."""
-        try:
-            return self.answer(now, request, waited)
-        except RefusedError as problem:
-            return {"refused": str(problem)}
-        except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            return {"refused": f"a malformed command: {type(problem).__name__}: {problem}"}
-
-    def answer(self, now: float, request: Body, waited: float) -> Body | None:
-        """As the one that drives; None while it is not in force, or not seen enough; `waited`: ms so far."""
-        assert self.driver is not None
-        driver, ask = self.driver, request["ask"]
-        unknown = [agent for agent in self.record.members() if not driver.view.is_fresh(now, agent)]
-        if ask in ("all", "span", "plan") and unknown and now - driver.started_at < GO:
-            return None  # it has just begun to look
-        if ask in ("span", "plan") and waited < LOOKS:
-            touched = {agent_of(key) for key in request["change"]["targets"]}
-            if touched & set(unknown):
-                return None  # one that has just come back is seen with the next report
-        if ask == "all":
-            return {
-                "instances": driver.view.fresh_instances(now),
-                "unknown": unknown,
-                "driver": self.name,
-                "spans": self.listed(),
-            }
-        if ask == "span":
-            rollout_request = RolloutRequest.decode(request["change"])
-            is_known = driver.request_rollout(now, rollout_request)
-            return self.told_of(now, rollout_request.id) if is_known else None
-        if ask == "plan":
-            planned = driver.make_rollout(now, RolloutRequest.decode(request["change"]))
-            return {
-                "plan": list(planned.steps),
-                "batch": planned.batch,
-                "floor": planned.minimum_available,
-            }
-        if ask in ("admit", "dismiss"):
-            there = request["name"] in self.record.body["members"]
-            if there == (ask == "admit"):
-                return {"members": self.record.members(), "log": self.record.body["log"]}
-            if not driver.is_member_change_queued(request["name"]):
-                if ask == "admit":
-                    driver.admit(request["name"], request["by"])
-                else:
-                    driver.dismiss(now, request["name"], request["by"])
-            return None
-        raise RefusedError(f"'{ask}' is none that is known")
-
-    def on_ask(self, now: float, sender: str, word: Body) -> None:
-        """Another agent passes on what its tool asks."""
-        if self.driver is None:
-            return  # it asks whoever drives, again
-        ref = word["ref"]
-        answer = self.safely(now, word["request"], float(word["waited"]))
-        if answer is not None:
-            self.host.post(sender, "told", {"ref": ref, "answer": answer})
-
-    def on_told(self, now: float, sender: str, word: Body) -> None:
-        if word["ref"] in self.jobs and sender == self.record.leader:
-            self.done(word["ref"], word["answer"])
+    def request(self, now: float, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
+        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT`.
+
+        RefusedError for one that is refused at once.
+        """
+        self.tool_requests.request(now, request, reply)
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -1,8 +1,8 @@
-"""An agent's place among other agents, on sockets: carries `coordinator` and `failure_detector` over links.
+"""The transport adapter of an agent's fleet: connects `coordinator` and `failure_detector` to sockets.
 
-Lives on the agent's thread. What it keeps in the agent's store: its own life and the identity of the store
-("self"), the lives of others that it has heard of ("peer"), the fleet's record ("book") and orders
-("orders").
+Lives on the agent's thread, which alone calls it. In the agent's store it keeps this agent's incarnation and
+the identity of the store ("self"), the incarnations of others that it has heard of ("peer"), the fleet's
+record ("book") and the controls of rollouts ("orders").
 """
 
 import random
@@ -13,11 +13,15 @@
 
 import structlog
 
-from vetchford.fleet import failure_detector
-from vetchford.fleet.coordinator import FleetCoordinator
+from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
+from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
+from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
 from vetchford.fleet.fleet_record import founding_record
+from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.history_store import Store
-from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
+from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.rollout import RolloutController
+from vetchford.fleet.tool_requests import Answer
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -27,16 +31,18 @@
 
 log = structlog.get_logger()
 
-DENIALS = 1 << 20  # incarnations within one life, for suspicions denied: one a second lasts twelve days
-DISPUTED = 5  # lives begun in a minute because others knew a later one: then two machines have this name
-PROVOKED = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
-WORDS = {
-    failure_detector.ALIVE: "there",
-    failure_detector.SUSPECT: "may be there",
-    failure_detector.DEAD: "not seen",
-}
+REFUTATIONS_PER_INCARNATION = 1 << 20  # numbers for suspicions that are denied: one a second lasts 12 days
+DISPUTE_WINDOW = 60_000.0  # ms
+MAX_INCARNATIONS_RAISED = 5  # in that window, as others knew a later one: then two machines have this name
 
-Body = dict[str, Any]
+# What other agents can provoke is logged ever more rarely.
+SAMPLED_EVENTS = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
+STATE_SHOWN = {
+    ALIVE: "there",
+    SUSPECT: "may be there",
+    DEAD: "not seen",
+}
+STORED_SELF, STORED_PEER = "self", "peer"
 
 
 class Owner(Protocol):
@@ -49,205 +55,240 @@
 
 
 class CoordinatorActor:
-    """Begun by `begin`; `woke` comes from the agent's turns."""
-
-    def __init__(self, actor: Actor, owner: Owner, told: dict[str, Any], metrics: Metrics) -> None:
-        """`told`: the record `peers` of the settings. OSError where its address can't be had."""
-        self.owner, self.told, self.metrics, self.name = owner, told, metrics, told["name"]
-        kept = owner.store.all()
-        mine = next(
-            (body for kind, _, body in kept if kind == "self"), {"life": 0, "store": uuid.uuid4().hex}
-        )
-        self.life, self.store = mine["life"] + 1, mine["store"]
-        self.nonce = random.SystemRandom().getrandbits(62)
-        self.keep_self()
-        self.raised: list[float] = []  # when a later life of ours was told of; a minute's
-        agents: dict[str, str] = told["agents"]
-        seed = zlib.crc32(told["fleet"].encode())
-        now = self.now()
-        self.talk = Transport(
+    """An agent's membership in its fleet; `start` opens it, the agent's turns call `tick`."""
+
+    def __init__(self, actor: Actor, owner: Owner, settings: dict[str, Any], metrics: Metrics) -> None:
+        """`settings`: the record `peers`. OSError where its address can't be had or the store fails."""
+        self.owner, self.settings, self.metrics = owner, settings, metrics
+        self.name: str = settings["name"]
+        stored = owner.store.all()
+        self.incarnation, self.store_identity = next_incarnation(stored)
+        self.nonce = draw_nonce()
+        self.save_self()
+        self.incarnation_raised_at: list[float] = []  # within DISPUTE_WINDOW
+        agents: dict[str, str] = settings["agents"]
+        seed, now = zlib.crc32(settings["fleet"].encode()), self.now()
+        self.transport = Transport(
             actor,
             self,
             metrics,
-            told["fleet"],
+            settings["fleet"],
             self.name,
-            told["listen"],
+            settings["listen"],
             agents,
             seed,
-            self.life,
+            self.incarnation,
             self.nonce,
         )
-        for kind, name, body in kept:
-            if kind == "peer" and name in self.talk.decide.peers:
-                peer = self.talk.decide.peers[name]
-                peer.life, peer.nonce = body["life"], body["nonce"]
-        self.views = failure_detector.FailureDetector(
-            self, self.name, agents, seed + self.life, self.life * DENIALS, listed=True, now=now
+        self.failure_detector = FailureDetector(
+            self,
+            self.name,
+            agents,
+            seed + self.incarnation,
+            self.detector_incarnation(),
+            listed=True,
+            now=now,
         )
-        self.across = FleetCoordinator(
-            self, self.name, seed, self.store, founding_record(sorted(agents)), now, self.life
+        self.coordinator = FleetCoordinator(
+            self,
+            self.name,
+            seed,
+            self.store_identity,
+            founding_record(list(agents)),
+            now,
+            self.incarnation,
         )
-        for kind, name, body in kept:
-            if kind in ("book", "orders"):
-                self.across.restore(kind, name, body)
+        self.restore(stored)
+
+    def restore(self, stored: list[tuple[str, str, dict[str, Any]]]) -> None:
+        """Takes in what the store has of earlier incarnations."""
+        peers = self.transport.decide.peers
+        for kind, name, body in stored:
+            if kind == STORED_PEER and name in peers:
+                peers[name].life, peers[name].nonce = body["life"], body["nonce"]
+            elif kind in (RECORD_KIND, CONTROLS_KIND):
+                self.coordinator.restore(kind, name, body)
 
     def start(self) -> None:
-        self.talk.start()
+        """Begins to accept and to read; the transport starts its threads."""
+        self.transport.start()
 
     def now(self) -> float:
+        """Monotonic, in ms."""
         return clock.now()
 
-    def woke(self) -> None:
+    def tick(self) -> None:
+        """Called about ten times a second."""
         now = self.now()
-        self.talk.woke()
-        self.views.woke(now)
-        self.across.woke(now)
+        self.transport.woke()
+        self.failure_detector.woke(now)
+        self.coordinator.tick(now)
+
+    def save_self(self) -> None:
+        """Stores this agent's incarnation; OSError where the store fails."""
+        body = {"life": self.incarnation, "store": self.store_identity}
+        self.owner.store.put(STORED_SELF, "life", body)
 
-    def keep_self(self) -> None:
-        self.owner.store.put("self", "life", {"life": self.life, "store": self.store})
+    def detector_incarnation(self) -> int:
+        """The failure detector's first incarnation in this one of the agent: above all earlier ones."""
+        return self.incarnation * REFUTATIONS_PER_INCARNATION
 
-    # -- what `talk` brings
+    # -- what the transport brings
 
     def word(self, peer: str, kind: str, body: Any) -> None:
+        """A message of another agent."""
         try:
-            self.across.heard(self.now(), peer, kind, body)
+            self.coordinator.receive(self.now(), peer, kind, body)
         except MALFORMED as problem:
-            self.metrics.log_sampled(
-                "peer_malformed", peer=peer, kind=kind, problem=f"{type(problem).__name__}: {problem}"
-            )
+            text = f"{type(problem).__name__}: {problem}"
+            self.metrics.log_sampled("peer_malformed", peer=peer, kind=kind, problem=text)
 
     def datagram(self, peer: str, body: Any) -> None:
+        """A message of another agent's failure detector."""
         try:
-            kind, number, about, news = body
-            pieces = [(str(name), str(state), int(at)) for name, state, at in news]
-            self.views.heard(self.now(), peer, str(kind), int(number), str(about), pieces)
+            kind, number, about, encoded = body
+            updates = [(str(name), str(state), int(at)) for name, state, at in encoded]
+            self.failure_detector.heard(self.now(), peer, str(kind), int(number), str(about), updates)
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
     def linked(self, peer: str, state: str) -> None:
+        """A stream has changed its state."""
         if state == UP:
             log.info("peer_up", peer=peer)
 
     def met(self, peer: str, life: int, nonce: int) -> None:
+        """Another agent has a new incarnation."""
         try:
-            self.owner.store.put("peer", peer, {"life": life, "nonce": nonce})
+            self.owner.store.put(STORED_PEER, peer, {"life": life, "nonce": nonce})
         except OSError as problem:  # it is known until our own end
             self.metrics.log_sampled("peer_not_kept", problem=str(problem))
 
     def outlived(self, life: int, nonce: int) -> None:
-        """Somebody knows a later life of our name: our store is an old copy or empty, or the name is used
-        twice.
+        """Another agent knows a later incarnation of our name.
+
+        Our store is an old copy or empty, or two machines use the name.
         """
         now = self.now()
-        self.raised = [at for at in self.raised if now - at < 60_000.0]
-        if len(self.raised) >= DISPUTED:
+        recent = [at for at in self.incarnation_raised_at if now - at < DISPUTE_WINDOW]
+        self.incarnation_raised_at = recent
+        if len(recent) >= MAX_INCARNATIONS_RAISED:
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
-        self.raised.append(now)
-        before = self.life, self.store
-        self.life, self.nonce = max(life, self.life) + 1, random.SystemRandom().getrandbits(62)
-        # What the store promised may be lost: its word counts once it is listed anew.
-        self.across.record.replace_store(self.now(), uuid.uuid4().hex)
-        self.store = self.across.record.store
+        recent.append(now)
+        self.raise_incarnation(now, life)
+
+    def raise_incarnation(self, now: float, known: int) -> None:
+        """Begins an incarnation above `known`, with a new identity of the store."""
+        before = self.incarnation, self.store_identity
+        self.incarnation, self.nonce = max(known, self.incarnation) + 1, draw_nonce()
+        # The store's votes may be lost: votes of this agent count once the record lists its new identity.
+        self.coordinator.record.replace_store(now, uuid.uuid4().hex)
+        self.store_identity = self.coordinator.record.store
         try:
-            self.keep_self()
-        except OSError as problem:  # others go on refusing this life, and tell so with each new connection
-            self.life, self.store = before
+            self.save_self()
+        except OSError as problem:  # others go on refusing this one, and say so on each new connection
+            self.incarnation, self.store_identity = before
             self.metrics.log_sampled("life_not_kept", problem=str(problem))
             return
-        log.warning("life_raised", life=self.life, known=life)
-        self.views.incarnation = self.life * DENIALS
-        self.views.news[self.name] = 0
-        self.talk.renew(self.life, self.nonce)
+        log.warning("life_raised", life=self.incarnation, known=known)
+        self.failure_detector.incarnation = self.detector_incarnation()
+        self.failure_detector.news[self.name] = 0
+        self.transport.renew(self.incarnation, self.nonce)
 
-    # -- the host of the membership view
+    # -- actions of the failure detector
 
-    def send(self, to: str, kind: str, number: int, about: str, news: list[failure_detector.News]) -> None:
-        self.talk.throw(to, [kind, number, about, news])
+    def send(self, to: str, kind: str, number: int, about: str, updates: list[News]) -> None:
+        """One datagram; it may be lost."""
+        self.transport.throw(to, [kind, number, about, updates])
 
     def seen(self, name: str, state: str) -> None:
-        log.info("peer_seen", peer=name, state=WORDS[state])
-
-    # -- the host of `across`
-
-    def post(self, to: str, kind: str, body: Body) -> bool:
-        return self.talk.post(to, kind, body)
-
-    def keep(self, kind: str, name: str, body: Body | None) -> None:
-        self.owner.store.put(kind, name, body, history=kind != "book")
-
-    def report(self, known: set[str]) -> Body:
-        fleet, specs = self.owner.fleet, self.owner.specs
+        """Another agent is seen otherwise than before."""
+        log.info("peer_seen", peer=name, state=STATE_SHOWN[state])
+
+    # -- actions of the coordinator
+
+    def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
+        """Sends a message; False where it is known not to go."""
+        return self.transport.post(to, kind, body)
+
+    def keep(self, kind: str, name: str, body: Any) -> None:
+        """Stores a record; OSError where the store fails."""
+        self.owner.store.put(kind, name, body, history=kind != RECORD_KIND)
+
+    def report(self, rollouts: set[str]) -> AgentReport:
+        """What the leader is told of this agent."""
+        local, specs = self.owner.fleet, self.owner.specs
+        instances: Any = {
+            one.name: {
+                "state": one.state,
+                "unseen": one.unseen,
+                "group": one.terms.group,
+                "why": one.why,
+                "version": one.runs or one.version,
+                "declared": specs[one.name]["version"],
+                "wanted": one.wanted,
+                "labels": specs[one.name]["labels"],
+                "killed": one.killed,
+                "change": owner.id if (owner := local.owner(one.name)) else "",
+            }
+            for one in local.instances.values()
+        }
         return {
-            "instances": {
-                one.name: {
-                    "state": one.state,
-                    "unseen": one.unseen,
-                    "group": one.terms.group,
-                    "why": one.why,
-                    "version": one.runs or one.version,
-                    "declared": specs[one.name]["version"],
-                    "wanted": one.wanted,
-                    "labels": specs[one.name]["labels"],
-                    "killed": one.killed,
-                    "change": owner.id if (owner := fleet.owner(one.name)) else "",
-                }
-                for one in fleet.instances.values()
-            },
-            "locals": {
-                id: [change.state, change.why, list(change.killed)]
-                for id, change in fleet.changes.items()
-                if id.partition("/")[0] in known
-            },
+            "instances": instances,
+            "locals": step_results(local, rollouts),
             "versions": sorted(self.owner.told["versions"]),
         }
 
-    def begin_step(self, act: Body) -> str:
-        change = Rollout(
-            str(act["id"]),
-            str(act["kind"]),
-            [str(act["name"])],
-            version=str(act["version"]),
-            soak=float(act["soak"]),
-            on_failure="go_on",
-        )
-        try:
-            if self.owner.fleet.ask(self.now(), change).state == "paused":
-                self.owner.fleet.resume(self.now(), change.id)
-        except (RefusedError, OSError) as problem:
-            return str(problem)
-        return ""
+    def begin_step(self, step: Step) -> str:
+        """Starts a step on this agent; empty, or why it was refused."""
+        return begin_step(self.owner.fleet, self.now(), step)
 
     def note(self, event: str, **fields: Any) -> None:
-        if event in PROVOKED:
+        """A log event of the coordinator."""
+        if event in SAMPLED_EVENTS:
             self.metrics.log_sampled(event, **fields)
         else:
             log.info(event, **fields)
 
     # -- tools
 
-    def request(self, request: Body, reply: Callable[[Body], None]) -> None:
+    def request(self, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
+        """A tool's request; `reply` is called once. RefusedError for what is refused at once."""
         if request.get("ask") == "peers":
-            reply(self.table())
+            reply(self.describe_peers())
             return
-        self.across.request(self.now(), request, reply)
+        self.coordinator.request(self.now(), request, reply)
 
-    def table(self) -> Body:
-        """Links, views and the record, as this agent sees them."""
-        record = self.across.record
-        rows = self.talk.decide.table()
+    def describe_peers(self) -> Answer:
+        """Connections, states of the members and the record, as this agent sees them."""
+        record = self.coordinator.record
+        rows = self.transport.decide.table()
         for row in rows:
-            member = self.views.members.get(row["name"])
-            row["view"] = WORDS[member.state] if member else "not seen"
+            member = self.failure_detector.members.get(row["name"])
+            row["view"] = STATE_SHOWN[member.state if member else DEAD]
             row["member"] = record.is_member(row["name"])
             row["voter"] = row["name"] in record.voters()
         return {
             "name": self.name,
-            "fleet": self.told["fleet"],
-            "life": self.life,
+            "fleet": self.settings["fleet"],
+            "life": self.incarnation,
             "peers": rows,
             "book": record.status(),
             "log": record.body["log"],
-            "bytes_sent": self.talk.bytes_out,
-            "datagrams_sent": self.talk.datagrams_out,
+            "bytes_sent": self.transport.bytes_out,
+            "datagrams_sent": self.transport.datagrams_out,
         }
+
+
+def next_incarnation(stored: list[tuple[str, str, dict[str, Any]]]) -> tuple[int, str]:
+    """The incarnation after the one that is stored, and the identity of the store, which may be new."""
+    for kind, _, body in stored:
+        if kind == STORED_SELF:
+            return body["life"] + 1, body["store"]
+    return 1, uuid.uuid4().hex
+
+
+def draw_nonce() -> int:
+    """Tells apart two programs that claim one incarnation of one name."""
+    return random.SystemRandom().getrandbits(62)
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -10,6 +10,7 @@
 from typing import Any, Protocol
 
 from vetchford.fleet.availability import Availability
+from vetchford.fleet.coordinator_messages import Step
 from vetchford.fleet.fleet_record import (
     UNFINISHED_STEPS,
     EncodedRecord,
@@ -30,7 +31,7 @@
 IDLE_POLL_INTERVAL = 1000.0  # ms between them otherwise: tools select instances from them
 ORDER_RETRY_INTERVAL = 500.0  # ms until an order that shows no effect is given once more
 DISMISSAL_SILENCE = 5000.0  # ms unseen until an agent with steps in progress may be dismissed; longer than
-# `coordinator.MAX_ORDER_AGE`, so it carries out nothing after that
+# `coordinator.MAX_ORDER_AGE`, so that it carries out nothing after that
 MAX_ENDED_ROLLOUTS = 20  # in the record; the stores' histories have the older ones
 MAX_LOG_ENTRIES = 50  # changes of the members in the record
 
@@ -41,7 +42,7 @@
     def poll(self, agent: str, number: int) -> None:
         """Asks for a report; `receive_report` brings it, or nothing does."""
 
-    def order(self, agent: str, number: int, act: dict[str, Any]) -> None:
+    def order(self, agent: str, number: int, step: Step) -> None:
         """Has an agent carry out a committed step; `number`: the report that the order rests on."""
 
     def propose(self, now: float, body: EncodedRecord) -> bool:
@@ -254,15 +255,15 @@
         if now - view.ordered_at.get(attempt_id, NEVER) < ORDER_RETRY_INTERVAL:
             return
         view.ordered_at[attempt_id] = now
-        act = {
-            "id": attempt_id,
-            "span": rollout.id,
-            "kind": rollout.step_kind(key),
-            "name": name,
-            "soak": rollout.soak,
-            "version": rollout.step_version(key),
-        }
-        self.actions.order(agent, view.number, act)
+        step = Step(
+            id=attempt_id,
+            rollout_id=rollout.id,
+            kind=rollout.step_kind(key),
+            name=name,
+            soak=rollout.soak,
+            version=rollout.step_version(key),
+        )
+        self.actions.order(agent, view.number, step)
 
 
 def change_members(proposal: FleetRecord, change: MemberChange) -> None:
--- /dev/null
+++ b/vetchford/fleet/local_steps.py
@@ -0,0 +1,37 @@
+"""Steps of fleet rollouts on this agent: each is a local rollout over one instance. The agent's thread."""
+
+from collections.abc import Container
+from typing import Any
+
+from vetchford.fleet.coordinator_messages import Step
+from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
+
+
+def begin_step(local: RolloutController, now: float, step: Step) -> str:
+    """Starts a step, or resumes one that a failed store has paused; empty, or why it was refused.
+
+    The same step again changes nothing, as its id is that of the local rollout.
+    """
+    rollout = Rollout(
+        step.id,
+        step.kind,
+        [step.name],
+        version=str(step.version),
+        soak=float(step.soak),
+        on_failure="go_on",
+    )
+    try:
+        if local.ask(now, rollout).state == "paused":
+            local.resume(now, rollout.id)
+    except (RefusedError, OSError) as problem:
+        return str(problem)
+    return ""
+
+
+def step_results(local: RolloutController, rollouts: Container[str]) -> dict[str, list[Any]]:
+    """What became of the steps of `rollouts`, by the steps' ids: state, reason and instances killed."""
+    return {
+        id: [rollout.state, rollout.why, list(rollout.killed)]
+        for id, rollout in local.changes.items()
+        if id.partition("/")[0] in rollouts
+    }
--- a/vetchford/fleet/rollout_controls.py
+++ b/vetchford/fleet/rollout_controls.py
@@ -7,7 +7,7 @@
 """
 
 from collections.abc import Container
-from typing import NamedTuple, TypedDict
+from typing import Any, NamedTuple, TypedDict
 
 PAUSE, ABORT = "pause", "abort"
 MAX_CONTROLS = 64  # of one rollout: more is a script that went wrong
@@ -44,6 +44,10 @@
         """The controls of one rollout."""
         return self.by_rollout.get(rollout_id, no_controls())
 
+    def encoded(self) -> dict[str, Any]:
+        """The controls of all rollouts, as agents exchange them."""
+        return dict(self.by_rollout)
+
     def add(self, rollout_id: str, kind: str, reason: str, mark: str) -> bool:
         """Adds a pause or an abort; `mark` makes its id unique on this agent. False where there are too
         many pauses.
