--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -19,7 +19,7 @@
 from testkit.simulation.network import Net
 from vetchford.fleet import supervisor
 from vetchford.fleet.commands.machine import ask
-from vetchford.fleet.failure_detector import DEAD
+from vetchford.fleet.failure_detector import MemberState
 from vetchford.fleet.history_store import Store
 
 INSTANCES = 200
@@ -31,7 +31,7 @@
     net = Net(count, seed)
     net.run(5_000.0)
     net.dead.add("a001")
-    while net.views("a001") != {DEAD} and net.now < 120_000.0:
+    while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
         net.run(net.now + 250.0)
     return round((net.now - 5_000.0) / 1000.0, 2)
 
@@ -39,7 +39,7 @@
 def false_alarms(count: int, seed: int, seconds: float) -> int:
     net = Net(count, seed, loss=0.05, doubled=0.05)
     net.run(seconds * 1000.0)
-    return sum(state == DEAD for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
 
 
 def of_two_hundred(folder: pathlib.Path) -> dict[str, Any]:
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -38,7 +38,7 @@
 from testkit.simulation import agents
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
-from vetchford.fleet.failure_detector import DEAD
+from vetchford.fleet.failure_detector import MemberState
 
 AGENTS, EACH, FLOOR = 5, 4, 12
 
@@ -235,7 +235,7 @@
     net = Net(count, 1)
     net.run(5_000.0)
     net.dead.add("a001")
-    while net.views("a001") != {DEAD} and net.now < 120_000.0:
+    while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
         net.run(net.now + 500.0)
     return round((net.now - 5_000.0) / 1000.0, 1)
 
@@ -249,7 +249,7 @@
         net.run(net.now + 1000.0)
         del net.slow[name]
         net.run(net.now + 500.0)
-    return sum(state == DEAD for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
 
 
 def summed(played: list[dict[str, Any]]) -> dict[str, Any]:
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from vetchford.fleet.failure_detector import MOST_NEWS, FailureDetector
+from vetchford.fleet.failure_detector import MAX_UPDATES, FailureDetector
 
 
 class Net:
@@ -35,10 +35,10 @@
             if name in self.dead:
                 continue
             if kind == "woke":
-                self.agents[name].woke(self.now)
+                self.agents[name].tick(self.now)
                 self.later(100.0, "woke", name, ())
             elif given[0] not in self.dead or kind == "heard":
-                self.agents[name].heard(self.now, *given)
+                self.agents[name].receive(self.now, *given)
         self.now = until
 
     def views(self, of):
@@ -52,8 +52,8 @@
         self.net, self.name = net, name
 
     def send(self, to, kind, number, about, news):
-        assert len(news) <= MOST_NEWS + 1
+        assert len(news) <= MAX_UPDATES + 1
         self.net.send(self.name, to, kind, number, about, list(news))
 
-    def seen(self, name, state):
+    def on_state_changed(self, name, state):
         self.net.told.append((self.net.now, self.name, name, state))
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -12,7 +12,8 @@
 import structlog
 
 from vetchford.coordination.load_sampler import LoadSampler
-from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
+from vetchford.fleet.failure_detector import FailureDetector, MemberState
+from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, FleetSignalPolicy, FleetSignals
 from vetchford.gossip.load_gossip import LoadGossip, Row
 from vetchford.leases.leases import LeaseClient, LeaseServer
@@ -68,7 +69,7 @@
         )
         now = self.now()
         self.views = FailureDetector(
-            self, self.name, servers, seed, self.life * DENIALS, listed=True, now=now
+            self, self.name, servers, seed, self.life * DENIALS, fixed_members=True, now=now
         )
         self.signals = LoadGossip(self, self.name, self.life, FIGURES, seed)
         self.conclusions = FleetSignalPolicy(self, self.name, seed, self.signals)
@@ -99,7 +100,7 @@
             return
         self.next_turn = time.monotonic() + TURN
         now = self.now()
-        self.views.woke(now)
+        self.views.tick(now)
         if self.keeper is not None:
             self.keeper.woke(now)
         self.taker.woke(now)
@@ -148,7 +149,7 @@
             if aggregate is not None:
                 seen[figure.name] = round(aggregate.value, 3)
                 seen[figure.name + "_rows"] = aggregate.rows
-        there = sum(member.state == ALIVE for member in self.views.members.values())
+        there = sum(member.state == MemberState.ALIVE for member in self.views.members.values())
         log.info(
             "together",
             there=there,
@@ -161,16 +162,18 @@
 
     # -- hosts of the view, the signals, the turns and the conclusions
 
-    def send(self, to: str, kind: str, number: int, about: str, news: list[News]) -> None:
+    def send(self, to: str, kind: str, number: int, about: str, news: list[MembershipUpdate]) -> None:
         self.talk.throw(to, ["view", kind, number, about, news])
 
-    def seen(self, name: str, state: str) -> None:
-        if state != SUSPECT:
-            log.info("neighbour_seen", neighbour=name, there=state == ALIVE)
+    def on_state_changed(self, name: str, state: MemberState) -> None:
+        if state != MemberState.SUSPECT:
+            log.info("neighbour_seen", neighbour=name, there=state == MemberState.ALIVE)
         self.seen_changed()
 
     def seen_changed(self) -> None:
-        there = [name for name, member in self.views.members.items() if member.state != DEAD]
+        there = [
+            name for name, member in self.views.members.items() if member.state != MemberState.UNREACHABLE
+        ]
         ring = View([*there, self.name], self.seed).listens(RINGS)[self.name]
         self.signals.there(there, ring)
 
@@ -215,7 +218,7 @@
             if kind == "view":
                 word, number, about, news = rest
                 pieces = [(str(name), str(state), int(at)) for name, state, at in news]
-                self.views.heard(self.now(), peer, str(word), int(number), str(about), pieces)
+                self.views.receive(self.now(), peer, str(word), int(number), str(about), pieces)
             elif kind == "rows":
                 self.signals.heard(self.now(), peer, rest[0])
             elif kind == "turn":
@@ -240,8 +243,7 @@
         self.raised.append(now)
         self.life, self.nonce = max(life, self.life) + 1, time.time_ns() & (1 << 62) - 1
         log.warning("life_raised", life=self.life, known=life)
-        self.views.incarnation = self.life * DENIALS
-        self.views.news[self.name] = 0
+        self.views.restart(self.life * DENIALS)
         self.signals.life = self.taker.life = self.life
         for turn in list(self.taker.wishes):
             self.taker.wishes.pop(turn)  # asked for under another life
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -15,11 +15,12 @@
 
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
-from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
+from vetchford.fleet.failure_detector import FailureDetector, MemberState
 from vetchford.fleet.fleet_record import founding_record
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.rollout import RolloutController
 from vetchford.fleet.tool_requests import Answer
 from vetchford.runtime.actor import Actor
@@ -38,9 +39,9 @@
 # What other agents can provoke is logged ever more rarely.
 SAMPLED_EVENTS = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
 STATE_SHOWN = {
-    ALIVE: "there",
-    SUSPECT: "may be there",
-    DEAD: "not seen",
+    MemberState.ALIVE: "there",
+    MemberState.SUSPECT: "may be there",
+    MemberState.UNREACHABLE: "not seen",
 }
 STORED_SELF, STORED_PEER = "self", "peer"
 
@@ -86,7 +87,7 @@
             agents,
             seed + self.incarnation,
             self.detector_incarnation(),
-            listed=True,
+            fixed_members=True,
             now=now,
         )
         self.coordinator = FleetCoordinator(
@@ -121,7 +122,7 @@
         """Called about ten times a second."""
         now = self.now()
         self.transport.woke()
-        self.failure_detector.woke(now)
+        self.failure_detector.tick(now)
         self.coordinator.tick(now)
 
     def save_self(self) -> None:
@@ -148,7 +149,7 @@
         try:
             kind, number, about, encoded = body
             updates = [(str(name), str(state), int(at)) for name, state, at in encoded]
-            self.failure_detector.heard(self.now(), peer, str(kind), int(number), str(about), updates)
+            self.failure_detector.receive(self.now(), peer, str(kind), int(number), str(about), updates)
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
@@ -192,17 +193,16 @@
             self.metrics.log_sampled("life_not_kept", problem=str(problem))
             return
         log.warning("life_raised", life=self.incarnation, known=known)
-        self.failure_detector.incarnation = self.detector_incarnation()
-        self.failure_detector.news[self.name] = 0
+        self.failure_detector.restart(self.detector_incarnation())
         self.transport.renew(self.incarnation, self.nonce)
 
     # -- actions of the failure detector
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[News]) -> None:
+    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
         """One datagram; it may be lost."""
         self.transport.throw(to, [kind, number, about, updates])
 
-    def seen(self, name: str, state: str) -> None:
+    def on_state_changed(self, name: str, state: MemberState) -> None:
         """Another agent is seen otherwise than before."""
         log.info("peer_seen", peer=name, state=STATE_SHOWN[state])
 
@@ -266,7 +266,7 @@
         rows = self.transport.decide.table()
         for row in rows:
             member = self.failure_detector.members.get(row["name"])
-            row["view"] = STATE_SHOWN[member.state if member else DEAD]
+            row["view"] = STATE_SHOWN[member.state if member else MemberState.UNREACHABLE]
             row["member"] = record.is_member(row["name"])
             row["voter"] = row["name"] in record.voters()
         return {
