--- /dev/null
+++ b/tests/fleet/test_coordinator_messages.py
@@ -0,0 +1,129 @@
+"""The encoded form of messages between coordinators and of the record, which every version must read."""
+
+import json
+
+import msgspec
+import pytest
+
+from vetchford.fleet import coordinator_messages as messages
+from vetchford.fleet.consensus_messages import MalformedMessageError, UnknownMessageError
+from vetchford.fleet.fleet_record import FleetRecord, FleetRollout, RolloutState, StepState, founding_record
+
+CONTROLS = {"r1": {"halts": {"a.1.1": ["pause", "asked to"]}, "lifted": []}}
+STEP = {"id": "r1/n1/1", "span": "r1", "kind": "roll", "name": "n1", "soak": 200.0, "version": "v2"}
+REPORT = {"instances": {"n1": {"state": "serving"}}, "locals": {}, "versions": ["v2"]}
+
+# Each message, and what the version before the typed ones sent; the order of the keys counts too.
+ENCODED = [
+    (
+        messages.ReportRequest(7, 66, CONTROLS, {"r1": "not seen: b"}),
+        {"number": 7, "term": 66, "orders": CONTROLS, "said": {"r1": "not seen: b"}},
+    ),
+    (
+        messages.ReportResponse(7, 66, REPORT, CONTROLS),
+        {"number": 7, "term": 66, "report": REPORT, "orders": CONTROLS},
+    ),
+    (
+        messages.StepOrder(7, 66, 3, messages.Step("r1/n1/1", "r1", "roll", "n1", 200.0, "v2")),
+        {"number": 7, "term": 66, "revision": 3, "act": STEP},
+    ),
+    (messages.ControlsUpdate(CONTROLS), {"orders": CONTROLS}),
+    (
+        messages.ForwardedRequest(4, {"ask": "all"}, 12.5),
+        {"ref": 4, "request": {"ask": "all"}, "waited": 12.5},
+    ),
+    (messages.ForwardedAnswer(4, {"refused": "no"}), {"ref": 4, "answer": {"refused": "no"}}),
+]
+KINDS = ["look", "seen", "order", "orders", "ask", "told"]
+
+# A rollout as the version before the typed record wrote it.
+ROLLOUT = {
+    "id": "r1",
+    "kind": "roll",
+    "version": "v2",
+    "batch": 2,
+    "floor": 3,
+    "spacing": 0,
+    "soak": 200.0,
+    "on_failure": "pause",
+    "state": "running",
+    "why": "",
+    "back": False,
+    "killed": [],
+    "turned": [],
+    "halts": {},
+    "groups": ["pay"],
+    "steps": {"n1@b": "out", "n0@a": "pending"},
+    "tries": {"n1@b": 1, "n0@a": 0},
+    "before": {"n1@b": ["v1", True], "n0@a": ["v1", True]},
+}
+RECORD = {
+    "members": {"b": 0, "a": 0},
+    "voters": {"b": "", "a": "1"},
+    "log": [["admit", "b", "ops"]],
+    "spans": {"r1": ROLLOUT},
+}
+
+
+@pytest.mark.parametrize(("message", "encoded"), ENCODED)
+def test_each_message_has_the_bytes_of_the_untyped_one_and_is_read_back(message, encoded):
+    data = msgspec.msgpack.encode(messages.encode_message(message))
+    assert data == msgspec.msgpack.encode(encoded)
+    assert messages.decode_message("a", message.KIND, msgspec.msgpack.decode(data)) == message
+
+
+@pytest.mark.parametrize(("message", "encoded"), ENCODED)
+def test_a_field_of_a_later_version_is_ignored_and_a_missing_one_is_malformed(message, encoded):
+    assert messages.decode_message("a", message.KIND, {**encoded, "later": 1}) == message
+    for key in encoded:
+        short = {other: value for other, value in encoded.items() if other != key}
+        with pytest.raises(MalformedMessageError):
+            messages.decode_message("a", message.KIND, short)
+    for body in (None, 7, [], "text"):
+        with pytest.raises(MalformedMessageError):
+            messages.decode_message("a", message.KIND, body)
+
+
+def test_the_kinds_are_those_of_earlier_versions_and_another_is_told_apart():
+    assert [message.KIND for message, _ in ENCODED] == KINDS == list(messages.MESSAGE_TYPES)
+    with pytest.raises(UnknownMessageError):
+        messages.decode_message("a", "of a later version", {})
+
+
+@pytest.mark.parametrize("sort_keys", [False, True])  # sorted, as the store writes it
+def test_the_record_is_read_and_written_back_byte_for_byte(sort_keys):
+    text = json.dumps(RECORD, sort_keys=sort_keys)
+    record = FleetRecord.decode(json.loads(text))
+    assert json.dumps(record.encode()) == text
+    rollout = record.rollouts["r1"]
+    assert rollout.minimum_available == 3 and rollout.steps["n1@b"] == StepState.IN_PROGRESS
+    rollout.state, rollout.steps["n1@b"] = RolloutState.SUCCEEDED, StepState.DONE
+    changed = json.loads(text)
+    changed["spans"]["r1"] |= {"state": "finished", "steps": {**ROLLOUT["steps"], "n1@b": "done"}}
+    assert json.loads(json.dumps(record.encode())) == changed
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(record.encode())) == changed
+
+
+def test_keys_of_a_later_version_are_carried_on_and_a_decoded_record_changes_apart():
+    later = {**RECORD, "later": 1, "spans": {"r1": {**ROLLOUT, "later": 2}}}
+    record = FleetRecord.decode(later)
+    record.rollouts["r1"].steps["n0@a"] = StepState.DONE
+    record.rollouts["r1"].attempts["n0@a"] += 1
+    encoded = record.encode()
+    assert encoded["later"] == 1 and encoded["spans"]["r1"]["later"] == 2
+    assert later["spans"]["r1"]["steps"] == {"n1@b": "out", "n0@a": "pending"}
+    assert later["spans"]["r1"]["tries"]["n0@a"] == 0
+
+
+def test_a_new_rollout_and_the_founding_record_have_the_form_of_earlier_versions():
+    given = {name: ROLLOUT[key] for key, name in FleetRollout.ENCODED_KEYS.items()}
+    assert json.dumps(FleetRollout(**given).encode()) == json.dumps(ROLLOUT)
+    names = [f"a{n}" for n in range(9)]
+    assert json.dumps(founding_record(names[::-1])) == json.dumps(
+        {
+            "members": dict.fromkeys(names, 0),
+            "voters": dict.fromkeys(names[:7], ""),
+            "log": [],
+            "spans": {},
+        }
+    )
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -102,8 +102,9 @@
         founding: RecordBody,
         now: float = 0.0,
     ) -> None:
-        """`store`: the identity of what `save_record` writes to; `founding`: the body with which all agents
-        first start.
+        """Starts as a follower with the founding body, which is the same on all agents.
+
+        `store` is the identity of what `save_record` writes to.
         """
         self.actions, self.name, self.seed, self.draws = actions, name, seed, 0
         self.identities = StoreIdentities(name, store)
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -28,7 +28,7 @@
     decode_message,
     encode_message,
 )
-from vetchford.fleet.fleet_record import ENDED_STATES, EncodedRecord, FleetRecord
+from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord
 from vetchford.fleet.fleet_rollout import FleetRolloutController
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
@@ -141,12 +141,12 @@
 
     def learn_from_record(self) -> None:
         """Takes in which rollouts there are and the pauses that stand in them."""
-        rollouts = self.record.body["spans"]
-        self.unfinished = {id for id, rollout in rollouts.items() if rollout["state"] not in ENDED_STATES}
+        rollouts = FleetRecord.decode(self.record.body).rollouts
+        self.unfinished = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
         for id in self.unfinished:
-            pauses = rollouts[id]["halts"]
-            if pauses:
-                self.controls.merge({id: {"halts": pauses, "lifted": []}}, self.unfinished)
+            if rollouts[id].pauses:
+                recorded: EncodedControls = {"halts": rollouts[id].pauses, "lifted": []}
+                self.controls.merge({id: recorded}, self.unfinished)
         for id in self.controls.forget_all_but(self.unfinished):
             self.wait_reasons.pop(id, None)
             with contextlib.suppress(OSError):  # it stays on the disk, of a rollout that has ended
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -230,8 +230,9 @@
     def receive(
         self, now: float, sender: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]
     ) -> None:
-        """A datagram; `about` names the target of a PING_REQUEST. KeyError or ValueError for an
-        unknown state.
+        """A datagram; `about` names the target of a PING_REQUEST.
+
+        KeyError or ValueError for a state that is none.
         """
         for update in updates:
             self.apply_update(now, update)
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -1,8 +1,9 @@
 """What the fleet's replicated record says: members, voters, a log of their changes, and fleet rollouts.
 
 Plain data and its codec; no decisions. The record is exchanged between agents of two versions and stored, so
-its encoded words stay as they are, and appear in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the values of
-the enums alone. Keys of a later version are carried on unread.
+its encoded words stay as they are. They appear in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the values
+of the enums, and in `tool_requests.py`, which shows tools the record as it is. Keys of a later version are
+carried on unread.
 """
 
 from __future__ import annotations
--- a/vetchford/fleet/rollout_controls.py
+++ b/vetchford/fleet/rollout_controls.py
@@ -49,8 +49,9 @@
         return dict(self.by_rollout)
 
     def add(self, rollout_id: str, kind: str, reason: str, mark: str) -> bool:
-        """Adds a pause or an abort; `mark` makes its id unique on this agent. False where there are too
-        many pauses.
+        """Adds a pause or an abort, whose id `mark` makes unique on this agent.
+
+        False where there are too many pauses.
         """
         controls = self.by_rollout.setdefault(rollout_id, no_controls())
         if len(controls["halts"]) >= MAX_CONTROLS and kind != ABORT:
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -30,7 +30,8 @@
 class Note(Protocol):
     """Writes a log event."""
 
-    def __call__(self, event: str, **fields: Any) -> None: ...
+    def __call__(self, event: str, **fields: Any) -> None:
+        """`event` names it; the fields are its facts."""
 
 
 class RolloutProgress:
