--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -49,7 +49,7 @@
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
     span = world.span("r1")
-    return seed, world.wrong(), span["state"] if span else "none", world.faults
+    return seed, world.violations(), span["state"] if span else "none", world.faults
 
 
 def virtual(count: int) -> dict[str, Any]:
--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -1,4 +1,4 @@
-"""Mistakes that are planted into the decisions, to see that the rig finds each of them."""
+"""Mutations of the decisions, to see that the simulated schedules find each of them."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -25,7 +25,7 @@
 
 
 def no_fencing() -> contextlib.AbstractContextManager[None]:
-    """Whoever speaks is taken for the driver, whatever was promised."""
+    """Whoever sends is taken for the leader, whatever term was voted in."""
 
     def unfenced(act: Callable, less: int) -> Callable:
         def on_message(self, now, sender, message):
@@ -41,13 +41,13 @@
     )
 
 
-def floor_by_the_old_view() -> contextlib.AbstractContextManager[None]:
-    """What was seen once is taken for seen."""
+def minimum_by_stale_reports() -> contextlib.AbstractContextManager[None]:
+    """A report proves something for ever."""
     return put((fleet_view, "MAX_REPORT_AGE", 1e12))
 
 
-def floor_without_what_is_out() -> contextlib.AbstractContextManager[None]:
-    """What was ordered out and still serves is counted."""
+def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
+    """An instance that was ordered out and still serves is counted."""
 
     def count(self, rollout):
         return sum(instance["state"] == "serving" for instance in self.instances().values())
@@ -56,7 +56,7 @@
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
-    """A store that lost its promises goes on under its old identity."""
+    """A store that lost its votes goes on under its old identity."""
     begin = agents.Machine.begin
 
     def begin_as_before(self):
@@ -66,11 +66,15 @@
     return put((agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before))
 
 
-# How each is planted, and the schedules in which it must show.
+# How each is applied, and the schedules in which it must show.
 MISTAKES: dict[str, tuple[Callable, dict[str, Any], range]] = {
     "no fencing": (no_fencing, {"faults": ("freeze", "slow", "cut", "one_way", "lossy")}, range(24)),
-    "floor by the old view": (floor_by_the_old_view, {"faults": ("machine", "cut"), "floor": 16}, range(12)),
-    "floor without what is out": (floor_without_what_is_out, {"floor": 17}, range(12)),
+    "floor by the old view": (
+        minimum_by_stale_reports,
+        {"faults": ("machine", "cut"), "floor": 16},
+        range(12),
+    ),
+    "floor without what is out": (minimum_without_steps_in_progress, {"floor": 17}, range(12)),
     "incarnation forgotten": (
         incarnation_forgotten,
         {"faults": ("old_disk", "no_disk", "cut", "cut")},
@@ -88,6 +92,6 @@
                 world = agents.play(seed, **given)
             except AssertionError:
                 return count
-        if world.wrong():
+        if world.violations():
             return count
     return 0
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -2,13 +2,15 @@
 script.
 
 The world is the plain model: it knows which process runs and whether it serves, checks each act against the
-floor, and keeps one history that `wrong` reads. The same seed gives the same history.
+floor, and keeps one history that `violations` reads. The same seed gives the same history.
 """
 
 import copy
 import heapq
 import random
 
+from testkit.simulation.agent_faults import FAULTS, FaultInjector
+from testkit.simulation.agent_history import find_violations
 from vetchford.fleet.consensus import Role
 from vetchford.fleet.coordinator import FleetCoordinator
 from vetchford.fleet.fleet_record import ENDED_STATES, founding_record
@@ -17,19 +19,6 @@
 
 STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
 SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
-FAULTS = (
-    "cut",
-    "one_way",
-    "lossy",
-    "freeze",
-    "kill",
-    "old_disk",
-    "no_disk",
-    "crash",
-    "full",
-    "slow",
-    "machine",
-)
 
 
 class KilledError(Exception):
@@ -41,7 +30,7 @@
 
     def __init__(self, world, name, instances):
         self.world, self.name, self.instances = world, name, instances
-        self.disk, self.old_disk, self.up, self.life, self.full = {}, {}, {}, 0, False
+        self.disk, self.old_disk, self.up, self.full = {}, {}, {}, False
         self.frozen_until, self.coordinator, self.fleet, self.lives = 0.0, None, None, 0
         self.inbox = []  # what came while it was frozen
         self.acts, self.dies_at = 0, 0  # acts on its host so far, and the one at which it dies; 0: none
@@ -49,7 +38,6 @@
     # -- its start and end
 
     def begin(self):
-        self.life += 1
         self.lives += 1
         self.disk.setdefault("store", f"{self.name}.{self.lives}")
         self.fleet = RolloutController(self)
@@ -78,10 +66,23 @@
         self.inbox.clear()
 
     def outlived(self):
-        """Others knew a later life of it: its disk has lost promises, so it takes a new identity."""
+        """Others knew a later incarnation: its disk has lost votes, so it takes a new identity."""
         self.coordinator.record.replace_store(self.world.now, f"{self.name}.{self.lives}")
         self.disk["store"] = self.coordinator.record.store
 
+    def restart(self, kind):
+        """The agent comes back after a fault, unless it is back already."""
+        if self.coordinator is not None:
+            return
+        if kind == "old_disk":
+            kept = {key: body for key, body in self.disk.items() if not is_of_the_fleet(key)}
+            self.disk = {key: body for key, body in self.old_disk.items() if is_of_the_fleet(key)} | kept
+        elif kind == "no_disk":  # of the fleet's part: that of the instances is `test_rollout_model`'s
+            self.disk = {key: body for key, body in self.disk.items() if key[0] in ("instance", "change")}
+        self.begin()
+        if kind in ("old_disk", "no_disk"):  # whoever knew its earlier incarnations tells it
+            self.outlived()
+
     # -- hosts of the decisions
 
     def maybe_die(self):
@@ -180,7 +181,14 @@
         self.coordinator.tick(now)
 
 
+def is_of_the_fleet(key):
+    """Whether a key of a disk is of the fleet's record or controls, not of this machine's instances."""
+    return key != "store" and key[0] in ("book", "orders")
+
+
 class World:
+    """Virtual time, the network between the agents, and the checks of what must hold."""
+
     def __init__(self, seed, agents=5, instances=4, floor=0):
         self.seed, self.chance, self.now = seed, random.Random(seed), 0.0
         self.names = [f"a{n}" for n in range(agents)]
@@ -189,7 +197,9 @@
         }
         self.queue, self.count, self.history, self.floor = [], 0, [], floor
         self.cut, self.loss, self.slow, self.sent = set(), {}, set(), 0
-        self.faults, self.fallen, self.broken, self.lost_disks = {}, {}, [], set()
+        self.fallen, self.broken = {}, []  # instances that ended by themselves; breaches of the minimum
+        self.injector = FaultInjector(self)
+        self.faults = self.injector.counts
         self.at(0.0, self.turn)
         for machine in self.machines.values():
             machine.begin()
@@ -212,7 +222,7 @@
         except KilledError as killed:
             machine = killed.args[0]
             machine.end()
-            self.at(self.now + 1000.0, self.restart, machine, "kill")
+            self.at(self.now + 1000.0, machine.restart, "kill")
 
     def turn(self):
         for machine in self.machines.values():
@@ -261,106 +271,19 @@
         if left < self.floor:
             self.broken.append(f"{self.now:.0f} {name}@{machine.name}: {left} left, floor {self.floor}")
 
-    def wrong(self):
-        """What the history shows: read by nothing of the implementation."""
-        found, newest, drivers = list(self.broken), {}, {}
-        in_force = [(0, 0)]
-        for entry in self.history:
-            if entry["event"] == "drives":
-                if drivers.setdefault(entry["term"], entry["agent"]) != entry["agent"]:
-                    found.append(f"two drive under term {entry['term']}")
-                before = max(one for one in in_force if one[0] < entry["term"])
-                if tuple(entry["took_over"]) < before:
-                    found.append(f"{entry['agent']} took over {entry['took_over']}, {before} was in force")
-            elif entry["event"] == "record_in_force":
-                if (entry["term"], entry["revision"]) < max(in_force):
-                    found.append(f"{entry['agent']} wrote under term {entry['term']} after {max(in_force)}")
-                in_force.append((entry["term"], entry["revision"]))
-            elif entry["event"] == "order_done":
-                if entry["term"] < newest.get(entry["agent"], 0):
-                    found.append(
-                        f"{entry['agent']} obeyed term {entry['term']} after {newest[entry['agent']]}"
-                    )
-                newest[entry["agent"]] = entry["term"]
-                if drivers.get(entry["term"]) != entry["driver"]:
-                    found.append(f"an order of {entry['driver']} under another's term")
-        return found
+    def violations(self):
+        """What the history and the checks of the minimum show, one text each."""
+        return self.broken + find_violations(self.history)
+
+    def note_fallen(self, agent, instance):
+        """An instance ends by itself, now."""
+        self.fallen[agent, instance, self.now] = self.now
 
     # -- faults
 
     def fault(self, kind, name):
-        """One fault, and when it heals."""
-        chance, machine, heals = (
-            self.chance,
-            self.machines[name],
-            self.now + self.chance.uniform(500.0, 12_000.0),
-        )
-        self.faults[kind] = self.faults.get(kind, 0) + 1
-        others = [other for other in self.names if other != name]
-        if kind == "cut":
-            side = {name, *chance.sample(others, chance.randint(0, len(others) - 1))}
-            pairs = {(a, b) for a in self.names for b in self.names if (a in side) != (b in side)}
-            self.cut |= pairs
-            self.at(heals, self.cut.difference_update, pairs)
-        elif kind == "one_way":
-            pairs = (
-                {(name, other) for other in others} if chance.random() < 0.5 else {(o, name) for o in others}
-            )
-            self.cut |= pairs
-            self.at(heals, self.cut.difference_update, pairs)
-        elif kind in ("lossy", "slow"):
-            pairs = [(a, b) for a in self.names for b in self.names if a != b and chance.random() < 0.5]
-            if kind == "slow":
-                self.slow.update(pairs)
-                self.at(heals, self.slow.difference_update, pairs)
-            else:
-                self.loss.update(dict.fromkeys(pairs, 0.3))
-                self.at(heals, self.loss.clear)
-        elif kind == "freeze":
-            machine.frozen_until = max(
-                machine.frozen_until, self.now + chance.choice((800.0, 4000.0, 30_000.0))
-            )
-        elif kind == "full":
-            machine.full = True
-            self.at(heals, setattr, machine, "full", False)
-        elif kind == "crash":
-            up = [one for one in machine.instances if machine.serves(one)]
-            if up:
-                machine.up[up[0]]["ends"] = self.now
-                self.fallen[name, up[0], self.now] = self.now
-        elif machine.coordinator is not None and self.now >= machine.frozen_until:
-            if kind == "machine":  # with all that runs on it
-                for one in machine.instances:
-                    if machine.serves(one):
-                        self.fallen[name, one, self.now] = self.now
-                machine.up.clear()
-            if kind in ("old_disk", "no_disk"):
-                self.lost_disks.add(name)
-                if 2 * len(self.lost_disks) >= len(self.names):  # `most lost` is a test of its own
-                    kind = "kill"
-            if kind == "old_disk" and not machine.old_disk:
-                machine.old_disk = copy.deepcopy(machine.disk)
-            machine.end()
-            self.at(heals, self.restart, machine, kind)
-
-    def restart(self, machine, kind):
-        if machine.coordinator is not None:
-            return
-        if kind == "old_disk":
-            machine.disk = {
-                key: body for key, body in machine.old_disk.items() if key[0] in ("book", "orders")
-            } | {
-                key: body
-                for key, body in machine.disk.items()
-                if key == "store" or key[0] not in ("book", "orders")
-            }
-        elif kind == "no_disk":  # of the fleet's part: that of the instances is `test_fleet_model`'s
-            machine.disk = {
-                key: body for key, body in machine.disk.items() if key[0] in ("instance", "change")
-            }
-        machine.begin()
-        if kind in ("old_disk", "no_disk"):  # whoever knew its earlier lives tells it
-            machine.outlived()
+        """One fault at an agent; it heals by itself."""
+        self.injector.inject(kind, name)
 
     def heal(self):
         self.cut.clear()
@@ -401,7 +324,7 @@
         return self.request(name, "span", change=change)
 
     def span(self, id):
-        """The newest copy of it."""
+        """The newest copy of a fleet rollout, as the record encodes it."""
         found = [
             (m.coordinator.record.version, m.coordinator.record.body["spans"][id])
             for m in self.machines.values()
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("seed", [*range(25), 1167])
 def test_rolls_among_faults_end_and_break_nothing(seed):
     world = play(seed)
-    assert not world.wrong()
+    assert not world.violations()
     assert world.ended("r1"), (
         world.span("r1"),
         [m.coordinator.wait_reasons for m in world.machines.values()],
@@ -90,7 +90,7 @@
     )
     world.heal()
     assert world.run(world.now + 60_000.0, lambda: world.ended("r1"))
-    assert world.span("r1")["state"] == "finished" and not world.wrong()
+    assert world.span("r1")["state"] == "finished" and not world.violations()
 
 
 def test_two_halves_that_want_to_roll_and_one_id_asked_for_on_both_sides():
@@ -111,7 +111,7 @@
     again = world.change(world.names[4], "r1", "roll", version="v2", batch=2, floor=4)
     world.run(world.now + 8_000.0)
     assert "is another change's" in again[0]["refused"]
-    assert world.run(world.now + 60_000.0, lambda: world.ended("r1")) and not world.wrong()
+    assert world.run(world.now + 60_000.0, lambda: world.ended("r1")) and not world.violations()
 
 
 @pytest.mark.parametrize("moment", [300.0, 700.0, 1100.0, 2500.0])
@@ -131,7 +131,7 @@
         world.run(world.now + 35_000.0)
         world.heal()
         assert world.run(world.now + 90_000.0, lambda world=world: world.ended("r1"))
-        assert world.span("r1")["state"] == "finished" and not world.wrong()
+        assert world.span("r1")["state"] == "finished" and not world.violations()
         assert len({entry["term"] for entry in world.history if entry["event"] == "drives"}) >= 2
 
 
@@ -149,7 +149,7 @@
         if world.span("r1") is None:  # it died before it was in force anywhere: asked again, as the tool does
             world.change(world.names[0], "r1", "roll", version="v2", batch=2, floor=3)
         assert world.run(world.now + 60_000.0, lambda w=world: w.ended("r1")), at
-        assert world.span("r1")["state"] == "finished" and not world.wrong(), at
+        assert world.span("r1")["state"] == "finished" and not world.violations(), at
         assert {one["version"] for m in world.machines.values() for one in m.up.values()} == {"v2"}
         if machine.acts - before < at and machine.coordinator is not None and machine.lives == 1:
             break  # the roll was over before
@@ -172,7 +172,7 @@
     for name in gone:
         world.machines[name].begin()
     assert world.run(world.now + 90_000.0, lambda: world.ended("r1"))
-    assert world.span("r1")["state"] == "finished" and not world.wrong()
+    assert world.span("r1")["state"] == "finished" and not world.violations()
 
 
 def test_one_that_hears_nobody_deposes_nobody():
@@ -283,7 +283,7 @@
     world = quiet()
     for name in world.names[:3]:
         world.machines[name].end()
-        world.restart(world.machines[name], "no_disk")
+        world.machines[name].restart("no_disk")
     world.run(world.now + 60_000.0)
     assert not drives(world)
 
@@ -306,4 +306,4 @@
         other.run(other.now + 60_000.0, lambda: other.ended("r2")) and "gone back" in other.span("r2")["why"]
     )
     other.run(other.now + 5000.0)
-    assert other.serving() == 20 and not other.wrong()
+    assert other.serving() == 20 and not other.violations()
