--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -309,10 +309,10 @@
     fallen: list[float] = []  # when one fell by itself: nobody can know of it at once
     for entry in events:
         event, agent = entry["event"], entry.get("agent", "")
-        if event == "drives":
+        if event == "leader_elected":
             if drivers.setdefault(entry["term"], agent) != agent:
                 found.append(f"two drive under term {entry['term']}")
-        elif event == "order_done":
+        elif event == "order_accepted":
             if entry["term"] < newest.get(agent, 0):
                 found.append(f"{agent} obeyed term {entry['term']} after {newest[agent]}")
             newest[agent] = max(entry["term"], newest.get(agent, 0))
--- a/testkit/simulation/agent_history.py
+++ b/testkit/simulation/agent_history.py
@@ -22,7 +22,7 @@
         self.committed = [NOTHING_COMMITTED]
         self.obeyed_terms = {}  # the newest by agent
 
-    def on_drives(self, entry):
+    def on_leader_elected(self, entry):
         """One leader a term, which takes over whatever was committed in lower terms."""
         agent, term = entry["agent"], entry["term"]
         if self.leaders.setdefault(term, agent) != agent:
@@ -31,7 +31,7 @@
         if tuple(entry["took_over"]) < before:
             self.violations.append(f"{agent} took over {entry['took_over']}, {before} was committed")
 
-    def on_record_in_force(self, entry):
+    def on_record_committed(self, entry):
         """Nothing is committed below what was committed before."""
         version = entry["term"], entry["revision"]
         if version < max(self.committed):
@@ -40,7 +40,7 @@
             )
         self.committed.append(version)
 
-    def on_order_done(self, entry):
+    def on_order_accepted(self, entry):
         """No agent obeys a lower term after a higher one, nor anyone but the leader of the term."""
         agent, term = entry["agent"], entry["term"]
         if term < self.obeyed_terms.get(agent, 0):
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -82,7 +82,7 @@
     rolled(rig)
     out, _ = waiting.communicate(timeout=30)
     assert waiting.returncode == 0 and json.loads(out)["state"] == "finished"
-    assert len({entry["term"] for entry in rig.events() if entry["event"] == "drives"}) == 2
+    assert len({entry["term"] for entry in rig.events() if entry["event"] == "leader_elected"}) == 2
 
 
 def test_a_driver_cut_off_stops_says_so_and_all_goes_on_after_healing(rig):
@@ -126,7 +126,7 @@
     assert shown.stdout.count("NAME") == 2  # each table once
     rig.thaw(frozen)
     rolled(rig)
-    assert any(entry["event"] == "was_stopped" for entry in rig.events())
+    assert any(entry["event"] == "process_stalled" for entry in rig.events())
 
 
 def test_an_agent_with_an_old_copy_of_its_store_begins_a_new_life_and_is_counted_again(rig):
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -132,7 +132,7 @@
         world.heal()
         assert world.run(world.now + 90_000.0, lambda world=world: world.ended("r1"))
         assert world.span("r1")["state"] == "finished" and not world.violations()
-        assert len({entry["term"] for entry in world.history if entry["event"] == "drives"}) >= 2
+        assert len({entry["term"] for entry in world.history if entry["event"] == "leader_elected"}) >= 2
 
 
 @pytest.mark.parametrize("who", ["driver", "other"])
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -139,7 +139,7 @@
         try:
             self.actions.save_record(state.to_stored())
         except OSError as problem:
-            self.actions.note("book_not_kept", problem=str(problem))
+            self.actions.note("record_not_stored", problem=str(problem))
             return False
         self.promised_term, self.version, self.body = promised_term, version, body
         return True
@@ -228,7 +228,7 @@
         was_leading = self.role in LEADING
         self.become_follower(now, "")
         if was_leading:
-            self.actions.note("driver_left", term=self.campaign_term, why=why)
+            self.actions.note("leader_stepped_down", term=self.campaign_term, why=why)
             self.actions.on_deposed(now, why)
 
     def start_pre_vote(self, now: float) -> None:
@@ -314,13 +314,13 @@
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
-        self.actions.note("record_in_force", term=self.version[0], revision=self.version[1])
+        self.actions.note("record_committed", term=self.version[0], revision=self.version[1])
         if self.role != Role.ELECTED:
             self.actions.on_committed(now)
             return
         self.role, self.role_since = Role.LEADER, now
         self.actions.note(
-            "drives",
+            "leader_elected",
             term=self.campaign_term,
             took_over=list(self.newest_version),
             voters=len(self.voters()),
@@ -352,7 +352,7 @@
         try:
             message = decode_message(sender, encoded)
         except UnknownMessageError:
-            self.actions.note("book_unknown_word", sender=sender)
+            self.actions.note("record_message_unknown", sender=sender)
             return
         match message:
             case PreVoteRequest():
@@ -426,7 +426,7 @@
         if self.role != Role.FOLLOWER:
             self.step_down(now, f"{sender} drives under a higher term")
         if self.leader != sender:
-            self.actions.note("follows", driver=sender, term=message.term)
+            self.actions.note("leader_followed", driver=sender, term=message.term)
         self.become_follower(now, sender)
         self.committed = message.committed
         self.actions.on_appended(now)
@@ -449,7 +449,7 @@
     def on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
         """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
         if message.version > self.version and self.save(self.promised_term, message.version, message.body):
-            self.actions.note("book_taught", by=sender, member=self.is_member(self.name))
+            self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
             self.actions.on_appended(now)
 
     # -- for tools
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -100,7 +100,7 @@
         """Called about ten times a second."""
         gap, self.last_tick_at = now - self.last_tick_at, now
         if gap > STOPPED_AFTER:
-            self.actions.note("was_stopped", ms=round(gap))
+            self.actions.note("process_stalled", ms=round(gap))
             self.record.on_process_stopped(now, gap)
         self.record.tick(now)
         if self.controller is not None:
@@ -206,7 +206,7 @@
         try:
             message = decode_message(sender, kind, body)
         except UnknownMessageError:
-            self.actions.note("peer_unknown_word", sender=sender, kind=kind)
+            self.actions.note("peer_message_unknown", sender=sender, kind=kind)
             return
         match message:
             case ReportRequest():
@@ -259,7 +259,7 @@
             self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
         self.actions.note(
-            "order_done",
+            "order_accepted",
             span=step.rollout_id,
             instance=step.name,
             step=step.id,
@@ -291,7 +291,7 @@
         try:
             self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.of(rollout_id))
         except OSError as problem:  # other agents keep it too
-            self.actions.note("orders_not_kept", problem=str(problem))
+            self.actions.note("controls_not_stored", problem=str(problem))
 
     def share_controls(self, rollout_id: str) -> None:
         """Stores the controls of one rollout, and sends them to all members."""
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -37,7 +37,9 @@
 MAX_INCARNATIONS_RAISED = 5  # in that window, as others knew a later one: then two machines have this name
 
 # What other agents can provoke is logged ever more rarely.
-SAMPLED_EVENTS = frozenset(("order_refused", "book_unknown_word", "peer_unknown_word", "book_not_kept"))
+SAMPLED_EVENTS = frozenset(
+    ("order_refused", "record_message_unknown", "peer_message_unknown", "record_not_stored")
+)
 STATE_SHOWN = {
     MemberState.ALIVE: "there",
     MemberState.SUSPECT: "may be there",
@@ -163,7 +165,7 @@
         try:
             self.owner.store.put(STORED_PEER, peer, {"life": life, "nonce": nonce})
         except OSError as problem:  # it is known until our own end
-            self.metrics.log_sampled("peer_not_kept", problem=str(problem))
+            self.metrics.log_sampled("peer_not_stored", problem=str(problem))
 
     def outlived(self, life: int, nonce: int) -> None:
         """Another agent knows a later incarnation of our name.
@@ -190,7 +192,7 @@
             self.save_self()
         except OSError as problem:  # others go on refusing this one, and say so on each new connection
             self.incarnation, self.store_identity = before
-            self.metrics.log_sampled("life_not_kept", problem=str(problem))
+            self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
         log.warning("life_raised", life=self.incarnation, known=known)
         self.failure_detector.restart(self.detector_incarnation())
@@ -204,7 +206,7 @@
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Another agent is seen otherwise than before."""
-        log.info("peer_seen", peer=name, state=STATE_SHOWN[state])
+        log.info("peer_state_changed", peer=name, state=STATE_SHOWN[state])
 
     # -- actions of the coordinator
 
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -206,7 +206,9 @@
                 return index + 1
             rollout = entry.rollout
             proposal.rollouts[rollout.id] = rollout.copy()
-            self.actions.note("span_begins", span=rollout.id, kind=rollout.kind, targets=len(rollout.steps))
+            self.actions.note(
+                "fleet_rollout_started", span=rollout.id, kind=rollout.kind, targets=len(rollout.steps)
+            )
         return len(self.queue)
 
     def advance(self, now: float, proposal: FleetRecord, rollout: FleetRollout) -> None:
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -106,7 +106,7 @@
         """Continues, pauses or reverts, as the rollout's `on_failure` says."""
         rollout, text = self.rollout, f"{key}: {reason}"
         rollout.steps[key] = StepState.FAILED
-        self.note("span_lost", span=rollout.id, instance=key, why=reason)
+        self.note("fleet_rollout_step_failed", span=rollout.id, instance=key, why=reason)
         if rollout.reverting or rollout.on_failure == CONTINUE_ON_FAILURE:
             return
         if rollout.on_failure == PAUSE_ON_FAILURE:
@@ -191,7 +191,7 @@
             rollout.state, rollout.reason = RolloutState.FAILED, f"lost: {', '.join(failed)}"
         else:
             rollout.state, rollout.reason = RolloutState.SUCCEEDED, "all done"
-        self.note("span_ended", span=rollout.id, state=rollout.state, why=rollout.reason)
+        self.note("fleet_rollout_ended", span=rollout.id, state=rollout.state, why=rollout.reason)
         return True
 
 
