--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -14,7 +14,7 @@
 FLOOR = 14
 
 
-# 1167: steps in force, not begun; their machine is lost and back, another lost meanwhile, and a new driver.
+# 1167: steps in force, not begun; their machine is lost and back, another lost meanwhile, and a new leader.
 @pytest.mark.parametrize("seed", [*range(25), 1167])
 def test_rolls_among_faults_end_and_break_nothing(seed):
     world = play(seed)
@@ -53,7 +53,7 @@
     return world
 
 
-def drives(world, among=None):
+def leaders(world, among=None):
     return [
         name for name in among or world.names if world.machines[name].coordinator.record.role == Role.LEADER
     ]
@@ -67,9 +67,9 @@
 
 def test_the_side_that_cannot_prove_the_floor_stops_says_so_and_goes_on_after_healing():
     world = quiet()
-    driver = drives(world)[0]
-    side = {driver, *[name for name in world.names if name != driver][:2]}
-    world.change(driver, "r1", "roll", version="v2", batch=2, floor=FLOOR)
+    leader = leaders(world)[0]
+    side = {leader, *[name for name in world.names if name != leader][:2]}
+    world.change(leader, "r1", "roll", version="v2", batch=2, floor=FLOOR)
     world.run(world.now + 1500.0)
     split(world, side)
     away = sorted(set(world.names) - side)
@@ -78,7 +78,7 @@
     assert span["state"] == "running" and {
         span["steps"][f"n{n}@{name}"] for n in range(4) for name in away
     } != {"done"}
-    said = world.machines[drives(world, side)[0]].coordinator.wait_reasons["r1"]
+    said = world.machines[leaders(world, side)[0]].coordinator.wait_reasons["r1"]
     assert "proven to serve, the floor of r1 is 14" in said and away[0] in said
     out = []
     world.machines[away[0]].coordinator.request(
@@ -101,7 +101,7 @@
     one = world.change(world.names[0], "r1", "roll", version="v2", batch=2, floor=4)
     other = world.change(world.names[4], "r1", "roll", version="v2", batch=2, floor=4)
     world.run(world.now + 9_000.0)
-    assert "refused" in other[0] and not drives(world, world.names[3:])
+    assert "refused" in other[0] and not leaders(world, world.names[3:])
     assert one and "not seen: a3, a4" in one[0]["refused"]  # its targets are on both sides
     half = [f"n{n}@{name}" for name in sorted(side) for n in range(4)]
     one = world.change(world.names[0], "r1", "roll", half, version="v2", batch=2, floor=4)
@@ -115,19 +115,19 @@
 
 
 @pytest.mark.parametrize("moment", [300.0, 700.0, 1100.0, 2500.0])
-def test_the_driver_killed_or_frozen_in_the_middle_is_replaced_and_what_is_out_counts_as_out(moment):
+def test_the_leader_killed_or_frozen_in_the_middle_is_replaced_and_what_is_out_counts_as_out(moment):
     for fault in ("kill", "freeze"):
         world = quiet(seed=int(moment))
-        driver = drives(world)[0]
-        world.change(driver, "r1", "roll", version="v2", batch=4, floor=16)
+        leader = leaders(world)[0]
+        world.change(leader, "r1", "roll", version="v2", batch=4, floor=16)
         world.floor = 16
         world.run(world.now + moment)
         if fault == "kill":
-            world.machines[driver].end()
+            world.machines[leader].end()
         else:
-            world.machines[driver].frozen_until = world.now + 30_000.0
-        others = [name for name in world.names if name != driver]
-        assert world.run(world.now + 15_000.0, lambda w=world, o=others: bool(drives(w, o)))
+            world.machines[leader].frozen_until = world.now + 30_000.0
+        others = [name for name in world.names if name != leader]
+        assert world.run(world.now + 15_000.0, lambda w=world, o=others: bool(leaders(w, o)))
         world.run(world.now + 35_000.0)
         world.heal()
         assert world.run(world.now + 90_000.0, lambda world=world: world.ended("r1"))
@@ -135,13 +135,13 @@
         assert len({entry["term"] for entry in world.history if entry["event"] == "leader_elected"}) >= 2
 
 
-@pytest.mark.parametrize("who", ["driver", "other"])
+@pytest.mark.parametrize("who", ["leader", "other"])
 def test_an_agent_killed_between_each_two_of_its_acts_loses_nothing(who):
     for at in range(1, 400):
         world = World(11, agents=3, instances=2, floor=3)
         world.up()
-        name = drives(world)[0]
-        machine = world.machines[name if who == "driver" else next(n for n in world.names if n != name)]
+        name = leaders(world)[0]
+        machine = world.machines[name if who == "leader" else next(n for n in world.names if n != name)]
         before = machine.acts
         machine.dies_at = before + at
         world.change(name, "r1", "roll", version="v2", batch=2, floor=3)
@@ -153,19 +153,19 @@
         assert {one["version"] for m in world.machines.values() for one in m.up.values()} == {"v2"}
         if machine.acts - before < at and machine.coordinator is not None and machine.lives == 1:
             break  # the roll was over before
-    assert at > (60 if who == "driver" else 20)
+    assert at > (60 if who == "leader" else 20)
 
 
 def test_three_of_five_agents_gone_stop_all_changes_and_their_return_goes_on():
     world = quiet()
-    driver = drives(world)[0]
-    world.change(driver, "r1", "roll", version="v2", batch=2, floor=FLOOR)
+    leader = leaders(world)[0]
+    world.change(leader, "r1", "roll", version="v2", batch=2, floor=FLOOR)
     world.run(world.now + 1000.0)
-    gone = [name for name in world.names if name != driver][:3]
+    gone = [name for name in world.names if name != leader][:3]
     for name in gone:
         world.machines[name].end()
     world.run(world.now + 15_000.0)
-    assert not drives(world, [name for name in world.names if name not in gone])
+    assert not leaders(world, [name for name in world.names if name not in gone])
     steps = dict(world.span("r1")["steps"])
     world.run(world.now + 30_000.0)
     assert world.span("r1")["steps"] == steps
@@ -177,28 +177,28 @@
 
 def test_one_that_hears_nobody_deposes_nobody():
     world = quiet()
-    driver = drives(world)[0]
-    deaf = next(name for name in world.names if name != driver)
+    leader = leaders(world)[0]
+    deaf = next(name for name in world.names if name != leader)
     world.cut |= {(other, deaf) for other in world.names}
-    before = world.machines[driver].coordinator.record.promised_term
+    before = world.machines[leader].coordinator.record.promised_term
     world.run(world.now + 60_000.0)
     world.heal()
     world.run(world.now + 10_000.0)
-    assert drives(world) == [driver] and world.machines[driver].coordinator.record.promised_term == before
+    assert leaders(world) == [leader] and world.machines[leader].coordinator.record.promised_term == before
 
 
 def test_a_pause_holds_at_once_on_its_side_and_wins_over_a_resume_that_did_not_know_of_it():
     world = quiet()
-    driver = drives(world)[0]
-    away = next(name for name in world.names if name != driver)
-    world.change(driver, "r1", "roll", version="v2", batch=1, floor=10)
+    leader = leaders(world)[0]
+    away = next(name for name in world.names if name != leader)
+    world.change(leader, "r1", "roll", version="v2", batch=1, floor=10)
     world.run(world.now + 1200.0)
-    assert world.request(driver, "pause", id="r1")[0]["state"] == "paused"
+    assert world.request(leader, "pause", id="r1")[0]["state"] == "paused"
     world.run(world.now + 1500.0)
     split(world, {away})
     assert world.request(away, "pause", id="r1")[0]["obeyed_by"] == away  # a second, known to it alone
     world.run(world.now + 1000.0)
-    assert world.request(driver, "resume", id="r1")[0]["state"] == "running"
+    assert world.request(leader, "resume", id="r1")[0]["state"] == "running"
     world.run(world.now + 3000.0)
     world.heal()
     world.run(world.now + 8000.0)
@@ -216,9 +216,9 @@
 
 def test_an_abort_from_a_side_that_is_cut_off_stands():
     world = quiet()
-    driver = drives(world)[0]
-    away = next(name for name in world.names if name != driver)
-    world.change(driver, "r1", "roll", version="v2", batch=1, floor=10)
+    leader = leaders(world)[0]
+    away = next(name for name in world.names if name != leader)
+    world.change(leader, "r1", "roll", version="v2", batch=1, floor=10)
     world.run(world.now + 1200.0)
     split(world, {away})
     world.request(away, "abort", id="r1")
@@ -252,14 +252,14 @@
 
 def test_a_machine_leaves_and_another_joins_by_changes_of_their_own():
     world = quiet()
-    driver = drives(world)[0]
-    gone = next(name for name in world.names if name != driver)
+    leader = leaders(world)[0]
+    gone = next(name for name in world.names if name != leader)
     world.machines[gone].end()
     world.run(world.now + 20_000.0)
-    assert gone in world.machines[driver].coordinator.record.body["members"]  # silence changes no list
-    out = world.request(driver, "dismiss", name=gone, by="ops")
+    assert gone in world.machines[leader].coordinator.record.body["members"]  # silence changes no list
+    out = world.request(leader, "dismiss", name=gone, by="ops")
     world.run(world.now + 5000.0)
-    body = world.machines[driver].coordinator.record.body
+    body = world.machines[leader].coordinator.record.body
     assert (
         gone not in out[0]["members"]
         and gone not in body["voters"]
@@ -271,11 +271,11 @@
     assert (
         back.record.role == Role.FOLLOWER and gone not in back.record.body["members"]
     )  # it was told, and asks nobody
-    world.request(driver, "admit", name=gone, by="ops")
+    world.request(leader, "admit", name=gone, by="ops")
     world.run(world.now + 8000.0)
     assert (
-        gone in world.machines[driver].coordinator.record.body["voters"]
-        and world.machines[gone].coordinator.record.leader == driver
+        gone in world.machines[leader].coordinator.record.body["voters"]
+        and world.machines[gone].coordinator.record.leader == leader
     )
 
 
@@ -285,23 +285,23 @@
         world.machines[name].end()
         world.machines[name].restart("no_disk")
     world.run(world.now + 60_000.0)
-    assert not drives(world)
+    assert not leaders(world)
 
 
 def test_a_failed_version_pauses_the_fleet_and_goes_back_from_whoever_drives():
     world = quiet()
-    driver = drives(world)[0]
-    world.change(driver, "r1", "roll", version="bad", batch=2, floor=16, on_failure="pause")
+    leader = leaders(world)[0]
+    world.change(leader, "r1", "roll", version="bad", batch=2, floor=16, on_failure="pause")
     world.floor = 16
     assert world.run(world.now + 30_000.0, lambda: (world.span("r1") or {}).get("state") == "paused")
-    world.machines[driver].end()  # the pause stands in the record: who drives next does not go on
+    world.machines[leader].end()  # the pause stands in the record: who drives next does not go on
     world.run(world.now + 20_000.0)
-    assert drives(world, [n for n in world.names if n != driver]) and world.span("r1")["state"] == "paused"
-    world.machines[driver].begin()
+    assert leaders(world, [n for n in world.names if n != leader]) and world.span("r1")["state"] == "paused"
+    world.machines[leader].begin()
     world.request(world.names[0], "abort", id="r1")
     assert world.run(world.now + 30_000.0, lambda: world.ended("r1"))
     other = quiet(seed=9)
-    other.change(drives(other)[0], "r2", "roll", version="bad", batch=2, floor=14, on_failure="back")
+    other.change(leaders(other)[0], "r2", "roll", version="bad", batch=2, floor=14, on_failure="back")
     assert (
         other.run(other.now + 60_000.0, lambda: other.ended("r2")) and "gone back" in other.span("r2")["why"]
     )
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -21,7 +21,7 @@
     agent_of,
     split_instance_key,
 )
-from vetchford.fleet.fleet_view import NEVER, AgentReport, AgentView, FleetView
+from vetchford.fleet.fleet_view import NEVER, AgentReport, AgentView, AttemptState, FleetView
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 from vetchford.fleet.rollout_progress import RolloutProgress
@@ -252,7 +252,7 @@
         result = view.result(attempt_id)
         if result is None and self.committed_availability(now).shortfall(rollout, key):
             return  # other instances have gone since the step was committed
-        if result is not None and result.state != "paused":
+        if result is not None and result.state != AttemptState.PAUSED:
             return
         if now - view.ordered_at.get(attempt_id, NEVER) < ORDER_RETRY_INTERVAL:
             return
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any, NamedTuple, TypedDict
 
 from vetchford.fleet.fleet_record import split_instance_key
@@ -34,6 +35,15 @@
     versions: list[str]  # those that it has a command for
 
 
+class AttemptState(StrEnum):
+    """The state of a local rollout that an agent made of one step, in the words of its report."""
+
+    RUNNING = "running"
+    REVERTING = "back"
+    PAUSED = "paused"  # its store failed
+    SUCCEEDED = "finished"
+
+
 class AttemptResult(NamedTuple):
     """What became of a local rollout that an agent made of one step."""
 
@@ -42,8 +52,8 @@
     killed: list[str]
 
     def is_going_on(self) -> bool:
-        """Not ended; one that paused, as its store failed, is ordered again."""
-        return self.state in ("running", "back", "paused")
+        """Not ended; one that is paused is ordered again, which resumes it."""
+        return self.state in (AttemptState.RUNNING, AttemptState.REVERTING, AttemptState.PAUSED)
 
 
 def empty_report() -> AgentReport:
--- a/vetchford/fleet/local_steps.py
+++ b/vetchford/fleet/local_steps.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from vetchford.fleet.coordinator_messages import Step
+from vetchford.fleet.fleet_view import AttemptState
 from vetchford.fleet.rollout import RefusedError, Rollout, RolloutController
 
 
@@ -21,7 +22,7 @@
         on_failure="go_on",
     )
     try:
-        if local.ask(now, rollout).state == "paused":
+        if local.ask(now, rollout).state == AttemptState.PAUSED:
             local.resume(now, rollout.id)
     except (RefusedError, OSError) as problem:
         return str(problem)
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -20,11 +20,11 @@
     agent_of,
     split_instance_key,
 )
-from vetchford.fleet.fleet_view import AttemptResult, InstanceReport
-from vetchford.fleet.rollout import SERVING
+from vetchford.fleet.fleet_view import AttemptResult, AttemptState, InstanceReport
+from vetchford.fleet.rollout import DRAINING, SERVING, STOPPING
 from vetchford.fleet.rollout_controls import ABORT, PAUSE, ActiveControl
 
-BUSY_STATES = frozenset(("draining", "stopping"))  # of an instance: something else of it is under way
+BUSY_STATES = frozenset((DRAINING, STOPPING))  # of an instance: something else of it is under way
 
 
 class Note(Protocol):
@@ -97,7 +97,7 @@
         if key in rollout.overtaken:  # it went forward while the others were already told to revert
             rollout.overtaken = [other for other in rollout.overtaken if other != key]
             rollout.steps[key] = StepState.PENDING
-        elif result.state == "finished":
+        elif result.state == AttemptState.SUCCEEDED:
             rollout.steps[key] = StepState.DONE
         else:
             self.fail_step(key, result.reason)
