--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -38,7 +38,7 @@
 from testkit.simulation import agents
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
-from vetchford.fleet.failure_detector import DEAD
+from vetchford.fleet.failure_detector import MemberState
 
 AGENTS, EACH, FLOOR = 5, 4, 12
 
@@ -49,7 +49,7 @@
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
     span = world.span("r1")
-    return seed, world.wrong(), span["state"] if span else "none", world.faults
+    return seed, world.violations(), span["state"] if span else "none", world.faults
 
 
 def virtual(count: int) -> dict[str, Any]:
@@ -140,8 +140,8 @@
                 "change": ended["state"],
                 "why": ended["why"],
                 "wrong": wrong(events, FLOOR)[:4],
-                "drivers": sum(entry["event"] == "drives" for entry in events),
-                "orders": sum(entry["event"] == "order_done" for entry in events),
+                "drivers": sum(entry["event"] == "leader_elected" for entry in events),
+                "orders": sum(entry["event"] == "order_accepted" for entry in events),
                 "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
                 "new_version": sum(one["version"] == "v2" for one in seen.values()),
                 "serving": sum(one["state"] == "serving" for one in seen.values()),
@@ -235,7 +235,7 @@
     net = Net(count, 1)
     net.run(5_000.0)
     net.dead.add("a001")
-    while net.views("a001") != {DEAD} and net.now < 120_000.0:
+    while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
         net.run(net.now + 500.0)
     return round((net.now - 5_000.0) / 1000.0, 1)
 
@@ -249,7 +249,7 @@
         net.run(net.now + 1000.0)
         del net.slow[name]
         net.run(net.now + 500.0)
-    return sum(state == DEAD for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
 
 
 def summed(played: list[dict[str, Any]]) -> dict[str, Any]:
--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -1,11 +1,14 @@
-"""Mistakes that are planted into the decisions, to see that the rig finds each of them."""
+"""Mutations of the decisions, to see that the simulated schedules find each of them."""
 
 import contextlib
 from collections.abc import Callable, Iterator
 from typing import Any
 
 from testkit.simulation import agents
-from vetchford.fleet import consensus, coordinator, fleet_rollout
+from vetchford.fleet import fleet_view
+from vetchford.fleet.availability import Availability
+from vetchford.fleet.consensus import ReplicatedRecord
+from vetchford.fleet.coordinator import FleetCoordinator
 
 
 @contextlib.contextmanager
@@ -22,38 +25,38 @@
 
 
 def no_fencing() -> contextlib.AbstractContextManager[None]:
-    """Whoever speaks is taken for the driver, whatever was promised."""
+    """Whoever sends is taken for the leader, whatever term was voted in."""
 
     def unfenced(act: Callable, less: int) -> Callable:
-        def on_word(self, now, sender, word, *given):
-            self.promised = min(self.promised, word["term"] - less)
-            act(self, now, sender, word, *given)
+        def on_message(self, now, sender, message):
+            self.promised_term = min(self.promised_term, message.term - less)
+            act(self, now, sender, message)
 
-        return on_word
+        return on_message
 
     return put(
-        (consensus.ReplicatedRecord, "take", unfenced(consensus.ReplicatedRecord.take, 0)),
-        (consensus.ReplicatedRecord, "on_promise", unfenced(consensus.ReplicatedRecord.on_promise, 1)),
-        (coordinator.FleetCoordinator, "current", lambda self, sender, term: True),
+        (ReplicatedRecord, "on_append", unfenced(ReplicatedRecord.on_append, 0)),
+        (ReplicatedRecord, "on_vote_request", unfenced(ReplicatedRecord.on_vote_request, 1)),
+        (FleetCoordinator, "is_current_leader", lambda self, sender, term: True),
     )
 
 
-def floor_by_the_old_view() -> contextlib.AbstractContextManager[None]:
-    """What was seen once is taken for seen."""
-    return put((fleet_rollout, "FRESH", 1e12))
+def minimum_by_stale_reports() -> contextlib.AbstractContextManager[None]:
+    """A report proves something for ever."""
+    return put((fleet_view, "MAX_REPORT_AGE", 1e12))
 
 
-def floor_without_what_is_out() -> contextlib.AbstractContextManager[None]:
-    """What was ordered out and still serves is counted."""
+def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
+    """An instance that was ordered out and still serves is counted."""
 
-    def proven(self, now, body, span):
-        return sum(one["state"] == "serving" for one in self.all_seen(now).values())
+    def count(self, rollout):
+        return sum(instance["state"] == "serving" for instance in self.instances().values())
 
-    return put((fleet_rollout.FleetRolloutController, "proven", proven))
+    return put((Availability, "count", count))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
-    """A store that lost its promises goes on under its old identity."""
+    """A store that lost its votes goes on under its old identity."""
     begin = agents.Machine.begin
 
     def begin_as_before(self):
@@ -63,11 +66,15 @@
     return put((agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before))
 
 
-# How each is planted, and the schedules in which it must show.
+# How each is applied, and the schedules in which it must show.
 MISTAKES: dict[str, tuple[Callable, dict[str, Any], range]] = {
     "no fencing": (no_fencing, {"faults": ("freeze", "slow", "cut", "one_way", "lossy")}, range(24)),
-    "floor by the old view": (floor_by_the_old_view, {"faults": ("machine", "cut"), "floor": 16}, range(12)),
-    "floor without what is out": (floor_without_what_is_out, {"floor": 17}, range(12)),
+    "floor by the old view": (
+        minimum_by_stale_reports,
+        {"faults": ("machine", "cut"), "floor": 16},
+        range(12),
+    ),
+    "floor without what is out": (minimum_without_steps_in_progress, {"floor": 17}, range(12)),
     "incarnation forgotten": (
         incarnation_forgotten,
         {"faults": ("old_disk", "no_disk", "cut", "cut")},
@@ -85,6 +92,6 @@
                 world = agents.play(seed, **given)
             except AssertionError:
                 return count
-        if world.wrong():
+        if world.violations():
             return count
     return 0
--- a/vetchford/coordination/datagrams.py
+++ b/vetchford/coordination/datagrams.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any, TypeAlias
 
-from vetchford.fleet.failure_detector import News
+from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.gossip import messages as gossip_messages
 from vetchford.gossip.messages import LoadReport
 from vetchford.gossip.metrics import METRICS
@@ -31,7 +31,7 @@
     kind: str
     number: int
     about: str
-    news: list[News]
+    news: list[MembershipUpdate]
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 Datagram: TypeAlias = MembershipDatagram | LoadReportsDatagram | LeaseDatagram
 
 
-def encode_membership(kind: str, number: int, about: str, news: list[News]) -> list[Any]:
+def encode_membership(kind: str, number: int, about: str, news: list[MembershipUpdate]) -> list[Any]:
     """The body of a message of the failure detector."""
     return [Kind.MEMBERSHIP, kind, number, about, news]
 
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -17,7 +17,8 @@
 from vetchford.coordination.incarnation import IncarnationCounter
 from vetchford.coordination.load_sampler import LoadSampler
 from vetchford.coordination.settings import FleetMemberSettings
-from vetchford.fleet.failure_detector import ALIVE, DEAD, SUSPECT, FailureDetector, News
+from vetchford.fleet.failure_detector import FailureDetector, MemberState
+from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.gossip.fleet_signals import PROBE, FleetSignalPolicy, FleetSignals, RecordsState
 from vetchford.gossip.load_gossip import LoadGossip
 from vetchford.gossip.messages import LoadReport
@@ -85,7 +86,7 @@
             settings.servers,
             seed,
             incarnation * REFUTATIONS_PER_INCARNATION,
-            listed=True,
+            fixed_members=True,
             now=now,
         )
         self.load_gossip = LoadGossip(self, self.name, incarnation, METRICS, seed)
@@ -128,7 +129,7 @@
             return
         self.next_tick = time.monotonic() + TICK_INTERVAL_S
         now = self.now()
-        self.membership.woke(now)
+        self.membership.tick(now)
         if self.lease_server is not None:
             self.lease_server.tick(now)
         self.lease_client.tick(now)
@@ -190,7 +191,7 @@
                 seen[f"{metric.name}_rows"] = aggregate.report_count
         log.info(
             "together",
-            there=sum(member.state == ALIVE for member in self.membership.members.values()),
+            there=sum(member.state == MemberState.ALIVE for member in self.membership.members.values()),
             records=self.signal_policy.state,
             **seen,
             room=round(self.signals.call_capacity, 3),
@@ -200,18 +201,22 @@
 
     # -- what the failure detector acts through
 
-    def send(self, to: str, kind: str, number: int, about: str, news: list[News]) -> None:
+    def send(self, to: str, kind: str, number: int, about: str, news: list[MembershipUpdate]) -> None:
         """Sends a message of the failure detector."""
         self.transport.send_datagram(to, datagrams.encode_membership(kind, number, about, news))
 
-    def seen(self, name: str, state: str) -> None:
+    def on_state_changed(self, name: str, state: MemberState) -> None:
         """Another server is seen in another state."""
-        if state != SUSPECT:
-            log.info("fleet_member_seen", neighbour=name, there=state == ALIVE)
+        if state != MemberState.SUSPECT:
+            log.info("fleet_member_seen", neighbour=name, there=state == MemberState.ALIVE)
         self._update_members()
 
     def _update_members(self) -> None:
-        there = [name for name, member in self.membership.members.items() if member.state != DEAD]
+        there = [
+            name
+            for name, member in self.membership.members.items()
+            if member.state != MemberState.UNREACHABLE
+        ]
         ring = MembershipView([*there, self.name], self.settings.fleet).ring_successors(RINGS)[self.name]
         self.load_gossip.set_members(there, ring)
 
@@ -268,7 +273,7 @@
     def _receive(self, peer: str, body: Any) -> None:
         match datagrams.decode(body):
             case MembershipDatagram(kind, number, about, news):
-                self.membership.heard(self.now(), peer, kind, number, about, news)
+                self.membership.receive(self.now(), peer, kind, number, about, news)
             case LoadReportsDatagram(reports):
                 self.load_gossip.receive(self.now(), peer, reports)
             case LeaseDatagram(message):
@@ -291,8 +296,7 @@
             return
         incarnation = self.counter.incarnation
         log.warning("life_raised", life=incarnation, known=known)
-        self.membership.incarnation = incarnation * REFUTATIONS_PER_INCARNATION
-        self.membership.news[self.name] = 0
+        self.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
         self.lease_client.begin_incarnation(now, incarnation)
         self.transport.begin_incarnation(incarnation, self.counter.nonce)
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -155,7 +155,7 @@
             self.next_tick = time.monotonic() + TICK_INTERVAL
             self.controller.on_tick(self.now())
             if self.coordinator is not None:
-                self.coordinator.woke()
+                self.coordinator.tick()
         if time.monotonic() >= self.next_limits_check:
             self.next_limits_check = time.monotonic() + LIMITS_INTERVAL
             self.rotate_logs()
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -67,5 +67,8 @@
     if settings.peers and agent.coordinator is not None:
         coordinator = agent.coordinator
         log.info(
-            "agent_joined_fleet", fleet=settings.peers["fleet"], name=coordinator.name, life=coordinator.life
+            "agent_joined_fleet",
+            fleet=settings.peers["fleet"],
+            name=coordinator.name,
+            life=coordinator.incarnation,
         )
