--- a/vetchford/bench_adapter/simulator_link.py
+++ b/vetchford/bench_adapter/simulator_link.py
@@ -14,6 +14,7 @@
     """All servers that one process simulates; they share nothing but the reply that carries their actions."""
 
     def __init__(self) -> None:
+        """Create a link to no servers; the simulator attaches them."""
         self.servers: dict[int, SimulatedServer] = {}  # emptied by `exit`
 
     def exchange(self, line: bytes) -> bytes:
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -314,6 +314,7 @@
     """Replaces the server's own gradient on calls: the limits of the bulkheads apply instead."""
 
     def __init__(self) -> None:
+        """Create a limit that never binds."""
         super().__init__(math.inf, math.inf)
 
     def observe(self, base: float, measured: float) -> None:
--- a/vetchford/bulkheads/fair_share.py
+++ b/vetchford/bulkheads/fair_share.py
@@ -17,6 +17,7 @@
     """Each bulkhead's virtual time runs by its use over its share; the furthest behind is next."""
 
     def __init__(self, shares: Sequence[float]) -> None:
+        """Divide by `shares`, of any sum above 0; the index of a share is that of its bulkhead."""
         total = sum(shares)
         self.shares = [share / total for share in shares]
         self.virtual_times = [0.0] * len(shares)
--- a/vetchford/fleet/consensus_messages.py
+++ b/vetchford/fleet/consensus_messages.py
@@ -29,6 +29,7 @@
     """A message that lacks a field or has one of the wrong type; `sender` is the agent that sent it."""
 
     def __init__(self, sender: str, problem: str) -> None:
+        """`problem` says which field is wrong."""
         super().__init__(f"message of {sender}: {problem}")
         self.sender, self.problem = sender, problem
 
@@ -37,6 +38,7 @@
     """A message of a kind that this version does not know; `kind` is its encoded word."""
 
     def __init__(self, kind: str) -> None:
+        """`kind` is the word that stands in the message."""
         super().__init__(f"unknown kind of message: {kind}")
         self.kind = kind
 
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -8,7 +8,7 @@
 import random
 import uuid
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
 import structlog
@@ -19,7 +19,7 @@
 from vetchford.fleet.failure_detector import FailureDetector, MemberState
 from vetchford.fleet.fleet_record import founding_record
 from vetchford.fleet.fleet_view import AgentReport
-from vetchford.fleet.history_store import Store
+from vetchford.fleet.history_store import Store, StoredRecord
 from vetchford.fleet.local_steps import begin_step, step_results
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.rollout_controller import RolloutController
@@ -100,7 +100,7 @@
         )
         self.restore(stored)
 
-    def restore(self, stored: list[tuple[str, str, dict[str, Any]]]) -> None:
+    def restore(self, stored: Iterable[StoredRecord]) -> None:
         """Takes in what the store has of earlier incarnations."""
         peers = self.transport.sessions.peers
         for kind, name, body in stored:
@@ -280,7 +280,7 @@
         }
 
 
-def next_incarnation(stored: list[tuple[str, str, dict[str, Any]]]) -> tuple[int, str]:
+def next_incarnation(stored: Iterable[StoredRecord]) -> tuple[int, str]:
     """The incarnation after the one that is stored, and the identity of the store, which may be new."""
     for kind, _, body in stored:
         if kind == STORED_SELF:
--- a/vetchford/fleet/local_steps.py
+++ b/vetchford/fleet/local_steps.py
@@ -4,8 +4,7 @@
 from typing import Any
 
 from vetchford.fleet.coordinator_messages import Step
-from vetchford.fleet.fleet_view import AttemptState
-from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.rollout import RefusedError, Rollout, RolloutState
 from vetchford.fleet.rollout_controller import RolloutController
 
 
@@ -23,7 +22,7 @@
         on_failure="go_on",
     )
     try:
-        if local.submit(now, rollout).state == AttemptState.PAUSED:
+        if local.submit(now, rollout).state == RolloutState.PAUSED:
             local.resume(now, rollout.id)
     except (RefusedError, OSError) as problem:
         return str(problem)
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -19,6 +19,7 @@
 MAX_MEMORY_KB = 2000.0  # that a request may book, by the page
 MAX_ARRIVAL_AGE = 120_000.0  # ms: far more than any deadline and any pause of a machine
 MAX_ARRIVAL_LEAD = 1000.0  # ms: both clocks are one machine's; a later time would add to the deadline
+MAX_RPC_ID_LENGTH = 64  # characters: clients count from 1, and an error repeats the id
 MAX_BRACKETS = 32  # in a body: messages need two, and the stack of the JSON parser is small
 MAX_LENGTH_DIGITS = 9  # in a header: longer numbers are not converted
 MAX_NUMBER = 1e9  # of a duration in ms, or an index
@@ -117,7 +118,7 @@
     if not isinstance(message, dict):
         raise BadMessageError(INVALID_REQUEST, "not an object (batches are not taken)")
     rpc_id = message.get("id")
-    if isinstance(rpc_id, bool) or not isinstance(rpc_id, int | str) or len(str(rpc_id)) > 64:
+    if isinstance(rpc_id, bool) or not isinstance(rpc_id, int | str) or len(str(rpc_id)) > MAX_RPC_ID_LENGTH:
         if "id" in message:
             raise BadMessageError(INVALID_REQUEST, "field 'id' is no number")
         rpc_id = None
--- a/vetchford/protocol/records_lines.py
+++ b/vetchford/protocol/records_lines.py
@@ -11,6 +11,7 @@
 MAX_LINE_BYTES = 256  # an id, a word and a length
 MAX_REPLY_BYTES = 65_536  # the page sets no bound; replies seen are far shorter
 MAX_LENGTH_DIGITS = 9  # longer numbers are not converted
+WORDS_WITHOUT_BODY, WORDS_WITH_BODY = 2, 3  # of a line: id and status, and the length of the body
 
 LINE_END = b"\r\n"
 WITH_BODY = "DONE"  # the only status whose line has a length, and a body behind it
@@ -40,10 +41,10 @@
     if line_end < 0:
         return None
     words = bytes(buffer.view[buffer.start : line_end]).split(b" ")
-    if not 2 <= len(words) <= 3 or not all(word.isalnum() for word in words):
+    if len(words) not in (WORDS_WITHOUT_BODY, WORDS_WITH_BODY) or not all(word.isalnum() for word in words):
         raise UnreadableStreamError("a line that is no reply")
     status = words[1].decode("ascii", "replace")
-    if status not in OUTCOMES or (status == WITH_BODY) != (len(words) == 3):
+    if status not in OUTCOMES or (status == WITH_BODY) != (len(words) == WORDS_WITH_BODY):
         raise UnreadableStreamError("a line with no known outcome")
     name = words[0].decode("ascii", "replace")
     if status != WITH_BODY:
--- a/vetchford/transport/handshake.py
+++ b/vetchford/transport/handshake.py
@@ -30,7 +30,7 @@
 
 
 def _known_incarnation(value: Any) -> tuple[int, int] | None:
-    if not isinstance(value, list) or len(value) != 2:
+    if not isinstance(value, list) or len(value) != KNOWN_PARTS:
         return None
     if not all(isinstance(part, int) for part in value):
         return None
