--- a/vetchford/transport/handshake.py
+++ b/vetchford/transport/handshake.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 KIND = "hello"  # of its envelope
+KNOWN_PARTS = 2  # incarnation and nonce
 
 
 @dataclass(frozen=True, slots=True)
