--- a/tests/golden/codecs.py
+++ b/tests/golden/codecs.py
@@ -13,7 +13,7 @@
 
 def heartbeat_datagram(name: str, ready: bool) -> bytes:
     """The registry's datagram."""
-    return heartbeat.report(name, ready)
+    return heartbeat.encode_report(name, ready)
 
 
 def rpc_rejected(rpc_id: Any, give_up: bool, retry_after: float) -> bytes:
@@ -23,12 +23,12 @@
 
 def rpc_failed(rpc_id: Any) -> bytes:
     """The reply to a request that failed."""
-    return b"".join(json_rpc.abandoned(rpc_id))
+    return b"".join(json_rpc.failed(rpc_id))
 
 
 def rpc_finished(rpc_id: Any, content: str) -> bytes:
     """The reply with a result."""
-    return b"".join(json_rpc.finished(rpc_id, content))
+    return b"".join(json_rpc.completed(rpc_id, content))
 
 
 def rpc_closing() -> bytes:
@@ -49,19 +49,19 @@
 
 def records_call(name: str, wait: int, body: bytes) -> bytes:
     """A call of the records service."""
-    return b"".join(records_lines.op(name, wait, body))
+    return b"".join(records_lines.call(name, wait, body))
 
 
 def records_cancel(name: str) -> bytes:
     """The line that gives a call up."""
-    return b"".join(records_lines.unop(name))
+    return b"".join(records_lines.cancel(name))
 
 
 def records_reply(data: bytes) -> tuple[str, str, str | None] | str | None:
     """What a reply is read as; an error's own words; None while it is not whole."""
     buffer = ReceiveBuffer(100_000)
-    buffer.space()[: len(data)] = data
-    buffer.fed(len(data))
+    buffer.free_space()[: len(data)] = data
+    buffer.add_received(len(data))
     try:
         found = records_lines.next_reply(buffer)
     except Exception as problem:
@@ -73,19 +73,19 @@
 
 def frame_encoded(fields: list[Any]) -> bytes:
     """A frame of fleet, sender, life, nonce, sequence, kind and body."""
-    return framing.packed(framing.Envelope(*fields))
+    return framing.encode_frame(framing.Envelope(*fields))
 
 
 def frame_decoded(data: bytes) -> list[Any] | str:
     """The seven fields of a datagram, or the word for what is wrong with it."""
     try:
-        found = framing.datagram(data)
+        found = framing.decode_datagram(data)
     except framing.FrameError as problem:
         return str(problem)
     return [
         found.fleet,
         found.sender,
-        found.life,
+        found.incarnation,
         found.nonce,
         found.sequence,
         found.kind,
@@ -95,9 +95,9 @@
 
 def frames_of_stream(pieces: list[bytes]) -> list[list[Any]]:
     """The fields of all frames in a stream that came in pieces."""
-    stream = framing.Stream()
+    stream = framing.StreamDecoder()
     return [
-        [found.fleet, found.sender, found.life, found.nonce, found.sequence, found.kind, found.body]
+        [found.fleet, found.sender, found.incarnation, found.nonce, found.sequence, found.kind, found.body]
         for piece in pieces
         for found in stream.feed(piece)
     ]
