--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -19,8 +19,8 @@
 from testkit.simulation.network import Net
 from vetchford.fleet import supervisor
 from vetchford.fleet.commands.machine import ask
-from vetchford.fleet.failure_detector import MemberState
 from vetchford.fleet.history_store import Store
+from vetchford.fleet.membership import MemberState
 
 INSTANCES = 200
 STATUS = 0.3  # s at the median, by the aim
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -38,7 +38,7 @@
 from testkit.simulation import agents
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
-from vetchford.fleet.failure_detector import MemberState
+from vetchford.fleet.membership import MemberState
 
 AGENTS, EACH, FLOOR = 5, 4, 12
 
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -3,7 +3,8 @@
 import heapq
 import random
 
-from vetchford.fleet.failure_detector import MAX_UPDATES, FailureDetector
+from vetchford.fleet.failure_detector import FailureDetector
+from vetchford.fleet.membership import MAX_UPDATES
 
 
 class Net:
@@ -43,7 +44,9 @@
 
     def views(self, of):
         return {
-            agent.state(of) for name, agent in self.agents.items() if name not in self.dead and name != of
+            agent.membership.state(of)
+            for name, agent in self.agents.items()
+            if name not in self.dead and name != of
         }
 
 
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -4,13 +4,13 @@
 
 from testkit.simulation.network import Net
 from vetchford.fleet import failure_detector
-from vetchford.fleet.failure_detector import MemberState, describe_unseen
+from vetchford.fleet.membership import MemberState, describe_unseen
 
 ALIVE, SUSPECT, UNREACHABLE = MemberState
 
 
 @pytest.mark.parametrize("count", [2, 8, 40, 200])
-def test_a_dead_agent_is_seen_by_all_and_nobody_else_is_buried(count):
+def test_an_agent_that_ended_is_unreachable_for_all_and_nobody_else_is(count):
     net = Net(count, seed=count)
     net.run(5_000.0)
     net.dead.add("a001")
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_at_five_in_a_hundred_lost_and_doubled_messages_nobody_alive_is_buried(seed):
+def test_at_five_in_a_hundred_lost_and_doubled_messages_nobody_alive_is_unreachable(seed):
     net = Net(50, seed, loss=0.05, doubled=0.05)
     net.run(120_000.0)
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
@@ -31,25 +31,26 @@
     )  # a probe and its answer a period, and a few in others' places
 
 
-def test_a_slow_agent_is_suspected_perhaps_and_never_buried():
+def test_a_slow_agent_is_suspected_perhaps_and_never_unreachable():
     net = Net(20, 4)
     net.slow["a003"] = 200.0
     net.run(120_000.0)
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
 
 
-def test_one_that_hears_nobody_waits_longer_than_those_that_bury_it():
+def test_one_that_hears_nobody_waits_longer_than_those_that_miss_it():
     net = Net(20, 5)
     net.run(3_000.0)
     net.side["a007"] = 1
     net.run(18_000.0)
-    assert sum(state == UNREACHABLE for state in (net.agents["a007"].state(name) for name in net.agents)) <= 1
+    states = [net.agents["a007"].membership.state(name) for name in net.agents]
+    assert states.count(UNREACHABLE) <= 1
     assert net.agents["a007"].health_penalty == failure_detector.MAX_HEALTH_PENALTY
     net.run(60_000.0)
     assert net.views("a007") == {UNREACHABLE}
 
 
-def test_a_link_that_flaps_and_an_agent_that_stops_for_seconds_bury_nobody():
+def test_a_link_that_flaps_and_an_agent_that_stops_for_seconds_make_nobody_unreachable():
     net = Net(20, 8)
     for turn in range(60):
         net.side["a003"] = turn % 2  # one second each way
@@ -58,18 +59,18 @@
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
 
 
-def test_a_listed_view_takes_in_nobody_else_and_one_that_was_stopped_buries_nobody():
+def test_fixed_members_take_in_nobody_else_and_a_process_that_was_stopped_gives_up_nobody():
     net = Net(5, 9)
     one = failure_detector.FailureDetector(
         net.agents["a000"].actions, "a000", net.agents, 9, fixed_members=True
     )
-    assert {member.state for member in one.members.values()} == {SUSPECT}  # nobody was heard yet
-    one.apply_update(1.0, ("stranger", ALIVE, 3))
+    assert {member.state for member in one.membership.members.values()} == {SUSPECT}  # nobody was heard yet
+    one.membership.apply_update(1.0, ("stranger", ALIVE, 3))
     one.receive(1.0, "other", "ping", 1, "", [])
-    assert sorted(one.members) == ["a001", "a002", "a003", "a004"]
+    assert sorted(one.membership.members) == ["a001", "a002", "a003", "a004"]
     one.tick(100.0)
     one.tick(60_000.0)
-    assert {member.state for member in one.members.values()} == {SUSPECT}
+    assert {member.state for member in one.membership.members.values()} == {SUSPECT}
 
 
 def test_a_split_and_its_healing_end_with_everybody_seen_again():
@@ -79,7 +80,9 @@
         net.side[f"a{n:03}"] = 1
     net.run(60_000.0)
     assert net.views("a000") == {ALIVE, UNREACHABLE}
-    assert describe_unseen({name: net.agents["a020"].state(name) for name in net.agents}, ["a019", "a000"])
+    assert describe_unseen(
+        {name: net.agents["a020"].membership.state(name) for name in net.agents}, ["a019", "a000"]
+    )
     net.side.clear()
     net.run(160_000.0)
     for name in net.agents:
@@ -89,24 +92,28 @@
 def test_a_denied_suspicion_is_gone_and_old_news_changes_nothing():
     net = Net(3, 1)
     one = net.agents["a000"]
-    one.apply_update(0.0, ("a001", SUSPECT, 0))
-    one.apply_update(1.0, ("a001", ALIVE, 1))
-    assert one.state("a001") == ALIVE
+    one.membership.apply_update(0.0, ("a001", SUSPECT, 0))
+    one.membership.apply_update(1.0, ("a001", ALIVE, 1))
+    assert one.membership.state("a001") == ALIVE
     for old in (("a001", SUSPECT, 0), ("a001", UNREACHABLE, 0)):
-        one.apply_update(2.0, old)
-        assert one.state("a001") == ALIVE
-    one.apply_update(3.0, ("a000", SUSPECT, 4))
-    assert one.incarnation == 5 and ("a000", ALIVE, 5) in one.piggyback("a002")
+        one.membership.apply_update(2.0, old)
+        assert one.membership.state("a001") == ALIVE
+    one.membership.apply_update(3.0, ("a000", SUSPECT, 4))
+    assert one.membership.incarnation == 5 and ("a000", ALIVE, 5) in one.membership.piggyback("a002")
 
 
-def test_the_dead_are_forgotten_and_every_table_is_emptied():
+def test_unreachable_agents_are_forgotten_and_every_table_is_emptied():
     net = Net(5, 2)
     net.run(2_000.0)
     net.dead.add("a004")
     net.run(60_000.0 + failure_detector.UNREACHABLE_RETENTION)
     for name, agent in net.agents.items():
         if name != "a004":
-            assert "a004" not in agent.members and len(agent.probes) <= 2 and len(agent.updates) <= 1
+            assert (
+                "a004" not in agent.membership.members
+                and len(agent.probes) <= 2
+                and len(agent.membership.updates) <= 1
+            )
 
 
 def test_a_change_over_several_agents_stops_while_part_of_them_is_not_seen():
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -12,7 +12,8 @@
 import structlog
 
 from vetchford.coordination.load_sampler import LoadSampler
-from vetchford.fleet.failure_detector import FailureDetector, MemberState
+from vetchford.fleet.failure_detector import FailureDetector
+from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.gossip.fleet_signals import DEAD_NOW, FIGURES, PROBE, FleetSignalPolicy, FleetSignals
 from vetchford.gossip.load_gossip import LoadGossip, Row
@@ -149,7 +150,7 @@
             if aggregate is not None:
                 seen[figure.name] = round(aggregate.value, 3)
                 seen[figure.name + "_rows"] = aggregate.rows
-        there = sum(member.state == MemberState.ALIVE for member in self.views.members.values())
+        there = sum(member.state == MemberState.ALIVE for member in self.views.membership.members.values())
         log.info(
             "together",
             there=there,
@@ -172,7 +173,9 @@
 
     def seen_changed(self) -> None:
         there = [
-            name for name, member in self.views.members.items() if member.state != MemberState.UNREACHABLE
+            name
+            for name, member in self.views.membership.members.items()
+            if member.state != MemberState.UNREACHABLE
         ]
         ring = View([*there, self.name], self.seed).listens(RINGS)[self.name]
         self.signals.there(there, ring)
@@ -243,7 +246,7 @@
         self.raised.append(now)
         self.life, self.nonce = max(life, self.life) + 1, time.time_ns() & (1 << 62) - 1
         log.warning("life_raised", life=self.life, known=life)
-        self.views.restart(self.life * DENIALS)
+        self.views.membership.restart(self.life * DENIALS)
         self.signals.life = self.taker.life = self.life
         for turn in list(self.taker.wishes):
             self.taker.wishes.pop(turn)  # asked for under another life
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -15,11 +15,12 @@
 
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
-from vetchford.fleet.failure_detector import FailureDetector, MemberState
+from vetchford.fleet.failure_detector import FailureDetector
 from vetchford.fleet.fleet_record import founding_record
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.rollout import RolloutController
 from vetchford.fleet.tool_requests import Answer
@@ -195,7 +196,7 @@
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
         log.warning("life_raised", life=self.incarnation, known=known)
-        self.failure_detector.restart(self.detector_incarnation())
+        self.failure_detector.membership.restart(self.detector_incarnation())
         self.transport.renew(self.incarnation, self.nonce)
 
     # -- actions of the failure detector
@@ -267,7 +268,7 @@
         record = self.coordinator.record
         rows = self.transport.decide.table()
         for row in rows:
-            member = self.failure_detector.members.get(row["name"])
+            member = self.failure_detector.membership.members.get(row["name"])
             row["view"] = STATE_SHOWN[member.state if member else MemberState.UNREACHABLE]
             row["member"] = record.is_member(row["name"])
             row["voter"] = row["name"] in record.voters()
