--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -19,8 +19,8 @@
 from testkit.simulation.network import Net
 from vetchford.fleet import supervisor
 from vetchford.fleet.agent_client import ask
-from vetchford.fleet.failure_detector import MemberState
 from vetchford.fleet.history_store import Store
+from vetchford.fleet.membership import MemberState
 from vetchford.fleet.process_table import read_memory_kb
 
 INSTANCES = 200
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -17,7 +17,8 @@
 from vetchford.coordination.incarnation import IncarnationCounter
 from vetchford.coordination.load_sampler import LoadSampler
 from vetchford.coordination.settings import FleetMemberSettings
-from vetchford.fleet.failure_detector import FailureDetector, MemberState
+from vetchford.fleet.failure_detector import FailureDetector
+from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.gossip.fleet_signals import PROBE, FleetSignalPolicy, FleetSignals, RecordsState
 from vetchford.gossip.load_gossip import LoadGossip
@@ -80,7 +81,7 @@
             streams=False,
         )
         now = self.now()
-        self.membership = FailureDetector(
+        self.failure_detector = FailureDetector(
             self,
             self.name,
             settings.servers,
@@ -129,7 +130,7 @@
             return
         self.next_tick = time.monotonic() + TICK_INTERVAL_S
         now = self.now()
-        self.membership.tick(now)
+        self.failure_detector.tick(now)
         if self.lease_server is not None:
             self.lease_server.tick(now)
         self.lease_client.tick(now)
@@ -191,7 +192,10 @@
                 seen[f"{metric.name}_rows"] = aggregate.report_count
         log.info(
             "together",
-            there=sum(member.state == MemberState.ALIVE for member in self.membership.members.values()),
+            there=sum(
+                member.state == MemberState.ALIVE
+                for member in self.failure_detector.membership.members.values()
+            ),
             records=self.signal_policy.state,
             **seen,
             room=round(self.signals.call_capacity, 3),
@@ -214,7 +218,7 @@
     def _update_members(self) -> None:
         there = [
             name
-            for name, member in self.membership.members.items()
+            for name, member in self.failure_detector.membership.members.items()
             if member.state != MemberState.UNREACHABLE
         ]
         ring = MembershipView([*there, self.name], self.settings.fleet).ring_successors(RINGS)[self.name]
@@ -273,7 +277,7 @@
     def _receive(self, peer: str, body: Any) -> None:
         match datagrams.decode(body):
             case MembershipDatagram(kind, number, about, news):
-                self.membership.receive(self.now(), peer, kind, number, about, news)
+                self.failure_detector.receive(self.now(), peer, kind, number, about, news)
             case LoadReportsDatagram(reports):
                 self.load_gossip.receive(self.now(), peer, reports)
             case LeaseDatagram(message):
@@ -296,7 +300,7 @@
             return
         incarnation = self.counter.incarnation
         log.warning("life_raised", life=incarnation, known=known)
-        self.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
+        self.failure_detector.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
         self.lease_client.begin_incarnation(now, incarnation)
         self.transport.begin_incarnation(incarnation, self.counter.nonce)
