--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -193,7 +193,7 @@
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
         log.warning("life_raised", life=self.incarnation, known=known)
-        self.failure_detector.membership.membership.restart(self.detector_incarnation())
+        self.failure_detector.membership.restart(self.detector_incarnation())
         self.transport.begin_incarnation(self.incarnation, self.nonce)
 
     # -- actions of the failure detector
