--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -55,81 +55,81 @@
         self.arriving = -1  # index of the request that is just being admitted
         self.idle_timeout = math.inf  # ms that a silent connection is kept
 
-    def start(self, q: int) -> None:
+    def start(self, index: int) -> None:
         """Start the run of a queued request."""
-        self.commands.start_run(self.requests[q], self._is_idempotent(q))
+        self.commands.start_run(self.requests[index], self._is_idempotent(index))
 
-    def stop(self, q: int) -> None:
+    def stop(self, index: int) -> None:
         """Count only: the protocol has no such command yet. The run ends by itself and changes no answer."""
         self.metrics.increment("stops_not_sent")
 
-    def reject(self, q: int, terminal: bool, pause: float) -> None:
+    def reject(self, index: int, terminal: bool, retry_delay: float) -> None:
         """Answer that the request was rejected and never ran."""
         if self.controller.health.notice_at < math.inf:
             counter = "rejected_draining"
         elif self.controller.health.stalled:
             counter = "rejected_stalled"
-        elif q == self.arriving:
+        elif index == self.arriving:
             counter = "rejected_at_door"
         else:
             counter = "rejected_held"
-        self.answers.reject(self.requests[q], terminal, pause, counter)
+        self.answers.reject(self.requests[index], terminal, retry_delay, counter)
 
-    def fail(self, q: int) -> None:
+    def fail(self, index: int) -> None:
         """Answer with an error."""
-        self.answers.fail(self.requests[q])
+        self.answers.fail(self.requests[index])
 
-    def share(self, q: int) -> None:
+    def share(self, index: int) -> None:
         """Answer with the result of the original request, now or as it ends."""
-        original = self.requests[q].original
+        original = self.requests[index].original
         result = self.idempotency_cache.results.get(original)
         if result is not None:
-            self.deferred.append(SharedResult(q, result))
+            self.deferred.append(SharedResult(index, result))
         else:
-            self.idempotency_cache.add_follower(original, q)
+            self.idempotency_cache.add_follower(original, index)
 
-    def call(self, q: int, cut_at: float) -> None:
+    def call(self, index: int, cut_at: float) -> None:
         """Make the dependency call that the run waits for."""
         deadline = self.clock.origin + cut_at
-        self.calls.start(q, self.requests[q], self.clock.now(), deadline, self._is_idempotent(q))
+        self.calls.start(index, self.requests[index], self.clock.now(), deadline, self._is_idempotent(index))
 
-    def skip(self, q: int) -> None:
+    def skip(self, index: int) -> None:
         """Let the run continue without its dependency call."""
-        self.commands.skip_call(self.requests[q])
+        self.commands.skip_call(self.requests[index])
 
-    def remember(self, q: int, keep_for: float) -> None:
+    def remember(self, index: int, keep_for: float) -> None:
         """Let the request hold its idempotency key, if it has one, for `keep_for` ms from now."""
-        key = self.requests[q].idempotency_key
+        key = self.requests[index].idempotency_key
         if key is not None:
             until = math.ceil(self.clock.origin + self.clock.now() + keep_for)
-            self.idempotency_cache.remember(key, q, until)
+            self.idempotency_cache.remember(key, index, until)
 
-    def forget(self, q: int) -> None:
+    def forget(self, index: int) -> None:
         """Take the idempotency key from the request."""
-        self.idempotency_cache.forget(q)
+        self.idempotency_cache.forget(index)
 
-    def release(self, q: int) -> None:
+    def release(self, index: int) -> None:
         """Forget the request."""
-        entry = self.requests[q]
+        entry = self.requests[index]
         self.metrics.check_invariant(entry.answered, "released_after_its_answer", task=entry.request_id)
         if entry.original >= 0:
-            self.idempotency_cache.remove_follower(entry.original, q)
-        for follower in self.idempotency_cache.release(q):
+            self.idempotency_cache.remove_follower(entry.original, index)
+        for follower in self.idempotency_cache.release(index):
             self.deferred.append(SharedResult(follower, NOT_COMPLETED))
-        self.requests.release(q)
+        self.requests.release(index)
 
-    def set_readiness(self, good: bool) -> None:
+    def set_readiness(self, ready: bool) -> None:
         """Answer health checks, and report to the registry, by this."""
-        self.listener.ready = good
-        self.registry.post(self.registry.set_readiness, good)
-        log.info("readiness_changed", good=good)
+        self.listener.ready = ready
+        self.registry.post(self.registry.set_readiness, ready)
+        log.info("readiness_changed", good=ready)
 
     def publish_load(self, value: float) -> None:
         """Do nothing: the protocol has no place for a load report."""
 
-    def set_idle_timeout(self, keep_for: float) -> None:
-        """Close connections that were silent for `keep_for` ms, as of the next tick."""
-        self.idle_timeout = keep_for
+    def set_idle_timeout(self, timeout: float) -> None:
+        """Close connections that were silent for `timeout` ms, as of the next tick."""
+        self.idle_timeout = timeout
 
     def schedule_tick(self, delay: float) -> None:
         """Call `on_tick` after `delay` ms, with gauges polled shortly before."""
