--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -39,83 +39,138 @@
 import json
 import os
 import sys
+from collections.abc import Callable
 from functools import partial
+from typing import Any
 
 from docopt import DocoptExit, docopt
 
 import vetchford
-from vetchford.errors import MalformedInputError
+from vetchford.errors import MalformedInputError, VetchfordError
 from vetchford.runtime import log_setup
 from vetchford.server import platform_config, server_process, signals
 
+Options = dict[str, Any]  # as docopt gives them, by the names in the usage above
+
+EXIT_DONE = 0
+EXIT_WRONG_USAGE = 2  # or a wrong file; `serve` and `agent` return 1 for a failure at run time themselves
+
+
+class UsageError(VetchfordError):
+    """The command line, or a file that it names, is wrong; the text is for the user."""
+
 
 def main(argv: list[str] | None = None) -> int:
-    given = sys.argv[1:] if argv is None else argv
-    if given[:1] == ["fleet"]:
+    """Runs one command and returns its exit status; `argv`: without the program's name."""
+    arguments = sys.argv[1:] if argv is None else argv
+    if arguments[:1] == ["fleet"]:
         from vetchford.fleet.commands import machine  # a server does without it
 
-        return machine.main(given[1:])
+        return machine.main(arguments[1:])
     try:
-        asked = docopt(__doc__, given, version=vetchford.__version__)
-    except DocoptExit:
-        return complain("wrong usage; `vetchford --help` tells how")
-    asked["--with"] = list(dict.fromkeys(asked["--with"]))  # the options' library repeats a repeated option
-    for option, known in (("--log-level", tuple(log_setup.LEVELS)), ("--log-form", log_setup.FORMS)):
-        if asked[option] not in known:
-            return complain(f"{option} must be one of {', '.join(known)}")
-    if asked["version"]:
-        print(vetchford.__version__)
-        return 0
-    if asked["--schema"]:
-        from vetchford.configuration import isolated_reader  # only here, and where such files are read
-
-        print(isolated_reader.schema(), end="")
-        return 0
-    if asked["agent"]:
-        return run_agent(asked)
-    load = partial(platform_config.load, path=asked["--config"], ours=asked["--with"])
+        options = _parse(arguments)
+        return _command(options)(options)
+    except UsageError as error:
+        for line in str(error).splitlines():
+            print(f"vetchford: {line}", file=sys.stderr)
+        return EXIT_WRONG_USAGE
+
+
+def _parse(arguments: list[str]) -> Options:
     try:
-        if asked["check"] and asked["--with"] and not (asked["--config"] or os.environ.get("ROUTER_CONFIG")):
-            from vetchford.configuration import isolated_reader
-
-            isolated_reader.read(asked["--with"], None)
-            print(f"{', '.join(asked['--with'])}: good")
-            return 0
-        told = load()
-    except MalformedInputError as problem:
-        return complain(str(problem))
-    if asked["check"]:
-        print(f"{told['name']}: configuration is good")
-        return 0
-    if asked["settings"]:
-        print(json.dumps(platform_config.understood(told), indent=2))
-        return 0
+        options: Options = docopt(__doc__, arguments, version=vetchford.__version__)
+    except DocoptExit:
+        raise UsageError("wrong usage; `vetchford --help` tells how") from None
+    options["--with"] = list(dict.fromkeys(options["--with"]))  # docopt repeats a repeated option
+    choices = {"--log-level": tuple(log_setup.LEVELS), "--log-form": log_setup.FORMS}
+    for option, allowed in choices.items():
+        if options[option] not in allowed:
+            raise UsageError(f"{option} must be one of {', '.join(allowed)}")
+    return options
+
+
+def _command(options: Options) -> Callable[[Options], int]:
+    """The command that was named; docopt sees to it that it is exactly one."""
+    commands: dict[str, Callable[[Options], int]] = {
+        "version": _print_version,
+        "settings": _print_schema if options["--schema"] else _print_settings,
+        "agent": _run_agent,
+        "check": _check,
+        "serve": _serve,
+    }
+    return next(command for name, command in commands.items() if options[name])
+
+
+def _print_version(options: Options) -> int:
+    print(vetchford.__version__)
+    return EXIT_DONE
+
+
+def _print_schema(options: Options) -> int:
+    from vetchford.configuration import isolated_reader  # imported only where such files are read
+
+    print(isolated_reader.schema(), end="")
+    return EXIT_DONE
+
+
+def _print_settings(options: Options) -> int:
+    configuration = _load(options)
+    print(json.dumps(platform_config.understood(configuration), indent=2))
+    return EXIT_DONE
+
+
+def _check(options: Options) -> int:
+    settings_files: list[str] = options["--with"]
+    if settings_files and not (options["--config"] or os.environ.get("ROUTER_CONFIG")):
+        _read_settings(settings_files)
+        print(f"{', '.join(settings_files)}: good")
+        return EXIT_DONE
+    configuration = _load(options)
+    print(f"{configuration['name']}: configuration is good")
+    return EXIT_DONE
+
+
+def _serve(options: Options) -> int:
+    configuration = _load(options)
     signals.hold_signals()
-    writer = log_setup.start(asked["--log-level"], asked["--log-form"])
+    writer = log_setup.start(options["--log-level"], options["--log-form"])
     try:
-        return server_process.serve(told, load, writer.end_by)
+        return server_process.serve(configuration, _loader(options), writer.end_by)
     finally:
         writer.close()
 
 
-def run_agent(asked: dict) -> int:
-    from vetchford.configuration import isolated_reader  # a server does without both
-    from vetchford.fleet import agent
+def _run_agent(options: Options) -> int:
+    from vetchford.fleet import agent  # a server does without it
 
+    settings = _read_settings(options["--with"])["agent"] if options["--with"] else None
+    if settings is None:
+        raise UsageError("no file given by --with has the key 'agent'")
+    writer = log_setup.start(options["--log-level"], options["--log-form"])
     try:
-        told = isolated_reader.read(asked["--with"], None)["agent"] if asked["--with"] else None
-    except MalformedInputError as problem:
-        return complain(str(problem))
-    if told is None:
-        return complain("no file given by --with has the key 'agent'")
-    writer = log_setup.start(asked["--log-level"], asked["--log-form"])
-    try:
-        return agent.serve(told)
+        return agent.serve(settings)
     finally:
         writer.close()
 
 
-def complain(text: str) -> int:
-    for line in text.splitlines():
-        print(f"vetchford: {line}", file=sys.stderr)
-    return 2
+def _loader(options: Options) -> Callable[[], dict[str, Any]]:
+    """Reads the platform's file and ours, also anew while a server runs."""
+    return partial(platform_config.load, path=options["--config"], ours=options["--with"])
+
+
+def _load(options: Options) -> dict[str, Any]:
+    """The platform's file and ours, checked; UsageError has a line for each problem."""
+    try:
+        return _loader(options)()
+    except MalformedInputError as error:
+        raise UsageError(str(error)) from None
+
+
+def _read_settings(paths: list[str]) -> dict[str, Any]:
+    """Our settings files alone, checked; UsageError has a line for each problem."""
+    from vetchford.configuration import isolated_reader  # imported only where such files are read
+
+    try:
+        return isolated_reader.read(paths, None)
+    except MalformedInputError as error:
+        raise UsageError(str(error)) from None
