--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -7,17 +7,18 @@
 import pytest
 
 from vetchford.configuration import reader
-from vetchford.configuration.errors import MOST_TOLD, DeclaredError
+from vetchford.configuration.errors import MAX_REPORTED_PROBLEMS, SettingsError
 
 GOOD = 'version: 1\npools: gate: {stages: ["check"], share: 20%, reserve: 1}\n'
 
 
 def read(*texts, stages=None):
-    return reader.read_texts([(f"f{at}.vet", text) for at, text in enumerate(texts)], stages)
+    sources = [reader.SourceText(f"f{at}.vet", text) for at, text in enumerate(texts)]
+    return reader.read_sources(sources, stages)
 
 
 def wrong(*texts, stages=None):
-    with pytest.raises(DeclaredError) as caught:
+    with pytest.raises(SettingsError) as caught:
         read(*texts, stages=stages)
     return [str(problem) for problem in caught.value.problems]
 
@@ -143,7 +144,7 @@
     ]
     assert (
         len(wrong("version: 1\npools: {\n" + "".join(f"p{n}: {{share: 9}}\n" for n in range(200)) + "}"))
-        == MOST_TOLD
+        == MAX_REPORTED_PROBLEMS
     )
 
 
@@ -159,7 +160,7 @@
 def test_files_that_cannot_be_read_are_told_beside_the_others(tmp_path):
     (tmp_path / "a.vet").write_bytes(b"version: \xff")
     (tmp_path / "b.vet").write_text("version: : 1")
-    with pytest.raises(DeclaredError) as caught:
+    with pytest.raises(SettingsError) as caught:
         reader.read([str(tmp_path / name) for name in ("a.vet", "b.vet", "none.vet")])
     assert len(caught.value.problems) == 3
 
@@ -230,7 +231,7 @@
         try:
             read("".join(text))
             outcomes.add("read")
-        except DeclaredError as problem:
-            assert problem.problems and all(one.text for one in problem.problems)
+        except SettingsError as problem:
+            assert problem.problems and all(one.message for one in problem.problems)
             outcomes.add("refused")
     assert outcomes == {"read", "refused"}
--- a/vetchford/configuration/__main__.py
+++ b/vetchford/configuration/__main__.py
@@ -1,4 +1,4 @@
-"""Reads settings for another process: file names on the command line, stages as JSON on standard input.
+"""Reads settings for another process: file names as arguments, request classes as JSON on standard input.
 
 Prints the record as JSON, or a line for each problem on standard error with exit status 2.
 """
@@ -8,17 +8,19 @@
 
 import msgspec
 
-from vetchford.configuration.errors import DeclaredError
+from vetchford.configuration.errors import SettingsError
+from vetchford.configuration.isolated_reader import EXIT_WRONG_SETTINGS
 from vetchford.configuration.reader import read
 
 
 def main() -> int:
+    """Runs one reading; returns the exit status."""
     try:
-        declared = read(sys.argv[1:], json.load(sys.stdin))
-    except DeclaredError as problem:
-        print(problem, file=sys.stderr)
-        return 2
-    print(msgspec.json.encode(declared).decode())
+        settings = read(sys.argv[1:], json.load(sys.stdin))
+    except SettingsError as error:
+        print(error, file=sys.stderr)
+        return EXIT_WRONG_SETTINGS
+    print(msgspec.json.encode(settings).decode())
     return 0
 
 
--- a/vetchford/configuration/errors.py
+++ b/vetchford/configuration/errors.py
@@ -1,40 +1,59 @@
-"""What is wrong with a file of settings, and where."""
+"""What can be wrong with a settings file, and where."""
 
 from dataclasses import dataclass
 
-MOST_TOLD = 50  # problems of one reading: more are the same mistake over and over
+from vetchford.errors import VetchfordError
+
+MAX_REPORTED_PROBLEMS = 50  # of one reading; more are the same mistake over and over
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
-    """Line and column count from 1."""
+class SourceLocation:
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
     column: int
 
     def __str__(self) -> str:
+        """As compilers write it, so that editors can jump to it."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Problem:
-    place: Place
-    path: str  # keys from the top, by dots; empty at the top
-    text: str  # what was found, and what is allowed
+    """One mistake in a settings file."""
+
+    location: SourceLocation
+    path: str  # keys from the top, joined by dots; empty at the top
+    message: str  # what was found, and what is allowed
 
     def __str__(self) -> str:
-        where = f" {self.path}:" if self.path else ""
-        return f"{self.place}:{where} {self.text}"
+        """The line that the user sees."""
+        path = f" {self.path}:" if self.path else ""
+        return f"{self.location}:{path} {self.message}"
+
 
+class SettingsError(VetchfordError):
+    """Settings files that cannot be used.
 
-class DeclaredError(Exception):
-    """All that is wrong, by place; one line each as text."""
+    `problems` holds each mistake once, ordered by location; the text of the error has a line for each.
+    """
 
     def __init__(self, problems: list[Problem]) -> None:
-        self.problems = sorted(set(problems))[:MOST_TOLD]
+        """Keeps the first MAX_REPORTED_PROBLEMS of the problems."""
+        self.problems = sorted(set(problems))[:MAX_REPORTED_PROBLEMS]
         super().__init__("\n".join(map(str, self.problems)))
 
 
-class TooMuchError(Exception):
-    """An input that asks for more work than any true file does."""
+class LimitExceededError(VetchfordError):
+    """The input asks for more work than any genuine settings file does."""
+
+
+class NestingTooDeepError(LimitExceededError):
+    """Brackets or keys of a file are nested deeper than the parser accepts."""
+
+    def __init__(self, line: int, column: int) -> None:
+        """`line` and `column` say where the limit was passed."""
+        super().__init__(f"nested too deep at {line}:{column}")
+        self.line, self.column = line, column
--- a/vetchford/configuration/reader.py
+++ b/vetchford/configuration/reader.py
@@ -1,139 +1,145 @@
-"""Files to one checked, typed record."""
+"""Settings files to one checked, typed record."""
 
 import re
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
 import msgspec
 
-from vetchford.configuration import records
-from vetchford.configuration.errors import DeclaredError, Place, Problem, TooMuchError
-from vetchford.configuration.parser import MOST_BYTES, Record, Reference, parse
-from vetchford.configuration.unifier import ABSENT, Constraint, Scope, Unifier, ValueNode
+from vetchford.configuration import consistency, records
+from vetchford.configuration.errors import LimitExceededError, Problem, SettingsError, SourceLocation
+from vetchford.configuration.parser import MAX_FILE_BYTES, parse
+from vetchford.configuration.syntax import Record, Reference
+from vetchford.configuration.unifier import Unifier
+from vetchford.configuration.value_tree import ABSENT, Constraint, PlainValue, Scope, ValueNode
 
-SCHEMA = Path(__file__).with_name("schema.vet")
-MOST_FILES = 8
+SCHEMA_FILE = Path(__file__).with_name("schema.vet")
+SCHEMA_NAME = SCHEMA_FILE.name  # as error lines show it
+ROOT_DEFINITION = "#Settings"  # that a whole file must be
+MAX_FILES = 8
+
+
+@dataclass(frozen=True, slots=True)
+class SourceText:
+    """A file that was read."""
+
+    name: str
+    text: str
 
 
 def schema() -> str:
-    return SCHEMA.read_text(encoding="utf-8")
+    """The schema's text, in the form itself."""
+    return SCHEMA_FILE.read_text(encoding="utf-8")
 
 
-def read(paths: list[str], stages: list[str] | None = None) -> records.Declared:
-    """All files unified. `stages`: the platform's, to check names with.
+def read(paths: Sequence[str], request_classes: Sequence[str] | None = None) -> records.Settings:
+    """All files unified. `request_classes`: the platform's, to check names with, where they are known.
 
-    Raises DeclaredError with everything that is wrong.
+    Raises SettingsError with everything that is wrong.
     """
     problems: list[Problem] = []
-    texts: list[tuple[str, str]] = []
-    for path in paths[:MOST_FILES]:
+    sources: list[SourceText] = []
+    for path in paths[:MAX_FILES]:
+        start = SourceLocation(path, 1, 1)
         try:
             with open(path, "rb") as file:
-                texts.append((path, file.read(MOST_BYTES + 1).decode("utf-8")))
-        except OSError as problem:
-            problems.append(Problem(Place(path, 1, 1), "", f"can't be read: {problem.strerror}"))
-        except ValueError:
-            problems.append(Problem(Place(path, 1, 1), "", "found bytes that are no UTF-8 text"))
-    if len(paths) > MOST_FILES:
-        problems.append(
-            Problem(Place(paths[MOST_FILES], 1, 1), "", f"{MOST_FILES} files at most are unified")
-        )
-    return read_texts(texts, stages, problems)
-
-
-def read_texts(
-    texts: list[tuple[str, str]], stages: list[str] | None = None, problems: list[Problem] | None = None
-) -> records.Declared:
-    """As `read`, from pairs of a name and a text."""
-    problems = problems if problems is not None else []
+                text = file.read(MAX_FILE_BYTES + 1).decode("utf-8")
+        except OSError as error:
+            problems.append(Problem(start, "", f"can't be read: {error.strerror}"))
+        except ValueError:  # no UTF-8, or a name that no file has
+            problems.append(Problem(start, "", "found bytes that are no UTF-8 text"))
+        else:
+            sources.append(SourceText(path, text))
+    if len(paths) > MAX_FILES:
+        location = SourceLocation(paths[MAX_FILES], 1, 1)
+        problems.append(Problem(location, "", f"{MAX_FILES} files at most are unified"))
+    return read_sources(sources, request_classes, problems)
+
+
+def read_sources(
+    sources: Sequence[SourceText],
+    request_classes: Sequence[str] | None = None,
+    earlier_problems: Sequence[Problem] = (),
+) -> records.Settings:
+    """As `read`, from texts; `earlier_problems` are reported with those that are found."""
+    parsed, problems = _parse_all(sources, earlier_problems)
+    unifier = Unifier(SCHEMA_NAME, [source.name for source in sources])
+    try:
+        root = _root_of(unifier, parsed, sources[-1].name)
+        plain = unifier.evaluate(root)
+    except (LimitExceededError, RecursionError) as error:
+        message = str(error) if isinstance(error, LimitExceededError) else "nested too deep"
+        start = SourceLocation(sources[0].name, 1, 1)
+        raise SettingsError([*problems, Problem(start, "", message)]) from None
+    problems += unifier.problems
+    if plain is ABSENT and not unifier.problems:
+        problems += unifier.consequences
+    if problems or plain is ABSENT:
+        raise SettingsError(problems)
+    locator = KeyLocator(root, sources[-1].name)
+    settings = _typed(plain, locator)
+    consistency.check(settings, locator.location, request_classes)
+    return settings
+
+
+@dataclass(frozen=True, slots=True)
+class KeyLocator:
+    """Finds where the files write a key."""
+
+    root: ValueNode
+    last_file: str
+
+    def location(self, path: str) -> SourceLocation:
+        """Where the key of a path stands, or the nearest above it."""
+        value, location = self.root, SourceLocation(self.last_file, 1, 1)
+        for label in re.split(r"[.\[]", path):
+            if label not in value.children:
+                break
+            value = value.children[label]
+            location = value.location(SCHEMA_NAME) or location
+        return location
+
+
+def _parse_all(
+    sources: Sequence[SourceText], earlier_problems: Sequence[Problem]
+) -> tuple[list[Record], list[Problem]]:
+    """The records of the files and the problems of single values; SettingsError where a file has no form."""
+    problems = list(earlier_problems)
     parsed: list[Record] = []
-    for name, text in texts:
-        record, wrong = parse(text, name)
-        problems += wrong
+    for source in sources:
+        record, found = parse(source.text, source.name)
+        problems += found
         if record is not None:
             parsed.append(record)
-    form, wrong = parse(schema(), SCHEMA.name)
-    assert form is not None and not wrong, wrong
-    if any(not problem.path for problem in problems) and len(parsed) < len(texts) or not parsed:
-        raise DeclaredError(problems or [Problem(Place("", 1, 1), "", "no file is named")])
-    evaluation = Unifier(SCHEMA.name, [name for name, _ in texts])
-    try:
-        rules = evaluation.top([form])
-        top = ValueNode("", 0)
-        around = Scope(top, None, Scope(rules, None, None))
-        for record in parsed:
-            top.said.append(Constraint(record, around))
-        top.said.append(Constraint(Reference(("#Settings",), Place(SCHEMA.name, 1, 1)), around))
-        top.places = [Place(texts[-1][0], 1, 1)]
-        evaluation.grow(top, [said for said in top.said if isinstance(said.node, Record)])
-        plain = evaluation.value(top)
-    except (TooMuchError, RecursionError) as much:
-        text = str(much) if isinstance(much, TooMuchError) else "nested too deep"
-        raise DeclaredError([*problems, Problem(Place(texts[0][0], 1, 1), "", text)]) from None
-    problems += evaluation.problems or (evaluation.followed if plain is ABSENT else [])
-    if problems or plain is ABSENT:
-        raise DeclaredError(problems)
+    any_without_path = any(not problem.path for problem in problems)
+    if (any_without_path and len(parsed) < len(sources)) or not parsed:
+        raise SettingsError(problems or [Problem(SourceLocation("", 1, 1), "", "no file is named")])
+    return parsed, problems
+
+
+def _root_of(unifier: Unifier, parsed: Sequence[Record], last_file: str) -> ValueNode:
+    """A root that all files must satisfy together, inside a scope with the schema's definitions."""
+    schema_record, problems = parse(schema(), SCHEMA_NAME)
+    assert schema_record is not None and not problems, problems
+    definitions = unifier.root_of([schema_record])
+    root = ValueNode("", 0)
+    scope = Scope(root, None, Scope(definitions, None, None))
+    for record in parsed:
+        root.constraints.append(Constraint(record, scope))
+    whole_file = Reference((ROOT_DEFINITION,), SourceLocation(SCHEMA_NAME, 1, 1))
+    root.constraints.append(Constraint(whole_file, scope))
+    root.locations = [SourceLocation(last_file, 1, 1)]
+    unifier.expand(root, root.constraints)
+    return root
+
+
+def _typed(plain: PlainValue, locator: KeyLocator) -> records.Settings:
+    """The second check, by the types of `records`; SettingsError with the first problem."""
     try:
-        declared = records.typed(plain)
-    except msgspec.ValidationError as problem:
-        path = re.search(r"`\$\.?(.*)`", str(problem))
-        where = path[1] if path else ""
-        text = str(problem).split(" - at ")[0]
-        raise DeclaredError([Problem(placed(top, where, texts[-1][0]), where, text)]) from None
-    agree(declared, top, stages, texts[-1][0])
-    return declared
-
-
-def placed(top: ValueNode, path: str, file: str) -> Place:
-    """Where the key of a path stands, or the nearest above it."""
-    vertex, place = top, Place(file, 1, 1)
-    for label in re.split(r"[.\[]", path):
-        if label not in vertex.children:
-            break
-        vertex = vertex.children[label]
-        place = vertex.place(SCHEMA.name) or place
-    return place
-
-
-def agree(declared: records.Declared, top: ValueNode, stages: list[str] | None, file: str) -> None:
-    """What no single value shows: an agent that is not of its fleet, stages in two pools or unknown."""
-    peers = declared.agent.peers if declared.agent else None
-    if peers is not None and peers.name not in peers.agents:
-        path = "agent.peers.name"
-        text = f"found '{peers.name}', which agents does not name; allowed: {', '.join(sorted(peers.agents))}"
-        raise DeclaredError([Problem(placed(top, path, file), path, text)])
-    together = declared.together
-    if together is not None:
-        for path, names in (("together.name", [together.name]), ("together.keepers", together.keepers)):
-            for name in names:
-                if name not in together.servers or names.count(name) > 1:
-                    why = "twice" if name in together.servers else "which servers does not name"
-                    text = f"found '{name}', {why}; allowed: {', '.join(sorted(together.servers))}, each once"
-                    raise DeclaredError([Problem(placed(top, path, file), path, text)])
-    if isinstance(declared.pools, str):
-        return
-    problems, owner = [], {}
-    for name, pool in declared.pools.items():
-        for stage in pool.stages:
-            path = f"pools.{name}.stages"
-            place = placed(top, path, file)
-            if stage in owner:
-                other = placed(top, f"pools.{owner[stage]}.stages", file)
-                problems.append(
-                    Problem(
-                        place,
-                        path,
-                        f"found '{stage}', which pool '{owner[stage]}' has as well "
-                        f"(at {other}); allowed: one pool for a stage",
-                    )
-                )
-            elif stages is not None and stage not in stages:
-                problems.append(
-                    Problem(
-                        place,
-                        path,
-                        f"found '{stage}', which is no stage of this server; allowed: {', '.join(stages)}",
-                    )
-                )
-            owner.setdefault(stage, name)
-    if problems:
-        raise DeclaredError(problems)
+        return msgspec.convert(plain, records.Settings)
+    except msgspec.ValidationError as error:
+        found = re.search(r"`\$\.?(.*)`", str(error))
+        path = found[1] if found else ""
+        message = str(error).split(" - at ")[0]
+        raise SettingsError([Problem(locator.location(path), path, message)]) from None
--- a/vetchford/configuration/records.py
+++ b/vetchford/configuration/records.py
@@ -1,15 +1,20 @@
-"""The typed records that the rest of the program gets, through msgspec."""
+"""The typed records that the rest of the program gets.
 
-from typing import Annotated, Literal
+Field names are the keys of the settings files; each class names the definition of `schema.vet` that it is.
+"""
+
+from typing import Annotated, Literal, TypeAlias
 
 import msgspec
 from msgspec import Meta
 
-Share = Annotated[float, Meta(gt=0.0, le=1.0)]
+Share: TypeAlias = Annotated[float, Meta(gt=0.0, le=1.0)]
+Name: TypeAlias = Annotated[str, Meta(min_length=1, max_length=64)]
+Address: TypeAlias = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 
 
-class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """As #Pool of the schema; durations in ms."""
+class PoolSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Pool`: request classes with capacity of their own; durations in ms."""
 
     stages: Annotated[list[str], Meta(min_length=1, max_length=64)]
     share: Share
@@ -22,11 +27,11 @@
     call_budget: float | None = None
 
 
-class Instance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """As #Instance of the schema; durations in ms."""
+class InstanceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Instance`: a process that an agent owns; durations in ms."""
 
     command: Annotated[list[str], Meta(min_length=1)]
-    listen: Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
+    listen: Address
     version: str
     group: str
     labels: list[str]
@@ -39,34 +44,31 @@
     memory_mb: Annotated[int, Meta(ge=1, le=1 << 20)] | None = None
 
 
-Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
-
-
-class SessionManager(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """As #Peers of the schema."""
+class AgentPeersSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Peers`: an agent's place in a fleet of several machines."""
 
-    fleet: Annotated[str, Meta(min_length=1, max_length=64)]
-    name: Annotated[str, Meta(min_length=1, max_length=64)]
+    fleet: Name
+    name: Name
     listen: Address
     agents: Annotated[dict[str, Address], Meta(min_length=1, max_length=64)]
 
 
-class Agent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """As #Agent of the schema."""
+class AgentSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Agent`: what one agent owns and where it keeps it."""
 
     socket: Annotated[str, Meta(min_length=1, max_length=100)]
     store: Annotated[str, Meta(min_length=1)]
     logs: Annotated[str, Meta(min_length=1)]
-    instances: Annotated[dict[str, Instance], Meta(min_length=1, max_length=1000)]
+    instances: Annotated[dict[str, InstanceSettings], Meta(min_length=1, max_length=1000)]
     versions: dict[str, list[str]]
-    peers: SessionManager | None = None
+    peers: AgentPeersSettings | None = None
 
 
-class Together(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """As #Together of the schema."""
+class ServerFleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Together`: a server's place among the servers of its fleet."""
 
-    fleet: Annotated[str, Meta(min_length=1, max_length=64)]
-    name: Annotated[str, Meta(min_length=1, max_length=64)]
+    fleet: Name
+    name: Name
     listen: Address
     servers: Annotated[dict[str, Address], Meta(min_length=1, max_length=1000)]
     keepers: Annotated[list[str], Meta(min_length=1, max_length=7)]
@@ -77,13 +79,10 @@
     full: bool
 
 
-class Declared(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    version: Literal[1]
-    pools: Literal["none", "derived"] | Annotated[dict[str, Pool], Meta(max_length=16)]
-    agent: Agent | None = None
-    together: Together | None = None
-
+class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`#Settings`: all that our files say, unified."""
 
-def typed(plain: object) -> Declared:
-    """Raises msgspec.ValidationError, whose text ends with the path."""
-    return msgspec.convert(plain, Declared)
+    version: Literal[1]
+    pools: Literal["none", "derived"] | Annotated[dict[str, PoolSettings], Meta(max_length=16)]
+    agent: AgentSettings | None = None
+    together: ServerFleetSettings | None = None
--- /dev/null
+++ b/vetchford/configuration/value_tree.py
@@ -0,0 +1,80 @@
+"""The tree of values that files are unified into: each key with all that is said of it."""
+
+import enum
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import Final, Generic, TypeAlias, TypeVar, cast
+
+from vetchford.configuration.errors import SourceLocation
+from vetchford.configuration.syntax import Node, Record
+
+AnyNode_co = TypeVar("AnyNode_co", bound=Node, covariant=True)
+
+PlainValue: TypeAlias = None | bool | int | float | str | list["PlainValue"] | dict[str, "PlainValue"]
+
+
+class Absent(enum.Enum):
+    """The type of ABSENT."""
+
+    ABSENT = enum.auto()
+
+
+ABSENT: Final = Absent.ABSENT  # the result where a key is declared only, or wrong
+
+
+@dataclass(slots=True)
+class Scope:
+    """A record in which references look names up, and the scopes around it."""
+
+    value: "ValueNode"
+    record: Record | None  # None at the top: all keys of all files are in view
+    outer: "Scope | None"
+
+    def declares(self, label: str) -> bool:
+        """Whether a reference to the label ends its search here."""
+        return self.record.declares(label) if self.record else label in self.value.children
+
+
+@dataclass(slots=True)
+class Constraint(Generic[AnyNode_co]):
+    """A node that a value must satisfy, and where its references look names up."""
+
+    node: AnyNode_co
+    scope: Scope
+    definition_uses: tuple[int, ...] = ()  # numbers of the uses of definitions that it came by
+
+
+@dataclass(slots=True)
+class ValueNode:
+    """One key of the result, with the constraints of all files and definitions on it."""
+
+    path: str
+    depth: int
+    constraints: list[Constraint[Node]] = field(default_factory=list)
+    children: dict[str, "ValueNode"] = field(default_factory=dict)
+    is_optional: bool = True  # until one field names it without a question mark
+    locations: list[SourceLocation] = field(default_factory=list)  # of its key
+    parent: "ValueNode | None" = None
+
+    def child(self, label: str) -> "ValueNode":
+        """The value under a key, made if it is not there yet."""
+        if label not in self.children:
+            path = f"{self.path}.{label}" if self.path else label
+            self.children[label] = ValueNode(path, self.depth + 1, parent=self)
+        return self.children[label]
+
+    def location(self, schema: str) -> SourceLocation | None:
+        """Where a file other than `schema` writes its key last, or the nearest above it."""
+        for location in reversed(self.locations):
+            if location.file != schema:
+                return location
+        inherited = self.parent.location(schema) if self.parent else None
+        return inherited or next(iter(self.locations), None)
+
+
+SomeNode = TypeVar("SomeNode", bound=Node)
+
+
+def with_node_of(kind: type[SomeNode], constraints: Iterable[Constraint[Node]]) -> list[Constraint[SomeNode]]:
+    """Those whose node is of one type."""
+    return [cast("Constraint[SomeNode]", one) for one in constraints if isinstance(one.node, kind)]
--- a/vetchford/configuration/values.py
+++ b/vetchford/configuration/values.py
@@ -1,23 +1,41 @@
-"""Kinds of single values: reading, units, bounds and their description. No files, nothing executed."""
+"""Single values: reading literals, units, comparison with kinds and bounds, and how each is described."""
 
 import json
 import math
 import operator
 import re
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any
-
-from vetchford.configuration.errors import Place
-
-MOST_DIGITS = 40  # characters of a number: past that no figure of ours is meant
-MOST_TEXT = 4096  # characters of a string
-DURATIONS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}  # to ms
-SIZES = {"B": 1, "KB": 1000, "KiB": 1024, "MB": 10**6, "MiB": 2**20, "GB": 10**9, "GiB": 2**30}  # to bytes
-NUMBER = re.compile(r"([+-]?\d(?:_?\d)*(?:\.\d(?:_?\d)*)?(?:[eE][+-]?\d{1,3})?)([A-Za-z]+|%)?")
-WORD = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
-ORDER = {">=": operator.ge, "<=": operator.le, ">": operator.gt, "<": operator.lt, "!=": operator.ne}
-SAID = {">=": "{} or more", "<=": "{} at most", ">": "above {}", "<": "below {}", "!=": "not {}"}
-NAMED = {
+from typing import Any, TypeAlias
+
+from vetchford.configuration.errors import SourceLocation
+
+MAX_NUMBER_LENGTH = 40  # characters
+MAX_STRING_LENGTH = 4096  # characters
+MAX_SHOWN_LENGTH = 60  # characters of a string in an error line
+
+MILLISECONDS_BY_UNIT = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+BYTES_BY_UNIT = {"B": 1, "KB": 1000, "KiB": 1024, "MB": 10**6, "MiB": 2**20, "GB": 10**9, "GiB": 2**30}
+CONSTANTS = {"true": True, "false": False, "null": None}
+
+NUMBER_PATTERN = re.compile(r"([+-]?\d(?:_?\d)*(?:\.\d(?:_?\d)*)?(?:[eE][+-]?\d{1,3})?)([A-Za-z]+|%)?")
+WORD_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
+
+COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
+    ">=": operator.ge,
+    "<=": operator.le,
+    ">": operator.gt,
+    "<": operator.lt,
+    "!=": operator.ne,
+}
+BOUND_DESCRIPTIONS = {
+    ">=": "{} or more",
+    "<=": "{} at most",
+    ">": "above {}",
+    "<": "below {}",
+    "!=": "not {}",
+}
+KIND_DESCRIPTIONS = {
     "int": "a whole number",
     "number": "a number",
     "string": "a string in quotes",
@@ -27,108 +45,129 @@
     "null": "null",
     "word": "a word in quotes (letters, digits, '-', '_', '.'; 64 at most)",
 }
+NARROWER_KINDS = (("int", "number"), ("word", "string"))  # each is a kind of the other
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """A value that is given; durations in ms, sizes in bytes, both with the text they were written as."""
+class Literal:
+    """A value that is written out: durations in ms, sizes in bytes, both with the text of the file."""
 
     kind: str
     value: Any
-    place: Place
+    location: SourceLocation
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
+    """A kind of value, such as `duration`."""
+
     kind: str
-    place: Place
+    location: SourceLocation
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    order: str
-    than: Known
-    place: Place
+    """A comparison with a literal, such as `>=1`."""
+
+    operator: str
+    limit: Literal
+    location: SourceLocation
 
 
-Scalar = Known | Kind | Bound
+Scalar: TypeAlias = Literal | Kind | Bound
 
 
-def number(text: str, place: Place) -> Known:
-    """Raises ValueError with what is wrong."""
-    found = NUMBER.fullmatch(text) if len(text) <= MOST_DIGITS else None
-    if found is None:
-        raise ValueError(f"found {text[:MOST_DIGITS]}, which is no number, duration or size")
-    digits, unit = found[1].replace("_", ""), found[2]
+def parse_number(text: str, location: SourceLocation) -> Literal:
+    """A number, percentage, duration or size; ValueError says what is wrong."""
+    match = NUMBER_PATTERN.fullmatch(text) if len(text) <= MAX_NUMBER_LENGTH else None
+    if match is None:
+        raise ValueError(f"found {text[:MAX_NUMBER_LENGTH]}, which is no number, duration or size")
+    digits, unit = match[1].replace("_", ""), match[2]
     value = float(digits) if re.search("[.eE]", digits) else int(digits)
     if not math.isfinite(value):
         raise ValueError(f"found {text}, which is too large")
     if unit is None:
-        return Known("int" if isinstance(value, int) else "number", value, place, text)
+        return Literal("int" if isinstance(value, int) else "number", value, location, text)
     if unit == "%":
-        return Known("number", value / 100, place, text)
-    if unit in DURATIONS:
-        return Known("duration", float(value * DURATIONS[unit]), place, text)
-    if unit in SIZES:
-        if value * SIZES[unit] % 1:
+        return Literal("number", value / 100, location, text)
+    if unit in MILLISECONDS_BY_UNIT:
+        return Literal("duration", float(value * MILLISECONDS_BY_UNIT[unit]), location, text)
+    if unit in BYTES_BY_UNIT:
+        size = value * BYTES_BY_UNIT[unit]
+        if size % 1:
             raise ValueError(f"found {text}, which is no whole number of bytes")
-        return Known("size", int(value * SIZES[unit]), place, text)
-    raise ValueError(f"found {text}; allowed units: {', '.join([*DURATIONS, *SIZES])}, %")
+        return Literal("size", int(size), location, text)
+    units = ", ".join([*MILLISECONDS_BY_UNIT, *BYTES_BY_UNIT])
+    raise ValueError(f"found {text}; allowed units: {units}, %")
 
 
-def string(text: str, place: Place) -> Known:
+def parse_string(text: str, location: SourceLocation) -> Literal:
+    """A string in quotes, with the escapes of JSON; ValueError says what is wrong."""
     try:
         value = json.loads(text)
     except ValueError:
-        raise ValueError(f"found {text[:60]}, which is no string: escapes are those of JSON") from None
-    if len(value) > MOST_TEXT:
-        raise ValueError(f"found a string of {len(value)} characters; allowed: {MOST_TEXT} at most")
-    return Known("string", value, place, text if len(text) <= 60 else text[:57] + '..."')
+        raise ValueError(
+            f"found {text[:MAX_SHOWN_LENGTH]}, which is no string: escapes are those of JSON"
+        ) from None
+    if len(value) > MAX_STRING_LENGTH:
+        raise ValueError(f"found a string of {len(value)} characters; allowed: {MAX_STRING_LENGTH} at most")
+    shown = text if len(text) <= MAX_SHOWN_LENGTH else text[: MAX_SHOWN_LENGTH - 3] + '..."'
+    return Literal("string", value, location, shown)
 
 
-def constant(text: str, place: Place) -> Known:
-    value = {"true": True, "false": False, "null": None}[text]
-    return Known("null" if value is None else "bool", value, place, text)
+def parse_constant(text: str, location: SourceLocation) -> Literal:
+    """`true`, `false` or `null`."""
+    value = CONSTANTS[text]
+    return Literal("null" if value is None else "bool", value, location, text)
 
 
-def is_a(known: Known, kind: str) -> bool:
+def is_of_kind(literal: Literal, kind: str) -> bool:
+    """Whether a value is of a kind; a whole number is a number too, and some strings are words."""
     if kind == "word":
-        return known.kind == "string" and WORD.fullmatch(known.value) is not None
-    return known.kind == kind or (kind == "number" and known.kind == "int")
+        return literal.kind == "string" and WORD_PATTERN.fullmatch(literal.value) is not None
+    return literal.kind == kind or (kind == "number" and literal.kind == "int")
 
 
-def meet(one: str, two: str) -> str | None:
-    """The kind of what is of both; None where nothing is."""
-    for narrow, wide in ((one, two), (two, one)):
-        if narrow == wide or (narrow, wide) in (("int", "number"), ("word", "string")):
+def common_kind(one: str, other: str) -> str | None:
+    """The kind of values that are of both kinds; None where there are no such values."""
+    for narrow, wide in ((one, other), (other, one)):
+        if narrow == wide or (narrow, wide) in NARROWER_KINDS:
             return narrow
     return None
 
 
-def keeps(known: Known, bound: Bound) -> bool:
-    than = bound.than
-    if bound.order == "!=":
-        return not (meet(known.kind, than.kind) and known.value == than.value)
-    alike = meet(known.kind, than.kind) is not None or {known.kind, than.kind} == {"int", "number"}
-    return alike and ORDER[bound.order](known.value, than.value)
-
-
-def described(limits: list[Scalar]) -> str:
-    """What is allowed by all of them, in words."""
-    kinds = [entry.kind for entry in limits if isinstance(entry, Kind)]
-    kinds += [entry.than.kind for entry in limits if isinstance(entry, Bound)]
+def is_within(literal: Literal, bound: Bound) -> bool:
+    """Whether a value satisfies a bound; only values of like kinds are ordered."""
+    limit = bound.limit
+    comparable = common_kind(literal.kind, limit.kind) is not None
+    if bound.operator == "!=":
+        return not (comparable and literal.value == limit.value)
+    return comparable and COMPARISONS[bound.operator](literal.value, limit.value)
+
+
+def describe(scalars: Sequence[Scalar]) -> str:
+    """What all of them together allow, in words."""
+    literals = dict.fromkeys(entry.text for entry in scalars if isinstance(entry, Literal))
+    if literals:
+        return ", ".join(literals)
+    kind = _kind_allowed_by(scalars)
+    kind_text = KIND_DESCRIPTIONS.get(kind, "a value") if kind else "a value"
+    bounds = dict.fromkeys(
+        BOUND_DESCRIPTIONS[entry.operator].format(entry.limit.text)
+        for entry in scalars
+        if isinstance(entry, Bound)
+    )
+    return ", ".join([kind_text, *bounds])
+
+
+def _kind_allowed_by(scalars: Sequence[Scalar]) -> str | None:
+    """The narrowest kind that is named; whole numbers as bounds alone do not narrow a number."""
+    named = [entry.kind for entry in scalars if isinstance(entry, Kind)]
+    kinds = named + [entry.limit.kind for entry in scalars if isinstance(entry, Bound)]
     kind = kinds[0] if kinds else None
     for other in kinds[1:]:
-        kind = (meet(kind, other) if kind else None) or kind
-    if (
-        "number" in kinds
-        and kind == "int"
-        and not any(isinstance(entry, Kind) and entry.kind == "int" for entry in limits)
-    ):
-        kind = "number"
-    parts = [NAMED.get(kind, "a value") if kind else "a value"]
-    said = dict.fromkeys(SAID[e.order].format(e.than.text) for e in limits if isinstance(e, Bound))
-    parts += list(said)
-    exact = dict.fromkeys(entry.text for entry in limits if isinstance(entry, Known))
-    return ", ".join(exact) if exact else ", ".join(parts)
+        kind = (common_kind(kind, other) if kind else None) or kind
+    if kind == "int" and "number" in kinds and "int" not in named:
+        return "number"
+    return kind
