--- a/tests/golden/test_agent.py
+++ b/tests/golden/test_agent.py
@@ -2,6 +2,7 @@
 
 import json
 import re
+from concurrent.futures import ThreadPoolExecutor
 
 from golden import harness
 from golden.agent_under_test import VOLATILE, AgentUnderTest
@@ -21,6 +22,13 @@
     return {**ran, "out": ran["out"].splitlines()[-1:]}
 
 
+def beside_each_other(agent, commands):
+    """Commands that change nothing."""
+    with ThreadPoolExecutor(len(commands)) as pool:
+        found = pool.map(lambda arguments: agent.tool(*arguments), commands.values())
+        return dict(zip(commands, found, strict=True))
+
+
 def end_of(agent, change, state):
     return agent.shown(agent.wait_for(change, state))
 
@@ -97,10 +105,15 @@
     seen = {}
     with AgentUnderTest(tmp_path, ["good", "good"]) as agent:
         seen["start"] = last_line(agent.tool("--id", "c1", "--batch", "2", "start", "all"))
-        seen["dry run"] = agent.tool("--id", "c2", "--dry-run", "--batch", "2", "roll", "--to", "v2", "n*")
-        seen["refused"] = agent.tool("--id", "c2", "stop", "--floor", "2", "label=l0")
-        seen["refused, json"] = agent.tool("--json", "--id", "c2", "stop", "--floor", "2", "group=all")
-        seen["nobody"] = agent.tool("--id", "c2", "stop", "zebra")
+        seen |= beside_each_other(
+            agent,
+            {
+                "dry run": ("--id", "c2", "--dry-run", "--batch", "2", "roll", "--to", "v2", "n*"),
+                "refused": ("--id", "c2", "stop", "--floor", "2", "label=l0"),
+                "refused, json": ("--json", "--id", "c2", "stop", "--floor", "2", "group=all"),
+                "nobody": ("--id", "c2", "stop", "zebra"),
+            },
+        )
         seen["no wait"] = agent.tool("--id", "c3", "--no-wait", "restart", "n1", soak="60000")
         harness.wait_until(
             lambda: agent.ask({"ask": "find", "id": "c3"})["steps"]["n1"] == "soaking", "n1 is back"
@@ -116,18 +129,22 @@
         agent.ask({"ask": "abort", "id": "c6"})
         agent.ask(change("c6b", "roll", ["n1"], version="1"))
         agent.wait_for("c6b", "finished")
-        seen["explain, unknown"] = agent.tool("explain", "n9")
-        seen["of no fleet"] = agent.tool("peers")
+        seen |= beside_each_other(agent, {"explain, unknown": ("explain", "n9"), "of no fleet": ("peers",)})
         seen["drain"] = last_line(agent.tool("--id", "c7", "drain", "n0"))
-        status = agent.tool("status")
-        seen["status"] = {**status, "out": table(status["out"])}
-        status = agent.tool("--json", "status", "n0")
-        answer = json.loads(status["out"])
-        seen["status, json"] = {**status, "out": agent.rules.tree(answer, VOLATILE)}
-        seen["explain"] = agent.tool("explain", "n0")
-        history = agent.tool("history")  # rule: the newest line, without its time
-        newest = re.sub(r"^\d\d:\d\d:\d\d", "<time>", history["out"].splitlines()[0])
-        seen["history"] = {**history, "out": newest}
+        seen |= beside_each_other(
+            agent,
+            {
+                "status": ("status",),
+                "status, json": ("--json", "status", "n0"),
+                "explain": ("explain", "n0"),
+                "history": ("history",),
+            },
+        )
+        seen["status"]["out"] = table(seen["status"]["out"])
+        answer = json.loads(seen["status, json"]["out"])
+        seen["status, json"]["out"] = agent.rules.tree(answer, VOLATILE)
+        newest = seen["history"]["out"].splitlines()[0]  # rule: the newest line, without its time
+        seen["history"]["out"] = re.sub(r"^\d\d:\d\d:\d\d", "<time>", newest)
         second = harness.run("agent", "--with", str(agent.settings))
         seen["a second agent"] = [
             second.returncode,
