--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,6 +1,7 @@
 from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission.request import Effect, RequestState
+from vetchford.admission.request import RequestState
+from vetchford.admission.settings import Effect
 
 
 def test_a_call_that_fails_after_its_request_was_failed_gives_no_second_answer():
--- a/tests/admission/test_factory.py
+++ b/tests/admission/test_factory.py
@@ -4,6 +4,7 @@
 
 from vetchford.admission import factory
 from vetchford.admission.request import RequestArrival, RequestState
+from vetchford.protocol import platform_settings
 
 
 def test_two_configurations_beside_each_other_decide_as_each_alone():
@@ -29,7 +30,10 @@
 
     def play(*tolds):
         hosts = [Recorder() for _ in tolds]
-        nodes = [factory.build(host, 7, its, False) for host, its in zip(hosts, tolds, strict=True)]
+        nodes = [
+            factory.build(host, 7, platform_settings.decode(its), False)
+            for host, its in zip(hosts, tolds, strict=True)
+        ]
         for step in range(400):
             now = 10.0 * step
             for node in nodes:
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission.request import Effect, LoadSignal
+from vetchford.admission.settings import Effect, LoadSignal
 from vetchford.bulkheads.bulkheads import BulkheadSet
 from vetchford.bulkheads.settings import BulkheadSettings
 
--- a/tests/admission/test_policy_files.py
+++ b/tests/admission/test_policy_files.py
@@ -15,6 +15,7 @@
     "load_advice_state",
     "part",
     "request",
+    "settings",
     "undivided_capacity",
     "workload_state",
 }
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -9,7 +9,8 @@
 import pytest
 from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission.request import Effect, LoadSignal, RequestState
+from vetchford.admission.request import RequestState
+from vetchford.admission.settings import Effect, LoadSignal
 
 # The digests were recorded when these acts had other names.
 RECORDED_NAMES = {
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -5,7 +5,8 @@
 import pytest
 from helpers import Recorder, new_controller, request_class, send
 
-from vetchford.admission.request import Effect, RequestState
+from vetchford.admission.request import RequestState
+from vetchford.admission.settings import Effect
 from vetchford.bulkheads import builder
 from vetchford.bulkheads.bulkheads import BulkheadSet
 from vetchford.bulkheads.settings import BulkheadSettings
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,8 @@
 from vetchford.admission.in_flight_bytes import InFlightBytes
 from vetchford.admission.load_advice import LoadAdvice
 from vetchford.admission.load_advice_state import AdviceSettings
-from vetchford.admission.request import AdmissionSettings, Effect, LoadSignal, RequestArrival, RequestClass
+from vetchford.admission.request import AdmissionSettings, RequestArrival, RequestClass
+from vetchford.admission.settings import Effect, LoadSignal
 from vetchford.admission.shared_capacity import SharedCapacity
 from vetchford.admission.tenant_quotas import TenantQuotas
 from vetchford.admission.workload import Workload
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -81,11 +81,11 @@
 PEER_ACTORS = {"protocol", "runtime"}
 ALLOWED_IMPORTS = {
     "admission": set(),
-    "bench_adapter": {"admission", "server.index_allocator"},
+    "bench_adapter": {"admission", "protocol.platform_settings", "server.index_allocator"},
     "bulkheads": {
         "admission.concurrency_limits",
-        "admission.factory",
         "admission.request",
+        "admission.settings",
         "admission.workload",
         "runtime",
     },
@@ -94,7 +94,7 @@
     "fleet": {"runtime", "transport"},
     "gossip": set(),
     "leases": set(),
-    "protocol": set(),
+    "protocol": {"admission.settings"},
     "runtime": set(),
     "server": {"admission", "bulkheads", "configuration", "coordination", "protocol", "runtime"},
     "server.dependency_calls": {"runtime", "server.records_client", "server.request_table"},
--- a/vetchford/admission/factory.py
+++ b/vetchford/admission/factory.py
@@ -1,11 +1,4 @@
-"""Builds an `AdmissionController` from the settings a server is given.
-
-The only reader of the settings' keys for admission: the names on the wire are translated here, times from
-nanoseconds to milliseconds and sizes from kilobytes to bytes.
-"""
-
-import math
-from typing import Any, NamedTuple
+"""Builds an `AdmissionController` from the settings of a server."""
 
 from vetchford.admission.actions import AdmissionActions
 from vetchford.admission.capacity import Capacity
@@ -15,79 +8,37 @@
 from vetchford.admission.in_flight_bytes import InFlightBytes
 from vetchford.admission.load_advice import LoadAdvice
 from vetchford.admission.load_advice_state import AdviceSettings
-from vetchford.admission.request import AdmissionSettings, Effect, LoadSignal, RequestClass
+from vetchford.admission.request import AdmissionSettings, RequestClass
+from vetchford.admission.settings import RequestClassSettings, ServerSettings
 from vetchford.admission.shared_capacity import SharedCapacity
 from vetchford.admission.tenant_quotas import TenantQuotas
 from vetchford.admission.workload import Workload
-from vetchford.errors import MalformedInputError
-
-NS_PER_MS = 1_000_000
-BYTES_PER_KB = 1024
-EFFECTS = {
-    "read_like": Effect.IDEMPOTENT,
-    "idempotency_key": Effect.IDEMPOTENT_BY_KEY,
-    "non_idempotent": Effect.NON_IDEMPOTENT,
-}
-LOAD_SIGNALS = {
-    "silent": LoadSignal.NONE,
-    "level": LoadSignal.UTILIZATION,
-    "credit": LoadSignal.CREDIT,
-}
-"""Every other word asks for a weight."""
-STOPPABLE = ("drop", "pause")
-
-Settings = dict[str, Any]
-
-
-class WireIndices(NamedTuple):
-    """The small index of each request class, tenant and gauge by its name on the wire."""
-
-    classes: dict[str, int]
-    tenants: dict[str, int]
-    gauges: dict[str, int]
-
-
-def indices(settings: Settings) -> WireIndices:
-    """The indices by which the controller and its adapter name what the settings name."""
-    classes, tenants = settings.get("requestClasses") or [], settings.get("customers") or []
-    gauges = (settings.get("familyInfo") or {}).get("ownStats") or []
-    return WireIndices(
-        {entry.get("name") or "": at for at, entry in enumerate(classes)},
-        {entry.get("name") or "": at for at, entry in enumerate(tenants)},
-        {name: at for at, name in enumerate(gauges)},
-    )
-
 
-def calls_below(settings: Any) -> bool:
-    """Whether runs may call a dependency; anything but an object is reported elsewhere."""
-    info = (settings.get("familyInfo") if isinstance(settings, dict) else None) or {}
-    return not isinstance(info, dict) or (info.get("below") or "silent") != "silent"
+MS_PER_S = 1000.0
 
 
 def build(
-    actions: AdmissionActions, seed: int, settings: Settings, cold: bool, capacity: Capacity | None = None
+    actions: AdmissionActions,
+    seed: int,
+    settings: ServerSettings,
+    cold: bool,
+    capacity: Capacity | None = None,
 ) -> AdmissionController:
     """The controller for these settings.
 
     Args:
         actions: What it acts through.
         seed: Of the random spread of retry delays.
-        settings: As they came on the wire.
+        settings: What the server is told of itself.
         cold: Whether the server's speed still rises from the start.
         capacity: Bulkheads for these request classes, where there are to be any.
-
-    Raises:
-        MalformedInputError: A setting is missing or has no value that is known.
     """
-    info = settings.get("familyInfo") or {}
-    if (info.get("cores") or 0) < 1:
-        raise MalformedInputError("key 'settings.familyInfo.cores' must be 1 or more")
     workload = Workload(
-        classes=_request_classes(settings),
+        classes=[_request_class(each) for each in settings.request_classes],
         dependency=_dependency(settings),
         tenants=_tenants(settings),
         settings=_admission_settings(settings, cold),
-        in_flight=_in_flight_bytes(info),
+        in_flight=_in_flight_bytes(settings),
     )
     advice = LoadAdvice(actions, _advice_settings(settings, seed))
     return AdmissionController(
@@ -95,86 +46,65 @@
     )
 
 
-def _request_classes(settings: Settings) -> list[RequestClass]:
-    entries = settings.get("requestClasses") or []
-    if not entries:
-        raise MalformedInputError("key 'settings.requestClasses' names no stage")
-    skips = (settings.get("familyInfo") or {}).get("classSkipWorth") or []
-    return [
-        _request_class(at, entry, skips[at] if at < len(skips) else 0.0) for at, entry in enumerate(entries)
-    ]
-
-
-def _request_class(at: int, entry: Settings, skip_fraction: float) -> RequestClass:
-    if entry.get("effect") not in EFFECTS:
-        known = ", ".join(EFFECTS)
-        raise MalformedInputError(f"key 'settings.requestClasses[{at}].effect' must be one of {known}")
-    if not entry.get("deadline"):
-        raise MalformedInputError(f"key 'settings.requestClasses[{at}].deadline' must be above 0")
+def _request_class(settings: RequestClassSettings) -> RequestClass:
     return RequestClass(
-        latency_objective=(entry.get("promise") or entry["deadline"]) / NS_PER_MS,
-        timeout=entry["deadline"] / NS_PER_MS,
-        priority_weight=entry.get("worth") or 0.0,
-        late_fraction=entry.get("lateWorth") or 0.0,
-        effect=EFFECTS[entry["effect"]],
-        key_window=(entry.get("window") or 0) / NS_PER_MS,
-        skip_fraction=skip_fraction,
+        latency_objective=settings.latency_objective_ms,
+        timeout=settings.timeout_ms,
+        priority_weight=settings.priority_weight,
+        late_fraction=settings.late_fraction,
+        effect=settings.effect,
+        key_window=settings.key_window_ms,
+        skip_fraction=settings.skip_fraction,
     )
 
 
-def _admission_settings(settings: Settings, cold: bool) -> AdmissionSettings:
-    info = settings["familyInfo"]
-    limits = settings.get("rules") or {}
-    goal = settings.get("goal") or {}
-    rest_of_goal = ((goal.get("whole") or 0.0) + (goal.get("worstWindow") or 0.0)) or 1.0
+def _admission_settings(settings: ServerSettings, cold: bool) -> AdmissionSettings:
     return AdmissionSettings(
-        cores=info["cores"],
-        survivable_concurrency=limits.get("fallMultiple") or 1.0,
-        cold_fraction=limits.get("coldFrom") or 1.0,
-        warm_up=(limits.get("rampTime") or 0) / NS_PER_MS if cold else 0.0,
-        weight_by_work=settings.get("valueBy") == "work",
-        can_stop=info.get("halt") in STOPPABLE,
-        drain_grace=(limits.get("drainGrace") or 0) / NS_PER_MS,
-        worst_class_weight=(goal.get("worstClass") or 0.0) / rest_of_goal,
+        cores=settings.cores,
+        survivable_concurrency=settings.survivable_concurrency,
+        cold_fraction=settings.cold_fraction,
+        warm_up=settings.warm_up_ms if cold else 0.0,
+        weight_by_work=settings.weight_by_work,
+        can_stop=settings.can_stop_runs,
+        drain_grace=settings.drain_grace_ms,
+        worst_class_weight=settings.worst_class_weight,
     )
 
 
-def _in_flight_bytes(info: Settings) -> InFlightBytes:
+def _in_flight_bytes(settings: ServerSettings) -> InFlightBytes:
     return InFlightBytes(
-        memory=(info.get("ramKb") or math.inf) * BYTES_PER_KB,
-        running_multiple=info.get("blowup") or 1.0,
-        key_size=(info.get("keyKb") or 0.0) * BYTES_PER_KB,
+        memory=settings.memory_bytes,
+        running_multiple=settings.running_memory_multiple,
+        key_size=settings.idempotency_key_bytes,
     )
 
 
-def _dependency(settings: Settings) -> DependencyConcurrencyLimit | None:
-    if not calls_below(settings):
+def _dependency(settings: ServerSettings) -> DependencyConcurrencyLimit | None:
+    dependency = settings.dependency
+    if dependency is None:
         return None
-    info = settings["familyInfo"]
     return DependencyConcurrencyLimit(
-        share=info.get("depShare") if info["below"] == "shared" else None,
-        period=(info.get("callsOver") or 0) / NS_PER_MS,
-        linger=(info.get("linger") or 0) / NS_PER_MS,
-        cores=info["cores"],
+        share=dependency.share,
+        period=dependency.share_period_ms,
+        linger=dependency.linger_ms,
+        cores=settings.cores,
     )
 
 
-def _tenants(settings: Settings) -> TenantQuotas:
-    entries = settings.get("customers") or []
+def _tenants(settings: ServerSettings) -> TenantQuotas:
     return TenantQuotas(
-        quotas=[(entry.get("quotaPerS") or 0.0) / 1000.0 for entry in entries],
-        servers=settings.get("servers") or 1,
-        over_quota_weight=settings.get("overShareWorth") or 0.0,
+        quotas=[tenant.quota_per_s / MS_PER_S for tenant in settings.tenants],
+        servers=settings.fleet_size,
+        over_quota_weight=settings.over_quota_weight,
     )
 
 
-def _advice_settings(settings: Settings, seed: int) -> AdviceSettings:
-    info, caps = settings["familyInfo"], settings.get("caps") or {}
+def _advice_settings(settings: ServerSettings, seed: int) -> AdviceSettings:
     return AdviceSettings(
         seed=seed,
-        signal=LOAD_SIGNALS.get(info.get("say") or "silent", LoadSignal.WEIGHT),
-        max_retry_delay=(caps.get("maxRetryAfter") or 0) / NS_PER_MS if caps.get("retryAfter") else 0.0,
-        clients=info.get("callers") or 1,
-        cores=info["cores"],
-        idle_timeout=(info.get("callerIdle") or 0) / NS_PER_MS,
+        signal=settings.load_signal,
+        max_retry_delay=settings.max_retry_after_ms,
+        clients=settings.clients,
+        cores=settings.cores,
+        idle_timeout=settings.idle_timeout_ms,
     )
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -3,7 +3,8 @@
 import heapq
 
 from vetchford.admission.part import AdmissionPart
-from vetchford.admission.request import Effect, Request, RequestState
+from vetchford.admission.request import Request, RequestState
+from vetchford.admission.settings import Effect
 
 
 class RequestLifecycle(AdmissionPart):
--- a/vetchford/admission/load_advice.py
+++ b/vetchford/admission/load_advice.py
@@ -3,7 +3,7 @@
 import zlib
 
 from vetchford.admission.load_advice_state import LoadAdviceState
-from vetchford.admission.request import LoadSignal
+from vetchford.admission.settings import LoadSignal
 
 
 class LoadAdvice(LoadAdviceState):
--- a/vetchford/admission/load_advice_state.py
+++ b/vetchford/admission/load_advice_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from vetchford.admission.actions import AdmissionActions
-from vetchford.admission.request import LoadSignal
+from vetchford.admission.settings import LoadSignal
 
 
 @dataclass(frozen=True, slots=True)
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -5,19 +5,11 @@
 
 import math
 from dataclasses import dataclass, field
-from enum import Enum, IntEnum, StrEnum
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 from vetchford.admission.concurrency_limits import RUNS_BY_COUNT, TimeWeightedAverage
-
-
-class Effect(IntEnum):
-    """Whether a request may run more than once."""
-
-    IDEMPOTENT = 0
-    IDEMPOTENT_BY_KEY = 1
-    """A repeat is recognised by its idempotency key, within the key window of its class."""
-    NON_IDEMPOTENT = 2
+from vetchford.admission.settings import Effect
 
 
 class RequestState(IntEnum):
@@ -46,15 +38,6 @@
     SUPERSEDED = "superseded"
 
 
-class LoadSignal(Enum):
-    """What the value that is published with each answer means to the balancers."""
-
-    NONE = 0
-    UTILIZATION = 1
-    CREDIT = 2
-    WEIGHT = 3
-
-
 class RequestArrival(NamedTuple):
     """One request as it was read from its client."""
 
--- a/vetchford/bench_adapter/simulated_server.py
+++ b/vetchford/bench_adapter/simulated_server.py
@@ -2,11 +2,12 @@
 
 from vetchford.admission import factory
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.factory import BYTES_PER_KB, NS_PER_MS
 from vetchford.admission.request import Outcome, RequestArrival
 from vetchford.bench_adapter.event_fields import Event, require
 from vetchford.bench_adapter.simulator_actions import Action, SimulatorActions
 from vetchford.errors import MalformedInputError, VetchfordError
+from vetchford.protocol import platform_settings
+from vetchford.protocol.platform_settings import BYTES_PER_KB, NS_PER_MS
 
 UNKNOWN_ORIGINAL = -1  # a repeat of something that this server does not hold any more
 NO_TENANT = -1
@@ -23,7 +24,9 @@
     def __init__(self, number: int, origin: int, out: list[Action]) -> None:
         """`origin`: the simulator's time (ns) at which the server starts; `out`: see `SimulatorActions`."""
         self.actions = SimulatorActions(number, origin, out)
-        self.indices = factory.WireIndices({}, {}, {})
+        self.classes: dict[str, int] = {}
+        self.tenants: dict[str, int] = {}
+        self.gauges: dict[str, int] = {}
         self._controller: AdmissionController | None = None
 
     @property
@@ -35,11 +38,13 @@
 
     def attach(self, event: Event) -> None:
         """Build the controller from the event's settings."""
-        settings = require(event, "settings", dict)
+        undecoded = require(event, "settings", dict)
         seed = require(event, "prng", int)
-        cold = bool((settings.get("familyInfo") or {}).get("cold"))
-        self.indices = factory.indices(settings)
-        self._controller = factory.build(self.actions, seed, settings, cold)
+        settings = platform_settings.decode(undecoded)
+        self.classes = settings.class_indices()
+        self.tenants = settings.tenant_indices()
+        self.gauges = settings.gauge_indices()
+        self._controller = factory.build(self.actions, seed, settings, settings.starts_cold)
 
     def handle(self, clock: int, kind: str, event: Event) -> None:
         """Deliver an event of a kind in `EVENT_KINDS` that happened at `clock` (ns)."""
@@ -55,14 +60,14 @@
     def _ingress(self, now: float, event: Event) -> None:
         name = require(event, "call", str)
         kind = require(event, "type", str)
-        if kind not in self.indices.classes:
+        if kind not in self.classes:
             raise MalformedInputError(f"ingress: field 'type' names no stage of the settings: {kind}")
         until, original, work = event.get("validUntil"), event.get("repeats"), event.get("predicted")
         by_name = self.actions.indices.by_name
         arrival = RequestArrival(
             request_index=self.actions.indices.add(name),
-            class_index=self.indices.classes[kind],
-            tenant=self.indices.tenants.get(event.get("project") or "", NO_TENANT),
+            class_index=self.classes[kind],
+            tenant=self.tenants.get(event.get("project") or "", NO_TENANT),
             client=event.get("who") or 0,
             deadline=self._ms(until) if until else None,
             work=work / NS_PER_MS if work else None,
@@ -80,7 +85,7 @@
         gauges = event.get("metrics") or []
 
         def gauge(name: str) -> float | None:
-            at = self.indices.gauges.get(name, len(gauges))
+            at = self.gauges.get(name, len(gauges))
             return gauges[at] if at < len(gauges) else None
 
         self.controller.on_tick(now, gauge("core_use"), gauge("on_cores"))
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -3,7 +3,7 @@
 import math
 from typing import Any
 
-from vetchford.admission.factory import NS_PER_MS
+from vetchford.protocol.platform_settings import NS_PER_MS
 from vetchford.server.index_allocator import IndexAllocator
 
 Action = dict[str, Any]
--- a/vetchford/bulkheads/bulkhead_metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -1,6 +1,6 @@
 """What the bulkheads' limits did, as counts on the summary line and as log events.
 
-The names of the counts and events, and the keys of the settings, are the operators'.
+The names of the counts and events are the operators'.
 """
 
 from collections.abc import Mapping, Sequence
@@ -8,7 +8,7 @@
 
 import structlog
 
-from vetchford.admission import factory
+from vetchford.admission.settings import RequestClassSettings
 from vetchford.bulkheads import builder
 from vetchford.bulkheads.adaptive_limit import LimitChange
 from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
@@ -63,14 +63,13 @@
 
 
 def capacity(
-    settings: Mapping[str, Any], declared: str | Mapping[str, Any], metrics: Metrics
+    classes: Sequence[RequestClassSettings], declared: str | Mapping[str, Any], metrics: Metrics
 ) -> BulkheadCapacity | None:
-    """The divided capacity of a server with these settings; None where it is not divided."""
-    classes = settings["requestClasses"]
-    names = [entry.get("name") or "" for entry in classes]
+    """The divided capacity of a server with these request classes; None where it is not divided."""
+    names = [each.name for each in classes]
     observer = BulkheadMetrics(metrics, names)
-    effects = [factory.EFFECTS[entry["effect"]] for entry in classes]
-    weights = [entry.get("worth") or 0.0 for entry in classes]
+    effects = [each.effect for each in classes]
+    weights = [each.priority_weight for each in classes]
     bulkheads = builder.build(observer, declared, names, effects, weights)
     if bulkheads is None:
         return None
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -21,6 +21,7 @@
 
 from vetchford.admission import factory
 from vetchford.admission.controller import AdmissionController
+from vetchford.admission.settings import ServerSettings
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
@@ -75,15 +76,15 @@
     def __init__(
         self,
         seed: int,
-        settings: dict[str, Any],
+        settings: ServerSettings,
         metrics: Metrics,
         make_bulkheads: Callable[[], Any] | None = None,
     ) -> None:
-        """Take the platform's `settings`; without `make_bulkheads` request classes share all capacity."""
+        """Take the server's settings; without `make_bulkheads` request classes share all capacity."""
         super().__init__("admission", metrics)
         self.seed, self.settings, self.make_bulkheads = seed, settings, make_bulkheads
         self.clock, self.timers = ServerClock(), Timers()
-        self.gauges = WorkerPoolGauges(factory.indices(settings)[2])
+        self.gauges = WorkerPoolGauges(settings.gauge_indices())
         self.controller: AdmissionController | None = None
         self.load_sampler: LoadSampler | None = None  # set before `attach`, for a server in a fleet
 
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -11,6 +11,7 @@
 
 from vetchford.admission import factory
 from vetchford.errors import MalformedInputError
+from vetchford.protocol import platform_settings
 from vetchford.server import settings_schema
 
 Configuration = dict[str, Any]
@@ -39,7 +40,7 @@
 
 def records_address(configuration: Mapping[str, Any]) -> Address | None:
     """Return where dependency calls go; None where the settings have none, and so name no service."""
-    if configuration.get("records") or factory.calls_below(configuration.get("settings")):
+    if configuration.get("records") or platform_settings.has_dependency(configuration.get("settings")):
         return address(configuration, "records")
     return None
 
@@ -76,7 +77,7 @@
     if ours:
         from vetchford.configuration import isolated_reader  # a server without such files does without it
 
-        request_classes = list(factory.indices(configuration["settings"])[0])
+        request_classes = list(platform_settings.decode(configuration["settings"]).class_indices())
         configuration[OWN_SETTINGS] = isolated_reader.read(ours, request_classes)
     return configuration
 
@@ -138,8 +139,9 @@
     if problems:
         raise MalformedInputError("\n".join(problems))
     try:
-        factory.indices(settings)
-        factory.build(NoActions(), seed(configuration), settings, False)
+        decoded = platform_settings.decode(settings)
+        decoded.class_indices(), decoded.tenant_indices(), decoded.gauge_indices()
+        factory.build(NoActions(), seed(configuration), decoded, False)
     except (TypeError, AttributeError, ValueError) as problem:
         raise MalformedInputError(f"key 'settings' holds a value of the wrong kind: {problem}") from None
 
@@ -152,7 +154,7 @@
         "records": configuration.get("records"),
         "cores": (settings.get("familyInfo") or {}).get("cores"),
         **({OWN_SETTINGS: configuration[OWN_SETTINGS]} if OWN_SETTINGS in configuration else {}),
-        "tenants": list(factory.indices(settings)[1]),
+        "tenants": list(platform_settings.decode(settings).tenant_indices()),
         "stages": [request_class_summary(entry) for entry in settings.get("requestClasses") or []],
     }
 
@@ -161,8 +163,8 @@
     """Return what operators want to see of one request class."""
     return {
         "name": entry.get("name"),
-        "effect": factory.EFFECTS[entry["effect"]],
-        "due_ms": (entry.get("promise") or entry["deadline"]) / factory.NS_PER_MS,
-        "limit_ms": entry["deadline"] / factory.NS_PER_MS,
+        "effect": platform_settings.EFFECTS[entry["effect"]],
+        "due_ms": (entry.get("promise") or entry["deadline"]) / platform_settings.NS_PER_MS,
+        "limit_ms": entry["deadline"] / platform_settings.NS_PER_MS,
         "utility": entry.get("worth"),
     }
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -3,10 +3,11 @@
 import hashlib
 
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.factory import BYTES_PER_KB
-from vetchford.admission.request import Effect, RequestArrival
+from vetchford.admission.request import RequestArrival
+from vetchford.admission.settings import Effect
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
+from vetchford.protocol.platform_settings import BYTES_PER_KB
 from vetchford.server.request_table import Client, RequestEntry
 from vetchford.server.server_actions import ServerActions, SharedResult
 from vetchford.server.server_state import ServerState
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -9,7 +9,7 @@
 
 from vetchford.admission.actions import AdmissionActions
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.request import Effect
+from vetchford.admission.settings import Effect
 from vetchford.runtime.timers import unix_time_ms
 from vetchford.server.idempotency_cache import RunResult
 from vetchford.server.listener import Listener
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -10,8 +10,9 @@
 
 import structlog
 
-from vetchford.admission import factory
+from vetchford.admission.settings import ServerSettings
 from vetchford.errors import VetchfordError
+from vetchford.protocol import platform_settings
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
 from vetchford.server import platform_config, signals
@@ -68,9 +69,12 @@
     def __init__(self, configuration: Configuration, metrics: Metrics) -> None:
         """Create the actors and listen; CannotListenError where that fails."""
         self.configuration = configuration
-        settings = configuration["settings"]
+        self.settings = platform_settings.decode(configuration["settings"])
         self.admission = AdmissionActor(
-            platform_config.seed(configuration), settings, metrics, bulkheads_maker(configuration, metrics)
+            platform_config.seed(configuration),
+            self.settings,
+            metrics,
+            bulkheads_maker(configuration, self.settings, metrics),
         )
         self.stopped = threading.Event()  # set once a graceful shutdown has ended
         in_fleet = fleet_settings(configuration) is not None
@@ -112,11 +116,10 @@
 
         `signalled_at`: Unix ms of the termination notice; `stop_ms` later the process is killed.
         """
-        grace = (self.configuration["settings"].get("rules") or {}).get("drainGrace") or 0
         if self.fleet_member is not None:
             self.fleet_member.post(self.fleet_member.leave)
         self.admission.post(
-            self.admission.shutdown_requested, signalled_at, stop_ms, grace / factory.NS_PER_MS
+            self.admission.shutdown_requested, signalled_at, stop_ms, self.settings.drain_grace_ms
         )
 
     def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
@@ -140,13 +143,12 @@
             raise CannotListenError(settings["listen"], problem.strerror) from problem
 
     def _listen(self, max_connections: int, metrics: Metrics) -> Listener:
-        request_classes, tenants, _ = factory.indices(self.configuration["settings"])
         try:
             return Listener(
                 platform_config.address(self.configuration, "listen"),
                 max_connections,
-                request_classes,
-                tenants,
+                self.settings.class_indices(),
+                self.settings.tenant_indices(),
                 self.admission,
                 metrics,
             )
@@ -214,11 +216,13 @@
     return settings or None
 
 
-def bulkheads_maker(configuration: Configuration, metrics: Metrics) -> Callable[[], Any] | None:
+def bulkheads_maker(
+    configuration: Configuration, settings: ServerSettings, metrics: Metrics
+) -> Callable[[], Any] | None:
     """Return what makes the bulkheads that our own files declare; None where there are none."""
     declared = configuration.get("declared") or {}
     if not declared.get("pools") or declared["pools"] == "none":
         return None
     from vetchford.bulkheads import bulkhead_metrics  # a server without bulkheads does without it
 
-    return partial(bulkhead_metrics.capacity, configuration["settings"], declared["pools"], metrics)
+    return partial(bulkhead_metrics.capacity, settings.request_classes, declared["pools"], metrics)
--- a/vetchford/server/settings_schema.py
+++ b/vetchford/server/settings_schema.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from vetchford.admission.factory import EFFECTS
+from vetchford.protocol.platform_settings import EFFECTS
 
 MAX_SHOWN = 60  # characters of a value that was found
 
