--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -13,7 +13,7 @@
     assert host.answers == {0: "fail"}
     server.call_ended(4400.0, 0, "errored", 4390.0)
     server.run_ended(4401.0, 0, "recalled", 4401.0)
-    assert server.workload.in_flight.used == 0.0 and not server.workload.requests
+    assert server.workload.in_flight.used_bytes == 0.0 and not server.workload.requests
 
 
 def test_a_repeat_of_a_completed_request_with_a_key_is_shared_never_run_or_rejected():
@@ -102,13 +102,13 @@
     for q in range(60):
         send(server, 0.0, q, deadline=2200.0 if q % 2 else 2300.0)
     assert (
-        server.workload.requests[58].objective_at == server.workload.requests[59].objective_at == 1800.0
+        server.workload.requests[58].objective_at_ms == server.workload.requests[59].objective_at_ms == 1800.0
         and not server.workload.requests[59].is_retry
     )
     send(server, 0.0, 60, deadline=2900.0)  # 1.5 s old
     assert (
         server.workload.requests[60].is_retry
-        and abs(server.workload.requests[60].objective_at - 300.0) < 45.0
+        and abs(server.workload.requests[60].objective_at_ms - 300.0) < 45.0
     )
 
 
@@ -155,12 +155,15 @@
     host = Recorder()
     server = new_controller(
         host,
-        classes=[request_class(latency_objective=1000.0, timeout=2000.0), request_class(skip_fraction=0.5)],
+        classes=[
+            request_class(latency_objective_ms=1000.0, timeout_ms=2000.0),
+            request_class(skip_fraction=0.5),
+        ],
         share=4.0,
     )
-    server.workload.dependency.base_time.add(0.0, 40.0)
-    server.workload.classes[0].dependency_wait = 40.0
-    server.workload.classes[0].learnt_at = 0.0
+    server.workload.dependency.base_time_ms.add(0.0, 40.0)
+    server.workload.classes[0].dependency_wait_ms = 40.0
+    server.workload.classes[0].learnt_at_ms = 0.0
     assert server.workload.dependency.may_call(0.0)
     server.apply_fleet_signals(1.0, 0.0, False, 1.0)  # dead
     assert not server.workload.dependency.may_call(0.0)
@@ -168,7 +171,7 @@
     assert [act for act in host.acts if act[0] == "reject"]
     server.apply_fleet_signals(10.0, 1.0, True, 3.0)  # slow: 400 ms a call, and all turn away
     assert (
-        server.workload.dependency.min_call_time == 400.0
+        server.workload.dependency.min_call_time_ms == 400.0
         and server.workload.dependency.may_call(0.0)
         and server.workload.dependency.limit() == 4.0
     )
@@ -181,7 +184,7 @@
     host.acts.clear()
     send(server, 30.0, 3, 0)
     assert not [act for act in host.acts if act[0] == "reject"]
-    short = [server.advice.retry_delay(10.0) for _ in range(50)]
-    server.advice.retry_delay_factor = 3.0
-    long = [server.advice.retry_delay(10.0) for _ in range(50)]
+    short = [server.advice.retry_after_ms(10.0) for _ in range(50)]
+    server.advice.retry_after_factor = 3.0
+    long = [server.advice.retry_after_ms(10.0) for _ in range(50)]
     assert 2.0 < sum(long) / sum(short) < 4.0
--- a/tests/admission/test_factory.py
+++ b/tests/admission/test_factory.py
@@ -37,7 +37,7 @@
         for step in range(400):
             now = 10.0 * step
             for node in nodes:
-                deadline = now + node.workload.classes[step % 2].timeout
+                deadline = now + node.workload.classes[step % 2].timeout_ms
                 node.request_arrived(
                     now,
                     RequestArrival(step, step % 2, -1, step % 3, deadline, 20.0, 20_480, False, 0.0, None),
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -123,7 +123,7 @@
         request_class(late_fraction=0.2, skip_fraction=0.3),
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
         request_class(
-            priority_weight=2.0, effect=Effect.NON_IDEMPOTENT, latency_objective=900.0, timeout=2200.0
+            priority_weight=2.0, effect=Effect.NON_IDEMPOTENT, latency_objective_ms=900.0, timeout_ms=2200.0
         ),
     ]
     host, callers = Model(), 2000 if edge else 3
@@ -178,10 +178,10 @@
                 window=13000.0 if kind == 1 else 0.0,
                 skips=kind == 0,
                 stuck=chance.random() < 0.04,
-                limit=min(max(now, now - queued + stages[kind].timeout), killed),
+                limit=min(max(now, now - queued + stages[kind].timeout_ms), killed),
             )
             held, task = host.memory(), host.tasks[q]
-            until = max(now, now - queued + chance.choice((0.5, 0.5, 0.52, 0.8)) * stages[kind].timeout)
+            until = max(now, now - queued + chance.choice((0.5, 0.5, 0.52, 0.8)) * stages[kind].timeout_ms)
             task["limit"] = min(task["limit"], until) if edge else task["limit"]
             send(
                 server,
@@ -232,7 +232,7 @@
         on_cores = sum(task["state"] == "running" for task in host.tasks.values())
         assert on_cores == server.workload.running and on_cores <= CORES * 8.0
         unanswered = sum(task["size"] for task in host.tasks.values() if not task["answered"])
-        assert server.workload.in_flight.unanswered == unanswered
+        assert server.workload.in_flight.unanswered_bytes == unanswered
     for task in host.seen:
         assert task["answered"], "a task lost"
     return host
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -49,8 +49,8 @@
         request_class(
             priority_weight=2.0,
             effect=Effect.NON_IDEMPOTENT,
-            latency_objective=900.0,
-            timeout=2200.0,
+            latency_objective_ms=900.0,
+            timeout_ms=2200.0,
             late_fraction=0.2,
         ),
     ]
@@ -74,11 +74,11 @@
             kind, first = chance.randrange(3), None
             if kind == 1 and chance.random() < 0.2:
                 first = next(
-                    (q for q, request in server.workload.requests.items() if request.key_expires_at > now),
+                    (q for q, request in server.workload.requests.items() if request.key_expires_at_ms > now),
                     None,
                 )
             count += 1
-            limit_at = now + 0.5 * stages[kind].timeout if chance.random() < 0.5 else None
+            limit_at = now + 0.5 * stages[kind].timeout_ms if chance.random() < 0.5 else None
             send(
                 server,
                 now,
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -135,11 +135,11 @@
     assert not {30, 31} & set(
         host.answers
     )  # let in, one by its reserve, and a charge went for what was too much
-    assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered == 100
+    assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered_bytes == 100
     before = set(host.answers)
     send(server, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its part: a charge goes for it
     assert 40 in server.workload.queued and len(set(host.answers) - before) == 1
-    assert server.workload.in_flight.unanswered == 100 and all(
+    assert server.workload.in_flight.unanswered_bytes == 100 and all(
         answer == "reject" for answer in host.answers.values()
     )
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -76,12 +76,12 @@
 def request_class(**given):
     """A class of requests; times in milliseconds."""
     figures = dict(
-        latency_objective=1800.0,
-        timeout=4400.0,
+        latency_objective_ms=1800.0,
+        timeout_ms=4400.0,
         priority_weight=1.0,
         late_fraction=0.0,
         effect=Effect.IDEMPOTENT,
-        key_window=13000.0,
+        key_window_ms=13000.0,
         skip_fraction=0.0,
     )
     return RequestClass(**{**figures, **given})
@@ -106,10 +106,10 @@
             cores=cores,
             survivable_concurrency=8.0,
             cold_fraction=0.24,
-            warm_up=18000.0 if cold else 0.0,
+            warm_up_ms=18000.0 if cold else 0.0,
             weight_by_work=False,
             can_stop=can_stop,
-            drain_grace=2000.0,
+            drain_grace_ms=2000.0,
             worst_class_weight=0.3,
         ),
         classes=classes
--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -49,7 +49,7 @@
         ),
     )
     request = actor.controller.workload.requests[0]
-    assert request.work == 60_000.0 and request.deadline - request.arrived_at <= 60_000.1
+    assert request.work_ms == 60_000.0 and request.deadline_ms - request.arrived_at_ms <= 60_000.1
 
 
 def test_a_request_that_the_controller_loses_is_answered_all_the_same():
--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -15,7 +15,7 @@
     def stop(self, index: int) -> None:
         """Stop a run; not an answer. Only where the settings say how runs are stopped."""
 
-    def reject(self, index: int, terminal: bool, retry_delay: float) -> None:
+    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
         """Final answer: rejected, never run.
 
         `terminal`: not to be sent to another server; `retry_delay` > 0: not to be retried for that long.
@@ -27,13 +27,13 @@
     def share(self, index: int) -> None:
         """Answer a request with the result of the one it repeats, once there is one."""
 
-    def call(self, index: int, cut_at: float) -> None:
+    def call(self, index: int, cut_at_ms: float) -> None:
         """Make the call that a request waits for, to be abandoned at the clock time `cut_at`."""
 
     def skip(self, index: int) -> None:
         """Let a request that waits for a call go on without it."""
 
-    def remember(self, index: int, keep_for: float) -> None:
+    def remember(self, index: int, keep_for_ms: float) -> None:
         """Keep the request's idempotency key for this long, so that a repeat is recognised."""
 
     def forget(self, index: int) -> None:
@@ -48,8 +48,8 @@
     def publish_load(self, value: float) -> None:
         """The load value sent back with each answer from now on."""
 
-    def set_idle_timeout(self, timeout: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Close connections that were idle for this long."""
 
-    def schedule_tick(self, delay: float) -> None:
+    def schedule_tick(self, delay_ms: float) -> None:
         """Deliver one `on_tick` after this long; it can't be cancelled."""
--- a/vetchford/admission/capacity.py
+++ b/vetchford/admission/capacity.py
@@ -28,31 +28,31 @@
     def released(self, request: Request) -> None:
         """A request's memory is free."""
 
-    def run_started(self, now: float, request: Request, slots: float) -> None:
+    def run_started(self, now_ms: float, request: Request, slots: float) -> None:
         """A queued request started to run, with so many slots for all."""
 
-    def run_resumed(self, now: float, request: Request) -> None:
+    def run_resumed(self, now_ms: float, request: Request) -> None:
         """A run that waited for a call is on the cores again."""
 
-    def run_blocked(self, now: float, request: Request) -> None:
+    def run_blocked(self, now_ms: float, request: Request) -> None:
         """A run left the cores for a call."""
 
-    def run_ended(self, now: float, request: Request) -> None:
+    def run_ended(self, now_ms: float, request: Request) -> None:
         """A run is over; `request.state` still says where it was."""
 
-    def call_started(self, now: float, request: Request) -> None:
+    def call_started(self, now_ms: float, request: Request) -> None:
         """A call to the dependency goes out."""
 
-    def call_ended(self, now: float, request: Request, took: float | None, rejected: bool) -> None:
+    def call_ended(self, now_ms: float, request: Request, took_ms: float | None, rejected: bool) -> None:
         """A call ended after `took` ms (None: unanswered); `rejected`: the dependency did not run it."""
 
-    def on_tick(self, now: float) -> None:
+    def on_tick(self, now_ms: float) -> None:
         """The periodic tick."""
 
-    def queue_delay(self, now: float, request: Request) -> float:
+    def queue_delay_ms(self, now_ms: float, request: Request) -> float:
         """Expected wait of an arriving request for a slot, behind what is queued before it."""
 
-    def retry_delay(self, request: Request) -> float:
+    def retry_after_ms(self, request: Request) -> float:
         """Expected time until the queue of a rejected request is empty."""
 
     def has_room(self, request: Request) -> bool:
@@ -61,20 +61,20 @@
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
         """Those of `queued`, and the arriving request, of which one is to make room; none: no need."""
 
-    def memory_fits(self, request: Request, more: float) -> bool:
+    def memory_fits(self, request: Request, more_bytes: float) -> bool:
         """Whether so many bytes more may be used for the request."""
 
-    def startable(self, now: float, slots: float, blocked: set[int]) -> Sequence[Request]:
+    def startable(self, now_ms: float, slots: float, blocked: set[int]) -> Sequence[Request]:
         """Queued requests of which the best may start now, none of a bulkhead in `blocked`."""
 
-    def callable(self, now: float) -> Sequence[Request]:
+    def callable(self, now_ms: float) -> Sequence[Request]:
         """Waiting requests of which the best may call now."""
 
-    def call_deadline(self, now: float, request: Request) -> float:
+    def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
         """Clock time at which its call is to be abandoned, if that is before all other limits."""
 
     def should_skip(self, request: Request) -> bool:
         """Whether a waiting request that may skip its call is to skip it."""
 
-    def dependency_wait(self, now: float, request: Request) -> float:
+    def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
         """Expected time that the request's run will wait on calls."""
--- a/vetchford/admission/events.py
+++ b/vetchford/admission/events.py
@@ -8,37 +8,39 @@
 class AdmissionEvents(Protocol):
     """What can happen to one server and its requests.
 
-    All methods are called from one thread. `now` is ms since the server's start and never goes back;
+    All methods are called from one thread. `now_ms` is ms since the server's start and never goes back;
     a request is named by the index of its arrival, until `AdmissionActions.release`.
     """
 
-    def request_arrived(self, now: float, arrival: RequestArrival) -> None:
+    def request_arrived(self, now_ms: float, arrival: RequestArrival) -> None:
         """A request was read."""
 
-    def client_gone(self, now: float, index: int) -> None:
+    def client_gone(self, now_ms: float, index: int) -> None:
         """The client of a request no longer waits for an answer."""
 
-    def run_blocked(self, now: float, index: int) -> None:
+    def run_blocked(self, now_ms: float, index: int) -> None:
         """A run waits for a call to the dependency; only where there is one."""
 
-    def call_ended(self, now: float, index: int, outcome: str, took: float) -> None:
-        """A call ended, with an `Outcome`, after `took` ms."""
+    def call_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
+        """A call ended, with an `Outcome`, after `took_ms`."""
 
-    def run_ended(self, now: float, index: int, outcome: str, took: float) -> None:
+    def run_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
         """A run, or the wait for another's result, ended with an `Outcome`; the adapter has answered it."""
 
-    def on_tick(self, now: float, utilization: float | None, on_cores: float | None) -> None:
+    def on_tick(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
         """The tick that `AdmissionActions.schedule_tick` asked for, with the gauges where there are any.
 
         `utilization`: fraction of the cores that are busy; `on_cores`: all that wants a core just now.
         """
 
-    def start_draining(self, now: float, kill_at: float) -> None:
+    def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
         """The termination notice came; the process is killed at `kill_at`."""
 
-    def apply_fleet_signals(self, slowdown: float, usable: float, full: bool, delay_scale: float) -> None:
+    def apply_fleet_signals(
+        self, call_slowdown: float, call_capacity: float, is_full: bool, retry_after_factor: float
+    ) -> None:
         """What many servers measure together; 1, 1, False and 1 change nothing.
 
-        `slowdown`: time of a call over the usual one; `usable`: fraction of the share of calls to use;
-        `full`: all servers reject; `delay_scale`: on the retry delays.
+        `call_slowdown`: time of a call over the usual one; `call_capacity`: fraction of the share of calls to
+        use; `is_full`: all servers reject; `retry_after_factor`: on the retry-after.
         """
--- a/vetchford/admission/factory.py
+++ b/vetchford/admission/factory.py
@@ -48,12 +48,12 @@
 
 def _request_class(settings: RequestClassSettings) -> RequestClass:
     return RequestClass(
-        latency_objective=settings.latency_objective_ms,
-        timeout=settings.timeout_ms,
+        latency_objective_ms=settings.latency_objective_ms,
+        timeout_ms=settings.timeout_ms,
         priority_weight=settings.priority_weight,
         late_fraction=settings.late_fraction,
         effect=settings.effect,
-        key_window=settings.key_window_ms,
+        key_window_ms=settings.key_window_ms,
         skip_fraction=settings.skip_fraction,
     )
 
@@ -63,19 +63,19 @@
         cores=settings.cores,
         survivable_concurrency=settings.survivable_concurrency,
         cold_fraction=settings.cold_fraction,
-        warm_up=settings.warm_up_ms if cold else 0.0,
+        warm_up_ms=settings.warm_up_ms if cold else 0.0,
         weight_by_work=settings.weight_by_work,
         can_stop=settings.can_stop_runs,
-        drain_grace=settings.drain_grace_ms,
+        drain_grace_ms=settings.drain_grace_ms,
         worst_class_weight=settings.worst_class_weight,
     )
 
 
 def _in_flight_bytes(settings: ServerSettings) -> InFlightBytes:
     return InFlightBytes(
-        memory=settings.memory_bytes,
+        memory_bytes=settings.memory_bytes,
         running_multiple=settings.running_memory_multiple,
-        key_size=settings.idempotency_key_bytes,
+        key_size_bytes=settings.idempotency_key_bytes,
     )
 
 
@@ -85,8 +85,8 @@
         return None
     return DependencyConcurrencyLimit(
         share=dependency.share,
-        period=dependency.share_period_ms,
-        linger=dependency.linger_ms,
+        share_period_ms=dependency.share_period_ms,
+        linger_ms=dependency.linger_ms,
         cores=settings.cores,
     )
 
@@ -103,8 +103,8 @@
     return AdviceSettings(
         seed=seed,
         signal=settings.load_signal,
-        max_retry_delay=settings.max_retry_after_ms,
+        max_retry_after_ms=settings.max_retry_after_ms,
         clients=settings.clients,
         cores=settings.cores,
-        idle_timeout=settings.idle_timeout_ms,
+        idle_timeout_ms=settings.idle_timeout_ms,
     )
--- a/vetchford/admission/health_state.py
+++ b/vetchford/admission/health_state.py
@@ -17,10 +17,10 @@
     """All slots are taken and no run makes progress."""
     ready: bool = True
     """As published last."""
-    last_progress_at: float = 0.0
-    notice_at: float = math.inf
+    last_progress_at_ms: float = 0.0
+    notice_at_ms: float = math.inf
     """When the termination notice came."""
-    kill_at: float = math.inf
+    kill_at_ms: float = math.inf
     """When all must be answered before the process is killed."""
-    read_delay: float = 0.0
+    read_delay_ratio: float = 0.0
     """Recent wait to be read over the latency objective."""
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -13,16 +13,18 @@
     def __post_init__(self) -> None:
         self.key_expiries: list[tuple[float, int]] = []  # heap, emptied as keys expire
 
-    def reject(self, request: Request, terminal: bool, delay: float | None = None) -> None:
+    def reject(self, request: Request, terminal: bool, delay_ms: float | None = None) -> None:
         """Answer that it never ran. `delay` (ms) is asked of the client; None: until the queue is empty."""
         advice = self.advice
         advice.rejections += 1.0
         self.settle(request)
-        delay = advice.retry_delay(self.capacity.retry_delay(request)) if delay is None else delay
+        delay_ms = (
+            advice.retry_after_ms(self.capacity.retry_after_ms(request)) if delay_ms is None else delay_ms
+        )
         # A retry that is rejected again has found two servers full: more only spread the overload, and
         # so would all others where a quarter of what comes was rejected elsewhere.
         terminal |= request.is_retry or advice.fleet_full or advice.retries > 0.25 * advice.arrivals
-        self.actions.reject(request.index, terminal, delay)
+        self.actions.reject(request.index, terminal, delay_ms)
         self.finish(request)
 
     def give_up(self, request: Request) -> None:
@@ -45,31 +47,33 @@
         request.answered = True
         self.workload.queued.pop(request.index, None)
         self.workload.waiting.pop(request.index, None)
-        self.workload.in_flight.answered(request.client, request.size)
+        self.workload.in_flight.answered(request.client, request.size_bytes)
         self.capacity.answered(request)
 
     def finish(self, request: Request) -> None:
         in_flight = self.workload.in_flight
-        in_flight.used, request.state = in_flight.used - request.size, RequestState.DONE
+        in_flight.used_bytes, request.state = in_flight.used_bytes - request.size_bytes, RequestState.DONE
         self.capacity.released(request)
-        if request.key_expires_at and not request.started:
+        if request.key_expires_at_ms and not request.started:
             self._drop_key(request)
             self.actions.forget(request.index)
         self._release_index(request)
 
-    def keep_key(self, now: float, request: Request, queued_for: float) -> None:
+    def keep_key(self, now_ms: float, request: Request, queued_for_ms: float) -> None:
         kind = request.request_class
-        keep_for = max(1.0, kind.key_window - queued_for)
-        request.key_expires_at = now + keep_for + kind.timeout  # a repeat in time may be read that much later
-        self.workload.in_flight.used += self.workload.in_flight.key_size
-        heapq.heappush(self.key_expiries, (request.key_expires_at, request.index))
-        self.actions.remember(request.index, keep_for)
+        keep_for_ms = max(1.0, kind.key_window_ms - queued_for_ms)
+        request.key_expires_at_ms = (
+            now_ms + keep_for_ms + kind.timeout_ms
+        )  # a repeat in time may be read that much later
+        self.workload.in_flight.used_bytes += self.workload.in_flight.key_size_bytes
+        heapq.heappush(self.key_expiries, (request.key_expires_at_ms, request.index))
+        self.actions.remember(request.index, keep_for_ms)
 
-    def expire_keys(self, now: float) -> None:
-        while self.key_expiries and self.key_expiries[0][0] <= now:
-            expires_at, index = heapq.heappop(self.key_expiries)
+    def expire_keys(self, now_ms: float) -> None:
+        while self.key_expiries and self.key_expiries[0][0] <= now_ms:
+            expires_at_ms, index = heapq.heappop(self.key_expiries)
             request = self.workload.requests.get(index)
-            if request is not None and request.key_expires_at == expires_at:
+            if request is not None and request.key_expires_at_ms == expires_at_ms:
                 self._drop_key(request)
                 self._release_index(request)
 
@@ -84,10 +88,10 @@
         return True
 
     def _drop_key(self, request: Request) -> None:
-        request.key_expires_at = 0.0
-        self.workload.in_flight.used -= self.workload.in_flight.key_size
+        request.key_expires_at_ms = 0.0
+        self.workload.in_flight.used_bytes -= self.workload.in_flight.key_size_bytes
 
     def _release_index(self, request: Request) -> None:
-        if request.state == RequestState.DONE and not request.key_expires_at:
+        if request.state == RequestState.DONE and not request.key_expires_at_ms:
             del self.workload.requests[request.index]
             self.actions.release(request.index)
--- a/vetchford/admission/load_advice_state.py
+++ b/vetchford/admission/load_advice_state.py
@@ -13,10 +13,10 @@
     seed: int
     """Of the random spread of retry delays."""
     signal: LoadSignal
-    max_retry_delay: float
+    max_retry_after_ms: float
     clients: int
     cores: int
-    idle_timeout: float
+    idle_timeout_ms: float
     """Longest duration for which an idle connection is kept open; 0: nothing is closed."""
 
 
@@ -42,12 +42,12 @@
     """Fraction of the usual traffic that is wanted."""
     published: float = -1.0
     """The load value published last."""
-    mean_retry_delay: float = 0.0
+    mean_retry_after_ms: float = 0.0
     draws: int = 0
     """Random numbers drawn."""
     fleet_full: bool = False
     """As the fleet measures: all servers reject."""
-    retry_delay_factor: float = 1.0
+    retry_after_factor: float = 1.0
     """As the fleet measures: how much longer clients are to back off."""
 
     def __post_init__(self) -> None:
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -47,14 +47,14 @@
     tenant: int
     """Index of its tenant, or -1."""
     client: int
-    deadline: float | None
+    deadline_ms: float | None
     """Clock time after which the client no longer waits; None where it does not say."""
-    work: float | None
+    work_ms: float | None
     """Expected work in ms on a standard core; None where the client does not say."""
-    size: int
+    size_bytes: int
     """Bytes."""
     is_retry: bool
-    queued_for: float
+    queued_for_ms: float
     """Time between its arrival at the machine and now."""
     original: int | None
     """Index of the request it repeats, -1 for a repeat of an unknown one, None for no repeat."""
@@ -64,13 +64,13 @@
 class RequestClass:
     """What the settings say of a class of requests, and what was measured of it."""
 
-    latency_objective: float
-    timeout: float
+    latency_objective_ms: float
+    timeout_ms: float
     priority_weight: float
     late_fraction: float
     """Fraction of the priority weight that an answer after the latency objective still earns."""
     effect: Effect
-    key_window: float
+    key_window_ms: float
     """Duration within which a request that is idempotent by key may be repeated."""
     skip_fraction: float
     """Fraction of the priority weight left when its call is skipped; 0: it may not be skipped."""
@@ -78,9 +78,9 @@
         default_factory=lambda: TimeWeightedAverage(RUNS_BY_COUNT)
     )
     """Run time over expected work, of runs that did not compete for the cores."""
-    dependency_wait: float = 0.0
+    dependency_wait_ms: float = 0.0
     """Recent time that a run waits on calls."""
-    learnt_at: float = -math.inf
+    learnt_at_ms: float = -math.inf
     """When a run last completed."""
     offered: float = 1e-9
     """Priority weight of recent first attempts."""
@@ -88,7 +88,7 @@
     """Part of it that was answered within the latency objective."""
     queue_weight: float = 0.0
     """Priority weight by which the queue is ordered."""
-    mean_run_time: float = 0.0
+    mean_run_time_ms: float = 0.0
     """Recent mean, for bulkheads."""
     bulkhead: int = 0
 
@@ -101,20 +101,20 @@
     request_class: RequestClass
     tenant: int
     client: int
-    arrived_at: float
-    objective_at: float
-    deadline: float
-    work: float
-    size: int
+    arrived_at_ms: float
+    objective_at_ms: float
+    deadline_ms: float
+    work_ms: float
+    size_bytes: int
     is_retry: bool
     state: RequestState = RequestState.QUEUED
     started: bool = False
     answered: bool = False
     concurrency_at_start: float = 0.0
     """Runs and reads on the cores when its run started."""
-    dependency_wait: float = 0.0
+    dependency_wait_ms: float = 0.0
     """Time waited on calls so far, less the clock time when the wait began while it lasts."""
-    key_expires_at: float = 0.0
+    key_expires_at_ms: float = 0.0
     """When its idempotency key is dropped; 0: it has none."""
     bulkhead: int = 0
     """Bulkhead of its class when it arrived."""
@@ -129,9 +129,9 @@
         cls,
         arrival: RequestArrival,
         request_class: RequestClass,
-        arrived_at: float,
-        objective_at: float,
-        deadline: float,
+        arrived_at_ms: float,
+        objective_at_ms: float,
+        deadline_ms: float,
         is_retry: bool,
     ) -> "Request":
         """The request of an arrival, with the times that were decided for it."""
@@ -140,11 +140,11 @@
             request_class,
             arrival.tenant,
             arrival.client,
-            arrived_at,
-            objective_at,
-            deadline,
-            arrival.work or 1.0,
-            arrival.size,
+            arrived_at_ms,
+            objective_at_ms,
+            deadline_ms,
+            arrival.work_ms or 1.0,
+            arrival.size_bytes,
             is_retry,
             bulkhead=request_class.bulkhead,
         )
@@ -159,13 +159,13 @@
     """Runs for each core that the server survives."""
     cold_fraction: float
     """Fraction of the survivable concurrency above one run a core that a cold server survives."""
-    warm_up: float
+    warm_up_ms: float
     """Duration from the start after which the server is warm; 0: it is warm."""
     weight_by_work: bool
     """Whether a request's value grows with its work."""
     can_stop: bool
     """Whether a run can be stopped."""
-    drain_grace: float
+    drain_grace_ms: float
     """Duration after the termination notice in which arrivals are still admitted."""
     worst_class_weight: float
     """Weight of the worst-served class in the service goal over that of the rest."""
--- a/vetchford/admission/scheduler.py
+++ b/vetchford/admission/scheduler.py
@@ -15,74 +15,76 @@
     def __post_init__(self) -> None:
         self.lifecycle, self.cores_busy = RequestLifecycle(*self.shared), False
 
-    def dispatch(self, now: float) -> None:
+    def dispatch(self, now_ms: float) -> None:
         load = self.workload
         blocked: set[int] = set()  # bulkheads whose next request does not fit into memory
         while load.queued and not self.health.stalled:
             slots = load.slots()
             load.limit.in_use |= load.slots_full(slots)
-            ready = self.capacity.startable(now, slots, blocked)
-            request = max(ready, default=None, key=lambda o: (load.priority(o), -o.arrived_at, -o.index))
+            ready = self.capacity.startable(now_ms, slots, blocked)
+            request = max(ready, default=None, key=lambda o: (load.priority(o), -o.arrived_at_ms, -o.index))
             if request is None:
                 return
-            if not self.capacity.memory_fits(request, request.size * load.in_flight.running_extra):
+            if not self.capacity.memory_fits(request, request.size_bytes * load.in_flight.running_extra):
                 blocked.add(request.bulkhead)
-            elif self.in_time(now, request, 0.0):
-                self._start(now, request, slots)
+            elif self.in_time(now_ms, request, 0.0):
+                self._start(now_ms, request, slots)
             else:
                 self.lifecycle.reject(request, True)
 
-    def _start(self, now: float, request: Request, slots: float) -> None:
+    def _start(self, now_ms: float, request: Request, slots: float) -> None:
         load = self.workload
         del load.queued[request.index]
-        load.in_flight.used += request.size * load.in_flight.running_extra
+        load.in_flight.used_bytes += request.size_bytes * load.in_flight.running_extra
         load.running, request.started = load.running + 1, True
         request.state, request.concurrency_at_start = RequestState.EXECUTING, load.running + load.reading
-        self.capacity.run_started(now, request, slots)
-        self.health.run_joined(now)
+        self.capacity.run_started(now_ms, request, slots)
+        self.health.run_joined(now_ms)
         self.actions.start(request.index)
 
-    def start_calls(self, now: float) -> None:
+    def start_calls(self, now_ms: float) -> None:
         load, dependency = self.workload, self.workload.dependency
-        while load.waiting and dependency is not None and dependency.may_call(now):
-            ready = self.capacity.callable(now)
-            request = max(ready, default=None, key=lambda o: (self._skip_cost(o), -o.arrived_at, -o.index))
+        while load.waiting and dependency is not None and dependency.may_call(now_ms):
+            ready = self.capacity.callable(now_ms)
+            request = max(ready, default=None, key=lambda o: (self._skip_cost(o), -o.arrived_at_ms, -o.index))
             if request is None:
                 return
-            self.capacity.call_started(now, request)
-            cut_at = self.capacity.call_deadline(now, request)
+            self.capacity.call_started(now_ms, request)
+            cut_at_ms = self.capacity.call_cutoff_ms(now_ms, request)
             del load.waiting[request.index]
             request.state = RequestState.CALLING
             dependency.in_flight += 1
-            self.actions.call(request.index, min(request.deadline, now + dependency.max_call_time, cut_at))
+            self.actions.call(
+                request.index, min(request.deadline_ms, now_ms + dependency.max_call_time_ms, cut_at_ms)
+            )
 
     def _skip_cost(self, request: Request) -> float:
         # First the call whose loss costs most: what may skip it loses only a part of its weight.
         return self.workload.priority(request) * (1.0 - request.request_class.skip_fraction)
 
-    def skip_call(self, now: float, request: Request) -> None:
+    def skip_call(self, now_ms: float, request: Request) -> None:
         self.workload.waiting.pop(request.index, None)
-        self.resume(now, request)
+        self.resume(now_ms, request)
         self.actions.skip(request.index)
 
-    def resume(self, now: float, request: Request) -> None:
+    def resume(self, now_ms: float, request: Request) -> None:
         request.state = RequestState.EXECUTING
         self.workload.running += 1
-        self.capacity.run_resumed(now, request)
-        self.health.run_joined(now)
-        request.dependency_wait += now
+        self.capacity.run_resumed(now_ms, request)
+        self.health.run_joined(now_ms)
+        request.dependency_wait_ms += now_ms
 
-    def in_time(self, now: float, request: Request, queue_delay: float) -> bool:
+    def in_time(self, now_ms: float, request: Request, queue_delay_ms: float) -> bool:
         """Whether a request that starts after `queue_delay` ms is expected to be answered in time."""
         kind, dependency = request.request_class, self.workload.dependency
-        wait = self.capacity.dependency_wait(now, request)
-        if dependency and dependency.min_call_time and kind.dependency_wait and not kind.skip_fraction:
-            if dependency.min_call_time == math.inf:
+        wait = self.capacity.dependency_wait_ms(now_ms, request)
+        if dependency and dependency.min_call_time_ms and kind.dependency_wait_ms and not kind.skip_fraction:
+            if dependency.min_call_time_ms == math.inf:
                 return False
-            wait = max(wait, dependency.min_call_time)
-        if now - kind.learnt_at > RELEARN_AFTER:
-            return now < request.objective_at
+            wait = max(wait, dependency.min_call_time_ms)
+        if now_ms - kind.learnt_at_ms > RELEARN_AFTER:
+            return now_ms < request.objective_at_ms
         # Many runs take longer than expected, so 1.3 of it is kept; with room a try or late answer is cheap.
         margin, late_counts = (1.3, False) if self.cores_busy else (0.8, bool(kind.late_fraction))
-        finish = now + queue_delay + margin * self.workload.expected_run_time(request) + wait
-        return finish <= (request.deadline if late_counts else request.objective_at)
+        finish = now_ms + queue_delay_ms + margin * self.workload.expected_run_time_ms(request) + wait
+        return finish <= (request.deadline_ms if late_counts else request.objective_at_ms)
--- a/vetchford/admission/tenant_quotas.py
+++ b/vetchford/admission/tenant_quotas.py
@@ -13,9 +13,9 @@
         self.over_quota_weight = over_quota_weight
         self.rates, self.updated_at = [0.0] * len(self.quotas), [0.0] * len(self.quotas)
 
-    def count(self, now: float, tenant: int) -> None:
-        fade = math.exp((self.updated_at[tenant] - now) / RATE_WINDOW)
-        self.rates[tenant], self.updated_at[tenant] = self.rates[tenant] * fade + 1.0 / RATE_WINDOW, now
+    def count(self, now_ms: float, tenant: int) -> None:
+        fade = math.exp((self.updated_at[tenant] - now_ms) / RATE_WINDOW)
+        self.rates[tenant], self.updated_at[tenant] = self.rates[tenant] * fade + 1.0 / RATE_WINDOW, now_ms
 
     def weight(self, tenant: int) -> float:
         """Factor on the priority weight of the tenant's requests, 1 within its quota."""
--- a/vetchford/admission/undivided_capacity.py
+++ b/vetchford/admission/undivided_capacity.py
@@ -28,35 +28,35 @@
     def released(self, request: Request) -> None:
         """Not recorded."""
 
-    def run_started(self, now: float, request: Request, slots: float) -> None:
+    def run_started(self, now_ms: float, request: Request, slots: float) -> None:
         """Not recorded."""
 
-    def run_resumed(self, now: float, request: Request) -> None:
+    def run_resumed(self, now_ms: float, request: Request) -> None:
         """Not recorded."""
 
-    def run_blocked(self, now: float, request: Request) -> None:
+    def run_blocked(self, now_ms: float, request: Request) -> None:
         """Not recorded."""
 
-    def run_ended(self, now: float, request: Request) -> None:
+    def run_ended(self, now_ms: float, request: Request) -> None:
         """Not recorded."""
 
-    def call_started(self, now: float, request: Request) -> None:
+    def call_started(self, now_ms: float, request: Request) -> None:
         """Not recorded."""
 
-    def call_ended(self, now: float, request: Request, took: float | None, rejected: bool) -> None:
+    def call_ended(self, now_ms: float, request: Request, took_ms: float | None, rejected: bool) -> None:
         """Not recorded."""
 
-    def on_tick(self, now: float) -> None:
+    def on_tick(self, now_ms: float) -> None:
         """Not recorded."""
 
-    def callable(self, now: float) -> Sequence[Request]:
+    def callable(self, now_ms: float) -> Sequence[Request]:
         """All that wait."""
         return list(self.workload.waiting.values())
 
-    def call_deadline(self, now: float, request: Request) -> float:
+    def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
         """None beside the limits for all."""
         return math.inf
 
-    def dependency_wait(self, now: float, request: Request) -> float:
+    def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
         """What was measured of its class."""
-        return request.request_class.dependency_wait
+        return request.request_class.dependency_wait_ms
--- a/vetchford/admission/workload_state.py
+++ b/vetchford/admission/workload_state.py
@@ -30,9 +30,9 @@
     """What is on the cores beside the runs."""
     slowdown: float = 1.0
     """Recent run time over that without contention."""
-    mean_run_time: float = 0.0
-    mean_size: float = 0.0
-    mean_work: float = 0.0
+    mean_run_time_ms: float = 0.0
+    mean_size_bytes: float = 0.0
+    mean_work_ms: float = 0.0
 
     @property
     def calls_stopped(self) -> bool:
--- a/vetchford/bench_adapter/simulated_server.py
+++ b/vetchford/bench_adapter/simulated_server.py
@@ -69,11 +69,11 @@
             class_index=self.classes[kind],
             tenant=self.tenants.get(event.get("project") or "", NO_TENANT),
             client=event.get("who") or 0,
-            deadline=self._ms(until) if until else None,
-            work=work / NS_PER_MS if work else None,
-            size=max(1, round((event.get("memKb") or 0.0) * BYTES_PER_KB)),
+            deadline_ms=self._ms(until) if until else None,
+            work_ms=work / NS_PER_MS if work else None,
+            size_bytes=max(1, round((event.get("memKb") or 0.0) * BYTES_PER_KB)),
             is_retry=bool(event.get("resent")),
-            queued_for=(event.get("queuedFor") or 0) / NS_PER_MS,
+            queued_for_ms=(event.get("queuedFor") or 0) / NS_PER_MS,
             original=by_name.get(original, UNKNOWN_ORIGINAL) if original else None,
         )
         self.controller.request_arrived(now, arrival)
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -35,9 +35,9 @@
         """Stop a run."""
         self._act_on("suspend", index)
 
-    def reject(self, index: int, terminal: bool, retry_delay: float) -> None:
+    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
         """Answer that it never ran."""
-        self._act_on("notNow", index, terminal=terminal, pause=int(retry_delay * NS_PER_MS))
+        self._act_on("notNow", index, terminal=terminal, pause=int(retry_after_ms * NS_PER_MS))
 
     def fail(self, index: int) -> None:
         """Answer with an error."""
@@ -47,17 +47,17 @@
         """Answer with the result of the request it repeats."""
         self._act_on("share", index)
 
-    def call(self, index: int, cut_at: float) -> None:
+    def call(self, index: int, cut_at_ms: float) -> None:
         """Make its call; rounded down, so that no call outlives its cut, and 0 would mean the default."""
-        self._act_on("goCall", index, cutAt=max(1, self.origin + math.floor(cut_at * NS_PER_MS)))
+        self._act_on("goCall", index, cutAt=max(1, self.origin + math.floor(cut_at_ms * NS_PER_MS)))
 
     def skip(self, index: int) -> None:
         """Go on without its call."""
         self._act_on("skip", index)
 
-    def remember(self, index: int, keep_for: float) -> None:
+    def remember(self, index: int, keep_for_ms: float) -> None:
         """Keep its idempotency key; rounded up, never too short."""
-        self._act_on("recordKey", index, keepFor=math.ceil(keep_for * NS_PER_MS))
+        self._act_on("recordKey", index, keepFor=math.ceil(keep_for_ms * NS_PER_MS))
 
     def forget(self, index: int) -> None:
         """Drop its idempotency key."""
@@ -75,10 +75,10 @@
         """Send this value with each answer."""
         self._act("stamp", x=value)
 
-    def set_idle_timeout(self, timeout: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Close connections idle for that long."""
-        self._act("reapAfter", keepFor=math.ceil(timeout * NS_PER_MS))
+        self._act("reapAfter", keepFor=math.ceil(timeout_ms * NS_PER_MS))
 
-    def schedule_tick(self, delay: float) -> None:
+    def schedule_tick(self, delay_ms: float) -> None:
         """Ask for one `bell`."""
-        self._act("notifyMe", **{"in": math.ceil(delay * NS_PER_MS)}, mark="sweep")
+        self._act("notifyMe", **{"in": math.ceil(delay_ms * NS_PER_MS)}, mark="sweep")
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -264,8 +264,8 @@
 
     def call_deadline(self, now: float, request: Request) -> float:
         """When its call is to be abandoned: by the call budget, or when its answer would come too late."""
-        objective = max(request.objective_at, now + 1.0)
-        useful_until = request.deadline if request.request_class.late_fraction else objective
+        objective = max(request.objective_at_ms, now + 1.0)
+        useful_until = request.deadline_ms if request.request_class.late_fraction else objective
         return min(now + self.settings[request.bulkhead].call_budget, useful_until)
 
     def should_skip(self, bulkhead: int, waiting: Iterable[Request]) -> bool:
--- a/vetchford/bulkheads/classification.py
+++ b/vetchford/bulkheads/classification.py
@@ -30,9 +30,9 @@
 
 
 def _is_light(kind: RequestClass, classes: Sequence[RequestClass], was_light: bool) -> bool:
-    measured = [each for each in classes if each.mean_run_time > 0.0]
-    others = [each.mean_run_time for each in measured if each is not kind]
+    measured = [each for each in classes if each.mean_run_time_ms > 0.0]
+    others = [each.mean_run_time_ms for each in measured if each is not kind]
     usual = sum(others) / len(others) if others else math.inf
     border = LIGHT_UNTIL if was_light else LIGHT_BELOW
     has_runs = kind.service_time_per_unit.samples >= MIN_RUNS
-    return has_runs and len(measured) > 1 and kind.mean_run_time <= border * usual
+    return has_runs and len(measured) > 1 and kind.mean_run_time_ms <= border * usual
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -215,11 +215,11 @@
             controller.on_tick(self.clock.now(), self.gauges.core_use(), on_cores)
 
     def _fail_overdue(self, before: float) -> None:
-        self.state.answers.fail_overdue(before, self._bound_controller().health.kill_at)
+        self.state.answers.fail_overdue(before, self._bound_controller().health.kill_at_ms)
 
     def _close_idle_connections(self) -> None:
-        if self.actions.idle_timeout < math.inf:
-            self.listener.close_idle(self.actions.idle_timeout)
+        if self.actions.idle_timeout_ms < math.inf:
+            self.listener.close_idle(self.actions.idle_timeout_ms)
 
     # -- shutdown
 
@@ -241,14 +241,14 @@
         if controller is None or self.load_sampler is None:
             return
         dependency, in_flight = controller.workload.dependency, controller.workload.in_flight
-        usual_duration = dependency.base_time.value if dependency is not None else 0.0
+        usual_duration = dependency.base_time_ms.value if dependency is not None else 0.0
         figures = self.load_sampler.figures(
             self.clock.now(),
             self.state.calls.start_times(),
             usual_duration,
             self.metrics.by_name.copy(),
-            in_flight.used,
-            in_flight.memory,
+            in_flight.used_bytes,
+            in_flight.memory_bytes,
         )
         report(figures)
 
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -75,9 +75,9 @@
         # request that claims so must neither be queued for hours nor outweigh all others in what is learnt.
         deadline = None
         if request.time_limit is not None:
-            deadline = arrived_at + min(request.time_limit, request_class.timeout)
-        work = None if request.cpu_time is None else min(request.cpu_time, request_class.timeout)
-        answer_due = max(now, arrived_at + request_class.timeout if deadline is None else deadline)
+            deadline = arrived_at + min(request.time_limit, request_class.timeout_ms)
+        work = None if request.cpu_time is None else min(request.cpu_time, request_class.timeout_ms)
+        answer_due = max(now, arrived_at + request_class.timeout_ms if deadline is None else deadline)
         entry = RequestEntry(
             request.request_id, request.method, client, request.rpc_id, request.content, answer_due
         )
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -53,7 +53,7 @@
         self.listener, self.registry, self.on_tick = listener, registry, on_tick
         self.deferred: deque[SharedResult] = deque()
         self.arriving = -1  # index of the request that is just being admitted
-        self.idle_timeout = math.inf  # ms that a silent connection is kept
+        self.idle_timeout_ms = math.inf  # for which a silent connection is kept
 
     def start(self, index: int) -> None:
         """Start the run of a queued request."""
@@ -63,9 +63,9 @@
         """Count only: the protocol has no such command yet. The run ends by itself and changes no answer."""
         self.metrics.increment("stops_not_sent")
 
-    def reject(self, index: int, terminal: bool, retry_delay: float) -> None:
+    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
         """Answer that the request was rejected and never ran."""
-        if self.controller.health.notice_at < math.inf:
+        if self.controller.health.notice_at_ms < math.inf:
             counter = "rejected_draining"
         elif self.controller.health.stalled:
             counter = "rejected_stalled"
@@ -73,7 +73,7 @@
             counter = "rejected_at_door"
         else:
             counter = "rejected_held"
-        self.answers.reject(self.requests[index], terminal, retry_delay, counter)
+        self.answers.reject(self.requests[index], terminal, retry_after_ms, counter)
 
     def fail(self, index: int) -> None:
         """Answer with an error."""
@@ -88,20 +88,20 @@
         else:
             self.idempotency_cache.add_follower(original, index)
 
-    def call(self, index: int, cut_at: float) -> None:
+    def call(self, index: int, cut_at_ms: float) -> None:
         """Make the dependency call that the run waits for."""
-        deadline = self.clock.origin + cut_at
+        deadline = self.clock.origin + cut_at_ms
         self.calls.start(index, self.requests[index], self.clock.now(), deadline, self._is_idempotent(index))
 
     def skip(self, index: int) -> None:
         """Let the run continue without its dependency call."""
         self.commands.skip_call(self.requests[index])
 
-    def remember(self, index: int, keep_for: float) -> None:
-        """Let the request hold its idempotency key, if it has one, for `keep_for` ms from now."""
+    def remember(self, index: int, keep_for_ms: float) -> None:
+        """Let the request hold its idempotency key, if it has one, for `keep_for_ms` from now."""
         key = self.requests[index].idempotency_key
         if key is not None:
-            until = math.ceil(self.clock.origin + self.clock.now() + keep_for)
+            until = math.ceil(self.clock.origin + self.clock.now() + keep_for_ms)
             self.idempotency_cache.remember(key, index, until)
 
     def forget(self, index: int) -> None:
@@ -127,13 +127,13 @@
     def publish_load(self, value: float) -> None:
         """Do nothing: the protocol has no place for a load report."""
 
-    def set_idle_timeout(self, timeout: float) -> None:
-        """Close connections that were silent for `timeout` ms, as of the next tick."""
-        self.idle_timeout = timeout
+    def set_idle_timeout(self, timeout_ms: float) -> None:
+        """Close connections that were silent for `timeout_ms`, as of the next tick."""
+        self.idle_timeout_ms = timeout_ms
 
-    def schedule_tick(self, delay: float) -> None:
-        """Call `on_tick` after `delay` ms, with gauges polled shortly before."""
-        due = unix_time_ms() + delay
+    def schedule_tick(self, delay_ms: float) -> None:
+        """Call `on_tick` after `delay_ms`, with gauges polled shortly before."""
+        due = unix_time_ms() + delay_ms
         self.timers.schedule(due - POLL_AHEAD, self.commands.poll)
         self.timers.schedule(due, self.on_tick)
 
