--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -8,6 +8,7 @@
 import pytest
 from helpers import TOLD, Recorder
 
+from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import timers
 from vetchford.runtime.metrics import Metrics
@@ -41,7 +42,8 @@
     def __init__(self, seed, monkeypatch):
         self.chance, self.now = random.Random(seed), 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
-        self.actor = AdmissionActor(seed, {**TOLD, "requestClasses": CLASSES, "familyInfo": INFO}, Metrics())
+        settings = platform_settings.decode({**TOLD, "requestClasses": CLASSES, "familyInfo": INFO})
+        self.actor = AdmissionActor(seed, settings, Metrics())
         self.pool = WorkerPoolClient(("", 0), self.actor, Metrics())
         self.pool.run_or_post = self.sent
         self.actor.attach(self.pool, self, Recorder(), self, lambda: None)
--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -5,6 +5,7 @@
 import pytest
 from helpers import TOLD, Recorder
 
+from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.admission_actor import AdmissionActor
@@ -13,7 +14,7 @@
 @pytest.mark.parametrize("cold", [False, True])
 def test_the_slow_start_of_a_cold_worker_pool_counts_from_its_start(cold):
     settings = {**TOLD, "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000}}
-    actor = AdmissionActor(7, settings, Metrics())
+    actor = AdmissionActor(7, platform_settings.decode(settings), Metrics())
     peer = Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
@@ -24,7 +25,7 @@
 
 def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
     # It would be taken off the slots, and a core would stand idle for what nobody reads.
-    actor, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
@@ -38,7 +39,7 @@
 
 
 def test_figures_that_no_client_can_mean_neither_queue_a_request_for_hours_nor_outweigh_the_others():
-    actor, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
@@ -53,7 +54,7 @@
 
 
 def test_a_request_that_the_controller_loses_is_answered_all_the_same():
-    actor, peer = AdmissionActor(7, TOLD, Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -6,6 +6,7 @@
 import pytest
 from helpers import TOLD, Recorder
 
+from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime import timers
 from vetchford.runtime.metrics import Metrics
@@ -19,7 +20,7 @@
         self.now = 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
         self.stops, self.peer, self.listener = [], Recorder(), Recorder()
-        self.actor = AdmissionActor(7, TOLD, Metrics())
+        self.actor = AdmissionActor(7, platform_settings.decode(TOLD), Metrics())
         self.peer.mailbox = queue.SimpleQueue()
         self.listener.connections, self.all_out = (), False
         self.listener.is_drained = lambda: self.all_out
