--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -20,7 +20,7 @@
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, cold, 5000.0)
     assert actor.clock.now() >= 5000.0  # what is left of the ramp the controller gets by its clock
-    assert actor.controller.workload.settings.warm_up == (18_000.0 if cold else 0.0)
+    assert actor.controller.workload.settings.warm_up_ms == (18_000.0 if cold else 0.0)
 
 
 def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
