--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -40,14 +40,14 @@
 
         The controller answers in time. This holds whatever goes wrong there.
         """
-        for _, entry in self.requests.unanswered():
+        for entry in self.requests.unanswered_entries():
             if min(entry.answer_due, deadline) < before:
                 self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=entry.request_id)
                 self.fail(entry)
 
     def count_unanswered(self) -> int:
         """Return the number of requests without an answer."""
-        return sum(1 for _ in self.requests.unanswered())
+        return sum(1 for _ in self.requests.unanswered_entries())
 
     def _send(self, entry: RequestEntry, parts: list[bytes], counter: str) -> None:
         if self.metrics.check_invariant(not entry.answered, "one_answer", task=entry.request_id):
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -83,6 +83,12 @@
             if entry is not None and not entry.answered:
                 yield index, entry
 
+    def unanswered_entries(self) -> Iterator[RequestEntry]:
+        """Yield what `unanswered` does, without the indices; each tick looks at all entries."""
+        for entry in self.entries:
+            if entry is not None and not entry.answered:
+                yield entry
+
     def release(self, index: int) -> None:
         """Forget the request; its index may be given to another."""
         self.indices.release(index)
