--- a/vetchford/fleet/rollout.py
+++ b/vetchford/fleet/rollout.py
@@ -5,7 +5,8 @@
 requests and stored records; an agent of another version reads both.
 """
 
-from dataclasses import asdict, dataclass, field
+import copy
+from dataclasses import dataclass, field, fields
 from enum import StrEnum
 from typing import Any
 
@@ -116,8 +117,14 @@
         return [name for name, step in self.steps.items() if step in steps]
 
     def to_record(self) -> dict[str, Any]:
-        """Return the stored form."""
-        record = {ENCODED_NAMES.get(name, name): value for name, value in asdict(self).items()}
+        """Return the stored form; later changes of the rollout do not change it.
+
+        Copies one level, as no value nests deeper: it is called for each step of each instance.
+        """
+        record = {
+            ENCODED_NAMES.get(item.name, item.name): copy.copy(getattr(self, item.name))
+            for item in fields(self)
+        }
         if not self.rolling_back:
             del record["back"]  # versions from before this field existed read all other records
         return record
