--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -1,16 +1,76 @@
 """Commands of the tool that need no agent: usage, selection, and what is said while a rollout is followed."""
 
+import json
+import socket
+import threading
 from types import SimpleNamespace
 
 import pytest
 
-from vetchford.fleet.agent_client import UnreachableError
+from vetchford.fleet.agent_client import Answer, UnreachableError, decode_answer
+from vetchford.fleet.agent_messages import InstanceStatus, RolloutRequest, encode, submit_request
 from vetchford.fleet.commands import command_line, rollout_commands
 from vetchford.fleet.commands.exit_status import ExitStatus
 from vetchford.fleet.commands.rollout_commands import Follower
 from vetchford.fleet.commands.selection import select_of_agent, select_of_fleet
+from vetchford.fleet.fleet_client import fleet_request
+from vetchford.fleet.fleet_messages import FleetInstanceStatus, FleetRolloutStatus, FleetSubmitRequest
+from vetchford.fleet.rollout import RefusedError
 
-PAY, WEB = {"group": "pay", "labels": ["canary"]}, {"group": "web", "labels": []}
+PAY = {"group": "pay", "labels": ["canary"]}
+WEB = {"group": "web", "labels": []}
+
+
+def instance_of_agent(name, group, labels):
+    return InstanceStatus(
+        name=name,
+        state="serving",
+        version="1",
+        reason="ready",
+        group=group,
+        labels=labels,
+        wanted=True,
+        state_age_ms=0,
+        restarts=0,
+        kill_count=0,
+        pid=0,
+        memory_kb=0,
+        rollout_id="",
+    )
+
+
+def instance_of_fleet(group, labels):
+    return FleetInstanceStatus(
+        state="serving", group=group, reason="ready", version="1", labels=labels, rollout_id=""
+    )
+
+
+OF_NO_FLEET = "this agent is of no fleet: its settings have no 'peers'"
+
+
+class FakeAgent:
+    """Refuses each request with the same reason; one connection a request, as the tool makes them."""
+
+    def __init__(self, path, reason):
+        self.path = str(path)
+        self.reason = reason
+        self.requests = []
+        self.sock = socket.socket(socket.AF_UNIX)
+        self.sock.bind(self.path)
+        self.sock.listen()
+        threading.Thread(target=self.serve, name="fake agent", daemon=True).start()
+
+    def serve(self):
+        while True:
+            connection = self.sock.accept()[0]
+            with connection, connection.makefile("rwb") as lines:
+                self.requests.append(lines.readline())
+                lines.write(json.dumps({"refused": self.reason}).encode() + b"\n")
+
+
+@pytest.fixture
+def agent_of_no_fleet(tmp_path):
+    return FakeAgent(tmp_path / "agent.sock", OF_NO_FLEET)
 
 
 @pytest.mark.parametrize(
@@ -53,7 +113,11 @@
     ],
 )
 def test_selection_on_one_agent(words, selected):
-    instances = [{"name": "n0", **PAY}, {"name": "n1", **WEB}, {"name": "m0", **PAY}]
+    instances = [
+        instance_of_agent("n0", **PAY),
+        instance_of_agent("n1", **WEB),
+        instance_of_agent("m0", **PAY),
+    ]
     assert select_of_agent(instances, words) == selected
 
 
@@ -69,15 +133,35 @@
     ],
 )
 def test_selection_over_a_fleet(words, selected):
-    instances = {"n0@east": PAY, "n0@west": PAY, "n1@west": WEB}
+    instances = {
+        "n0@east": instance_of_fleet(**PAY),
+        "n0@west": instance_of_fleet(**PAY),
+        "n1@west": instance_of_fleet(**WEB),
+    }
     assert select_of_fleet(instances, words) == selected
 
 
-def answer(state, **steps):
-    return {"state": state, "steps": steps, "why": "all done", "killed": ["n1"], "waits": ""}
+def answer(state, waits_for="", **steps):
+    rollout = FleetRolloutStatus(
+        id="r1",
+        kind="roll",
+        state=state,
+        reason="all done",
+        steps=steps,
+        killed=["n1"],
+        batch=1,
+        minimum_available=0,
+        waits_for=waits_for,
+        leader="east",
+        leader_silence_ms=0,
+        term=65,
+        revision=2,
+        replied_by="east",
+    )
+    return Answer(rollout, {"state": state, "steps": steps})
 
 
-def follower(answers, patience=60.0, **changed):
+def follower(answers, patience_s=60.0, **changed):
     """Follows a rollout whose states come from a list; an exception in it is raised."""
     replies = iter(answers)
 
@@ -87,15 +171,15 @@
             raise reply
         return reply
 
-    options = SimpleNamespace(plain=True, patience=patience)
-    return Follower("r1", options, find, poll_interval=0.0, unreachable_timeout=60.0, **changed)
+    options = SimpleNamespace(plain=True, patience_s=patience_s)
+    return Follower("r1", options, find, poll_interval_s=0.0, unreachable_timeout_s=60.0, **changed)
 
 
 def test_each_step_is_said_once_and_the_end_with_those_that_were_killed(monkeypatch, capsys):
-    monkeypatch.setattr(rollout_commands, "RETRY_INTERVAL", 0.0)
+    monkeypatch.setattr(rollout_commands, "RETRY_INTERVAL_S", 0.0)
     answers = [
         answer("running", n0="pending", n1="out"),
-        UnreachableError("the agent is restarted"),
+        UnreachableError("east.sock", "the agent is restarted"),
         answer("running", n0="out", n1="out"),
         answer("finished", n0="done", n1="done"),
     ]
@@ -111,9 +195,9 @@
 
 
 def test_a_reason_to_wait_is_said_when_it_changes(capsys):
-    answers = [{**answer("running"), "waits": reason} for reason in ("floor", "floor", "", "floor")]
+    answers = [answer("running", waits_for=reason) for reason in ("floor", "floor", "", "floor")]
     answers.append(answer("paused"))
-    _, status = follower(answers, reason_to_wait=lambda reply: reply["waits"]).follow()
+    _, status = follower(answers, reason_to_wait=lambda rollout: rollout.waits_for).follow()
     assert status == ExitStatus.FAILED
     assert capsys.readouterr().out.splitlines()[:-1] == ["waits: floor", "waits: floor"]
 
@@ -123,7 +207,87 @@
     assert follower([answer(state)]).follow()[1] == status
 
 
-def test_a_refusal_and_an_end_of_patience(capsys):
-    assert follower([{"refused": "no change r1"}]).follow()[1] == ExitStatus.REFUSED
-    assert follower([answer("running")], patience=-1.0).follow()[1] == ExitStatus.FAILED
-    assert capsys.readouterr().err == "vetchford: no change r1\nvetchford: change r1 is still running\n"
+@pytest.mark.parametrize(
+    "command",
+    [
+        ("wait", "r1"),
+        ("status",),
+        ("start", "all"),
+        ("explain", "n0"),
+        ("history",),
+        ("--across", "status"),
+        ("--across", "start", "all"),
+        ("--across", "--id", "r1", "start", "all"),
+        ("--across", "wait", "r1"),
+        ("admit", "east"),
+        ("peers",),
+        ("watch",),
+    ],
+)
+def test_a_refusal_is_one_line_and_exit_status_two(agent_of_no_fleet, command, capsys):
+    assert command_line.main(["--socket", agent_of_no_fleet.path, *command]) == 2
+    captured = capsys.readouterr()
+    assert captured.err == f"vetchford: {OF_NO_FLEET}\n"
+    assert captured.out == ""
+
+
+def test_a_refusal_as_json_is_the_reply(agent_of_no_fleet, capsys):
+    assert command_line.main(["--socket", agent_of_no_fleet.path, "--json", "wait", "r1"]) == 2
+    assert json.loads(capsys.readouterr().out) == {"refused": OF_NO_FLEET}
+
+
+@pytest.mark.parametrize(
+    ("arguments", "request_line"),
+    [
+        (("status",), b'{"ask": "status"}\n'),
+        (("history",), b'{"ask": "history"}\n'),
+        (("explain", "n0"), b'{"ask": "explain", "name": "n0"}\n'),
+        (("pause", "r1"), b'{"ask": "pause", "id": "r1"}\n'),
+        (("wait", "r1"), b'{"ask": "find", "id": "r1"}\n'),
+        (("peers",), b'{"ask": "across", "request": {"ask": "peers"}}\n'),
+        (("--across", "status"), b'{"ask": "across", "request": {"ask": "all"}}\n'),
+        (("--across", "abort", "r1"), b'{"ask": "across", "request": {"ask": "abort", "id": "r1"}}\n'),
+        (
+            ("--by", "ann", "dismiss", "east"),
+            b'{"ask": "across", "request": {"ask": "dismiss", "name": "east", "by": "ann"}}\n',
+        ),
+    ],
+)
+def test_requests_on_the_socket_keep_their_bytes(agent_of_no_fleet, arguments, request_line):
+    command_line.main(["--socket", agent_of_no_fleet.path, *arguments])
+    assert agent_of_no_fleet.requests == [request_line]
+
+
+def test_a_request_for_a_rollout_keeps_its_bytes():
+    rollout = RolloutRequest(
+        id="r1",
+        kind="roll",
+        targets=["n0"],
+        version="v2",
+        start_interval_ms=0.0,
+        minimum_ready_ms=2000.0,
+        on_failure="pause",
+        batch=1,
+        minimum_available=0,
+    )
+    fields = (
+        '"id": "r1", "kind": "roll", "targets": ["n0"], "version": "v2", "spacing": 0.0, "soak": 2000.0, '
+        '"on_failure": "pause", "batch": 1, "floor": 0'
+    )
+    assert json.dumps(encode(submit_request(rollout))) == '{"ask": "change", ' + fields + "}"
+    dry_run = encode(submit_request(rollout, dry_run=True))
+    assert json.dumps(dry_run) == '{"ask": "change", ' + fields + ', "dry_run": true}'
+    of_fleet = encode(fleet_request(FleetSubmitRequest(encode(rollout))))
+    assert json.dumps(of_fleet) == (
+        '{"ask": "across", "request": {"ask": "span", "change": {' + fields + "}}}"
+    )
+
+
+def test_a_refusal_in_a_reply_is_raised():
+    with pytest.raises(RefusedError, match="no change r1"):
+        decode_answer({"refused": "no change r1"}, lambda encoded: encoded)
+
+
+def test_patience_that_has_run_out_is_one_line_and_exit_status_one(capsys):
+    assert follower([answer("running")], patience_s=-1.0).follow()[1] == ExitStatus.FAILED
+    assert capsys.readouterr().err == "vetchford: change r1 is still running\n"
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -17,7 +17,7 @@
 import structlog
 
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_messages import Reply
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.agent_requests import RequestHandler
 from vetchford.fleet.agent_settings import AgentSettings
 from vetchford.fleet.health_checker import HealthChecker, is_ready
@@ -215,7 +215,7 @@
 
     # -- tools
 
-    def submit_request(self, request: Any, reply: Callable[[Reply], None]) -> None:
+    def submit_request(self, request: Any, reply: Callable[[EncodedReply], None]) -> None:
         """Have a tool's request answered on the agent's thread. Any thread may call it."""
         self.post(self.requests.handle, request, reply)
 
--- a/vetchford/fleet/agent_requests.py
+++ b/vetchford/fleet/agent_requests.py
@@ -5,15 +5,32 @@
 from typing import Any, Protocol
 
 from vetchford.fleet.agent_messages import (
-    FLEET_REQUEST,
+    ENCODED_KIND,
+    FLEET_KIND,
+    MALFORMED,
+    REQUEST_KINDS,
+    SUBMIT_KIND,
+    AbortRequest,
+    AgentReply,
+    DecodedByFields,
+    EncodedReply,
+    EncodedRequest,
     ExplainReply,
+    ExplainRequest,
+    FindRequest,
     HistoryReply,
+    HistoryRequest,
     InstanceStatus,
+    MalformedRequestError,
+    PauseRequest,
     PlanReply,
-    Reply,
-    RequestKind,
+    RefusedReply,
+    ResumeRequest,
     RolloutStatus,
     StatusReply,
+    StatusRequest,
+    decode_request,
+    encode,
 )
 from vetchford.fleet.agent_settings import AgentSettings
 from vetchford.fleet.history_store import Store
@@ -24,17 +41,13 @@
 from vetchford.fleet.supervisor import Process
 
 MAX_HISTORY_REPLY = 1000  # entries: about a MB of JSON
-DEFAULT_HISTORY_REPLY = 50  # entries
 EXPLAIN_HISTORY = 20  # entries
-MALFORMED = (TypeError, KeyError, ValueError, AttributeError)  # what a request of another form raises
-
-Request = dict[str, Any]
 
 
 class FleetCoordination(Protocol):
     """The agent's part in a fleet of agents, as far as tools reach it."""
 
-    def request(self, request: Request, reply: Callable[[dict[str, Any]], None]) -> None:
+    def request(self, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
         """Answer by calling `reply` once, now or later. Raises RefusedError."""
 
 
@@ -56,74 +69,87 @@
         self.processes = processes
         self.now = now
         self.coordination: FleetCoordination | None = None
-        self.handlers: dict[RequestKind, Callable[[Request], Reply]] = {
-            RequestKind.STATUS: self._status,
-            RequestKind.ROLLOUT: self._submit,
-            RequestKind.PAUSE: self._pause,
-            RequestKind.RESUME: self._resume,
-            RequestKind.ABORT: self._abort,
-            RequestKind.HISTORY: self._history,
-            RequestKind.EXPLAIN: self._explain,
-            RequestKind.FIND: self._find,
-        }
-
-    def handle(self, request: Any, reply: Callable[[Reply], None]) -> None:
-        """Answer one decoded request, whatever it holds, by calling `reply` once."""
+
+    def handle(self, request: Any, reply: Callable[[EncodedReply], None]) -> None:
+        """Answer one decoded line, whatever it holds, by calling `reply` once."""
         try:
             self._dispatch(request, reply)
         except (RefusedError, OSError) as problem:
-            reply({"refused": str(problem)})
+            reply(encode(RefusedReply(str(problem))))
         except MALFORMED as problem:
-            reply({"refused": f"a malformed command: {type(problem).__name__}: {problem}"})
-
-    def _dispatch(self, request: Any, reply: Callable[[Reply], None]) -> None:
-        kind = request.get("ask") if isinstance(request, dict) else None
-        if kind == FLEET_REQUEST:
-            if self.coordination is None:
-                raise RefusedError("this agent is of no fleet: its settings have no 'peers'")
-            self.coordination.request(request["request"], reply)
-        elif kind in tuple(RequestKind):  # a tuple: `kind` may be a value that has no hash
-            reply(self.handlers[RequestKind(kind)](request))
+            reply(encode(RefusedReply(str(MalformedRequestError(problem)))))
+
+    def _dispatch(self, request: Any, reply: Callable[[EncodedReply], None]) -> None:
+        kind = request.get(ENCODED_KIND) if isinstance(request, dict) else None
+        if kind == FLEET_KIND:
+            self._pass_to_fleet(request, reply)
+        elif kind == SUBMIT_KIND:
+            reply(encode(self._submit(request)))
+        elif kind in REQUEST_KINDS:
+            reply(encode(self._answer(decode_request(kind, request))))
         else:
-            raise RefusedError(f"'ask' must be one of {', '.join(RequestKind)}")
+            raise RefusedError(f"'{ENCODED_KIND}' must be one of {', '.join(REQUEST_KINDS)}")
+
+    def _pass_to_fleet(self, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
+        if self.coordination is None:
+            raise RefusedError("this agent is of no fleet: its settings have no 'peers'")
+        self.coordination.request(request["request"], reply)
+
+    def _answer(self, request: DecodedByFields) -> AgentReply:
+        controller = self.controller
+        match request:
+            case StatusRequest():
+                return self._status()
+            case FindRequest():
+                return rollout_status(controller.get(request.id))
+            case PauseRequest():
+                return rollout_status(controller.pause(request.id))
+            case ResumeRequest():
+                return rollout_status(controller.resume(self.now(), request.id))
+            case AbortRequest():
+                return rollout_status(controller.abort(self.now(), request.id))
+            case HistoryRequest():
+                return self._history(request)
+            case ExplainRequest():
+                return self._explain(request)
 
     # -- status
 
-    def _status(self, request: Request) -> StatusReply:
+    def _status(self) -> StatusReply:
         now = self.now()
-        return {
-            "instances": [self._instance_status(now, one) for one in self.controller.instances.values()],
-            "changes": [rollout_status(rollout) for rollout in self.controller.rollouts.values()],
-        }
+        return StatusReply(
+            instances=[self._instance_status(now, one) for one in self.controller.instances.values()],
+            rollouts=[rollout_status(rollout) for rollout in self.controller.rollouts.values()],
+        )
 
     def _instance_status(self, now: float, instance: Instance) -> InstanceStatus:
         process = self.processes.get(instance.name)
         rollout = self.controller.rollout_of(instance.name)
-        return {
-            "name": instance.name,
-            "state": instance.state,
-            "version": instance.running_version or instance.version,
-            "why": instance.reason,
-            "group": instance.settings.group,
-            "labels": self.settings.instances[instance.name].labels,
-            "wanted": instance.wanted,
-            "for_ms": round(now - instance.state_since),
-            "restarts": instance.restarts,
-            "killed": instance.kill_count,
-            "pid": process.pid if process else 0,
-            "memory_kb": read_memory_kb(process.pid) if process else 0,
-            "change": rollout.id if rollout else "",
-        }
+        return InstanceStatus(
+            name=instance.name,
+            state=instance.state,
+            version=instance.running_version or instance.version,
+            reason=instance.reason,
+            group=instance.settings.group,
+            labels=self.settings.instances[instance.name].labels,
+            wanted=instance.wanted,
+            state_age_ms=round(now - instance.state_since),
+            restarts=instance.restarts,
+            kill_count=instance.kill_count,
+            pid=process.pid if process else 0,
+            memory_kb=read_memory_kb(process.pid) if process else 0,
+            rollout_id=rollout.id if rollout else "",
+        )
 
     # -- rollouts
 
-    def _submit(self, request: Request) -> RolloutStatus | PlanReply:
-        fields = {key: value for key, value in request.items() if key not in ("ask", "dry_run")}
+    def _submit(self, request: EncodedRequest) -> RolloutStatus | PlanReply:
+        fields = {key: value for key, value in request.items() if key not in (ENCODED_KIND, "dry_run")}
         rollout = Rollout.from_request({"id": uuid.uuid4().hex[:12], **fields})
         self._check_version(rollout)
         if request.get("dry_run"):
             plan = self.controller.plan(rollout)
-            return {"plan": plan.targets, "batch": plan.batch, "floor": plan.minimum_available}
+            return PlanReply(plan.targets, plan.batch, plan.minimum_available)
         return rollout_status(self.controller.submit(self.now(), rollout))
 
     def _check_version(self, rollout: Rollout) -> None:
@@ -137,53 +163,39 @@
         if needs_command and rollout.version not in self.settings.versions:
             raise RefusedError(f"no command for version '{rollout.version}' in the settings")
 
-    def _pause(self, request: Request) -> RolloutStatus:
-        return rollout_status(self.controller.pause(request["id"]))
-
-    def _resume(self, request: Request) -> RolloutStatus:
-        return rollout_status(self.controller.resume(self.now(), request["id"]))
-
-    def _abort(self, request: Request) -> RolloutStatus:
-        return rollout_status(self.controller.abort(self.now(), request["id"]))
-
-    def _find(self, request: Request) -> RolloutStatus:
-        return rollout_status(self.controller.get(request["id"]))
-
     # -- history
 
-    def _history(self, request: Request) -> HistoryReply:
-        count = min(MAX_HISTORY_REPLY, int(request.get("most", DEFAULT_HISTORY_REPLY)))
-        return {"history": self.store.history(count)}
+    def _history(self, request: HistoryRequest) -> HistoryReply:
+        count = min(MAX_HISTORY_REPLY, int(request.max_entries))
+        return HistoryReply(self.store.history(count))
 
-    def _explain(self, request: Request) -> ExplainReply:
-        name = request["name"]
+    def _explain(self, request: ExplainRequest) -> ExplainReply:
+        name = request.instance
         if name not in self.settings.instances:
             raise RefusedError(f"no such instance: {name}")
-        history = [
+        entries = [
             entry
             for entry in self.store.history(MAX_HISTORY_REPLY)
-            if entry["name"] == name or name in (entry["body"] or {}).get("steps", {})
+            if entry.name == name or name in (entry.body or {}).get("steps", {})
         ]
-        return {
-            "said": explanation(self.controller.instances[name], self.now()),
-            "history": history[:EXPLAIN_HISTORY],
-        }
+        instance = self.controller.instances[name]
+        return ExplainReply(explanation(instance, self.now()), entries[:EXPLAIN_HISTORY])
 
 
 def rollout_status(rollout: Rollout) -> RolloutStatus:
     """Return what tools see of a rollout."""
-    return {
-        "id": rollout.id,
-        "kind": rollout.kind,
-        "state": rollout.state,
-        "why": rollout.reason,
-        "steps": dict[str, str](rollout.steps),
-        "killed": rollout.killed,
-    }
+    return RolloutStatus(
+        id=rollout.id,
+        kind=rollout.kind,
+        state=rollout.state,
+        reason=rollout.reason,
+        steps=dict[str, str](rollout.steps),
+        killed=rollout.killed,
+    )
 
 
 def explanation(instance: Instance, now: float) -> str:
-    """Return one sentence on the state of an instance and what follows; `now` in ms."""
+    """Return one sentence on the state of an instance and what follows; `now` in ms, monotonic."""
     text = f"{instance.name} is {instance.state} ({instance.reason}); "
     text += f"it is{'' if instance.wanted else ' not'} wanted"
     if instance.restart_at:
--- a/vetchford/fleet/commands/command_line.py
+++ b/vetchford/fleet/commands/command_line.py
@@ -41,8 +41,10 @@
 
 from docopt import DocoptExit, docopt
 
+from vetchford.fleet.agent_client import MalformedReplyError
+from vetchford.fleet.commands.exit_status import ExitStatus
 from vetchford.fleet.commands.options import Options
-from vetchford.fleet.commands.output import refuse
+from vetchford.fleet.commands.output import print_error, refuse
 
 
 def main(argv: list[str]) -> int:
@@ -53,6 +55,15 @@
         return refuse("wrong usage; `vetchford fleet --help` tells how")
     if not options.sockets:
         return refuse("--socket names no agent")
+    try:
+        return run(options)
+    except MalformedReplyError as problem:
+        print_error(str(problem))
+        return ExitStatus.FAILED
+
+
+def run(options: Options) -> ExitStatus:
+    """Carry out one command; return the exit status. Raises MalformedReplyError."""
     if options.of_whole_fleet:
         from vetchford.fleet.commands import whole_fleet
 
--- a/vetchford/fleet/commands/options.py
+++ b/vetchford/fleet/commands/options.py
@@ -41,26 +41,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """One call of the tool; names and units as in its usage."""
+    """One call of the tool."""
 
     command: Command
     sockets: list[str]
     across: bool
-    select: list[str]
+    select: list[str]  # the words SELECT
     rollout_id: str  # ID; empty where the command has none
     requested_id: str  # --id; empty: one is made up
     instance: str
     agent: str
-    by: str
-    version: str
+    operator: str  # --by
+    version: str  # --to
     batch: int
-    floor: int
-    spacing: float
-    soak: float
+    minimum_available: int
+    start_interval_ms: float
+    minimum_ready_ms: float
     on_failure: str
     dry_run: bool
     no_wait: bool
-    patience: float
+    patience_s: float
     json: bool
 
     @classmethod
@@ -75,16 +75,16 @@
             requested_id=arguments["--id"] or "",
             instance=arguments["INSTANCE"] or "",
             agent=arguments["AGENT"] or "",
-            by=arguments["--by"] or "",
+            operator=arguments["--by"] or "",
             version=arguments["--to"] or "",
             batch=int(arguments["--batch"]),
-            floor=int(arguments["--floor"]),
-            spacing=float(arguments["--spacing"]),
-            soak=float(arguments["--soak"]),
+            minimum_available=int(arguments["--floor"]),
+            start_interval_ms=float(arguments["--spacing"]),
+            minimum_ready_ms=float(arguments["--soak"]),
             on_failure=arguments["--on-failure"],
             dry_run=bool(arguments["--dry-run"]),
             no_wait=bool(arguments["--no-wait"]),
-            patience=float(arguments["--patience"]),
+            patience_s=float(arguments["--patience"]),
             json=bool(arguments["--json"]),
         )
 
--- a/vetchford/fleet/commands/output.py
+++ b/vetchford/fleet/commands/output.py
@@ -3,9 +3,19 @@
 import json
 import sys
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
-from vetchford.fleet.agent_client import Answer
+from vetchford.fleet.agent_client import UnreachableError
+from vetchford.fleet.agent_messages import EncodedReply, RefusedReply, UnknownReply, encode
 from vetchford.fleet.commands.exit_status import ExitStatus
+from vetchford.fleet.rollout import RefusedError
+
+
+class CommandResult(NamedTuple):
+    """What a command ends with."""
+
+    encoded: EncodedReply  # the last reply, for `--json`
+    status: ExitStatus
 
 
 def print_error(text: str) -> None:
@@ -19,12 +29,18 @@
     return ExitStatus.REFUSED
 
 
-def report_refusal(answer: Answer) -> ExitStatus:
-    """Return the exit status of an answer; a refusal is printed."""
-    return refuse(answer["refused"]) if "refused" in answer else ExitStatus.DONE
+def report_refusal(problem: RefusedError) -> CommandResult:
+    """Print why an agent refused a command; return what is shown in place of its reply."""
+    return CommandResult(encode(RefusedReply(problem.reason)), refuse(problem.reason))
+
+
+def report_unreachable(problem: UnreachableError, consequence: str) -> CommandResult:
+    """Print that an agent did not reply, and what follows; return what is shown in place of its reply."""
+    print_error(f"{problem}; {consequence}")
+    return CommandResult(encode(UnknownReply(str(problem))), ExitStatus.UNKNOWN)
 
 
-def print_json(answers: dict[str, Answer]) -> None:
+def print_json(answers: dict[str, EncodedReply]) -> None:
     """Print the answers by agent; that of a single agent as it is."""
     print(json.dumps(answers if len(answers) > 1 else next(iter(answers.values()))))
 
--- a/vetchford/fleet/commands/selection.py
+++ b/vetchford/fleet/commands/selection.py
@@ -1,10 +1,12 @@
 """Which instances the words SELECT of the command line name."""
 
 import fnmatch
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from vetchford.fleet.agent_client import Answer
+from vetchford.fleet.agent_messages import InstanceStatus
+from vetchford.fleet.fleet_messages import FleetInstanceStatus
+from vetchford.fleet.fleet_record import split_instance_key
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,16 +36,16 @@
     return [one.key for one in candidates if any(one.matches(word) for word in words)]
 
 
-def select_of_agent(instances: list[Answer], words: list[str]) -> list[str]:
+def select_of_agent(instances: Iterable[InstanceStatus], words: list[str]) -> list[str]:
     """Return names from the status of one agent."""
-    candidates = (Candidate(one["name"], one["name"], None, one["group"], one["labels"]) for one in instances)
+    candidates = (Candidate(one.name, one.name, None, one.group, one.labels) for one in instances)
     return select(candidates, words)
 
 
-def select_of_fleet(instances: dict[str, Answer], words: list[str]) -> list[str]:
+def select_of_fleet(instances: Mapping[str, FleetInstanceStatus], words: list[str]) -> list[str]:
     """Return keys of the form NAME@AGENT from the status of a fleet."""
     candidates = []
     for key, one in instances.items():
-        name, _, agent = key.rpartition("@")
-        candidates.append(Candidate(key, name, agent, one["group"], one["labels"]))
+        name, agent = split_instance_key(key)
+        candidates.append(Candidate(key, name, agent, one.group, one.labels))
     return select(candidates, words)
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.consensus import ReplicatedRecord
 from vetchford.fleet.consensus_messages import EncodedMessage, UnknownMessageError
 from vetchford.fleet.coordinator_messages import (
@@ -32,7 +33,7 @@
 from vetchford.fleet.fleet_rollout import FleetRolloutController
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
-from vetchford.fleet.tool_requests import Answer, ToolRequests
+from vetchford.fleet.tool_requests import ToolRequests
 
 MAX_ORDER_AGE = 3000.0  # ms since the report that an order rests on: six rounds of a busy site
 MAX_KNOWN_REPORTS = 16  # numbers of our reports; older ones are over MAX_ORDER_AGE
@@ -303,8 +304,8 @@
 
     # -- tools
 
-    def request(self, now: float, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
-        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT`.
+    def request(self, now: float, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
+        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT_MS`.
 
         RefusedError for one that is refused at once.
         """
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -13,6 +13,7 @@
 
 import structlog
 
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.agent_settings import AgentSettings
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
@@ -24,7 +25,6 @@
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.rollout_controller import RolloutController
-from vetchford.fleet.tool_requests import Answer
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -253,14 +253,14 @@
 
     # -- tools
 
-    def request(self, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
+    def request(self, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
         """A tool's request; `reply` is called once. RefusedError for what is refused at once."""
         if request.get("ask") == "peers":
             reply(self.describe_peers())
             return
         self.coordinator.request(self.now(), request, reply)
 
-    def describe_peers(self) -> Answer:
+    def describe_peers(self) -> EncodedReply:
         """Connections, states of the members and the record, as this agent sees them."""
         record = self.coordinator.record
         rows = self.transport.sessions.status()
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from vetchford.fleet.agent_messages import RolloutRequest
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.coordinator_messages import Step
 from vetchford.fleet.fleet_record import (
@@ -25,7 +26,7 @@
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 from vetchford.fleet.rollout_progress import RolloutProgress
-from vetchford.fleet.rollout_request import RequestValidator, RolloutRequest
+from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 
 POLL_INTERVAL = 250.0  # ms between two reports of one agent while a rollout runs
 IDLE_POLL_INTERVAL = 1000.0  # ms between them otherwise: tools select instances from them
@@ -121,7 +122,7 @@
         """
         known = self.record.rollouts.get(request.id)
         if known is not None:
-            if not request.is_for(known):
+            if not is_same_request(request, known):
                 raise RefusedError(f"id {request.id} is another change's ({known.kind})")
             return True
         if all(rollout.id != request.id for rollout in self.queued_rollouts()):
--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -135,9 +135,7 @@
             rows = self.connection.execute(query, (count,)).fetchall()
         except sqlite3.Error as problem:
             raise OSError(f"store {self.path}: {problem}") from None
-        return [
-            {"at": at, "kind": kind, "name": name, "body": json.loads(body)} for at, kind, name, body in rows
-        ]
+        return [HistoryEntry(at_s, kind, name, json.loads(body)) for at_s, kind, name, body in rows]
 
     def close(self) -> None:
         """Close the file."""
--- a/vetchford/fleet/rollout_request.py
+++ b/vetchford/fleet/rollout_request.py
@@ -1,53 +1,23 @@
-"""A tool's request for a fleet rollout: its form, and whether it may begin. No I/O; times in ms."""
+"""Checks of a requested fleet rollout before it may begin. No I/O; times in ms."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
-from typing import Any
+from collections.abc import Iterable
 
+from vetchford.fleet.agent_messages import RolloutRequest
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.fleet_record import FleetRollout, StepState, agent_of
 from vetchford.fleet.fleet_view import InstanceReport
 from vetchford.fleet.instance import InstanceState
-from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError
+from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError, RolloutKind
 
 MAX_TARGETS = 1000  # instances in one rollout: its record stays under a tenth of the longest message
 
 
-@dataclass(frozen=True, slots=True)
-class RolloutRequest:
-    """What a tool asks for; durations in ms. `targets` are instance keys ("n1@east")."""
-
-    id: str
-    kind: str
-    targets: list[str]
-    version: str
-    batch: int
-    minimum_available: int
-    start_interval: float
-    soak: float
-    on_failure: str
-
-    @classmethod
-    def decode(cls, encoded: Mapping[str, Any]) -> RolloutRequest:
-        """Reads the tools' form; KeyError where it lacks a key."""
-        return cls(
-            id=encoded["id"],
-            kind=encoded["kind"],
-            targets=encoded["targets"],
-            version=encoded["version"],
-            batch=encoded["batch"],
-            minimum_available=encoded["floor"],
-            start_interval=encoded["spacing"],
-            soak=encoded["soak"],
-            on_failure=encoded["on_failure"],
-        )
-
-    def is_for(self, rollout: FleetRollout) -> bool:
-        """Whether this is the request that `rollout` was made for, sent once more."""
-        asked = self.kind, sorted(self.targets), self.version
-        return asked == (rollout.kind, sorted(rollout.steps), rollout.version)
+def is_same_request(request: RolloutRequest, rollout: FleetRollout) -> bool:
+    """Whether this is the request that `rollout` was made for, sent once more."""
+    asked = (request.kind, sorted(request.targets), request.version)
+    return asked == (rollout.kind, sorted(rollout.steps), rollout.version)
 
 
 class RequestValidator:
@@ -55,7 +25,8 @@
 
     def __init__(self, availability: Availability, queued: Iterable[FleetRollout]) -> None:
         """`availability`: by the committed record; `queued`: rollouts that are about to be put into it."""
-        self.availability, self.instances = availability, availability.instances()
+        self.availability = availability
+        self.instances = availability.instances()
         self.begun = [*availability.record.unfinished(), *queued]
 
     def make_rollout(self, request: RolloutRequest) -> FleetRollout:
@@ -89,14 +60,15 @@
 
     def check_target(self, request: RolloutRequest, key: str) -> None:
         """An instance must exist, be in no other change, and its agent must know the version."""
-        instance, agent = self.instances.get(key), agent_of(key)
+        instance = self.instances.get(key)
+        agent = agent_of(key)
         if instance is None:
             raise RefusedError(f"no such instance: {key}")
         owner = next((rollout.id for rollout in self.begun if key in rollout.steps), instance["change"])
         if owner:
             raise RefusedError(f"{key} is in change {owner}")
         versions = (instance["declared"], *self.availability.view.agents[agent].report["versions"])
-        if request.kind == "roll" and request.version not in versions:
+        if request.kind == RolloutKind.ROLL and request.version not in versions:
             raise RefusedError(f"{agent} has no command for version '{request.version}'")
 
     def new_rollout(self, request: RolloutRequest) -> FleetRollout:
@@ -108,8 +80,8 @@
             version=request.version,
             batch=request.batch,
             minimum_available=request.minimum_available,
-            start_interval=request.start_interval,
-            soak=request.soak,
+            start_interval=request.start_interval_ms,
+            soak=request.minimum_ready_ms,
             on_failure=request.on_failure,
             groups=sorted({instance["group"] for instance in targets.values()}),
             steps=dict.fromkeys(targets, StepState.PENDING),
@@ -122,7 +94,12 @@
         minimum = rollout.minimum_available
         available = self.availability.count(rollout)
         serving = sum(self.instances[key]["state"] == InstanceState.SERVING for key in rollout.steps)
-        if rollout.kind == "stop" and available - serving < minimum:
+        if rollout.kind == RolloutKind.STOP and available - serving < minimum:
             raise RefusedError(f"{available - serving} would be left serving, under the floor of {minimum}")
-        if rollout.kind in ("restart", "roll") and minimum and serving and available <= minimum:
+        if (
+            rollout.kind in (RolloutKind.RESTART, RolloutKind.ROLL)
+            and minimum
+            and serving
+            and available <= minimum
+        ):
             raise RefusedError(f"{available} serve and the floor is {minimum}: none may go out")
--- a/vetchford/fleet/tool_server.py
+++ b/vetchford/fleet/tool_server.py
@@ -10,7 +10,7 @@
 from queue import Queue
 from typing import Any
 
-from vetchford.fleet.agent_messages import Reply
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.runtime.metrics import Metrics
 
 MAX_REQUEST_BYTES = 1 << 20  # of one line
@@ -27,7 +27,7 @@
     def __init__(
         self,
         path: str,
-        submit: Callable[[Any, Callable[[Reply], None]], None],
+        submit: Callable[[Any, Callable[[EncodedReply], None]], None],
         metrics: Metrics,
     ) -> None:
         """`submit`: takes a decoded request and what to call with its reply.
@@ -76,7 +76,7 @@
         sock.settimeout(TOOL_TIMEOUT)
         with sock, sock.makefile("rwb") as lines:
             while line := lines.readline(MAX_REQUEST_BYTES):
-                replies: Queue[Reply] = Queue()
+                replies: Queue[EncodedReply] = Queue()
                 self.submit(_decode(line), replies.put)
                 lines.write(json.dumps(replies.get(timeout=TOOL_TIMEOUT)).encode() + b"\n")
                 lines.flush()
