--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -1,11 +1,15 @@
 """Commands of the tool that need no agent: usage, selection, and what is said while a rollout is followed."""
 
 import json
+import os
 import socket
+import subprocess
+import sys
 import threading
 from types import SimpleNamespace
 
 import pytest
+from helpers import ROOT
 
 from vetchford.fleet.agent_client import Answer, UnreachableError, decode_answer
 from vetchford.fleet.agent_messages import InstanceStatus, RolloutRequest, encode, submit_request
@@ -49,11 +53,11 @@
 
 
 class FakeAgent:
-    """Refuses each request with the same reason; one connection a request, as the tool makes them."""
+    """Gives the same reply to each request; one connection a request, as the tool makes them."""
 
-    def __init__(self, path, reason):
+    def __init__(self, path, reply):
         self.path = str(path)
-        self.reason = reason
+        self.reply = reply
         self.requests = []
         self.sock = socket.socket(socket.AF_UNIX)
         self.sock.bind(self.path)
@@ -65,12 +69,34 @@
             connection = self.sock.accept()[0]
             with connection, connection.makefile("rwb") as lines:
                 self.requests.append(lines.readline())
-                lines.write(json.dumps({"refused": self.reason}).encode() + b"\n")
+                lines.write(json.dumps(self.reply).encode() + b"\n")
 
 
 @pytest.fixture
 def agent_of_no_fleet(tmp_path):
-    return FakeAgent(tmp_path / "agent.sock", OF_NO_FLEET)
+    return FakeAgent(tmp_path / "agent.sock", {"refused": OF_NO_FLEET})
+
+
+@pytest.fixture
+def agent_of_fleet(tmp_path):
+    """One that answers a request for peers."""
+    peer = {
+        "name": "west",
+        "link": "up",
+        "life": 2,
+        "why": "",
+        "view": "there",
+        "member": True,
+        "voter": True,
+    }
+    reply = {
+        "name": "east",
+        "fleet": "pay",
+        "life": 1,
+        "peers": [peer],
+        "book": {"role": "follows", "driver": "west", "counted": True},
+    }
+    return FakeAgent(tmp_path / "agent.sock", reply)
 
 
 @pytest.mark.parametrize(
@@ -236,6 +262,46 @@
     assert json.loads(capsys.readouterr().out) == {"refused": OF_NO_FLEET}
 
 
+def test_history_of_a_whole_fleet_is_refused_in_one_line(agent_of_fleet, capsys):
+    assert command_line.main(["--socket", agent_of_fleet.path, "--across", "history"]) == 2
+    assert capsys.readouterr().err == "vetchford: history is of single agents; leave --across out\n"
+    assert agent_of_fleet.requests == []
+
+
+def test_a_reply_of_another_form_is_one_line_and_exit_status_one(tmp_path, capsys):
+    agent = FakeAgent(tmp_path / "agent.sock", {"instances": 3})
+    assert command_line.main(["--socket", agent.path, "status"]) == 1
+    assert capsys.readouterr().err.startswith("vetchford: a reply that cannot be read: TypeError")
+
+
+def test_peers_are_shown_with_their_view_and_link(agent_of_fleet, capsys):
+    assert command_line.main(["--socket", agent_of_fleet.path, "peers"]) == 0
+    assert capsys.readouterr().out.splitlines() == [
+        "east of pay, life 1: follows west",
+        "PEER  VIEW   LINK  LIFE  MEMBER  VOTER  WHY",
+        "west  there  up    2     yes     yes",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("command", "status", "message"),
+    [
+        (["peers"], 1, "vetchford: standard output was closed before all of it was written\n"),
+        (["--patience", "30", "watch"], 0, ""),  # an operator's way to end it
+    ],
+)
+def test_a_reader_of_the_output_that_is_gone_ends_the_command(command, status, message, agent_of_fleet):
+    agent_of_fleet.reply |= {"instances": {}, "unknown": ["west"], "spans": []}  # what `watch` reads
+    reader, writer = os.pipe()
+    os.close(reader)
+    tool = [sys.executable, "-m", "vetchford", "fleet", "--socket", agent_of_fleet.path, *command]
+    try:
+        ran = subprocess.run(tool, cwd=ROOT, stdout=writer, stderr=subprocess.PIPE, text=True, timeout=60)
+    finally:
+        os.close(writer)
+    assert (ran.returncode, ran.stderr) == (status, message)
+
+
 @pytest.mark.parametrize(
     ("arguments", "request_line"),
     [
--- a/vetchford/fleet/commands/command_line.py
+++ b/vetchford/fleet/commands/command_line.py
@@ -39,12 +39,14 @@
   vetchford fleet --socket run/east.sock --across roll --to v2 --batch 3 --floor 14 'n*@east' agent=west
 """
 
+import sys
+
 from docopt import DocoptExit, docopt
 
 from vetchford.fleet.agent_client import MalformedReplyError
 from vetchford.fleet.commands.exit_status import ExitStatus
-from vetchford.fleet.commands.options import Options
-from vetchford.fleet.commands.output import print_error, refuse
+from vetchford.fleet.commands.options import Command, Options
+from vetchford.fleet.commands.output import discard_output, print_error, refuse
 
 
 def main(argv: list[str]) -> int:
@@ -55,11 +57,19 @@
         return refuse("wrong usage; `vetchford fleet --help` tells how")
     if not options.sockets:
         return refuse("--socket names no agent")
+    if options.across and options.command == Command.HISTORY:
+        return refuse("history is of single agents; leave --across out")
     try:
-        return run(options)
+        status = run(options)
+        sys.stdout.flush()  # here, and not as Python ends: that its reader is gone must be seen
     except MalformedReplyError as problem:
         print_error(str(problem))
         return ExitStatus.FAILED
+    except BrokenPipeError:
+        discard_output()
+        print_error("standard output was closed before all of it was written")
+        return ExitStatus.FAILED
+    return status
 
 
 def run(options: Options) -> ExitStatus:
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -9,6 +9,7 @@
 from vetchford.fleet.commands.options import Options
 from vetchford.fleet.commands.output import (
     CommandResult,
+    discard_output,
     print_columns,
     print_json,
     report_refusal,
@@ -168,8 +169,10 @@
             draw_until(deadline, terminal, client, options.select)
         else:
             print_changes_until(deadline, client, options.select)
-    except (KeyboardInterrupt, BrokenPipeError):
-        pass  # the ways in which an operator ends it
+    except KeyboardInterrupt:
+        pass  # the operator ends it
+    except BrokenPipeError:  # so does this, with `head`
+        discard_output()
     return ExitStatus.DONE
 
 
--- a/vetchford/fleet/commands/output.py
+++ b/vetchford/fleet/commands/output.py
@@ -1,6 +1,7 @@
 """What all commands print: tables, JSON and one line on standard error for what went wrong."""
 
 import json
+import os
 import sys
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -23,6 +24,16 @@
     print(f"vetchford: {text}", file=sys.stderr)
 
 
+def discard_output() -> None:
+    """Drop what is still to be written to standard output, whose reader is gone.
+
+    Else Python would try once more as it ends, and complain.
+    """
+    nowhere = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(nowhere, sys.stdout.fileno())
+    os.close(nowhere)
+
+
 def refuse(text: str) -> ExitStatus:
     """Print why a command is not carried out; return the exit status."""
     print_error(text)
