--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -116,7 +116,7 @@
                 process.reap()
 
 
-def test_three_are_started_rolled_and_stopped_and_one_that_hangs_is_killed_and_told(tmp_path):
+def test_start_roll_and_stop_kill_and_report_an_instance_that_outlives_its_stop_timeout(tmp_path):
     with Machine(tmp_path, ["good", "good", "hang"]) as machine:
         machine.tool("start", "--batch", "3", "all")
         before = machine.status()
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("after", [0.15, 0.6, 1.1])
-def test_an_agent_killed_in_a_roll_adopts_what_runs_and_goes_on(tmp_path, after):
+def test_an_agent_killed_during_a_roll_adopts_running_instances_and_resumes_the_rollout(tmp_path, after):
     with Machine(tmp_path, ["good"] * 4) as machine:
         machine.tool("start", "--batch", "4", "all")
         machine.tool("roll", "--to", "v2", "--id", "r1", "--no-wait", "--floor", "2", "all")
@@ -157,7 +157,7 @@
             os.close(several[0][0].pidfd)
 
 
-def test_a_version_that_crashes_is_rolled_back_and_the_exit_status_says_so(tmp_path):
+def test_a_crashing_version_is_rolled_back_and_the_tool_exits_with_partly_done(tmp_path):
     with Machine(tmp_path, ["good"] * 3) as machine:
         machine.tool("start", "--batch", "3", "all")
         ran = machine.tool("roll", "--to", "bad", "--on-failure", "back", "all", check=False)
@@ -169,7 +169,7 @@
         )
 
 
-def test_what_exits_by_itself_is_started_again_and_a_second_agent_is_refused(tmp_path):
+def test_an_instance_that_exits_is_restarted_and_a_second_agent_on_the_store_is_refused(tmp_path):
     with Machine(tmp_path, ["good"]) as machine:
         machine.tool("start", "all")
         pid = machine.status()["n0"]["pid"]
@@ -189,7 +189,7 @@
         assert other.returncode == 1 and "another agent has it" in other.stderr
 
 
-def test_an_agent_whose_socket_was_taken_away_leaves_as_always(tmp_path):
+def test_an_agent_whose_socket_file_was_removed_shuts_down_normally(tmp_path):
     machine = Machine(tmp_path, ["good"]).begin()
     try:
         os.unlink(machine.socket)
@@ -199,14 +199,16 @@
         machine.kill()
 
 
-def test_an_agent_that_is_not_there_is_unknown_and_holds_up_no_other(tmp_path):
+def test_status_reports_an_unreachable_agent_as_unknown_without_delaying_the_others(tmp_path):
     with Machine(tmp_path, ["good"]) as machine:
         ran = machine.tool("--socket", str(tmp_path / "nobody"), "status", check=False)
         assert ran.returncode == 4 and "what it does is unknown" in ran.stderr
         assert {"unknown", "instances"} <= {key for part in json.loads(ran.stdout).values() for key in part}
 
 
-def test_a_store_that_is_torn_or_of_another_version_is_said_and_its_history_is_bounded(tmp_path, monkeypatch):
+def test_a_corrupt_store_or_one_of_another_version_is_refused_and_the_history_is_bounded(
+    tmp_path, monkeypatch
+):
     path = str(tmp_path / "store")
     store = Store(path)
     monkeypatch.setattr("vetchford.fleet.history_store.MAX_HISTORY_ENTRIES", 20)
@@ -232,7 +234,7 @@
         Store(path)
 
 
-def test_a_store_that_cannot_write_raises_and_keeps_what_it_had(tmp_path):
+def test_a_failed_write_raises_and_leaves_the_store_unchanged(tmp_path):
     store = Store(str(tmp_path / "store"))
     store.put("instance", "n1", {"wanted": True})
     store.connection.execute("PRAGMA max_page_count = 1")
@@ -243,7 +245,7 @@
     assert ("instance", "n1", {"wanted": True}) in store.records()
 
 
-def test_a_history_that_cannot_be_read_refuses_the_question_and_no_more(tmp_path):
+def test_an_unreadable_history_fails_only_the_request_for_it(tmp_path):
     store = Store(str(tmp_path / "store"))
     store.put("instance", "n0", {"wanted": True})
     store.connection.execute("DROP TABLE history")
@@ -255,7 +257,7 @@
         store.records()
 
 
-def test_a_long_log_is_turned_over_and_its_writer_goes_on(tmp_path):
+def test_a_long_log_is_rotated_and_its_writer_continues(tmp_path):
     path = str(tmp_path / "n1.log")
     assert not supervisor.rotate_log(path, 100)  # not there yet
     with open(path, "ab", buffering=0) as writer:
@@ -267,7 +269,7 @@
     assert Path(path).read_bytes() == b"c" and Path(path + ".1").read_bytes() == b"a" * 100 + b"b"
 
 
-def test_limits_of_an_instance_are_set_and_one_over_its_memory_pauses_changes(tmp_path):
+def test_instance_limits_are_applied_and_exceeding_the_memory_limit_pauses_rollouts(tmp_path):
     with Machine(tmp_path, ["good", "good"], more=", descriptors: 77, memory_mb: 1") as machine:
         ran = machine.tool("start", "--batch", "1", "--spacing", "9000", "all", check=False)
         told = json.loads(ran.stdout)
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("word", [b"true", b"false"])
-def test_an_answer_cut_between_any_two_bytes_says_what_it_says_whole(monkeypatch, word):
+def test_a_health_reply_split_at_any_byte_is_read_as_the_whole_reply(monkeypatch, word):
     body = b'{"jsonrpc":"2.0","id":1,"result":{"serving":%b}}' % word
     with socket.create_server(("127.0.0.1", 0)) as listener:
         connections = []  # not closed on what it has not read: that would reset its answer
@@ -48,7 +48,7 @@
         connections[0].close()
 
 
-def test_where_no_thread_is_to_be_had_checks_go_on_once_there_is(monkeypatch):
+def test_health_checks_continue_after_thread_creation_failed(monkeypatch):
     """Threads run out between two checks of a round, and are there again for the next."""
     no_threads, refused, looked, over = (threading.Event() for _ in range(4))
     gate, checked, start = Checkpoint(), set(), _thread.start_new_thread
@@ -94,7 +94,7 @@
 # -- its processes
 
 
-def test_a_kill_behind_the_end_of_an_adopted_one_hits_nobody_who_has_its_number_now():
+def test_killing_an_ended_adopted_process_does_not_signal_a_process_that_reuses_its_pid():
     """It ended, its end is not read yet, and its number leads another session by now."""
     ended = subprocess.Popen([sys.executable, "-S", "-c", ""])
     pidfd = os.pidfd_open(ended.pid)
@@ -156,7 +156,7 @@
     controller.on_health_check(now + 1.0, name, True)
 
 
-def test_one_that_hangs_in_its_drain_is_killed_also_where_its_change_was_aborted_meanwhile():
+def test_an_instance_that_hangs_in_its_drain_is_killed_after_its_rollout_was_aborted():
     world, controller = all_serving()
     controller.submit(10.0, Rollout("r", "restart", ["a"], minimum_ready_ms=0.0))
     controller.abort(20.0, "r")
@@ -179,7 +179,7 @@
     controller.on_process_exit(now + 40.0, "b", 1)  # crashes
 
 
-def test_a_way_back_that_is_paused_goes_on_back_once_resumed_also_by_the_next_agent():
+def test_a_paused_rollback_resumes_as_a_rollback_also_after_an_agent_restart():
     world, controller = all_serving()
     roll_and_fail(controller, 100.0)
     assert controller.rollouts["r"].state == RolloutState.ROLLING_BACK
@@ -208,7 +208,7 @@
     )
 
 
-def test_a_store_that_fails_as_a_change_turns_back_leaves_its_steps_as_they_are_on_record():
+def test_a_store_failure_at_the_start_of_a_rollback_leaves_the_steps_as_recorded():
     world, controller = all_serving()
     record, failed = world.save_record, []
 
@@ -229,7 +229,7 @@
     assert controller.rollouts["r"].steps == world.records["change", "r"]["steps"]
 
 
-def test_an_abort_that_the_store_cannot_take_has_not_happened_and_can_be_given_again():
+def test_an_abort_that_cannot_be_stored_has_no_effect_and_can_be_repeated():
     world, controller = all_serving()
     controller.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     world.full = True
@@ -243,7 +243,7 @@
     assert controller.instances["a"].state == InstanceState.STARTING
 
 
-def test_a_pause_that_the_store_cannot_take_holds_and_is_logged():
+def test_a_pause_that_cannot_be_stored_takes_effect_and_is_logged():
     world, controller = all_serving()
     controller.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     noted = []
@@ -258,7 +258,7 @@
     assert controller.instances["a"].state == InstanceState.STOPPED  # nothing more is begun
 
 
-def test_a_store_that_fails_in_the_middle_of_an_abort_keeps_no_instance_down():
+def test_a_store_failure_during_an_abort_leaves_no_instance_stopped():
     """The change is on record as aborted; what follows for its instances is not."""
     world, controller = all_serving()
     controller.submit(10.0, Rollout("r", "restart", ["a", "b"], batch=2, minimum_ready_ms=0.0))
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -201,7 +201,7 @@
     return Follower("r1", options, find, poll_interval_s=0.0, unreachable_timeout_s=60.0, **changed)
 
 
-def test_each_step_is_said_once_and_the_end_with_those_that_were_killed(monkeypatch, capsys):
+def test_each_step_is_printed_once_and_the_end_with_the_killed_instances(monkeypatch, capsys):
     monkeypatch.setattr(rollout_commands, "RETRY_INTERVAL_S", 0.0)
     answers = [
         answer("running", n0="pending", n1="out"),
@@ -220,7 +220,7 @@
     ]
 
 
-def test_a_reason_to_wait_is_said_when_it_changes(capsys):
+def test_a_reason_to_wait_is_printed_when_it_changes(capsys):
     answers = [answer("running", waits_for=reason) for reason in ("floor", "floor", "", "floor")]
     answers.append(answer("paused"))
     _, status = follower(answers, reason_to_wait=lambda rollout: rollout.waits_for).follow()
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize(("state", "status"), [("finished", 0), ("paused", 1), ("broken", 3), ("aborted", 3)])
-def test_states_that_end_the_waiting(state, status):
+def test_final_states_end_the_waiting_with_their_exit_status(state, status):
     assert follower([answer(state)]).follow()[1] == status
 
 
--- a/tests/fleet/test_rollout_record.py
+++ b/tests/fleet/test_rollout_record.py
@@ -27,7 +27,7 @@
 }
 
 
-def test_a_record_is_read_and_written_in_the_same_words():
+def test_a_stored_rollout_round_trips_under_the_same_field_names():
     rollout = Rollout.from_record(HALF_DONE)
     assert (rollout.minimum_available, rollout.start_spacing_ms, rollout.minimum_ready_ms) == (
         1,
@@ -40,18 +40,18 @@
 
 
 @pytest.mark.parametrize("state", list(RolloutState))
-def test_a_record_without_a_direction_goes_back_only_where_its_state_says_so(state):
+def test_a_record_without_a_direction_rolls_back_only_if_its_state_says_so(state):
     rollout = Rollout.from_record({**HALF_DONE, "state": state.value})
     assert rollout.rolling_back is (state is RolloutState.ROLLING_BACK)
 
 
-def test_a_paused_way_back_is_written_and_read():
+def test_a_paused_rollback_round_trips():
     record = {**HALF_DONE, "state": "paused", "why": "asked to", "back": True}
     rollout = Rollout.from_record(record)
     assert rollout.rolling_back and rollout.to_record() == record
 
 
-def test_words_that_are_stored_and_replied():
+def test_encoded_state_names_are_unchanged():
     assert [str(step) for step in StepState] == ["pending", "out", "coming", "soaking", "done", "lost"]
     assert [str(state) for state in RolloutState] == [
         "running",
@@ -74,12 +74,12 @@
 
 
 @pytest.mark.parametrize("name", ["minimum_available", "rolling_back", "reason", "melt"])
-def test_a_request_with_a_name_that_no_version_sends_is_refused(name):
+def test_a_request_with_an_unknown_field_is_refused(name):
     with pytest.raises(TypeError, match=f"unexpected keyword argument '{name}'"):
         Rollout.from_request({"id": "x", "kind": "stop", "targets": ["n0"], name: 1})
 
 
-def test_an_instance_is_stored_as_before():
+def test_a_stored_instance_round_trips():
     instance = Instance("n0", InstanceSettings(), "1")
     instance.restore({"wanted": True, "version": "v2", "killed": 3})
     assert (instance.wanted, instance.version, instance.kill_count) == (True, "v2", 3)
