--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -43,7 +43,7 @@
 
 def minimum_by_stale_reports() -> contextlib.AbstractContextManager[None]:
     """A report proves something for ever."""
-    return put((fleet_view, "MAX_REPORT_AGE", 1e12))
+    return put((fleet_view, "MAX_REPORT_AGE_MS", 1e12))
 
 
 def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -72,7 +72,7 @@
 
     monkeypatch.setattr(_thread, "start_new_thread", starts)
     monkeypatch.setattr(threading, "_start_new_thread", starts)
-    monkeypatch.setattr(health_checker, "CHECK_INTERVAL", 0.01)
+    monkeypatch.setattr(health_checker, "CHECK_INTERVAL_S", 0.01)
     checker = health_checker.HealthChecker(Metrics(), Processes(), check)
 
     def checking():
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -34,11 +34,12 @@
 
 log = structlog.get_logger()
 
-# The record of the store that holds the token: its kind and its name.
-AGENT_RECORD, TOKEN_NAME = "agent", "token"
+# The kind and the name of the stored record that holds the token.
+AGENT_RECORD = "agent"
+TOKEN_NAME = "token"
 
-TICK_INTERVAL = 0.05  # s between looks at deadlines: a kill is late by this at most
-LIMITS_INTERVAL = 2.0  # s between looks at logs and memory: both grow by the minute
+TICK_INTERVAL_S = 0.05  # between looks at deadlines: a kill is late by this at most
+LIMITS_INTERVAL_S = 2.0  # between looks at logs and memory: both grow by the minute
 
 
 class Agent(Actor):
@@ -53,8 +54,8 @@
         self.store = Store(settings.store)
         self.controller = RolloutController(self)
         self.processes: dict[str, supervisor.Process] = {}  # by instance; emptied as they end
-        self.next_tick = 0.0  # s, monotonic
-        self.next_limits_check = 0.0  # s, monotonic
+        self.next_tick_s = 0.0  # monotonic
+        self.next_limits_check_s = 0.0  # monotonic
         self.watcher = ProcessWatcher(self.processes, self.report_exit)
         self.health_checker = HealthChecker(metrics, self.processes, self.check_health)
         self.token = self.restore()
@@ -147,17 +148,17 @@
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next tick."""
-        return max(0.0, self.next_tick - time.monotonic())
+        return max(0.0, self.next_tick_s - time.monotonic())
 
     def on_idle(self) -> None:
         """Do what is due by time."""
-        if time.monotonic() >= self.next_tick:
-            self.next_tick = time.monotonic() + TICK_INTERVAL
+        if time.monotonic() >= self.next_tick_s:
+            self.next_tick_s = time.monotonic() + TICK_INTERVAL_S
             self.controller.on_tick(self.now())
             if self.coordinator is not None:
                 self.coordinator.tick()
-        if time.monotonic() >= self.next_limits_check:
-            self.next_limits_check = time.monotonic() + LIMITS_INTERVAL
+        if time.monotonic() >= self.next_limits_check_s:
+            self.next_limits_check_s = time.monotonic() + LIMITS_INTERVAL_S
             self.rotate_logs()
             self.check_memory()
 
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -15,7 +15,7 @@
 
 log = structlog.get_logger()
 
-TERMINATION_POLL_INTERVAL = 0.2  # s: a signal handler runs in the waiting thread, between two waits
+TERMINATION_POLL_INTERVAL_S = 0.2  # a signal handler runs in the waiting thread, between two waits
 THREAD_STACK_BYTES = 512 * 1024  # there are a few threads for each peer; the store's calls nest deepest
 
 
@@ -38,7 +38,7 @@
         agent.start()
         tool_server.start()
         log_started(agent)
-        while not terminated.wait(TERMINATION_POLL_INTERVAL):
+        while not terminated.wait(TERMINATION_POLL_INTERVAL_S):
             pass
     log.info("agent_stopped", left_running=len(agent.processes))
     return 0
--- a/vetchford/fleet/agent_requests.py
+++ b/vetchford/fleet/agent_requests.py
@@ -116,13 +116,13 @@
     # -- status
 
     def _status(self) -> StatusReply:
-        now = self.now()
+        now_ms = self.now()
         return StatusReply(
-            instances=[self._instance_status(now, one) for one in self.controller.instances.values()],
+            instances=[self._instance_status(now_ms, one) for one in self.controller.instances.values()],
             rollouts=[rollout_status(rollout) for rollout in self.controller.rollouts.values()],
         )
 
-    def _instance_status(self, now: float, instance: Instance) -> InstanceStatus:
+    def _instance_status(self, now_ms: float, instance: Instance) -> InstanceStatus:
         process = self.processes.get(instance.name)
         rollout = self.controller.rollout_of(instance.name)
         return InstanceStatus(
@@ -133,7 +133,7 @@
             group=instance.settings.group,
             labels=self.settings.instances[instance.name].labels,
             wanted=instance.wanted,
-            state_age_ms=round(now - instance.state_since),
+            state_age_ms=round(now_ms - instance.state_since_ms),
             restarts=instance.restarts,
             kill_count=instance.kill_count,
             pid=process.pid if process else 0,
@@ -194,12 +194,12 @@
     )
 
 
-def explanation(instance: Instance, now: float) -> str:
-    """Return one sentence on the state of an instance and what follows; `now` in ms, monotonic."""
+def explanation(instance: Instance, now_ms: float) -> str:
+    """Return one sentence on the state of an instance and what follows; `now_ms`: monotonic."""
     text = f"{instance.name} is {instance.state} ({instance.reason}); "
     text += f"it is{'' if instance.wanted else ' not'} wanted"
-    if instance.restart_at:
-        text += f"; started again in {max(0, round(instance.restart_at - now))} ms"
-    if instance.wanted and not instance.has_process and not instance.restart_at:
+    if instance.restart_at_ms:
+        text += f"; started again in {max(0, round(instance.restart_at_ms - now_ms))} ms"
+    if instance.wanted and not instance.has_process and not instance.restart_at_ms:
         text += "; nothing will start it until somebody does"
     return text
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -163,12 +163,12 @@
     from blessed import Terminal  # only here: no other command draws
 
     terminal = Terminal()
-    deadline = time.monotonic() + options.patience_s
+    deadline_s = time.monotonic() + options.patience_s
     try:
         if terminal.is_a_tty:
-            draw_until(deadline, terminal, client, options.select)
+            draw_until(deadline_s, terminal, client, options.select)
         else:
-            print_changes_until(deadline, client, options.select)
+            print_changes_until(deadline_s, client, options.select)
     except KeyboardInterrupt:
         pass  # the operator ends it
     except BrokenPipeError:  # so does this, with `head`
@@ -185,10 +185,10 @@
     return status_rows(status, words)
 
 
-def draw_until(deadline: float, terminal: "Terminal", client: FleetClient, words: list[str]) -> None:
-    """Draw the table again and again; `deadline` in s, monotonic."""
+def draw_until(deadline_s: float, terminal: "Terminal", client: FleetClient, words: list[str]) -> None:
+    """Draw the table again and again; `deadline_s`: monotonic."""
     with terminal.fullscreen(), terminal.hidden_cursor():
-        while time.monotonic() < deadline:
+        while time.monotonic() < deadline_s:
             lines: list[str] = []
             print_columns(current_rows(client, words), lines.append)
             draw(terminal, lines)
@@ -206,10 +206,10 @@
     print(terminal.clear_eos, end="", flush=True)
 
 
-def print_changes_until(deadline: float, client: FleetClient, words: list[str]) -> None:
-    """Print a line for each instance whose state, version or rollout changes; `deadline` in s, monotonic."""
+def print_changes_until(deadline_s: float, client: FleetClient, words: list[str]) -> None:
+    """Print a line for each instance whose state, version or rollout changes; `deadline_s`: monotonic."""
     previous: dict[str, Row] = {}
-    while time.monotonic() < deadline:
+    while time.monotonic() < deadline_s:
         rows = {row[0]: row for row in current_rows(client, words)[1:]}
         for key, row in rows.items():
             if previous.get(key, ())[:COMPARED_COLUMNS] != row[:COMPARED_COLUMNS]:
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -11,7 +11,7 @@
 
 from vetchford.fleet.fleet_record import split_instance_key
 
-MAX_REPORT_AGE = 2000.0  # ms since it was asked for: eight polls; an older report proves nothing
+MAX_REPORT_AGE_MS = 2000.0  # since it was asked for: eight polls; an older report proves nothing
 NEVER = -1e12  # ms: before any time of the clock
 
 
@@ -93,20 +93,20 @@
         for agent in [agent for agent in self.agents if agent not in members]:
             del self.agents[agent]
 
-    def is_fresh(self, now: float, agent: str) -> bool:
+    def is_fresh(self, now_ms: float, agent: str) -> bool:
         """Whether the newest report of an agent still proves something."""
-        return agent in self.agents and now - self.agents[agent].requested_at <= MAX_REPORT_AGE
+        return agent in self.agents and now_ms - self.agents[agent].requested_at <= MAX_REPORT_AGE_MS
 
     def instance(self, key: str) -> InstanceReport | None:
         """One instance as it was reported last, however long ago."""
         name, agent = split_instance_key(key)
         return self.agents[agent].report["instances"].get(name) if agent in self.agents else None
 
-    def fresh_instances(self, now: float) -> dict[str, InstanceReport]:
+    def fresh_instances(self, now_ms: float) -> dict[str, InstanceReport]:
         """The instances of all agents with a fresh report, by key."""
         return {
             f"{name}@{agent}": instance
             for agent, view in sorted(self.agents.items())
-            if self.is_fresh(now, agent)
+            if self.is_fresh(now_ms, agent)
             for name, instance in view.report["instances"].items()
         }
--- a/vetchford/fleet/health_checker.py
+++ b/vetchford/fleet/health_checker.py
@@ -11,8 +11,8 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
 
-CHECK_INTERVAL = 0.2  # s between the checks of one instance: three failures take as long as a drain's notice
-CHECK_TIMEOUT = 1.0  # s: a server that is only busy answers in a few ms
+CHECK_INTERVAL_S = 0.2  # between the checks of one instance: three failures take as long as a drain's notice
+CHECK_TIMEOUT_S = 1.0  # a server that is only busy answers in a few ms
 MAX_CHECK_THREADS = 8  # one check that hangs holds up an eighth of them for a second
 MAX_REPLY_BYTES = 4096
 REQUEST_BODY = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
@@ -49,7 +49,7 @@
                 if name not in self.in_progress:
                     self.in_progress.add(name)
                     pool.run(partial(self._check_one, name, process))
-            time.sleep(CHECK_INTERVAL)
+            time.sleep(CHECK_INTERVAL_S)
 
     def _check_one(self, name: str, process: Process) -> None:
         try:
@@ -59,22 +59,22 @@
 
 
 def is_ready(address: str) -> bool:
-    """Return whether the server at `address` ("host:port") says within CHECK_TIMEOUT that it serves."""
+    """Return whether the server at `address` ("host:port") says within CHECK_TIMEOUT_S that it serves."""
     host, _, port = address.rpartition(":")
-    deadline = time.monotonic() + CHECK_TIMEOUT
+    deadline_s = time.monotonic() + CHECK_TIMEOUT_S
     try:
-        with socket.create_connection((host, int(port)), CHECK_TIMEOUT) as sock:
+        with socket.create_connection((host, int(port)), CHECK_TIMEOUT_S) as sock:
             sock.sendall(REQUEST)
-            return _read_serving(sock, deadline)
+            return _read_serving(sock, deadline_s)
     except OSError:
         return False
 
 
-def _read_serving(sock: socket.socket, deadline: float) -> bool:
+def _read_serving(sock: socket.socket, deadline_s: float) -> bool:
     """Read until the answer is complete, in however many pieces it arrives."""
     received = b""
-    while len(received) < MAX_REPLY_BYTES and (remaining := deadline - time.monotonic()) > 0.0:
-        sock.settimeout(remaining)  # for the whole answer: a byte a second must not hold up a thread
+    while len(received) < MAX_REPLY_BYTES and (remaining_s := deadline_s - time.monotonic()) > 0.0:
+        sock.settimeout(remaining_s)  # for the whole answer: a byte a second must not hold up a thread
         data = sock.recv(MAX_REPLY_BYTES)
         if not data:
             return False
--- a/vetchford/fleet/instance.py
+++ b/vetchford/fleet/instance.py
@@ -51,10 +51,10 @@
     state: InstanceState = InstanceState.UNKNOWN
     wanted: bool = False  # whether it is to run
     running_version: str = ""  # of its process; empty without one
-    state_since: float = 0.0
-    deadline: float = 0.0  # of the states starting, draining and stopping
+    state_since_ms: float = 0.0
+    deadline_ms: float = 0.0  # of the states starting, draining and stopping
     restarts: int = 0  # consecutive
-    restart_at: float = 0.0  # when a pending restart is due; 0: none is pending
+    restart_at_ms: float = 0.0  # when a pending restart is due; 0: none is pending
     failed_checks: int = 0  # consecutive health checks failed while serving
     reason: str = ""  # of the last transition
     kill_count: int = 0  # how often it outlived its stop timeout
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -35,7 +35,8 @@
 
     def declare(self, name: str, settings: InstanceSettings, version: str) -> Instance:
         """Add an instance of the settings; nothing is known of its process yet."""
-        instance = self.instances[name] = Instance(name, settings, version)
+        instance = Instance(name, settings, version)
+        self.instances[name] = instance
         return instance
 
     def restore(self, name: str, record: dict[str, Any]) -> None:
@@ -43,113 +44,113 @@
         if name in self.instances:
             self.instances[name].restore(record)
 
-    def on_process_found(self, now: float, name: str, version: str | None) -> None:
+    def on_process_found(self, now_ms: float, name: str, version: str | None) -> None:
         """Take in, once for each instance, the version that the process table shows, or None."""
         instance = self.instances[name]
         if version is None:
-            self._on_no_process(now, instance)
+            self._on_no_process(now_ms, instance)
         else:
-            self._adopt(now, instance, version)
+            self._adopt(now_ms, instance, version)
 
-    def _on_no_process(self, now: float, instance: Instance) -> None:
+    def _on_no_process(self, now_ms: float, instance: Instance) -> None:
         state = InstanceState.ABSENT if instance.wanted else InstanceState.STOPPED
-        self._transition(now, instance, state, "not running at the agent's start")
+        self._transition(now_ms, instance, state, "not running at the agent's start")
         if instance.wanted and not self.rollout_of(instance.name):
-            instance.restart_at = now
+            instance.restart_at_ms = now_ms
 
-    def _adopt(self, now: float, instance: Instance, version: str) -> None:
+    def _adopt(self, now_ms: float, instance: Instance, version: str) -> None:
         instance.running_version = version
         instance.awaiting_first_check = True
-        self._transition(now, instance, InstanceState.STARTING, "adopted")
-        instance.deadline = now + instance.settings.ready_timeout_ms
+        self._transition(now_ms, instance, InstanceState.STARTING, "adopted")
+        instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
         if not instance.wanted and not self.rollout_of(instance.name):
             # The agent may have died before or after it sent SIGTERM: sent once more.
-            self.stop(now, instance, "adopted, and not wanted")
+            self.stop(now_ms, instance, "adopted, and not wanted")
 
     # -- what is seen of a process
 
-    def on_health_check(self, now: float, name: str, healthy: bool) -> None:
+    def on_health_check(self, now_ms: float, name: str, healthy: bool) -> None:
         """Take in the result of one health check."""
         instance = self.instances[name]
         instance.awaiting_first_check = False
         if instance.state == InstanceState.STARTING and healthy:
-            self._transition(now, instance, InstanceState.SERVING, "ready")
+            self._transition(now_ms, instance, InstanceState.SERVING, "ready")
         elif instance.state == InstanceState.SERVING:
-            self._on_check_while_serving(now, instance, healthy)
+            self._on_check_while_serving(now_ms, instance, healthy)
 
-    def _on_check_while_serving(self, now: float, instance: Instance, healthy: bool) -> None:
+    def _on_check_while_serving(self, now_ms: float, instance: Instance, healthy: bool) -> None:
         instance.failed_checks = 0 if healthy else instance.failed_checks + 1
         if instance.failed_checks >= MAX_FAILED_CHECKS:
             instance.failed_checks = 0
-            self._transition(now, instance, InstanceState.STARTING, "checks fail")
-            instance.deadline = now + instance.settings.ready_timeout_ms
-        elif healthy and now - instance.state_since > STABLE_AFTER_MS:
+            self._transition(now_ms, instance, InstanceState.STARTING, "checks fail")
+            instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
+        elif healthy and now_ms - instance.state_since_ms > STABLE_AFTER_MS:
             instance.restarts = 0
 
-    def on_process_exit(self, now: float, name: str, status: int | None) -> None:
+    def on_process_exit(self, now_ms: float, name: str, status: int | None) -> None:
         """Take in the end of its process; `status` is None if not known, as for an adopted process."""
         instance = self.instances[name]
         instance.running_version = ""
         instance.awaiting_first_check = False
         outcome = "status unknown" if status is None else f"status {status}"
         if instance.state == InstanceState.DRAINING:
-            self._transition(now, instance, InstanceState.STOPPED, f"ended, {outcome}")
+            self._transition(now_ms, instance, InstanceState.STOPPED, f"ended, {outcome}")
         elif instance.state == InstanceState.STOPPING:
-            self._transition(now, instance, InstanceState.STOPPED, "killed")
+            self._transition(now_ms, instance, InstanceState.STOPPED, "killed")
         elif instance.wanted:
-            self._on_crash(now, instance, f"exited by itself, {outcome}")
+            self._on_crash(now_ms, instance, f"exited by itself, {outcome}")
         else:
-            self._transition(now, instance, InstanceState.STOPPED, f"exited, {outcome}")
+            self._transition(now_ms, instance, InstanceState.STOPPED, f"exited, {outcome}")
 
-    def on_spawn_failed(self, now: float, name: str, reason: str) -> None:
+    def on_spawn_failed(self, now_ms: float, name: str, reason: str) -> None:
         """Take in that no process could be started."""
-        self._on_crash(now, self.instances[name], f"could not be started: {reason}")
+        self._on_crash(now_ms, self.instances[name], f"could not be started: {reason}")
 
-    def _on_crash(self, now: float, instance: Instance, reason: str) -> None:
+    def _on_crash(self, now_ms: float, instance: Instance, reason: str) -> None:
         instance.restarts += 1
         looping = instance.restarts > MAX_CONSECUTIVE_RESTARTS
         if self.rollout_of(instance.name) is not None or not instance.settings.restart or looping:
             if looping:
                 reason = f"{reason}, {MAX_CONSECUTIVE_RESTARTS} times in a row"
-            self._transition(now, instance, InstanceState.FAILED, reason)
+            self._transition(now_ms, instance, InstanceState.FAILED, reason)
             return
-        self._transition(now, instance, InstanceState.ABSENT, reason)
+        self._transition(now_ms, instance, InstanceState.ABSENT, reason)
         backoff = RESTART_BACKOFF_MS * 2.0 ** (instance.restarts - 1)
-        instance.restart_at = now + min(MAX_RESTART_BACKOFF_MS, backoff)
+        instance.restart_at_ms = now_ms + min(MAX_RESTART_BACKOFF_MS, backoff)
 
     # -- time
 
-    def on_tick(self, now: float) -> None:
+    def on_tick(self, now_ms: float) -> None:
         """Act on restarts and deadlines that are due; called several times a second."""
         for instance in self.instances.values():
-            self._act_on_deadlines(now, instance)
+            self._act_on_deadlines(now_ms, instance)
 
-    def _act_on_deadlines(self, now: float, instance: Instance) -> None:
+    def _act_on_deadlines(self, now_ms: float, instance: Instance) -> None:
         # An instance that has a process restarts later: while it hangs draining, its stop timeout counts.
         may_restart = instance.wanted and not instance.has_process
-        if may_restart and instance.restart_at and now >= instance.restart_at:
-            self.attempt_start(now, instance, "restarted")
-        elif now < instance.deadline:
+        if may_restart and instance.restart_at_ms and now_ms >= instance.restart_at_ms:
+            self.attempt_start(now_ms, instance, "restarted")
+        elif now_ms < instance.deadline_ms:
             return
         elif instance.state == InstanceState.STARTING:
-            self._on_ready_timeout(now, instance)
+            self._on_ready_timeout(now_ms, instance)
         elif instance.state == InstanceState.DRAINING:
-            self._on_stop_timeout(now, instance)
+            self._on_stop_timeout(now_ms, instance)
         elif instance.state == InstanceState.STOPPING:
-            instance.deadline = now + KILL_RETRY_INTERVAL_MS
+            instance.deadline_ms = now_ms + KILL_RETRY_INTERVAL_MS
             self.actions.kill(instance.name)
 
-    def _on_ready_timeout(self, now: float, instance: Instance) -> None:
-        self.stop(now, instance, "not ready in its time")
+    def _on_ready_timeout(self, now_ms: float, instance: Instance) -> None:
+        self.stop(now_ms, instance, "not ready in its time")
         if instance.wanted and not self.rollout_of(instance.name):
             instance.restarts += 1
             backoff = RESTART_BACKOFF_MS * 2.0 ** min(MAX_READY_BACKOFF_EXPONENT, instance.restarts)
-            instance.restart_at = now + instance.settings.stop_timeout_ms + backoff
+            instance.restart_at_ms = now_ms + instance.settings.stop_timeout_ms + backoff
 
-    def _on_stop_timeout(self, now: float, instance: Instance) -> None:
+    def _on_stop_timeout(self, now_ms: float, instance: Instance) -> None:
         instance.kill_count += 1
-        self._transition(now, instance, InstanceState.STOPPING, "did not end in its stop time")
-        instance.deadline = now + KILL_RETRY_INTERVAL_MS
+        self._transition(now_ms, instance, InstanceState.STOPPING, "did not end in its stop time")
+        instance.deadline_ms = now_ms + KILL_RETRY_INTERVAL_MS
         rollout = self.rollout_of(instance.name)
         if rollout is not None and instance.name not in rollout.killed:
             rollout.killed.append(instance.name)
@@ -159,35 +160,35 @@
 
     # -- what rollouts have done to an instance
 
-    def attempt_start(self, now: float, instance: Instance, reason: str) -> None:
+    def attempt_start(self, now_ms: float, instance: Instance, reason: str) -> None:
         """Start it; if the store cannot record that, it is not begun and tried again later."""
         try:
-            self.start(now, instance, reason)
+            self.start(now_ms, instance, reason)
         except OSError as problem:
-            instance.restart_at = now + STORE_RETRY_INTERVAL_MS
+            instance.restart_at_ms = now_ms + STORE_RETRY_INTERVAL_MS
             instance.reason = f"the store failed: {problem}"
 
-    def start(self, now: float, instance: Instance, reason: str) -> None:
+    def start(self, now_ms: float, instance: Instance, reason: str) -> None:
         """Start its process, if there is none. Raises OSError if the store cannot record it first."""
         if instance.has_process:
             return  # never a second process of one instance
         instance.wanted = True
-        instance.restart_at = 0.0
+        instance.restart_at_ms = 0.0
         self.save(instance)
         instance.running_version = instance.version
-        instance.deadline = now + instance.settings.ready_timeout_ms
-        self._transition(now, instance, InstanceState.STARTING, reason)
+        instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
+        self._transition(now_ms, instance, InstanceState.STARTING, reason)
         self.actions.spawn(instance.name, instance.version)
 
-    def stop(self, now: float, instance: Instance, reason: str) -> None:
+    def stop(self, now_ms: float, instance: Instance, reason: str) -> None:
         """Begin to drain it; without a process it is stopped at once."""
-        instance.restart_at = 0.0
+        instance.restart_at_ms = 0.0
         if instance.state in (InstanceState.STARTING, InstanceState.SERVING):
-            instance.deadline = now + instance.settings.stop_timeout_ms
-            self._transition(now, instance, InstanceState.DRAINING, reason)
+            instance.deadline_ms = now_ms + instance.settings.stop_timeout_ms
+            self._transition(now_ms, instance, InstanceState.DRAINING, reason)
             self.actions.terminate(instance.name)
         elif not instance.has_process:
-            self._transition(now, instance, InstanceState.STOPPED, reason)
+            self._transition(now_ms, instance, InstanceState.STOPPED, reason)
 
     def save(self, instance: Instance) -> None:
         """Write its record; OSError if the store cannot."""
@@ -205,7 +206,7 @@
         groups = {self.instances[name].settings.group for name in names}
         return {one.name for one in self.instances.values() if one.settings.group in groups}
 
-    def _transition(self, now: float, instance: Instance, state: InstanceState, reason: str) -> None:
+    def _transition(self, now_ms: float, instance: Instance, state: InstanceState, reason: str) -> None:
         if state != instance.state:
             self.actions.note(
                 "instance_state_changed",
@@ -214,6 +215,6 @@
                 now=str(state),
                 why=reason,
             )
-            instance.state_since = now
+            instance.state_since_ms = now_ms
         instance.state = state
         instance.reason = reason
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -190,6 +190,6 @@
             self.manager.attempt_start(now, instance, "its change was aborted")
             return
         if instance.being_stopped:
-            instance.restart_at = now + RESTART_SOON_MS  # and its process has ended
+            instance.restart_at_ms = now + RESTART_SOON_MS  # and its process has ended
         with contextlib.suppress(OSError):  # the next of them must be started all the same
             self.manager.save(instance)
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -62,7 +62,7 @@
             self.table.next_start_at[rollout.id] = now + rollout.start_spacing_ms
         self.table.set_step(rollout, instance.name, StepState.OUT)
         instance.restarts = 0
-        instance.restart_at = 0.0
+        instance.restart_at_ms = 0.0
         rolling_back = rollout.state == RolloutState.ROLLING_BACK
         stays_down = rolling_back and not rollout.previously_wanted[instance.name]
         if rollout.kind == RolloutKind.ROLL:
@@ -132,7 +132,7 @@
 
     def _follow_soaking(self, now: float, rollout: Rollout, instance: Instance) -> None:
         if instance.state == InstanceState.SERVING:
-            if now - instance.state_since >= rollout.minimum_ready_ms:
+            if now - instance.state_since_ms >= rollout.minimum_ready_ms:
                 self.table.set_step(rollout, instance.name, StepState.DONE)
         elif instance.state != InstanceState.STARTING:
             self._fail_step(rollout, instance)
