--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -17,7 +17,7 @@
 SCHEMA_VERSION = 1
 MAX_HISTORY_ENTRIES = 10_000  # a roll over a hundred instances writes some five hundred
 PRUNE_INTERVAL = 500  # writes between two deletions of the oldest entries, so that not every write deletes
-BUSY_TIMEOUT = 2.0  # s to wait for a lock that another process holds, such as an operator's sqlite3
+BUSY_TIMEOUT_S = 2.0  # to wait for a lock that another process holds, such as an operator's sqlite3
 RESTORE_ADVICE = "move it away to begin anew, or restore a copy"
 TABLES = """
 CREATE TABLE meta (version INTEGER NOT NULL);
@@ -37,6 +37,16 @@
         self.reason = reason
 
 
+class StoreAccessError(VetchfordError, OSError):
+    """One reading or writing of the store at `path` failed with `problem`; the store holds what it held."""
+
+    def __init__(self, path: str, problem: sqlite3.Error) -> None:
+        """`path`: of the store's file; `problem`: what SQLite raised."""
+        super().__init__(f"store {path}: {problem}")
+        self.path = path
+        self.problem = problem
+
+
 class StoredRecord(NamedTuple):
     """The newest record of a kind and name."""
 
@@ -55,7 +65,7 @@
         is_new = not Path(path).exists() or Path(path).stat().st_size == 0
         try:
             self.connection = sqlite3.connect(
-                path, isolation_level=None, check_same_thread=False, timeout=BUSY_TIMEOUT
+                path, isolation_level=None, check_same_thread=False, timeout=BUSY_TIMEOUT_S
             )
             self.connection.execute("PRAGMA journal_mode=WAL")
             self.connection.execute("PRAGMA synchronous=FULL")
@@ -82,7 +92,7 @@
     def put(self, kind: str, name: str, body: dict[str, Any] | None, history: bool = True) -> None:
         """Write a record; None deletes it. `history`: whether to append it to the history, too.
 
-        Raises OSError if the disk is full or fails; then nothing of it is kept.
+        Raises StoreAccessError, an OSError, if the disk is full or fails; then nothing of it is kept.
         """
         text = json.dumps(body, sort_keys=True)
         try:
@@ -98,7 +108,7 @@
         except sqlite3.Error as problem:
             if self.connection.in_transaction:
                 self.connection.execute("ROLLBACK")
-            raise OSError(f"store {self.path}: {problem}") from None
+            raise StoreAccessError(self.path, problem) from None
 
     def _append_history(self, kind: str, name: str, text: str) -> None:
         row = (clock.day(), kind, name, text)
@@ -128,13 +138,13 @@
     def history(self, count: int) -> list[HistoryEntry]:
         """Return the last entries, the newest first.
 
-        Raises OSError if the disk fails: only the request of a tool fails then.
+        Raises StoreAccessError if the disk fails: only the request of a tool fails then.
         """
         query = "SELECT at, kind, name, body FROM history ORDER BY rowid DESC LIMIT ?"
         try:
             rows = self.connection.execute(query, (count,)).fetchall()
         except sqlite3.Error as problem:
-            raise OSError(f"store {self.path}: {problem}") from None
+            raise StoreAccessError(self.path, problem) from None
         return [HistoryEntry(at_s, kind, name, json.loads(body)) for at_s, kind, name, body in rows]
 
     def close(self) -> None:
--- a/vetchford/fleet/tool_server.py
+++ b/vetchford/fleet/tool_server.py
@@ -10,17 +10,27 @@
 from queue import Queue
 from typing import Any
 
+from vetchford.errors import VetchfordError
 from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.runtime.metrics import Metrics
 
 MAX_REQUEST_BYTES = 1 << 20  # of one line
 MAX_CONNECTIONS = 64  # tools at once; more wait in the backlog
 BACKLOG = 128
-TOOL_TIMEOUT = 30.0  # s to wait for a request, and for its reply
-ACCEPT_RETRY_INTERVAL = 0.1  # s, where descriptors or threads ran out
+TOOL_TIMEOUT_S = 30.0  # to wait for a request, and for its reply
+ACCEPT_RETRY_INTERVAL_S = 0.1  # where descriptors or threads ran out
 OWNER_ONLY_UMASK = 0o177
 
 
+class SocketInUseError(VetchfordError, OSError):
+    """Another process listens at `path`."""
+
+    def __init__(self, path: str) -> None:
+        """`path`: of the Unix socket."""
+        super().__init__(f"somebody listens at {path}")
+        self.path = path
+
+
 class ToolServer:
     """One thread that accepts, and one for each connection."""
 
@@ -57,7 +67,7 @@
             except (OSError, RuntimeError) as problem:  # descriptors or threads ran out: tools wait
                 self.free_connections.release()
                 self.metrics.log_sampled("accept_failed", problem=str(problem))
-                time.sleep(ACCEPT_RETRY_INTERVAL)
+                time.sleep(ACCEPT_RETRY_INTERVAL_S)
 
     def _accept_one(self) -> None:
         # The connection is closed with this frame, if no thread is to be had for it.
@@ -73,12 +83,12 @@
             self.free_connections.release()
 
     def _answer_requests(self, sock: socket.socket) -> None:
-        sock.settimeout(TOOL_TIMEOUT)
+        sock.settimeout(TOOL_TIMEOUT_S)
         with sock, sock.makefile("rwb") as lines:
             while line := lines.readline(MAX_REQUEST_BYTES):
                 replies: Queue[EncodedReply] = Queue()
                 self.submit(_decode(line), replies.put)
-                lines.write(json.dumps(replies.get(timeout=TOOL_TIMEOUT)).encode() + b"\n")
+                lines.write(json.dumps(replies.get(timeout=TOOL_TIMEOUT_S)).encode() + b"\n")
                 lines.flush()
 
 
@@ -93,11 +103,11 @@
 def listen(path: str) -> socket.socket:
     """Return a listening socket for the agent's own user, replacing a stale one.
 
-    Raises OSError if another process listens there, or if the socket cannot be bound.
+    Raises SocketInUseError if another process listens there, OSError if the socket cannot be bound.
     """
     with socket.socket(socket.AF_UNIX) as probe:
         if probe.connect_ex(path) == 0:
-            raise OSError(f"somebody listens at {path}")
+            raise SocketInUseError(path)
     with contextlib.suppress(FileNotFoundError):
         os.unlink(path)
     sock = socket.socket(socket.AF_UNIX)
