--- a/vetchford/fleet/rollout_request.py
+++ b/vetchford/fleet/rollout_request.py
@@ -9,7 +9,8 @@
 from vetchford.fleet.fleet_record import FleetRollout, StepState, agent_of
 from vetchford.fleet.fleet_view import InstanceReport
 from vetchford.fleet.instance import InstanceState
-from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError, RolloutKind
+from vetchford.fleet.rollout import RefusedError, RolloutKind
+from vetchford.fleet.rollout_rules import check_kind_and_policy, check_limits, check_minimum_available
 
 MAX_TARGETS = 1000  # instances in one rollout: its record stays under a tenth of the longest message
 
@@ -31,21 +32,18 @@
 
     def make_rollout(self, request: RolloutRequest) -> FleetRollout:
         """The rollout of a request; RefusedError where it must not begin."""
-        self.check_words(request)
+        check_kind_and_policy(request.kind, request.on_failure)
+        self.check_targets_named(request.targets)
         self.check_targets_seen(request.targets)
         for key in request.targets:
             self.check_target(request, key)
-        if request.batch < 1 or request.minimum_available < 0:
-            raise RefusedError("batch must be 1 or more, floor 0 or more")
+        check_limits(request.batch, request.minimum_available)
         rollout = self.new_rollout(request)
         self.check_minimum(rollout)
         return rollout
 
-    def check_words(self, request: RolloutRequest) -> None:
-        """Words that are none, and targets that are none, too many or doubled."""
-        if request.kind not in KINDS or request.on_failure not in FAILURE_POLICIES:
-            raise RefusedError(f"'{request.kind}' or '{request.on_failure}' is none that is known")
-        targets = request.targets
+    def check_targets_named(self, targets: list[str]) -> None:
+        """There must be some, each once, and not too many for the record."""
         if not targets or len(set(targets)) < len(targets) or len(targets) > MAX_TARGETS:
             raise RefusedError(f"it must name 1 to {MAX_TARGETS} instances, each once")
 
@@ -91,15 +89,6 @@
 
     def check_minimum(self, rollout: FleetRollout) -> None:
         """The minimum must be kept where it can be told beforehand."""
-        minimum = rollout.minimum_available
         available = self.availability.count(rollout)
-        serving = sum(self.instances[key]["state"] == InstanceState.SERVING for key in rollout.steps)
-        if rollout.kind == RolloutKind.STOP and available - serving < minimum:
-            raise RefusedError(f"{available - serving} would be left serving, under the floor of {minimum}")
-        if (
-            rollout.kind in (RolloutKind.RESTART, RolloutKind.ROLL)
-            and minimum
-            and serving
-            and available <= minimum
-        ):
-            raise RefusedError(f"{available} serve and the floor is {minimum}: none may go out")
+        affected = sum(self.instances[key]["state"] == InstanceState.SERVING for key in rollout.steps)
+        check_minimum_available(rollout.kind, available, affected, rollout.minimum_available)
--- a/vetchford/fleet/rollout_validation.py
+++ b/vetchford/fleet/rollout_validation.py
@@ -2,7 +2,8 @@
 
 from vetchford.fleet.instance import InstanceState
 from vetchford.fleet.instance_manager import InstanceManager
-from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError, Rollout, RolloutKind
+from vetchford.fleet.rollout import RefusedError, Rollout
+from vetchford.fleet.rollout_rules import check_kind_and_policy, check_limits, check_minimum_available
 from vetchford.fleet.rollout_table import RolloutTable
 
 
@@ -21,12 +22,10 @@
 
 def validate(rollout: Rollout, manager: InstanceManager, table: RolloutTable) -> None:
     """Raise RefusedError if this rollout must not begin."""
-    if rollout.kind not in KINDS or rollout.on_failure not in FAILURE_POLICIES:
-        raise RefusedError(f"'{rollout.kind}' or '{rollout.on_failure}' is none that is known")
+    check_kind_and_policy(rollout.kind, rollout.on_failure)
     _check_targets(rollout, manager)
     _check_no_other_rollout(rollout, table)
-    if rollout.batch < 1 or rollout.minimum_available < 0:
-        raise RefusedError("batch must be 1 or more, floor 0 or more")
+    check_limits(rollout.batch, rollout.minimum_available)
     _check_minimum_available(rollout, manager)
 
 
@@ -48,12 +47,6 @@
 
 
 def _check_minimum_available(rollout: Rollout, manager: InstanceManager) -> None:
-    """Refuse a stop that would leave too few, and the other kinds if not even one may be taken out."""
-    minimum = rollout.minimum_available
-    serving = manager.count_serving(manager.in_groups_of(rollout.targets))
+    available = manager.count_serving(manager.in_groups_of(rollout.targets))
     affected = sum(manager.instances[name].state == InstanceState.SERVING for name in rollout.targets)
-    if rollout.kind == RolloutKind.STOP:
-        if serving - affected < minimum:
-            raise RefusedError(f"{serving - affected} would be left serving, under the floor of {minimum}")
-    elif rollout.kind != RolloutKind.START and minimum and affected and serving <= minimum:
-        raise RefusedError(f"{serving} serve and the floor is {minimum}: none may go out")
+    check_minimum_available(rollout.kind, available, affected, rollout.minimum_available)
