--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -19,7 +19,7 @@
 from vetchford.fleet import supervisor
 from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.agent_requests import RequestHandler
-from vetchford.fleet.agent_settings import AgentSettings
+from vetchford.fleet.agent_settings import AgentSettings, PeerSettings
 from vetchford.fleet.health_checker import HealthChecker, is_ready
 from vetchford.fleet.history_store import Store, StoreError
 from vetchford.fleet.process_table import read_memory_kb
@@ -93,7 +93,7 @@
                 self.processes[name] = found.process
             self.controller.on_process_found(self.now(), name, found.version if found is not None else None)
 
-    def join_fleet(self, peers: dict[str, Any]) -> "CoordinatorActor":
+    def join_fleet(self, peers: PeerSettings) -> "CoordinatorActor":
         """Return the agent's part in a fleet of agents. OSError if its address cannot be had."""
         from vetchford.fleet.coordinator_actor import CoordinatorActor  # an agent alone does without it
 
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -68,7 +68,7 @@
         coordinator = agent.coordinator
         log.info(
             "agent_joined_fleet",
-            fleet=settings.peers["fleet"],
+            fleet=settings.peers.fleet,
             name=coordinator.name,
             life=coordinator.incarnation,
         )
--- a/vetchford/fleet/agent_settings.py
+++ b/vetchford/fleet/agent_settings.py
@@ -36,6 +36,21 @@
         return InstanceSettings(self.group, self.stop_ms, self.ready_ms, self.restart)
 
 
+@dataclass(frozen=True, slots=True)
+class PeerSettings:
+    """The agent's place in a fleet of agents."""
+
+    fleet: str
+    name: str  # of this agent
+    listen: str  # address and port that other agents connect to
+    agents: dict[str, str]  # addresses of all agents of the fleet by name, this one too
+
+    @classmethod
+    def from_record(cls, record: dict[str, Any]) -> "PeerSettings":
+        """Read the part of the settings record that describes the fleet."""
+        return cls(**{field.name: record[field.name] for field in fields(cls)})
+
+
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
     """All that the settings file says to an agent."""
@@ -45,7 +60,7 @@
     logs: str  # folder of the instances' output
     instances: dict[str, InstanceDefinition]
     versions: dict[str, list[str]]  # commands of the versions that a roll may go to
-    peers: dict[str, Any] | None  # the agent's place among other agents; None: it is alone
+    peers: PeerSettings | None  # None: the agent is alone
 
     @classmethod
     def from_record(cls, record: dict[str, Any]) -> "AgentSettings":
@@ -54,13 +69,14 @@
             name: InstanceDefinition.from_record(definition)
             for name, definition in record["instances"].items()
         }
+        peers = record.get("peers")
         return cls(
             socket=record["socket"],
             store=record["store"],
             logs=record["logs"],
             instances=instances,
             versions=record["versions"],
-            peers=record.get("peers"),
+            peers=PeerSettings.from_record(peers) if peers else None,
         )
 
     def command_of(self, name: str, version: str) -> list[str] | None:
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -14,7 +14,7 @@
 import structlog
 
 from vetchford.fleet.agent_messages import EncodedReply
-from vetchford.fleet.agent_settings import AgentSettings
+from vetchford.fleet.agent_settings import AgentSettings, PeerSettings
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
 from vetchford.fleet.failure_detector import FailureDetector
@@ -61,23 +61,23 @@
 class CoordinatorActor:
     """An agent's membership in its fleet; `start` opens it, the agent's turns call `tick`."""
 
-    def __init__(self, actor: Actor, owner: Owner, settings: dict[str, Any], metrics: Metrics) -> None:
-        """`settings`: the record `peers`. OSError where its address can't be had or the store fails."""
+    def __init__(self, actor: Actor, owner: Owner, settings: PeerSettings, metrics: Metrics) -> None:
+        """OSError where its address can't be had or the store fails."""
         self.owner, self.settings, self.metrics = owner, settings, metrics
-        self.name: str = settings["name"]
+        self.name: str = settings.name
         stored = owner.store.records()
         self.incarnation, self.store_identity = next_incarnation(stored)
         self.nonce = draw_nonce()
         self.save_self()
         self.incarnation_raised_at: list[float] = []  # within DISPUTE_WINDOW
-        agents: dict[str, str] = settings["agents"]
-        seed, now = zlib.crc32(settings["fleet"].encode()), self.now()
+        agents = settings.agents
+        seed, now = zlib.crc32(settings.fleet.encode()), self.now()
         self.transport = Transport(
             actor,
             self,
             metrics,
-            Identity(settings["fleet"], self.name, self.incarnation, self.nonce),
-            settings["listen"],
+            Identity(settings.fleet, self.name, self.incarnation, self.nonce),
+            settings.listen,
             agents,
             seed,
         )
@@ -271,7 +271,7 @@
             row["voter"] = row["name"] in record.voters()
         return {
             "name": self.name,
-            "fleet": self.settings["fleet"],
+            "fleet": self.settings.fleet,
             "life": self.incarnation,
             "peers": rows,
             "book": record.status(),
