--- a/vetchford/fleet/agent_client.py
+++ b/vetchford/fleet/agent_client.py
@@ -93,7 +93,7 @@
 
 
 class AgentClient:
-    """The requests to one agent.
+    """The requests to one agent. Any thread may call it: each request has a connection of its own.
 
     Each method raises UnreachableError, RefusedError for a refusal, or MalformedReplyError.
     """
--- a/vetchford/fleet/fleet_client.py
+++ b/vetchford/fleet/fleet_client.py
@@ -55,6 +55,7 @@
 class FleetClient:
     """The requests to a fleet: any agent takes them; the next one is asked where one does not reply.
 
+    One thread at a time may call it: it remembers which agent replied.
     Each method raises FleetUnreachableError if no agent replies, RefusedError for a refusal, or
     MalformedReplyError.
     """
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -2,7 +2,7 @@
 
 Plain data and its codec; no decisions. The record is exchanged between agents of two versions and stored, so
 its encoded words stay as they are. They appear in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the values
-of the enums, and in `tool_requests.py`, which shows tools the record as it is. Keys of a later version are
+of the enums, and in `fleet_status.py`, which shows tools the record as it is. Keys of a later version are
 carried on unread.
 """
 
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -1,7 +1,7 @@
 """What the leader has seen of the fleet's instances: the newest report of each agent. No I/O; times in ms.
 
 Only reports that were asked for a short while ago prove anything; an instance that is not seen counts as not
-serving.
+serving. The agent's thread alone calls it.
 """
 
 from collections.abc import Container, Iterable
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -1,7 +1,7 @@
 """Decides when the process of an instance is started, drained, killed and restarted. No I/O.
 
 It receives what is observed of each process and its health checks, and acts through `RolloutActions`. Times
-are in ms on the caller's monotonic clock.
+are in ms on the caller's monotonic clock. The agent's thread alone calls it.
 """
 
 import contextlib
--- /dev/null
+++ b/vetchford/fleet/leader_requests.py
@@ -0,0 +1,130 @@
+"""The leader's answers to requests of tools.
+
+No I/O; times in ms, monotonic. The agent's thread alone calls it. The same request may come again, also after
+another leader had it: each kind may be carried out twice without harm.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+from vetchford.fleet.agent_messages import (
+    MALFORMED,
+    EncodedReply,
+    EncodedRequest,
+    MalformedRequestError,
+    PlanReply,
+    RefusedReply,
+    encode,
+)
+from vetchford.fleet.coordinator_protocol import Coordinator
+from vetchford.fleet.fleet_messages import (
+    AdmitRequest,
+    DismissRequest,
+    FleetPlanRequest,
+    FleetStatusRequest,
+    FleetSubmitRequest,
+    LeaderStatusReply,
+    MembershipRequest,
+    MembersReply,
+    ReportsRequest,
+    decode_leader_request,
+    decode_rollout_request,
+)
+from vetchford.fleet.fleet_record import agent_of
+from vetchford.fleet.fleet_rollout import FleetRolloutController
+from vetchford.fleet.fleet_status import FleetStatusSource
+from vetchford.fleet.rollout import RefusedError
+
+FIRST_REPORTS_TIMEOUT_MS = 3000.0  # that a new leader waits for agents that have not reported to it
+TARGETS_TIMEOUT_MS = 3000.0  # of a request's time, for agents that it names to be seen: three idle polls
+
+
+class LeaderRequests:
+    """Answers while its agent leads; without a controller there is nothing to call."""
+
+    def __init__(self, coordinator: Coordinator, status: FleetStatusSource) -> None:
+        """`coordinator` and `status`: of the same agent."""
+        self.coordinator = coordinator
+        self.status = status
+
+    def answer_or_refuse(
+        self, now_ms: float, request: EncodedRequest, waited_ms: float
+    ) -> EncodedReply | None:
+        """As `answer`; whatever is wrong with a request makes a refusal and nothing worse."""
+        try:
+            return self.answer(now_ms, request, waited_ms)
+        except RefusedError as problem:
+            return encode(RefusedReply(str(problem)))
+        except MALFORMED as problem:
+            return encode(RefusedReply(str(MalformedRequestError(problem))))
+
+    def answer(self, now_ms: float, request: EncodedRequest, waited_ms: float) -> EncodedReply | None:
+        """The leader's answer; None while it is not committed, or too few agents have reported.
+
+        `waited_ms`: since the tool asked.
+        """
+        controller = self.coordinator.controller
+        assert controller is not None
+        decoded = decode_leader_request(request)
+        if isinstance(decoded, MembershipRequest):
+            return self.change_membership(now_ms, controller, decoded)
+        return self.answer_from_reports(now_ms, controller, decoded, waited_ms)
+
+    def answer_from_reports(
+        self, now_ms: float, controller: FleetRolloutController, request: ReportsRequest, waited_ms: float
+    ) -> EncodedReply | None:
+        """Requests for which the agents must have reported."""
+        members = self.coordinator.record.members()
+        unseen = [agent for agent in members if not controller.view.is_fresh(now_ms, agent)]
+        if unseen and now_ms - controller.started_at < FIRST_REPORTS_TIMEOUT_MS:
+            return None
+        if isinstance(request, FleetStatusRequest):
+            status = LeaderStatusReply(
+                instances=dict[str, Any](controller.view.fresh_instances(now_ms)),
+                unseen_agents=unseen,
+                leader=self.coordinator.name,
+                rollouts=self.status.list_rollouts(),
+            )
+            return encode(status)
+        if waited_ms < TARGETS_TIMEOUT_MS and names_agent(request.rollout, unseen):
+            return None  # an agent that has just come back is seen with its next report
+        return self.answer_rollout(now_ms, controller, request)
+
+    def answer_rollout(
+        self,
+        now_ms: float,
+        controller: FleetRolloutController,
+        request: FleetSubmitRequest | FleetPlanRequest,
+    ) -> EncodedReply | None:
+        """Begins a rollout, which is answered once it is committed, or says what would be begun."""
+        rollout = decode_rollout_request(request.rollout)
+        if isinstance(request, FleetPlanRequest):
+            planned = controller.make_rollout(now_ms, rollout)
+            return encode(PlanReply(list(planned.steps), planned.batch, planned.minimum_available))
+        if controller.request_rollout(now_ms, rollout):
+            return self.status.describe_rollout(now_ms, rollout.id)
+        return None
+
+    def change_membership(
+        self, now_ms: float, controller: FleetRolloutController, request: MembershipRequest
+    ) -> EncodedReply | None:
+        """Admits or dismisses an agent; answered once that is committed."""
+        name = request.agent
+        record = self.coordinator.record
+        if record.is_member(name) == isinstance(request, AdmitRequest):
+            return encode(MembersReply(record.members(), record.body["log"]))
+        if not controller.is_member_change_queued(name):
+            match request:
+                case AdmitRequest():
+                    controller.admit(name, request.operator)
+                case DismissRequest():
+                    controller.dismiss(now_ms, name, request.operator)
+        return None
+
+
+def names_agent(rollout: EncodedRequest, agents: Iterable[str]) -> bool:
+    """Whether an encoded rollout has a target on one of these agents."""
+    named = {agent_of(key) for key in rollout["targets"]}
+    return any(agent in named for agent in agents)
--- a/vetchford/fleet/rollout_controls.py
+++ b/vetchford/fleet/rollout_controls.py
@@ -9,7 +9,8 @@
 from collections.abc import Container
 from typing import Any, NamedTuple, TypedDict
 
-PAUSE, ABORT = "pause", "abort"
+PAUSE = "pause"
+ABORT = "abort"
 MAX_CONTROLS = 64  # of one rollout: more is a script that went wrong
 
 
@@ -33,7 +34,10 @@
 
 
 class RolloutControls:
-    """What one agent knows of the controls; `forget_all_but` empties it as rollouts end."""
+    """What one agent knows of the controls; `forget_all_but` empties it as rollouts end.
+
+    The agent's thread alone calls it.
+    """
 
     def __init__(self, name: str) -> None:
         """`name`: of this agent."""
--- a/vetchford/fleet/supervisor.py
+++ b/vetchford/fleet/supervisor.py
@@ -1,7 +1,8 @@
 """The processes of an agent's instances: started, found again after a restart, signalled, reaped.
 
 A process is ours if its environment holds the instance's name and the agent's token, and its start time is
-the one that was seen: never by its number alone, which the system hands out anew.
+the one that was seen: never by its number alone, which the system hands out anew. The agent's thread alone
+starts, signals and reaps; any thread may read a `Process`.
 """
 
 import contextlib
