--- a/tests/configuration/test_command.py
+++ b/tests/configuration/test_command.py
@@ -93,7 +93,7 @@
         inner = inner[int(step) if step.isdigit() else step]
     inner[steps[-1]] = value
     with pytest.raises(MalformedInputError) as caught:
-        platform_config.check(told)
+        platform_config.decode(told)
     assert str(caught.value).startswith(said)
 
 
@@ -102,7 +102,7 @@
     told["settings"]["familyInfo"] |= {"cores": "two", "blowup": []}
     told["settings"]["customers"][0]["name"] = 7
     with pytest.raises(MalformedInputError) as caught:
-        platform_config.check(told)
+        platform_config.decode(told)
     assert len(str(caught.value).splitlines()) == 3
 
 
--- a/tests/server/test_platform_config.py
+++ b/tests/server/test_platform_config.py
@@ -38,7 +38,7 @@
         inner = inner[step]
     inner[path[-1]] = value
     with pytest.raises(MalformedInputError, match="settings" if key.startswith("settings") else key):
-        platform_config.check(told)
+        platform_config.decode(told)
 
 
 def test_a_good_configuration_is_understood_and_the_environment_goes_before_it(tmp_path):
@@ -47,8 +47,8 @@
     told = platform_config.load(
         {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
     )
-    assert (told["name"], told["listen"]) == ("n9", "127.0.0.1:9")
-    assert platform_config.summary(told)["stages"][1]["limit_ms"] == 60_000.0
+    assert (told.name, told.listen) == ("n9", ("127.0.0.1", 9))
+    assert told.summary()["stages"][1]["limit_ms"] == 60_000.0
 
 
 def test_where_nothing_is_below_no_records_service_need_be_named():
@@ -56,12 +56,12 @@
     for records in (None, ""):
         told["records"] = records
         with pytest.raises(MalformedInputError, match="'records'"):
-            platform_config.check(told)  # its runs may call
+            platform_config.decode(told)  # its runs may call
     told["settings"]["familyInfo"]["below"] = "silent"
-    platform_config.check(told)
+    platform_config.decode(told)
     del told["records"]
-    platform_config.check(told)
-    assert platform_config.records_address(told) is None and platform_config.summary(told)["records"] is None
+    configuration = platform_config.decode(told)
+    assert configuration.records is None and configuration.summary()["records"] is None
     told["records"] = "nowhere"
     with pytest.raises(MalformedInputError, match="'records'"):
-        platform_config.check(told)
+        platform_config.decode(told)
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -47,6 +47,7 @@
 
 import vetchford
 from vetchford.errors import MalformedInputError, VetchfordError
+from vetchford.protocol.platform_configuration import ServerConfiguration
 from vetchford.runtime import log_setup
 from vetchford.server import platform_config, server_process, signals
 
@@ -115,7 +116,7 @@
 
 def _print_settings(options: Options) -> int:
     configuration = _load(options)
-    print(json.dumps(platform_config.summary(configuration), indent=2))
+    print(json.dumps(configuration.summary(), indent=2))
     return EXIT_DONE
 
 
@@ -126,7 +127,7 @@
         print(f"{', '.join(settings_files)}: good")
         return EXIT_DONE
     configuration = _load(options)
-    print(f"{configuration['name']}: configuration is good")
+    print(f"{configuration.name}: configuration is good")
     return EXIT_DONE
 
 
@@ -153,12 +154,12 @@
         writer.close()
 
 
-def _loader(options: Options) -> Callable[[], dict[str, Any]]:
+def _loader(options: Options) -> Callable[[], ServerConfiguration]:
     """Reads the platform's file and ours, also anew while a server runs."""
-    return partial(platform_config.load, path=options["--config"], ours=options["--with"])
+    return partial(platform_config.load, path=options["--config"], own_paths=options["--with"])
 
 
-def _load(options: Options) -> dict[str, Any]:
+def _load(options: Options) -> ServerConfiguration:
     """The platform's file and ours, checked; UsageError has a line for each problem."""
     try:
         return _loader(options)()
--- /dev/null
+++ b/vetchford/protocol/platform_configuration.py
@@ -0,0 +1,187 @@
+"""The platform's configuration of one server: checked key by key, and decoded into a typed record.
+
+The one module that knows the names of its keys; those inside `settings` are `platform_settings`'.
+"""
+
+import ipaddress
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+from vetchford.admission.settings import ServerSettings
+from vetchford.errors import MalformedInputError
+from vetchford.protocol import platform_settings
+
+JsonObject = dict[str, Any]
+
+NAME_KEY = "name"
+LISTEN_KEY = "listen"
+WORKER_POOL_KEY = "pool"
+RECORDS_KEY = "records"
+REGISTRY_KEY = "members"
+SEED_KEY = "seed"
+STOP_MS_KEY = "stop_ms"
+LIMITS_KEY = "limits"
+SOCKETS_KEY = "sockets"
+SETTINGS_KEY = "settings"
+SHOWN_KEYS = (NAME_KEY, LISTEN_KEY, WORKER_POOL_KEY, REGISTRY_KEY, STOP_MS_KEY, LIMITS_KEY)
+
+HEXADECIMAL = 16
+MIN_STOP_MS = 1
+MIN_SOCKETS = 32
+MAX_NUMBER = 1e12
+MAX_PORT = 65_535
+
+
+class Address(NamedTuple):
+    """Where a peer listens, or where to listen."""
+
+    host: str
+    """An IP address."""
+    port: int
+
+    def __str__(self) -> str:
+        """Return it in the form of the configuration."""
+        return f"{self.host}:{self.port}"
+
+
+@dataclass(frozen=True, slots=True)
+class OwnSettings:
+    """What our own settings files declare for a server; see `vetchford.configuration.records`."""
+
+    document: JsonObject = field(default_factory=dict)
+    """As it was read; empty where no file was given."""
+
+    @property
+    def fleet(self) -> JsonObject | None:
+        """The server's part in its fleet; None for a server alone."""
+        return self.document.get("together") or None
+
+    @property
+    def bulkheads(self) -> str | Mapping[str, Any] | None:
+        """The division of its capacity; None where it is not divided."""
+        bulkheads = self.document.get("pools")
+        return None if bulkheads == "none" else bulkheads or None
+
+
+@dataclass(frozen=True, slots=True)
+class ServerConfiguration:
+    """All that one server is told at its start, and again at each reload."""
+
+    name: str
+    """Its name in the registry."""
+    listen: Address
+    worker_pool: Address
+    records: Address | None
+    """None where requests have nothing to call, and no service is named."""
+    registry: Address
+    seed: int
+    """Of random choices."""
+    stop_ms: float
+    """Time from the termination notice to the kill."""
+    max_descriptors: int
+    """File descriptors that the process may hold."""
+    settings: ServerSettings
+    document: JsonObject
+    """As the platform wrote it, to be shown and compared."""
+    own: OwnSettings = OwnSettings()
+
+    def summary(self) -> JsonObject:
+        """Return what operators want to see of it, as `vetchford settings` prints it."""
+        settings = self.document[SETTINGS_KEY]
+        own = {"declared": self.own.document} if self.own.document else {}
+        return {
+            **{key: self.document[key] for key in SHOWN_KEYS},
+            RECORDS_KEY: self.document.get(RECORDS_KEY),
+            "cores": platform_settings.cores(settings),
+            **own,
+            **platform_settings.summary(settings),
+        }
+
+
+def decode(document: JsonObject) -> ServerConfiguration:
+    """Return the configuration as a typed record.
+
+    Raises:
+        MalformedInputError: A key is missing or wrong. Those of `settings` are all named, a line each.
+    """
+    _check_name(document.get(NAME_KEY))
+    listen = _address(document, LISTEN_KEY)
+    worker_pool = _address(document, WORKER_POOL_KEY)
+    registry = _address(document, REGISTRY_KEY)
+    records = _records_address(document)
+    seed = _seed(document)
+    stop_ms = _number(document, STOP_MS_KEY, MIN_STOP_MS)
+    limits = _object(document, LIMITS_KEY)
+    max_descriptors = _number(limits, SOCKETS_KEY, MIN_SOCKETS, f"{LIMITS_KEY}.")
+    settings = _object(document, SETTINGS_KEY)
+    return ServerConfiguration(
+        name=document[NAME_KEY],
+        listen=listen,
+        worker_pool=worker_pool,
+        records=records,
+        registry=registry,
+        seed=seed,
+        stop_ms=stop_ms,
+        max_descriptors=int(max_descriptors),
+        settings=_settings(settings),
+        document=document,
+    )
+
+
+def _check_name(name: Any) -> None:
+    """Raise MalformedInputError unless the name is printable ASCII without a space."""
+    if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
+        raise MalformedInputError(f"key '{NAME_KEY}' must be a word")
+
+
+def _address(document: JsonObject, key: str) -> Address:
+    host, _, port = str(document.get(key) or "").rpartition(":")
+    try:
+        ipaddress.ip_address(host)
+        if not 0 <= int(port) <= MAX_PORT:
+            raise ValueError
+    except ValueError:
+        raise MalformedInputError(f"key '{key}' must be an address and a port") from None
+    return Address(host, int(port))
+
+
+def _records_address(document: JsonObject) -> Address | None:
+    """Return where dependency calls go; None where the settings have none, and so name no service."""
+    if document.get(RECORDS_KEY) or platform_settings.has_dependency(document.get(SETTINGS_KEY)):
+        return _address(document, RECORDS_KEY)
+    return None
+
+
+def _seed(document: JsonObject) -> int:
+    try:
+        return int(str(document.get(SEED_KEY)), HEXADECIMAL)
+    except ValueError:
+        raise MalformedInputError(f"key '{SEED_KEY}' must be a number in hex digits") from None
+
+
+def _object(document: JsonObject, key: str) -> JsonObject:
+    value = document.get(key)
+    if not isinstance(value, dict):
+        raise MalformedInputError(f"key '{key}' must be an object")
+    return value
+
+
+def _number(values: JsonObject, key: str, minimum: float, prefix: str = "") -> float:
+    value = values.get(key)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < MAX_NUMBER:
+        raise MalformedInputError(f"key '{prefix}{key}' must be a number of {minimum:g} or more")
+    return float(value)
+
+
+def _settings(settings: JsonObject) -> ServerSettings:
+    platform_settings.check(settings)
+    try:
+        return platform_settings.decode(settings)
+    except (TypeError, AttributeError, ValueError) as problem:
+        raise unusable_settings(problem) from None
+
+
+def unusable_settings(problem: Exception) -> MalformedInputError:
+    """Return the error for settings whose values fit their kinds and still can't be used together."""
+    return MalformedInputError(f"key '{SETTINGS_KEY}' holds a value of the wrong kind: {problem}")
--- a/vetchford/protocol/platform_settings.py
+++ b/vetchford/protocol/platform_settings.py
@@ -1,7 +1,8 @@
-"""The platform's `settings` object, decoded into typed records.
+"""The platform's `settings` object: checked, and decoded into typed records.
 
-The one module that knows the protocol's names of settings: times come in nanoseconds, sizes in kilobytes,
-and a key that is absent, null or zero stands for the same.
+The one module that knows the protocol's names of settings. Each is named once, as a `Key` with the schema of
+its value. Times come in nanoseconds, sizes in kilobytes, and a key that is absent, null or zero stands for
+the same. Keys that are not listed are the platform's own and pass.
 """
 
 import math
@@ -16,6 +17,7 @@
     TenantSettings,
 )
 from vetchford.errors import MalformedInputError
+from vetchford.protocol.value_schema import Array, Choice, Flag, Key, Number, Object, String
 
 NS_PER_MS = 1_000_000
 BYTES_PER_KB = 1024
@@ -30,12 +32,121 @@
     "credit": LoadSignal.CREDIT,
 }
 """Every other word asks for a weight."""
+NO_LOAD_SIGNAL = "silent"
 STOPPABLE = ("drop", "pause")
 NO_DEPENDENCY = "silent"
 STATED_SHARE = "shared"
+VALUE_BY_WORK = "work"
 
 JsonObject = dict[str, Any]
 
+NOT_NEGATIVE = Number(0)
+
+# -- keys of the server and its machine
+
+CORES = Key("cores", Number(1))
+MEMORY_KB = Key("ramKb", NOT_NEGATIVE)
+RUNNING_MEMORY_MULTIPLE = Key("blowup", NOT_NEGATIVE)
+IDEMPOTENCY_KEY_KB = Key("keyKb", NOT_NEGATIVE)
+LOAD_SIGNAL = Key("say", String())
+STOP_KIND = Key("halt", String())
+DEPENDENCY_KIND = Key("below", String())
+IDLE_TIMEOUT_NS = Key("callerIdle", NOT_NEGATIVE)
+CLIENTS = Key("callers", NOT_NEGATIVE)
+SHARE_PERIOD_NS = Key("callsOver", NOT_NEGATIVE)
+LINGER_NS = Key("linger", NOT_NEGATIVE)
+DEPENDENCY_SHARE = Key("depShare", NOT_NEGATIVE)
+STARTS_COLD = Key("cold", Flag())
+SKIP_FRACTIONS = Key("classSkipWorth", Array(NOT_NEGATIVE))
+GAUGES = Key("ownStats", Array(String()))
+SERVER = Key(
+    "familyInfo",
+    Object(
+        (
+            CORES,
+            MEMORY_KB,
+            RUNNING_MEMORY_MULTIPLE,
+            IDEMPOTENCY_KEY_KB,
+            LOAD_SIGNAL,
+            STOP_KIND,
+            DEPENDENCY_KIND,
+            IDLE_TIMEOUT_NS,
+            CLIENTS,
+            SHARE_PERIOD_NS,
+            LINGER_NS,
+            DEPENDENCY_SHARE,
+            STARTS_COLD,
+            SKIP_FRACTIONS,
+            GAUGES,
+        )
+    ),
+)
+
+# -- keys of a request class and of a tenant
+
+NAME = Key("name", String())
+EFFECT = Key("effect", Choice(tuple(EFFECTS)))
+TIMEOUT_NS = Key("deadline", NOT_NEGATIVE)
+LATENCY_OBJECTIVE_NS = Key("promise", NOT_NEGATIVE)
+PRIORITY_WEIGHT = Key("worth", NOT_NEGATIVE)
+LATE_FRACTION = Key("lateWorth", NOT_NEGATIVE)
+KEY_WINDOW_NS = Key("window", NOT_NEGATIVE)
+REQUEST_CLASSES = Key(
+    "requestClasses",
+    Array(
+        Object(
+            (
+                NAME,
+                EFFECT,
+                TIMEOUT_NS,
+                LATENCY_OBJECTIVE_NS,
+                PRIORITY_WEIGHT,
+                LATE_FRACTION,
+                KEY_WINDOW_NS,
+            )
+        )
+    ),
+)
+
+QUOTA_PER_S = Key("quotaPerS", NOT_NEGATIVE)
+TENANTS = Key("customers", Array(Object((NAME, QUOTA_PER_S))))
+
+# -- keys of the service's rules, goal and limits
+
+SURVIVABLE_CONCURRENCY = Key("fallMultiple", NOT_NEGATIVE)
+COLD_FRACTION = Key("coldFrom", NOT_NEGATIVE)
+WARM_UP_NS = Key("rampTime", NOT_NEGATIVE)
+DRAIN_GRACE_NS = Key("drainGrace", NOT_NEGATIVE)
+RULES = Key("rules", Object((SURVIVABLE_CONCURRENCY, COLD_FRACTION, WARM_UP_NS, DRAIN_GRACE_NS)))
+
+WHOLE_WEIGHT = Key("whole", NOT_NEGATIVE)
+WORST_WINDOW_WEIGHT = Key("worstWindow", NOT_NEGATIVE)
+WORST_CLASS_WEIGHT = Key("worstClass", NOT_NEGATIVE)
+GOAL = Key("goal", Object((WHOLE_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT)))
+
+RETRY_AFTER_ALLOWED = Key("retryAfter", Flag())
+MAX_RETRY_AFTER_NS = Key("maxRetryAfter", NOT_NEGATIVE)
+LIMITS = Key("caps", Object((RETRY_AFTER_ALLOWED, MAX_RETRY_AFTER_NS)))
+
+VALUE_BY = Key("valueBy", String())
+FLEET_SIZE = Key("servers", NOT_NEGATIVE)
+OVER_QUOTA_WEIGHT = Key("overShareWorth", NOT_NEGATIVE)
+
+SETTINGS = Object(
+    (SERVER, REQUEST_CLASSES, TENANTS, RULES, GOAL, LIMITS, VALUE_BY, FLEET_SIZE, OVER_QUOTA_WEIGHT)
+)
+
+
+def check(settings: Any) -> None:
+    """Check the kind and the least value of each setting.
+
+    Raises:
+        MalformedInputError: Some are wrong; its message has a line for each.
+    """
+    problems = list(SETTINGS.problems(settings, "settings"))
+    if problems:
+        raise MalformedInputError("\n".join(problems))
+
 
 def decode(settings: JsonObject) -> ServerSettings:
     """Return the settings as typed records.
@@ -43,49 +154,71 @@
     Raises:
         MalformedInputError: A setting is missing or has no value that is known.
     """
-    server = settings.get("familyInfo") or {}
-    if (server.get("cores") or 0) < 1:
-        raise MalformedInputError("key 'settings.familyInfo.cores' must be 1 or more")
-    rules = settings.get("rules") or {}
-    caps = settings.get("caps") or {}
-    may_ask_to_wait = bool(caps.get("retryAfter"))
+    server = SERVER.read(settings, {})
+    if CORES.read(server, 0) < 1:
+        raise MalformedInputError(f"key 'settings.{SERVER.name}.{CORES.name}' must be 1 or more")
+    rules = RULES.read(settings, {})
     return ServerSettings(
         request_classes=_request_classes(settings),
         tenants=_tenants(settings),
-        gauges=tuple(server.get("ownStats") or []),
+        gauges=tuple(GAUGES.read(server, ())),
         dependency=_dependency(settings),
-        cores=server["cores"],
-        memory_bytes=(server.get("ramKb") or math.inf) * BYTES_PER_KB,
-        running_memory_multiple=server.get("blowup") or 1.0,
-        idempotency_key_bytes=(server.get("keyKb") or 0.0) * BYTES_PER_KB,
-        starts_cold=bool(server.get("cold")),
-        survivable_concurrency=rules.get("fallMultiple") or 1.0,
-        cold_fraction=rules.get("coldFrom") or 1.0,
-        warm_up_ms=(rules.get("rampTime") or 0) / NS_PER_MS,
-        weight_by_work=settings.get("valueBy") == "work",
-        can_stop_runs=server.get("halt") in STOPPABLE,
-        drain_grace_ms=(rules.get("drainGrace") or 0) / NS_PER_MS,
+        cores=CORES.read(server),
+        memory_bytes=MEMORY_KB.read(server, math.inf) * BYTES_PER_KB,
+        running_memory_multiple=RUNNING_MEMORY_MULTIPLE.read(server, 1.0),
+        idempotency_key_bytes=IDEMPOTENCY_KEY_KB.read(server, 0.0) * BYTES_PER_KB,
+        starts_cold=bool(STARTS_COLD.read(server)),
+        survivable_concurrency=SURVIVABLE_CONCURRENCY.read(rules, 1.0),
+        cold_fraction=COLD_FRACTION.read(rules, 1.0),
+        warm_up_ms=WARM_UP_NS.read(rules, 0) / NS_PER_MS,
+        weight_by_work=VALUE_BY.read(settings) == VALUE_BY_WORK,
+        can_stop_runs=STOP_KIND.read(server) in STOPPABLE,
+        drain_grace_ms=DRAIN_GRACE_NS.read(rules, 0) / NS_PER_MS,
         worst_class_weight=_worst_class_weight(settings),
-        fleet_size=settings.get("servers") or 1,
-        over_quota_weight=settings.get("overShareWorth") or 0.0,
-        load_signal=LOAD_SIGNALS.get(server.get("say") or "silent", LoadSignal.WEIGHT),
-        max_retry_after_ms=(caps.get("maxRetryAfter") or 0) / NS_PER_MS if may_ask_to_wait else 0.0,
-        clients=server.get("callers") or 1,
-        idle_timeout_ms=(server.get("callerIdle") or 0) / NS_PER_MS,
+        fleet_size=FLEET_SIZE.read(settings, 1),
+        over_quota_weight=OVER_QUOTA_WEIGHT.read(settings, 0.0),
+        load_signal=LOAD_SIGNALS.get(LOAD_SIGNAL.read(server, NO_LOAD_SIGNAL), LoadSignal.WEIGHT),
+        max_retry_after_ms=_max_retry_after_ms(settings),
+        clients=CLIENTS.read(server, 1),
+        idle_timeout_ms=IDLE_TIMEOUT_NS.read(server, 0) / NS_PER_MS,
     )
 
 
 def has_dependency(settings: Any) -> bool:
     """Return whether runs may call a dependency; anything but an object is reported elsewhere."""
-    server = (settings.get("familyInfo") if isinstance(settings, dict) else None) or {}
-    return not isinstance(server, dict) or (server.get("below") or NO_DEPENDENCY) != NO_DEPENDENCY
+    server = SERVER.read(settings, {}) if isinstance(settings, dict) else {}
+    return not isinstance(server, dict) or DEPENDENCY_KIND.read(server, NO_DEPENDENCY) != NO_DEPENDENCY
+
+
+def summary(settings: JsonObject) -> JsonObject:
+    """Return what operators want to see of the settings, as `vetchford settings` prints it."""
+    return {
+        "tenants": list(decode(settings).tenant_indices()),
+        "stages": [_request_class_summary(entry) for entry in REQUEST_CLASSES.read(settings, ())],
+    }
+
+
+def cores(settings: JsonObject) -> Any:
+    """Return the cores of the worker pool as they were stated."""
+    return SERVER.read(settings, {}).get(CORES.name)
+
+
+def _request_class_summary(entry: JsonObject) -> JsonObject:
+    timeout_ns = entry[TIMEOUT_NS.name]
+    return {
+        "name": entry.get(NAME.name),
+        "effect": EFFECTS[entry[EFFECT.name]],
+        "due_ms": LATENCY_OBJECTIVE_NS.read(entry, timeout_ns) / NS_PER_MS,
+        "limit_ms": timeout_ns / NS_PER_MS,
+        "utility": entry.get(PRIORITY_WEIGHT.name),
+    }
 
 
 def _request_classes(settings: JsonObject) -> tuple[RequestClassSettings, ...]:
-    entries = settings.get("requestClasses") or []
+    entries = REQUEST_CLASSES.read(settings, ())
     if not entries:
-        raise MalformedInputError("key 'settings.requestClasses' names no stage")
-    skip_fractions = (settings.get("familyInfo") or {}).get("classSkipWorth") or []
+        raise MalformedInputError(f"key 'settings.{REQUEST_CLASSES.name}' names no stage")
+    skip_fractions = SKIP_FRACTIONS.read(SERVER.read(settings, {}), ())
     return tuple(
         _request_class(index, entry, skip_fractions[index] if index < len(skip_fractions) else 0.0)
         for index, entry in enumerate(entries)
@@ -93,43 +226,53 @@
 
 
 def _request_class(index: int, entry: JsonObject, skip_fraction: float) -> RequestClassSettings:
-    if entry.get("effect") not in EFFECTS:
-        known = ", ".join(EFFECTS)
-        raise MalformedInputError(f"key 'settings.requestClasses[{index}].effect' must be one of {known}")
-    if not entry.get("deadline"):
-        raise MalformedInputError(f"key 'settings.requestClasses[{index}].deadline' must be above 0")
+    path = f"settings.{REQUEST_CLASSES.name}[{index}]"
+    effect = entry.get(EFFECT.name)
+    if effect not in EFFECTS:
+        raise MalformedInputError(f"key '{path}.{EFFECT.name}' must be one of {', '.join(EFFECTS)}")
+    timeout_ns = TIMEOUT_NS.read(entry)
+    if not timeout_ns:
+        raise MalformedInputError(f"key '{path}.{TIMEOUT_NS.name}' must be above 0")
     return RequestClassSettings(
-        name=entry.get("name") or "",
-        effect=EFFECTS[entry["effect"]],
-        latency_objective_ms=(entry.get("promise") or entry["deadline"]) / NS_PER_MS,
-        timeout_ms=entry["deadline"] / NS_PER_MS,
-        priority_weight=entry.get("worth") or 0.0,
-        late_fraction=entry.get("lateWorth") or 0.0,
-        key_window_ms=(entry.get("window") or 0) / NS_PER_MS,
+        name=NAME.read(entry, ""),
+        effect=EFFECTS[effect],
+        latency_objective_ms=LATENCY_OBJECTIVE_NS.read(entry, timeout_ns) / NS_PER_MS,
+        timeout_ms=timeout_ns / NS_PER_MS,
+        priority_weight=PRIORITY_WEIGHT.read(entry, 0.0),
+        late_fraction=LATE_FRACTION.read(entry, 0.0),
+        key_window_ms=KEY_WINDOW_NS.read(entry, 0) / NS_PER_MS,
         skip_fraction=skip_fraction,
     )
 
 
 def _tenants(settings: JsonObject) -> tuple[TenantSettings, ...]:
-    entries = settings.get("customers") or []
     return tuple(
-        TenantSettings(name=entry.get("name") or "", quota_per_s=entry.get("quotaPerS") or 0.0)
-        for entry in entries
+        TenantSettings(name=NAME.read(entry, ""), quota_per_s=QUOTA_PER_S.read(entry, 0.0))
+        for entry in TENANTS.read(settings, ())
     )
 
 
 def _dependency(settings: JsonObject) -> DependencySettings | None:
     if not has_dependency(settings):
         return None
-    server = settings["familyInfo"]
+    server = SERVER.read(settings, {})
+    share_is_stated = DEPENDENCY_KIND.read(server) == STATED_SHARE
     return DependencySettings(
-        share=server.get("depShare") if server["below"] == STATED_SHARE else None,
-        share_period_ms=(server.get("callsOver") or 0) / NS_PER_MS,
-        linger_ms=(server.get("linger") or 0) / NS_PER_MS,
+        share=server.get(DEPENDENCY_SHARE.name) if share_is_stated else None,
+        share_period_ms=SHARE_PERIOD_NS.read(server, 0) / NS_PER_MS,
+        linger_ms=LINGER_NS.read(server, 0) / NS_PER_MS,
     )
 
 
 def _worst_class_weight(settings: JsonObject) -> float:
-    goal = settings.get("goal") or {}
-    rest = ((goal.get("whole") or 0.0) + (goal.get("worstWindow") or 0.0)) or 1.0
-    return float((goal.get("worstClass") or 0.0) / rest)
+    """Return the weight of the worst-served class over that of the service as a whole."""
+    goal = GOAL.read(settings, {})
+    rest = WHOLE_WEIGHT.read(goal, 0.0) + WORST_WINDOW_WEIGHT.read(goal, 0.0)
+    return float(WORST_CLASS_WEIGHT.read(goal, 0.0) / (rest or 1.0))
+
+
+def _max_retry_after_ms(settings: JsonObject) -> float:
+    limits = LIMITS.read(settings, {})
+    if not RETRY_AFTER_ALLOWED.read(limits):
+        return 0.0
+    return float(MAX_RETRY_AFTER_NS.read(limits, 0) / NS_PER_MS)
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -2,17 +2,29 @@
 
 import threading
 from collections.abc import Callable, Mapping
-from typing import Any
+from dataclasses import replace
 
 import structlog
 
-from vetchford.server import platform_config
-from vetchford.server.platform_config import Address, Configuration
+from vetchford.protocol.platform_configuration import (
+    LIMITS_KEY,
+    LISTEN_KEY,
+    NAME_KEY,
+    RECORDS_KEY,
+    REGISTRY_KEY,
+    SETTINGS_KEY,
+    WORKER_POOL_KEY,
+    Address,
+    OwnSettings,
+    ServerConfiguration,
+)
 
 log = structlog.get_logger()
 
-RELOADABLE_ADDRESSES = ("pool", "records", "members")  # keys of peers that a running server can go over to
-FIXED = ("name", "listen", "limits", "settings", "declared")  # keys that wait for the next start
+FIXED_KEYS = (NAME_KEY, LISTEN_KEY, LIMITS_KEY, SETTINGS_KEY)
+"""Keys that wait for the next start."""
+OWN_SETTINGS = "declared"
+"""What log lines call our own settings, which wait for the next start too."""
 
 
 class ConfigurationReloader:
@@ -24,19 +36,24 @@
 
     def __init__(
         self,
-        configuration: Configuration,
-        reload: Callable[[Configuration], Configuration],
+        configuration: ServerConfiguration,
+        reload: Callable[[ServerConfiguration], ServerConfiguration],
         start_thread: Callable[[Callable[[], None]], None],
     ) -> None:
         """Let `configuration` hold until `reload` returns another for it."""
-        self.configuration, self.reload, self.start_thread = configuration, reload, start_thread
-        self.lock, self.requested, self.reloading = threading.Lock(), False, False
+        self.configuration = configuration
+        self.reload = reload
+        self.start_thread = start_thread
+        self.lock = threading.Lock()  # for the two below
+        self.requested = False  # a reload is to be started
+        self.reloading = False  # the thread runs
 
     def request(self) -> None:
         """Reload soon; may be called from any thread, and never blocks for long."""
         with self.lock:
             self.requested = True
-            was_idle, self.reloading = not self.reloading, True
+            was_idle = not self.reloading
+            self.reloading = True
         if was_idle:
             self.start_thread(self.run)
         else:
@@ -57,33 +74,51 @@
 
 
 def reload_configuration(
-    current: Configuration,
-    read: Callable[[], Configuration],
+    current: ServerConfiguration,
+    read: Callable[[], ServerConfiguration],
     move_peer: Mapping[str, Callable[[Address | None], None]],
-    change_own_settings: Callable[[dict[str, Any]], None],
-) -> Configuration:
+    change_own_settings: Callable[[OwnSettings], None],
+) -> ServerConfiguration:
     """Apply the configuration as `read` returns it now; return what holds from now on.
 
-    `move_peer` has a function for each of RELOADABLE_ADDRESSES, to call with a changed address.
+    `move_peer` has a function for each key of `peer_addresses`, to call with a changed address.
     `change_own_settings` is called with what our own files declare. A wrong configuration changes nothing.
     """
     try:
         fresh = read()
-        moved = [key for key in RELOADABLE_ADDRESSES if fresh.get(key) != current.get(key)]
-        addresses = {key: _peer_address(fresh, key) for key in moved}
     except Exception as problem:  # whatever is wrong with the file, the server goes on
         log.error("configuration_refused", problem=str(problem))
         return current
+    addresses = peer_addresses(fresh)
+    in_use = peer_addresses(current)
+    moved = [key for key, address in addresses.items() if address != in_use[key]]
     for key in moved:
         move_peer[key](addresses[key])
-    change_own_settings(fresh.get("declared") or {})
-    not_changed = [key for key in FIXED if fresh.get(key) != current.get(key)]
-    log.info("configuration_renewed", moved=",".join(moved), not_changed=",".join(not_changed))
-    reloadable = {key: fresh.get(key) for key in RELOADABLE_ADDRESSES}
-    return {**current, "stop_ms": fresh["stop_ms"], **reloadable}
-
-
-def _peer_address(configuration: Configuration, key: str) -> Address | None:
-    if key == "records":
-        return platform_config.records_address(configuration)
-    return platform_config.address(configuration, key)
+    change_own_settings(fresh.own)
+    log.info(
+        "configuration_renewed", moved=",".join(moved), not_changed=",".join(_waiting_keys(fresh, current))
+    )
+    return replace(
+        current,
+        stop_ms=fresh.stop_ms,
+        worker_pool=fresh.worker_pool,
+        records=fresh.records,
+        registry=fresh.registry,
+    )
+
+
+def peer_addresses(configuration: ServerConfiguration) -> dict[str, Address | None]:
+    """Return, by its key, the address of each peer that a running server can go over to."""
+    return {
+        WORKER_POOL_KEY: configuration.worker_pool,
+        RECORDS_KEY: configuration.records,
+        REGISTRY_KEY: configuration.registry,
+    }
+
+
+def _waiting_keys(fresh: ServerConfiguration, current: ServerConfiguration) -> list[str]:
+    """Return the keys that have changed and wait for the next start."""
+    waiting = [key for key in FIXED_KEYS if fresh.document.get(key) != current.document.get(key)]
+    if fresh.own != current.own:
+        waiting.append(OWN_SETTINGS)
+    return waiting
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -10,15 +10,20 @@
 
 import structlog
 
-from vetchford.admission.settings import ServerSettings
 from vetchford.errors import VetchfordError
-from vetchford.protocol import platform_settings
+from vetchford.protocol.platform_configuration import (
+    RECORDS_KEY,
+    REGISTRY_KEY,
+    WORKER_POOL_KEY,
+    Address,
+    OwnSettings,
+    ServerConfiguration,
+)
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
-from vetchford.server import platform_config, signals
+from vetchford.server import signals
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.listener import Listener
-from vetchford.server.platform_config import Address, Configuration
 from vetchford.server.records_client import RecordsClient
 from vetchford.server.registry_reporter import RegistryReporter
 from vetchford.server.reload import ConfigurationReloader, reload_configuration
@@ -42,9 +47,10 @@
     """An address to listen on is taken, or is none of this machine."""
 
     def __init__(self, address: str, reason: str | None) -> None:
-        """Name the address as the configuration does, and the system's reason."""
+        """Take the address in the form of the configuration, and the system's reason."""
         super().__init__(f"cannot listen on {address}: {reason}")
-        self.address, self.reason = address, reason
+        self.address = address
+        self.reason = reason
 
 
 @dataclass(frozen=True)
@@ -66,28 +72,22 @@
 class Server:
     """The actors of one server, which it starts. They end with the process."""
 
-    def __init__(self, configuration: Configuration, metrics: Metrics) -> None:
+    def __init__(self, configuration: ServerConfiguration, metrics: Metrics) -> None:
         """Create the actors and listen; CannotListenError where that fails."""
         self.configuration = configuration
-        self.settings = platform_settings.decode(configuration["settings"])
+        self.settings = configuration.settings
         self.admission = AdmissionActor(
-            platform_config.seed(configuration),
+            configuration.seed,
             self.settings,
             metrics,
-            bulkheads_maker(configuration, self.settings, metrics),
+            bulkheads_maker(configuration, metrics),
         )
         self.stopped = threading.Event()  # set once a graceful shutdown has ended
-        in_fleet = fleet_settings(configuration) is not None
-        budget = DescriptorBudget.share(int(configuration["limits"]["sockets"]), in_fleet)
-        self.worker_pool = WorkerPoolClient(
-            platform_config.address(configuration, "pool"), self.admission, metrics
-        )
-        self.records = RecordsClient(
-            platform_config.records_address(configuration), budget.calls, self.admission, metrics
-        )
-        self.registry = RegistryReporter(
-            platform_config.address(configuration, "members"), configuration["name"], metrics
-        )
+        in_fleet = configuration.own.fleet is not None
+        budget = DescriptorBudget.share(configuration.max_descriptors, in_fleet)
+        self.worker_pool = WorkerPoolClient(configuration.worker_pool, self.admission, metrics)
+        self.records = RecordsClient(configuration.records, budget.calls, self.admission, metrics)
+        self.registry = RegistryReporter(configuration.registry, configuration.name, metrics)
         self.fleet_member = self._join_fleet(metrics)
         self.listener = self._listen(budget.clients, metrics)
         self.admission.attach(self.worker_pool, self.records, self.registry, self.listener, self.stopped.set)
@@ -102,12 +102,14 @@
         if self.fleet_member is not None:
             self.fleet_member.start()
 
-    def reload(self, current: Configuration, read: Callable[[], Configuration]) -> Configuration:
+    def reload(
+        self, current: ServerConfiguration, read: Callable[[], ServerConfiguration]
+    ) -> ServerConfiguration:
         """Apply the configuration as `read` returns it now; return what holds from now on."""
         move_peer: dict[str, Callable[[Address | None], None]] = {
-            "pool": partial(self.worker_pool.post, self.worker_pool.change_address),
-            "records": self.records.change_address,
-            "members": partial(self.registry.post, self.registry.change_address),
+            WORKER_POOL_KEY: partial(self.worker_pool.post, self.worker_pool.change_address),
+            RECORDS_KEY: self.records.change_address,
+            REGISTRY_KEY: partial(self.registry.post, self.registry.change_address),
         }
         return reload_configuration(current, read, move_peer, self._change_own_settings)
 
@@ -124,7 +126,7 @@
 
     def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
         """Create the actor that speaks to the other servers; None where none are configured."""
-        settings = fleet_settings(self.configuration)
+        settings = self.configuration.own.fleet
         if settings is None:
             return None
         from vetchford.coordination import fleet_member  # a server alone does without it
@@ -134,7 +136,7 @@
         try:
             return fleet_member.FleetMember(
                 settings,
-                platform_config.seed(self.configuration),
+                self.configuration.seed,
                 metrics,
                 partial(admission.post, admission.sample_load),
                 partial(admission.post, admission.fleet_signals_changed),
@@ -145,7 +147,7 @@
     def _listen(self, max_connections: int, metrics: Metrics) -> Listener:
         try:
             return Listener(
-                platform_config.address(self.configuration, "listen"),
+                self.configuration.listen,
                 max_connections,
                 self.settings.class_indices(),
                 self.settings.tenant_indices(),
@@ -153,16 +155,17 @@
                 metrics,
             )
         except OSError as problem:
-            raise CannotListenError(self.configuration["listen"], problem.strerror) from problem
+            raise CannotListenError(str(self.configuration.listen), problem.strerror) from problem
 
-    def _change_own_settings(self, declared: dict[str, Any]) -> None:
-        settings = declared.get("together")
-        if self.fleet_member is not None and settings:
-            self.fleet_member.post(self.fleet_member.allow, settings)
+    def _change_own_settings(self, own: OwnSettings) -> None:
+        if self.fleet_member is not None and own.fleet:
+            self.fleet_member.post(self.fleet_member.allow, own.fleet)
 
 
 def serve(
-    configuration: Configuration, read: Callable[[], Configuration], log_ends_by: Callable[[float], None]
+    configuration: ServerConfiguration,
+    read: Callable[[], ServerConfiguration],
+    log_ends_by: Callable[[float], None],
 ) -> int:
     """Run one server until a termination signal has come and all is answered; return the exit status.
 
@@ -180,7 +183,7 @@
     gc.freeze()
     server.start()
     listening_on = ":".join(map(str, server.listener.sock.getsockname()))
-    log.info("serving", name=configuration["name"], listen=listening_on)
+    log.info("serving", name=configuration.name, listen=listening_on)
     reloader = ConfigurationReloader(
         configuration,
         lambda current: server.reload(current, read),
@@ -189,7 +192,7 @@
     number = signals.wait_for_termination(reloader.request)
     signalled_at = time.time() * 1000.0
     log.info("signal_received", number=number)
-    stop_ms = float(reloader.configuration["stop_ms"])
+    stop_ms = reloader.configuration.stop_ms
     log_ends_by((signalled_at + stop_ms) / 1000.0 - PROCESS_EXIT_TIME)
     server.start_shutdown(signalled_at, stop_ms)
     handle_further_signals(reloader, metrics)
@@ -210,19 +213,12 @@
         metrics.log_sampled("no_thread", part="signals", problem=str(problem))
 
 
-def fleet_settings(configuration: Configuration) -> dict[str, Any] | None:
-    """Return what our own files declare of the fleet; None for a server alone."""
-    settings: dict[str, Any] | None = (configuration.get("declared") or {}).get("together")
-    return settings or None
-
-
-def bulkheads_maker(
-    configuration: Configuration, settings: ServerSettings, metrics: Metrics
-) -> Callable[[], Any] | None:
+def bulkheads_maker(configuration: ServerConfiguration, metrics: Metrics) -> Callable[[], Any] | None:
     """Return what makes the bulkheads that our own files declare; None where there are none."""
-    declared = configuration.get("declared") or {}
-    if not declared.get("pools") or declared["pools"] == "none":
+    declared = configuration.own.bulkheads
+    if declared is None:
         return None
     from vetchford.bulkheads import bulkhead_metrics  # a server without bulkheads does without it
 
-    return partial(bulkhead_metrics.capacity, settings.request_classes, declared["pools"], metrics)
+    request_classes = configuration.settings.request_classes
+    return partial(bulkhead_metrics.capacity, request_classes, declared, metrics)
