--- a/vetchford/bench_adapter/simulated_server.py
+++ b/vetchford/bench_adapter/simulated_server.py
@@ -1,130 +1,117 @@
 """One simulated server: events of the wire to calls of its controller."""
 
+from collections.abc import Callable
+
 from vetchford.admission import factory
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.request import Outcome, RequestArrival
-from vetchford.bench_adapter.event_fields import Event, require
+from vetchford.bench_adapter import simulator_events
 from vetchford.bench_adapter.simulator_actions import Action, SimulatorActions
-from vetchford.errors import MalformedInputError, VetchfordError
-from vetchford.protocol import platform_settings
-from vetchford.protocol.platform_settings import BYTES_PER_KB, NS_PER_MS
-
-UNKNOWN_ORIGINAL = -1  # a repeat of something that this server does not hold any more
-NO_TENANT = -1
-OUTCOMES = {outcome.value: outcome for outcome in Outcome}
+from vetchford.bench_adapter.simulator_events import Event, EventDecoder
+from vetchford.errors import VetchfordError
 
 
 class NotAttachedError(VetchfordError):
-    """An event for a server whose `attach` failed."""
+    """An event for a server whose attaching failed."""
+
+    def __init__(self, number: int) -> None:
+        """Take the number of the instance."""
+        super().__init__(f"instance {number} is not attached")
+        self.number = number
 
 
 class SimulatedServer:
-    """A controller with the simulator's ids and clock. Absent, zero and null fields are the same."""
-
-    def __init__(self, number: int, origin: int, out: list[Action]) -> None:
-        """`origin`: the simulator's time (ns) at which the server starts; `out`: see `SimulatorActions`."""
-        self.actions = SimulatorActions(number, origin, out)
-        self.classes: dict[str, int] = {}
-        self.tenants: dict[str, int] = {}
-        self.gauges: dict[str, int] = {}
+    """A controller with the simulator's ids and clock."""
+
+    def __init__(self, number: int, origin_ns: int, out: list[Action]) -> None:
+        """Create a server whose clock starts at the simulator's time `origin_ns`.
+
+        `out`: the actions of the batch that is being answered.
+        """
+        self.origin_ns = origin_ns
+        self.actions = SimulatorActions(number, origin_ns, out)
+        self._decoder: EventDecoder | None = None
         self._controller: AdmissionController | None = None
 
     @property
     def controller(self) -> AdmissionController:
         """The controller, once attached."""
         if self._controller is None:
-            raise NotAttachedError(f"instance {self.actions.number} is not attached")
+            raise NotAttachedError(self.actions.number)
         return self._controller
 
+    @property
+    def decoder(self) -> EventDecoder:
+        """The decoder of its events, once attached."""
+        if self._decoder is None:
+            raise NotAttachedError(self.actions.number)
+        return self._decoder
+
     def attach(self, event: Event) -> None:
-        """Build the controller from the event's settings."""
-        undecoded = require(event, "settings", dict)
-        seed = require(event, "prng", int)
-        settings = platform_settings.decode(undecoded)
-        self.classes = settings.class_indices()
-        self.tenants = settings.tenant_indices()
-        self.gauges = settings.gauge_indices()
+        """Build the controller from the event's settings.
+
+        Raises:
+            MalformedInputError: The event has no settings, or they can't be used.
+        """
+        seed, settings = simulator_events.decode_settings(event)
+        self._decoder = EventDecoder(settings, self.origin_ns)
         self._controller = factory.build(self.actions, seed, settings, settings.starts_cold)
 
-    def handle(self, clock: int, kind: str, event: Event) -> None:
-        """Deliver an event of a kind in `EVENT_KINDS` that happened at `clock` (ns)."""
-        EVENT_KINDS[kind](self, self._ms(clock), event)
-
-    def _ms(self, clock: int) -> float:
-        return (clock - self.actions.origin) / NS_PER_MS
-
-    def _known(self, event: Event) -> int | None:
-        """The index of a request; None where it was released: an event that comes late changes nothing."""
-        return self.actions.indices.by_name.get(require(event, "call", str))
-
-    def _ingress(self, now: float, event: Event) -> None:
-        name = require(event, "call", str)
-        kind = require(event, "type", str)
-        if kind not in self.classes:
-            raise MalformedInputError(f"ingress: field 'type' names no stage of the settings: {kind}")
-        until, original, work = event.get("validUntil"), event.get("repeats"), event.get("predicted")
-        by_name = self.actions.indices.by_name
-        arrival = RequestArrival(
-            request_index=self.actions.indices.add(name),
-            class_index=self.classes[kind],
-            tenant=self.tenants.get(event.get("project") or "", NO_TENANT),
-            client=event.get("who") or 0,
-            deadline_ms=self._ms(until) if until else None,
-            work_ms=work / NS_PER_MS if work else None,
-            size_bytes=max(1, round((event.get("memKb") or 0.0) * BYTES_PER_KB)),
-            is_retry=bool(event.get("resent")),
-            queued_for_ms=(event.get("queuedFor") or 0) / NS_PER_MS,
-            original=by_name.get(original, UNKNOWN_ORIGINAL) if original else None,
-        )
-        self.controller.request_arrived(now, arrival)
-
-    def _notice(self, now: float, event: Event) -> None:
-        self.controller.start_draining(now, self._ms(require(event, "validUntil", int)))
-
-    def _bell(self, now: float, event: Event) -> None:
-        gauges = event.get("metrics") or []
-
-        def gauge(name: str) -> float | None:
-            at = self.gauges.get(name, len(gauges))
-            return gauges[at] if at < len(gauges) else None
-
-        self.controller.on_tick(now, gauge("core_use"), gauge("on_cores"))
-
-    def _lapsed(self, now: float, event: Event) -> None:
-        index = self._known(event)
-        if index is not None:
-            self.controller.client_gone(now, index)
+    def handle(self, clock_ns: int, kind: str, event: Event) -> None:
+        """Deliver an event of a kind in `HANDLERS` that happened at `clock_ns`.
 
-    def _stalled_on_call(self, now: float, event: Event) -> None:
-        index = self._known(event)
-        if index is not None:
-            self.controller.run_blocked(now, index)
+        Raises:
+            MalformedInputError: A field of the event is missing or wrong.
+        """
+        HANDLERS[kind](self, self.decoder.to_ms(clock_ns), event)
+
+    def _known_index(self, event: Event) -> int | None:
+        """Return the index of a request; None where it was released: late events change nothing."""
+        return self.actions.indices.by_name.get(simulator_events.decode_request_id(event))
+
+    def _request_arrived(self, now_ms: float, event: Event) -> None:
+        request_id = simulator_events.decode_request_id(event)
+        class_index = self.decoder.class_index(event)
+        indices = self.actions.indices
+        request_index = indices.add(request_id)
+        arrival = self.decoder.arrival(event, request_index, class_index, indices.by_name)
+        self.controller.request_arrived(now_ms, arrival)
 
-    def _call_result(self, now: float, event: Event) -> None:
-        index, (outcome, took) = self._known(event), _outcome(event)
+    def _termination_notice(self, now_ms: float, event: Event) -> None:
+        self.controller.start_draining(now_ms, self.decoder.kill_at_ms(event))
+
+    def _tick(self, now_ms: float, event: Event) -> None:
+        gauges = self.decoder.gauges(event)
+        self.controller.on_tick(now_ms, gauges.core_use, gauges.on_cores)
+
+    def _client_gone(self, now_ms: float, event: Event) -> None:
+        index = self._known_index(event)
         if index is not None:
-            self.controller.call_ended(now, index, outcome, took)
+            self.controller.client_gone(now_ms, index)
 
-    def _ended(self, now: float, event: Event) -> None:
-        index, (outcome, took) = self._known(event), _outcome(event)
+    def _run_blocked(self, now_ms: float, event: Event) -> None:
+        index = self._known_index(event)
         if index is not None:
-            self.controller.run_ended(now, index, outcome, took)
+            self.controller.run_blocked(now_ms, index)
 
+    def _call_ended(self, now_ms: float, event: Event) -> None:
+        index = self._known_index(event)
+        outcome, duration_ms = simulator_events.decode_outcome(event)
+        if index is not None:
+            self.controller.call_ended(now_ms, index, outcome, duration_ms)
 
-def _outcome(event: Event) -> tuple[Outcome, float]:
-    """How a run or a call ended, and after how many ms."""
-    code = require(event, "code", str)
-    if code not in OUTCOMES:
-        raise MalformedInputError(f"{event['t']}: field 'code' is no outcome: {code}")
-    return OUTCOMES[code], require(event, "timeTaken", int) / NS_PER_MS
+    def _run_ended(self, now_ms: float, event: Event) -> None:
+        index = self._known_index(event)
+        outcome, duration_ms = simulator_events.decode_outcome(event)
+        if index is not None:
+            self.controller.run_ended(now_ms, index, outcome, duration_ms)
 
 
-EVENT_KINDS = {
-    "ingress": SimulatedServer._ingress,
-    "notice": SimulatedServer._notice,
-    "bell": SimulatedServer._bell,
-    "lapsed": SimulatedServer._lapsed,
-    "stalledOnCall": SimulatedServer._stalled_on_call,
-    "callResult": SimulatedServer._call_result,
-    "ended": SimulatedServer._ended,
+HANDLERS: dict[str, Callable[[SimulatedServer, float, Event], None]] = {
+    simulator_events.REQUEST_ARRIVED: SimulatedServer._request_arrived,
+    simulator_events.TERMINATION_NOTICE: SimulatedServer._termination_notice,
+    simulator_events.TICK: SimulatedServer._tick,
+    simulator_events.CLIENT_GONE: SimulatedServer._client_gone,
+    simulator_events.RUN_BLOCKED: SimulatedServer._run_blocked,
+    simulator_events.CALL_ENDED: SimulatedServer._call_ended,
+    simulator_events.RUN_ENDED: SimulatedServer._run_ended,
 }
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -1,5 +1,6 @@
-"""The controller's actions as actions on the simulator's wire."""
+"""Codec of the simulator's actions, and the controller's actions in that form."""
 
+import json
 import math
 from typing import Any
 
@@ -9,6 +10,22 @@
 Action = dict[str, Any]
 
 
+def encode_reply(actions: list[Action]) -> bytes:
+    """Return the line that replies to a batch with these actions."""
+    return json.dumps({"decisions": actions}, separators=(",", ":")).encode() + b"\n"
+
+
+def crash(number: int, text: str) -> Action:
+    """Return the report that the decisions of an instance broke."""
+    return {"t": "crash", "i": number, "text": text}
+
+
+def instance(action: Action) -> int:
+    """Return the number of the instance that an action is of."""
+    number: int = action["i"]
+    return number
+
+
 class SimulatorActions:
     """Implements `vetchford.admission.actions.AdmissionActions` for one instance.
 
@@ -16,9 +33,11 @@
     milliseconds of the controller's clock become nanoseconds of the simulator's.
     """
 
-    def __init__(self, number: int, origin: int, out: list[Action]) -> None:
-        """`origin`: the simulator's time (ns) at which the controller's clock starts."""
-        self.number, self.origin, self.out = number, origin, out
+    def __init__(self, number: int, origin_ns: int, out: list[Action]) -> None:
+        """Create the actions of instance `number`, whose clock starts at the simulator's time `origin_ns`."""
+        self.number = number
+        self.origin_ns = origin_ns
+        self.out = out
         self.indices = IndexAllocator()
 
     def _act(self, kind: str, **fields: Any) -> None:
@@ -49,7 +68,7 @@
 
     def call(self, index: int, cut_at_ms: float) -> None:
         """Make its call; rounded down, so that no call outlives its cut, and 0 would mean the default."""
-        self._act_on("goCall", index, cutAt=max(1, self.origin + math.floor(cut_at_ms * NS_PER_MS)))
+        self._act_on("goCall", index, cutAt=max(1, self.origin_ns + math.floor(cut_at_ms * NS_PER_MS)))
 
     def skip(self, index: int) -> None:
         """Go on without its call."""
--- a/vetchford/protocol/platform_settings.py
+++ b/vetchford/protocol/platform_settings.py
@@ -36,6 +36,10 @@
 STOPPABLE = ("drop", "pause")
 NO_DEPENDENCY = "silent"
 STATED_SHARE = "shared"
+CORE_USE_GAUGE = "core_use"
+"""Share of the cores in use over the last half second."""
+ON_CORES_GAUGE = "on_cores"
+"""What needs a core now: runs, reading, checks and new connections."""
 VALUE_BY_WORK = "work"
 
 JsonObject = dict[str, Any]
--- a/vetchford/server/worker_pool_gauges.py
+++ b/vetchford/server/worker_pool_gauges.py
@@ -1,6 +1,6 @@
 """The gauges that the worker pool reports with each answered poll."""
 
-CORE_USE, ON_CORES = "core_use", "on_cores"
+from vetchford.protocol.platform_settings import CORE_USE_GAUGE, ON_CORES_GAUGE
 
 
 class WorkerPoolGauges:
@@ -14,18 +14,19 @@
 
     def update(self, values: list[float], executing: int) -> None:
         """Take new values; `executing` runs are counted now."""
-        self.values, self.executing_then = values, executing
+        self.values = values
+        self.executing_then = executing
 
     def core_use(self) -> float | None:
         """Return the share of the cores in use; None where it is not reported."""
-        return self._value(CORE_USE)
+        return self._value(CORE_USE_GAUGE)
 
     def on_cores(self, executing: int) -> float | None:
         """Return what is on the cores now that `executing` runs are counted; None where it is not reported.
 
         A run that ended since the poll would otherwise be taken for reading, and its core left idle.
         """
-        reported = self._value(ON_CORES)
+        reported = self._value(ON_CORES_GAUGE)
         return None if reported is None else reported + (executing - self.executing_then)
 
     def _value(self, name: str) -> float | None:
