--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -27,9 +27,13 @@
 Value = TypeVar("Value")
 
 HEADER_END = b"\r\n\r\n"
-PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
+PARSE_ERROR = -32700  # this and the next three are JSON-RPC's
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
 REJECTED = -32050  # the request did not run, and may be sent to another server
 FAILED = -32051  # says nothing about whether it ran; the client takes any code but REJECTED that way
+HEALTH_CHECK = "check"  # the method of a health check
 CLOSING = b'{"jsonrpc":"2.0","method":"closing"}'
 
 
@@ -46,6 +50,22 @@
         self.rpc_id = rpc_id
 
 
+class RequestIdInUseError(BadMessageError):
+    """A request has the id of another that is known."""
+
+    def __init__(self, rpc_id: int | str | None) -> None:
+        """Name the message by its JSON-RPC id."""
+        super().__init__(INVALID_PARAMS, "field 'txn' is in use", rpc_id)
+
+
+class UnknownTenantError(BadMessageError):
+    """A request names a tenant that the settings do not have."""
+
+    def __init__(self, rpc_id: int | str | None) -> None:
+        """Name the message by its JSON-RPC id."""
+        super().__init__(INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+
+
 class Call(NamedTuple):
     """One message of a client."""
 
@@ -143,7 +163,8 @@
     name = _required(_word(params, "txn", 64, rpc_id), "txn", rpc_id)
     if not name.isalnum():  # it is written into the messages to other services as it is
         raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
-    earliest, latest = now - MAX_ARRIVAL_AGE, now + MAX_ARRIVAL_LEAD
+    earliest = now - MAX_ARRIVAL_AGE
+    latest = now + MAX_ARRIVAL_LEAD
     arrived_at = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
     _number(params, "standing", 0.0, 1.0, rpc_id)  # checked, and not used
     content = _content(params, rpc_id)
--- a/vetchford/protocol/records_lines.py
+++ b/vetchford/protocol/records_lines.py
@@ -6,21 +6,23 @@
 
 from typing import NamedTuple
 
+from vetchford.admission.request import Outcome
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 
 MAX_LINE_BYTES = 256  # an id, a word and a length
 MAX_REPLY_BYTES = 65_536  # the page sets no bound; replies seen are far shorter
 MAX_LENGTH_DIGITS = 9  # longer numbers are not converted
-WORDS_WITHOUT_BODY, WORDS_WITH_BODY = 2, 3  # of a line: id and status, and the length of the body
+WORDS_WITHOUT_BODY = 2  # of a line: id and status
+WORDS_WITH_BODY = 3  # and the length of the body
 
 LINE_END = b"\r\n"
 WITH_BODY = "DONE"  # the only status whose line has a length, and a body behind it
-OUTCOMES = {  # the outcome of a call, in the words of the admission policy, by its status on the wire
-    "DONE": "completed",
-    "WAIT": "saturated",
-    "ERROR": "errored",
-    "PAST": "overdue",
-    "EMPTY": "saturated",  # proves, as WAIT does, that the call never ran
+OUTCOMES = {  # of a call, by its status on the wire
+    "DONE": Outcome.COMPLETED,
+    "WAIT": Outcome.SATURATED,
+    "ERROR": Outcome.ERRORED,
+    "PAST": Outcome.OVERDUE,
+    "EMPTY": Outcome.SATURATED,  # proves, as WAIT does, that the call never ran
 }
 
 
@@ -28,7 +30,7 @@
     """The reply to one call."""
 
     name: str
-    outcome: str
+    outcome: Outcome
     body: memoryview | None  # valid until more is received; None where the outcome has none
 
 
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -10,6 +10,7 @@
 import math
 from typing import Any, NamedTuple
 
+from vetchford.admission.request import Outcome
 from vetchford.errors import VetchfordError
 from vetchford.protocol.receive_buffer import ReceiveBuffer
 
@@ -17,21 +18,37 @@
 MAX_BRACKETS = 32  # in a line: the stack of the JSON parser is small
 MAX_DURATION = 1e12  # ms
 
-FINISHED, BLOCKED, CHATTER = "finished", "blocked", "chatter"
+FINISHED = "finished"
+BLOCKED = "blocked"
+CHATTER = "chatter"
 NOTICES = (FINISHED, BLOCKED, CHATTER)  # the types of messages that the pool numbers
-POLLED, BOUND, UNKNOWN = "polled", "bound", "unknown"  # the other types
-RUN_OUTCOMES = {  # the outcome of a run, in the words of the admission policy, by its state on the wire
-    "complete": "completed",
-    "error": "errored",
-    "cancelled": "recalled",
-    "unknown": "superseded",
+POLLED = "polled"
+BOUND = "bound"
+UNKNOWN = "unknown"
+SPAWN = "spawn"  # the command that an `unknown` message may be about
+RUN_OUTCOMES = {  # by the state of the run on the wire
+    "complete": Outcome.COMPLETED,
+    "error": Outcome.ERRORED,
+    "cancelled": Outcome.RECALLED,
+    "unknown": Outcome.SUPERSEDED,
 }
+MAX_LOGGED_COMMAND = 20  # characters
+MAX_LOGGED_REQUEST_ID = 64  # characters
 
 
 class BadLineError(VetchfordError):
     """A line of the pool can't be understood; the stream goes on behind it."""
 
 
+class UnknownMessageError(BadLineError):
+    """A line has a type that the protocol does not know."""
+
+    def __init__(self, message_type: str) -> None:
+        """Name the type."""
+        super().__init__("field 'type' names no message")
+        self.message_type = message_type
+
+
 class Message(NamedTuple):
     """One line of the pool."""
 
@@ -42,16 +59,16 @@
 class RunEnded(NamedTuple):
     """A run is over."""
 
-    name: str
-    outcome: str
-    duration: float  # ms
+    request_id: str
+    outcome: Outcome
+    duration_ms: float
     content: str  # the result, in base64
 
 
 class RunBlocked(NamedTuple):
     """A run waits for the reply to a call of the records service."""
 
-    name: str
+    request_id: str
     notice_number: int
     body: bytes  # of the call
 
@@ -67,7 +84,14 @@
     """A link stands."""
 
     is_cold: bool  # whether the pool started cold
-    started_ago: float  # ms
+    started_ms_ago: float
+
+
+class CommandUnknown(NamedTuple):
+    """The pool did not carry out a command."""
+
+    command: str
+    request_id: str
 
 
 # -- decoding
@@ -137,6 +161,24 @@
     return RunBlocked(_field(fields, "job", str), _field(fields, "n", int), body)
 
 
+def notice_number(fields: dict[str, Any]) -> int | None:
+    """Return the number of a notice; None where it has none."""
+    number = fields.get("n")
+    return number if isinstance(number, int) else None
+
+
+def unreadable_end(fields: dict[str, Any]) -> RunEnded:
+    """Return the end of the run that an unreadable `finished` notice is about: it failed."""
+    return RunEnded(str(fields.get("job")), Outcome.ERRORED, 0.0, "")
+
+
+def decode_command_unknown(fields: dict[str, Any]) -> CommandUnknown:
+    """Return which command an `unknown` message is about, cut to what is logged; never fails."""
+    command = str(fields.get("state"))
+    request_id = str(fields.get("job"))
+    return CommandUnknown(command[:MAX_LOGGED_COMMAND], request_id[:MAX_LOGGED_REQUEST_ID])
+
+
 def decode_poll_answer(fields: dict[str, Any]) -> PollAnswer:
     """Check the fields of a `polled` message; raise BadLineError."""
     gauges = _field(fields, "gauges", list)
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -21,6 +21,7 @@
 
 from vetchford.admission import factory
 from vetchford.admission.controller import AdmissionController
+from vetchford.admission.request import Outcome
 from vetchford.admission.settings import ServerSettings
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.runtime.actor import Actor
@@ -172,17 +173,17 @@
         """Take that a run waits for a dependency call."""
         self.runs.run_blocked(self._bound_controller(), request_id, notice, body)
 
-    def run_ended(self, request_id: str, code: str, duration: float, content: str) -> None:
-        """Take the end of a run: its outcome, the ms it took and its result in base64."""
-        self.runs.run_ended(self._bound_controller(), request_id, code, duration, content)
+    def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
+        """Take the end of a run; `content` is its result in base64."""
+        self.runs.run_ended(self._bound_controller(), request_id, outcome, duration_ms, content)
 
     def command_unknown(self, command: str, request_id: str) -> None:
         """Take that the worker pool did not carry out a command."""
         self.runs.command_unknown(self._bound_controller(), command, request_id)
 
-    def call_ended(self, number: int, code: str, reply: bytes) -> None:
+    def call_ended(self, number: int, outcome: Outcome, reply: bytes) -> None:
         """Take the outcome of a call to the records service."""
-        self.runs.call_ended(self._bound_controller(), number, code, reply)
+        self.runs.call_ended(self._bound_controller(), number, outcome, reply)
 
     def call_timed_out(self, number: int) -> None:
         """Take that the deadline of a call has passed, also if it has ended before."""
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -51,7 +51,7 @@
                 raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, f"id {rpc_id} is in use")
             if rpc_id is None:
                 self._handle_notification(client, method, params)
-            elif method == "check":
+            elif method == json_rpc.HEALTH_CHECK:
                 client.reply(json_rpc.health(rpc_id, self.target.ready))
             else:
                 self._handle_request(client, method, rpc_id, params)
@@ -89,7 +89,7 @@
         request = json_rpc.decode_request(params, rpc_id, time.time() * 1000.0)
         tenant = NO_TENANT if request.tenant is None else self.target.tenants.get(request.tenant)
         if tenant is None:
-            raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+            raise json_rpc.UnknownTenantError(rpc_id)
         client.open_requests.add(rpc_id)
         incoming = IncomingRequest(
             rpc_id=rpc_id,
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -6,6 +6,7 @@
 from contextlib import suppress
 from typing import Any, NamedTuple, Protocol
 
+from vetchford.admission.request import Outcome
 from vetchford.protocol import records_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.runtime.actor import PooledActor
@@ -17,8 +18,7 @@
 MAX_CALLS_PER_CONNECTION = 256  # it remembers each; a new connection costs less than a call does
 CONNECT_TIMEOUT = 1.0  # s: past it the connection counts as refused, and no call was sent on it
 
-SEVERED, REFUSED = "severed", "refused_conn"  # outcomes in the words of the admission policy
-REUSABLE_AFTER = ("completed", "saturated", "errored")  # outcomes that a whole reply told
+REUSABLE_AFTER = (Outcome.COMPLETED, Outcome.SATURATED, Outcome.ERRORED)  # a whole reply was received
 
 
 class RecordsCall(NamedTuple):
@@ -34,7 +34,7 @@
 class CallResult(NamedTuple):
     """What came of a call."""
 
-    outcome: str | None  # None: the call was cancelled before it was sent
+    outcome: Outcome | None  # None: the call was cancelled before it was sent
     reply: bytes
 
 
@@ -85,7 +85,7 @@
 
     def make_call(self, call: RecordsCall) -> None:
         """Make a call, wait for its reply and post the outcome to the admission actor."""
-        result = CallResult(SEVERED, b"")  # unless more is known: it may have run
+        result = CallResult(Outcome.SEVERED, b"")  # unless more is known: it may have run
         try:
             result = self._exchange(call)
         except UnreadableStreamError as error:
@@ -115,7 +115,7 @@
                 self.sock = self._connect()
             except OSError as error:
                 self.metrics.log_sampled("records_refused", problem=str(error))
-                return CallResult(REFUSED, b"")
+                return CallResult(Outcome.REFUSED_CONNECTION, b"")
             self.metrics.increment("records_connected")
         timeout_ms = int(call.deadline - time.time() * 1000.0)
         if timeout_ms < 1 or self.cancelled:
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -3,7 +3,7 @@
 import hashlib
 
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.request import RequestArrival
+from vetchford.admission.request import Outcome, RequestArrival
 from vetchford.admission.settings import Effect
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
@@ -39,9 +39,9 @@
         if self.requests.find(request.request_id) is None:
             self._admit(controller, client, request)
             return
-        code, problem = json_rpc.INVALID_PARAMS, "field 'txn' is in use"
-        self.metrics.log_sampled("balancer_bad_message", code=code, problem=problem)
-        client.answer(request.rpc_id, json_rpc.error(request.rpc_id, code, problem))
+        error = json_rpc.RequestIdInUseError(request.rpc_id)
+        self.metrics.log_sampled("balancer_bad_message", code=error.code, problem=str(error))
+        client.answer(request.rpc_id, json_rpc.error(request.rpc_id, error.code, str(error)))
 
     def client_gone(self, controller: AdmissionController, client: Client) -> None:
         """Give up what is unanswered of a client whose connection broke."""
@@ -64,9 +64,9 @@
         index, result = shared
         if not self.requests.is_unanswered(index):
             return
-        code = "completed" if result.completed else "errored"
-        self.answers.run_ended(self.requests[index], code, result.content)
-        controller.run_ended(self.clock.now(), index, code, 0.0)
+        outcome = Outcome.COMPLETED if result.completed else Outcome.ERRORED
+        self.answers.run_ended(self.requests[index], outcome, result.content)
+        controller.run_ended(self.clock.now(), index, outcome, 0.0)
 
     def _admit(self, controller: AdmissionController, client: Client, request: IncomingRequest) -> None:
         now, arrived_at = self.clock.now(), request.arrived_at - self.clock.origin
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -2,6 +2,7 @@
 
 import math
 
+from vetchford.admission.request import Outcome
 from vetchford.protocol import json_rpc
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.request_table import RequestEntry, RequestTable
@@ -12,7 +13,8 @@
 
     def __init__(self, requests: RequestTable, metrics: Metrics) -> None:
         """Answer the requests of this table."""
-        self.requests, self.metrics = requests, metrics
+        self.requests = requests
+        self.metrics = metrics
 
     def complete(self, entry: RequestEntry, content: str) -> None:
         """Answer with the result of a run, in base64."""
@@ -26,11 +28,11 @@
         """Answer that it never ran: `retry_after` in ms, 0 for none; `terminal`: not to be sent again."""
         self._send(entry, json_rpc.rejected(entry.rpc_id, terminal, retry_after), counter)
 
-    def run_ended(self, entry: RequestEntry, code: str, content: str) -> None:
+    def run_ended(self, entry: RequestEntry, outcome: Outcome, content: str) -> None:
         """Answer by how the run ended, unless another answer was sent before."""
         if entry.answered:
             self.metrics.increment("runs_unwanted")
-        elif code == "completed":
+        elif outcome == Outcome.COMPLETED:
             self.complete(entry, content)
         else:
             self.fail(entry)
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -3,7 +3,8 @@
 from typing import TYPE_CHECKING
 
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.request import RequestState
+from vetchford.admission.request import Outcome, RequestState
+from vetchford.protocol import worker_pool_lines
 from vetchford.server.idempotency_cache import RunResult
 from vetchford.server.request_admission import RequestAdmission
 from vetchford.server.server_actions import SharedResult
@@ -27,10 +28,14 @@
         self, state: ServerState, admission: RequestAdmission, load_sampler: "LoadSampler | None"
     ) -> None:
         """Take events about the requests of `state`; `load_sampler` is shown the outcomes of calls."""
-        self.admission, self.metrics, self.clock = admission, state.metrics, state.clock
-        self.requests, self.answers = state.requests, state.answers
+        self.admission = admission
+        self.metrics = state.metrics
+        self.clock = state.clock
+        self.requests = state.requests
+        self.answers = state.answers
         self.idempotency_cache = state.idempotency_cache
-        self.commands, self.calls = state.commands, state.calls
+        self.commands = state.commands
+        self.calls = state.calls
         self.load_sampler = load_sampler
 
     def run_blocked(self, controller: AdmissionController, request_id: str, notice: int, body: bytes) -> None:
@@ -39,30 +44,36 @@
         if index is None:
             return
         entry = self.requests[index]
-        entry.command, entry.blocked_notice, entry.call_body = None, notice, body
-        if (
-            controller.workload.dependency is None
-        ):  # there is no dependency: the controller would fail in each tick
+        entry.command = None
+        entry.blocked_notice = notice
+        entry.call_body = body
+        if controller.workload.dependency is None:  # the controller would fail in each tick
             self._count_odd_notice(request_id, known=True)
             return
         controller.run_blocked(self.clock.now(), index)
 
     def run_ended(
-        self, controller: AdmissionController, request_id: str, code: str, duration: float, content: str
+        self,
+        controller: AdmissionController,
+        request_id: str,
+        outcome: Outcome,
+        duration_ms: float,
+        content: str,
     ) -> None:
-        """Take the end of a run: its outcome, the ms it took and its result in base64."""
+        """Take the end of a run; `content` is its result in base64."""
         index = self._find_run(controller, request_id, STARTED_STATES)
         if index is None:
             return
         entry = self.requests[index]
-        entry.command, entry.content = None, ""
+        entry.command = None
+        entry.content = ""
         self.calls.cancel(entry)
-        if code == "superseded":  # it never ran: a request with its key is no repeat of it
+        if outcome == Outcome.SUPERSEDED:  # it never ran: a request with its key is no repeat of it
             self.idempotency_cache.forget(index)
-        self.answers.run_ended(entry, code, content)
-        result = RunResult(code == "completed", content)
+        self.answers.run_ended(entry, outcome, content)
+        result = RunResult(outcome == Outcome.COMPLETED, content)
         followers = self.idempotency_cache.run_ended(index, result)
-        controller.run_ended(self.clock.now(), index, code, duration)
+        controller.run_ended(self.clock.now(), index, outcome, duration_ms)
         for follower in followers:
             self.admission.deliver_shared_result(controller, SharedResult(follower, result))
 
@@ -70,43 +81,47 @@
         """Take that the worker pool did not carry out a command."""
         self.metrics.log_sampled("pool_unknown", command=command, task=request_id)
         index = self.requests.find(request_id)
-        if command != "spawn" or index is None:
+        if command != worker_pool_lines.SPAWN or index is None:
             return
         # No end of this run will ever be reported.
         client = self.requests[index].client
         # Before this end frees a core for its next request.
         self.admission.reject_queued_of(controller, client)
-        self.run_ended(controller, request_id, "superseded", 0.0, "")
+        self.run_ended(controller, request_id, Outcome.SUPERSEDED, 0.0, "")
         client.run_or_post(client.stop_reading)
 
-    def call_ended(self, controller: AdmissionController, number: int, code: str, reply: bytes) -> None:
+    def call_ended(
+        self, controller: AdmissionController, number: int, outcome: Outcome, reply: bytes
+    ) -> None:
         """Take the outcome of a call to the records service."""
         call = self.calls.end(number)
         if call is None:
             self.metrics.increment("calls_late")
             return
         index = call.request_index
-        entry, duration = self.requests[index], self.clock.now() - call.started_at
+        entry = self.requests[index]
+        duration_ms = self.clock.now() - call.started_at
         entry.call_number = 0
-        self.metrics.increment("calls_" + code)
+        self.metrics.increment("calls_" + outcome)
         if self.load_sampler is not None:
-            self.load_sampler.call_ended(self.clock.now(), code, duration)
-        if code == "completed":
+            self.load_sampler.call_ended(self.clock.now(), outcome, duration_ms)
+        if outcome == Outcome.COMPLETED:
             self.commands.supply_reply(entry, reply)
-        controller.call_ended(self.clock.now(), index, code, duration)
+        controller.call_ended(self.clock.now(), index, outcome, duration_ms)
 
     def call_timed_out(self, controller: AdmissionController, number: int) -> None:
         """Give up a call at its deadline, if it is still in flight."""
         index = self.calls.find(number)
         if index is not None:
             self.calls.records.cancel_call(self.requests[index].request_id, number)
-            self.call_ended(controller, number, "overdue", b"")
+            self.call_ended(controller, number, Outcome.OVERDUE, b"")
 
     def _find_run(
         self, controller: AdmissionController, request_id: str, states: tuple[int, ...]
     ) -> int | None:
         """Return the request of a notice; None, counted, where the notice can't be about a run of it."""
-        index, requests = self.requests.find(request_id), controller.workload.requests
+        index = self.requests.find(request_id)
+        requests = controller.workload.requests
         if index is None or index not in requests or requests[index].state not in states:
             self._count_odd_notice(request_id, known=index is not None)
             return None
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -7,7 +7,7 @@
 
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded
+from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded, UnknownMessageError
 from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
@@ -164,14 +164,15 @@
                 admission.worker_pool_bound, self.link, *worker_pool_lines.decode_pool_bound(fields)
             )
         elif message_type == worker_pool_lines.UNKNOWN:
-            command, name = str(fields.get("state"))[:20], str(fields.get("job"))[:64]
-            admission.post_when_room(admission.command_unknown, command, name)
+            admission.post_when_room(
+                admission.command_unknown, *worker_pool_lines.decode_command_unknown(fields)
+            )
         else:
-            self.metrics.log_sampled("pool_bad_line", problem="field 'type' names no message")
+            raise UnknownMessageError(message_type)
 
     def _handle_notice(self, notice_type: str, fields: dict[str, Any]) -> None:
-        number = fields.get("n")
-        if not isinstance(number, int):
+        number = worker_pool_lines.notice_number(fields)
+        if number is None:
             self._post_notice(worker_pool_lines.decode_notice(notice_type, fields))
             return
         if number <= self.last_notice:
@@ -188,7 +189,7 @@
             self.last_notice = number
             if notice_type == worker_pool_lines.FINISHED:
                 # The run is over all the same, and must not hold a core's place.
-                self._post_notice(RunEnded(str(fields.get("job")), "errored", 0.0, ""))
+                self._post_notice(worker_pool_lines.unreadable_end(fields))
             raise
         self.last_notice = number
         self._post_notice(notice)
