--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -114,12 +114,15 @@
 
 def test_the_last_look_sees_what_stands_unread(entrance, monkeypatch):
     """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
-    monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT", 0.0)
+    monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = entrance.listener
     client = Balancer(entrance.port)
     client.ask(1)
     listener.close()  # the poller does not run yet: the process was paused
-    until(lambda: all(connection.close_requested_at for connection in listener.connections), "asked to close")
+    until(
+        lambda: all(connection.state.close_requested_at_s for connection in listener.connections),
+        "asked to close",
+    )
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
     entrance.finish(*entrance.request())
@@ -129,7 +132,7 @@
 
 def test_a_message_begun_before_closing_is_waited_for(entrance, monkeypatch):
     """Half a request was read; the listener closes, the time after `closing` passes; then comes the rest."""
-    monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT", 0.0)
+    monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = entrance.listener
     listener.start()
     client = Balancer(entrance.port)
@@ -139,7 +142,7 @@
     send(whole[0][:60])
     until(
         lambda: any(
-            c.message_started_at < 1e300 and listener.idle_poller.is_waiting(c) for c in listener.connections
+            c.state.message_has_started() and listener.idle_poller.is_waiting(c) for c in listener.connections
         ),
         "half is read",
     )
@@ -154,7 +157,7 @@
 
 def test_one_that_speaks_as_it_is_let_go_is_read_on(entrance, monkeypatch):
     """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
-    monkeypatch.setattr(connection_limits, "FIRST_MESSAGE_TIMEOUT", 0.05)
+    monkeypatch.setattr(connection_limits, "FIRST_MESSAGE_TIMEOUT_S", 0.05)
     listener, checkpoint = entrance.listener, Checkpoint()
     read_before_close, over = ClientConnection.read_before_close, threading.Event()
 
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -81,7 +81,7 @@
     connection = ClientConnection(ours, doors, Metrics())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
         doors.connections = set(range(held))
-        assert not connection.check_timeouts(connection.last_active_at + stays)
-        assert connection.check_timeouts(connection.last_active_at + stays + 0.15)
+        assert not connection.check_timeouts(connection.state.last_active_at_s + stays)
+        assert connection.check_timeouts(connection.state.last_active_at_s + stays + 0.15)
     for part in (ours, theirs, doors.sock):
         part.close()
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -1,10 +1,8 @@
 """One connection of a client (a balancer): reads its messages and writes the answers.
 
-The module is one thing although it is long: reading, writing and closing share the state that decides when
-a connection may be closed without losing an answer.
+The actor owns the socket; `connection_state` decides what the connection waits for and when it is closed.
 """
 
-import math
 import socket
 import threading
 import time
@@ -18,6 +16,8 @@
 from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server import connection_limits
 from vetchford.server.client_messages import MessageHandler, RequestTarget
+from vetchford.server.connection_limits import Crowding
+from vetchford.server.connection_state import CloseStep, ConnectionState, Reading, TimeoutAction
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
@@ -29,8 +29,8 @@
     idle_poller: IdleConnectionPoller
     messages: MessageHandler
 
-    def is_fuller_than(self, share: float) -> bool:
-        """Return whether more than this share of the connection table is in use."""
+    def crowding(self) -> Crowding:
+        """Return how full the connection table is."""
 
     def remove(self, connection: "ClientConnection") -> None:
         """Take a closed connection out of the table."""
@@ -49,30 +49,18 @@
         self.sock = sock
         self.owner = owner
         self.admission = owner.admission
-        self.open_requests: set[int | str] = set()  # ids that were read and whose answers haven't been sent
-        self.last_active_at = time.monotonic()
+        self.state = ConnectionState(time.monotonic(), self.mailbox.empty)
+        self.open_requests = self.state.open_requests
 
         # Reading.
         self.receive_buffer: ReceiveBuffer | None = None  # only while part of a message was received
-        self.message_started_at = math.inf  # monotonic seconds; infinite between messages
         self.bad_message_count = 0
-        self.has_sent_message = False  # whether the client ever sent a whole message
         self.is_last_read = False  # the reader doesn't wait for more bytes
         self.reading_stopped = False  # its requests are not trusted any more
-        self.discarding = False  # the stream can't be parsed any further
-        self.discarded_bytes = 0
-        self.reading_done = False  # nothing more is read
 
         # Writing.
         self.outgoing: list[bytes] = []  # written at the end of each batch of entries
         self.reply_slots = threading.BoundedSemaphore(connection_limits.MAX_UNWRITTEN_REPLIES)
-        self.has_answered = False
-        self.writing = False
-
-        # Closing.
-        self.broken = False  # no answer can reach the client any more
-        self.close_requested_at = 0.0  # when `closing` was sent, in monotonic seconds; 0.0 if it wasn't
-        self.ends_after_answers = False  # the sending side is shut down behind the last open answer
 
     # -- reading, on a reader thread
 
@@ -85,20 +73,19 @@
 
     def read_before_close(self) -> None:
         """Handle what has arrived since the connection timed out; end it unless that was a message."""
-        if self._message_has_started():
+        state = self.state
+        if state.message_has_started():
             self._stop_parsing("a message was begun and not ended")
-        was_silent = not self.has_sent_message
+        was_silent = not state.has_sent_message
         self.is_last_read = True
         more = self._receive()
-        sent_first_message = was_silent and self.has_sent_message
-        has_spoken = sent_first_message or self.open_requests or self._message_has_started()
-        if more and has_spoken and not self.discarding:
+        if more and state.has_spoken(was_silent) and state.reading is not Reading.DISCARDING:
             # The client sent a message while it timed out, and may send more before it learns of the close.
             # Closing with that unread would reset the connection and lose the answer.
             self.is_last_read = False
             self._wait_for_bytes()
             return
-        if not self.has_sent_message:
+        if not state.has_sent_message:
             self.metrics.increment("connections_silent")
         self._finish_reading()
 
@@ -108,7 +95,7 @@
         except OSError as error:
             # Unwatched it would stay in the table for ever, neither read nor closed.
             self.metrics.log_sampled("connections_not_watched", problem=str(error))
-            self.broken = True
+            self.state.broken = True
             self._finish_reading()
 
     def _receive(self) -> bool:
@@ -116,11 +103,11 @@
         try:
             return self._receive_until_blocked()
         except OSError:
-            self.broken = True
+            self.state.broken = True
         except UnreadableStreamError as error:
             self._stop_parsing(str(error))
         except Exception as error:
-            self.broken = True
+            self.state.broken = True
             self.metrics.report_internal_error("connection-reader", error)
         return False
 
@@ -136,38 +123,37 @@
                 break
             if not count:
                 return False
-            if self.discarding:
-                self.discarded_bytes += count
-                if not self.open_requests and self.discarded_bytes > connection_limits.MAX_DISCARDED_BYTES:
+            if self.state.reading is Reading.DISCARDING:
+                if not self.state.bytes_discarded(count):
                     return False
             else:
                 buffer.add_received(count)
                 self._handle_messages(buffer)
-        if self.message_started_at == math.inf:
+        if not self.state.message_has_started():
             self.receive_buffer = None  # hundreds of idle connections keep no buffers
         return True
 
     def _may_wait_for_message(self) -> bool:
-        """Return whether to block for READ_WAIT_TIMEOUT, which saves the way through the poller."""
-        return self.has_answered and not self.is_last_read and self.owner.reader_threads.has_spare_threads()
+        """Return whether to block for READ_WAIT_TIMEOUT_S, which saves the way through the poller."""
+        if not self.state.has_answered or self.is_last_read:
+            return False
+        return self.owner.reader_threads.has_spare_threads()
 
     def _handle_messages(self, buffer: ReceiveBuffer) -> None:
+        state = self.state
         try:
             while (body := json_rpc.next_body(buffer)) is not None:
-                self.last_active_at = time.monotonic()
-                self.has_sent_message = True
+                state.message_received(time.monotonic())
                 if self.reading_stopped:
                     raise UnreadableStreamError("its tasks are unknown to the worker pool")
                 self.owner.messages.handle(self, body)
-                self.message_started_at = math.inf  # the bytes behind it are the next message
+                state.message_handled()
         except UnreadableStreamError as error:
             self._stop_parsing(str(error))
             buffer.start = buffer.end = 0
             return
         if buffer.start < buffer.end:
-            self.message_started_at = min(self.message_started_at, time.monotonic())
-        else:
-            self.message_started_at = math.inf
+            state.message_continues(time.monotonic())
 
     def _stop_parsing(self, reason: str) -> None:
         """Send `reason` as an error, and discard what still arrives until all open requests are answered.
@@ -175,15 +161,13 @@
         Closed with bytes unread, the system would reset the connection, and answers would be lost.
         """
         self.metrics.log_sampled("balancer_unfollowable", problem=reason)
-        self.discarding = True
-        self.message_started_at = math.inf
-        self.last_active_at = time.monotonic()
+        self.state.parsing_failed(time.monotonic())
         if self.reply_slots.acquire(blocking=False):
             self.run_or_post(self._write_reply, json_rpc.error(None, json_rpc.INVALID_REQUEST, reason))
         self.run_or_post(self._end_after_answers)
 
     def _finish_reading(self) -> None:
-        if self.broken:
+        if self.state.broken:
             self.admission.post(self.admission.client_gone, self)
         self.run_or_post(self._set_reading_done)
 
@@ -195,55 +179,24 @@
 
     # -- timeouts, on the polling thread and on that of the admission actor
 
-    def check_timeouts(self, now: float) -> bool:
-        """Return whether the connection has timed out at `now` (monotonic seconds) and is to be closed.
+    def check_timeouts(self, now_s: float) -> bool:
+        """Return whether the connection has timed out at `now_s` (monotonic) and is to be closed.
 
         One that is idle for too long is first asked to close, which takes effect at a later check.
         """
-        if now - self.message_started_at > connection_limits.MESSAGE_TIMEOUT:
-            return True
-        if self.open_requests:
-            return False
-        idle_for = now - self.last_active_at
-        if self.discarding:
-            return idle_for > connection_limits.DISCARD_TIMEOUT
-        if not self.has_sent_message:
-            return idle_for > self._first_message_timeout()
-        if self.close_requested_at:
-            return self.is_finished(now, self._close_timeout())
-        if idle_for > connection_limits.IDLE_TIMEOUT:
+        action = self.state.timeout_action(now_s, self.owner.crowding)
+        if action is TimeoutAction.REQUEST_CLOSE:
             self.metrics.increment("connections_asked_to_close")
             self.run_or_post(self.request_close)
-        return False
+        return action is TimeoutAction.CLOSE
 
-    def _first_message_timeout(self) -> float:
-        if self.owner.is_fuller_than(connection_limits.NEARLY_FULL_SHARE):
-            return connection_limits.NEARLY_FULL_TIMEOUT
-        if self.owner.is_fuller_than(connection_limits.CROWDED_SHARE):
-            return connection_limits.CROWDED_FIRST_MESSAGE_TIMEOUT
-        return connection_limits.FIRST_MESSAGE_TIMEOUT
-
-    def _close_timeout(self) -> float:
-        if self.owner.is_fuller_than(connection_limits.NEARLY_FULL_SHARE):
-            return connection_limits.NEARLY_FULL_TIMEOUT
-        if self.owner.is_fuller_than(connection_limits.CROWDED_SHARE):
-            return connection_limits.DRAIN_CLOSE_TIMEOUT
-        return connection_limits.CLOSE_TIMEOUT
-
-    def is_finished(self, now: float, close_timeout: float) -> bool:
-        """Return whether it was asked to close `close_timeout` seconds ago and nothing is left to do."""
-        # A message that has started is owed an answer once it is whole; MESSAGE_TIMEOUT bounds the wait.
-        quiet = (
-            not self.open_requests
-            and not self.writing
-            and not self._message_has_started()
-            and self.mailbox.empty()
-        )
-        return self.broken or quiet and 0.0 < self.close_requested_at < now - close_timeout
+    def is_finished(self, now_s: float, close_timeout_s: float) -> bool:
+        """Return whether it was asked to close `close_timeout_s` ago, and nothing is left to do."""
+        return self.state.is_finished(now_s, close_timeout_s)
 
     def has_unread_bytes(self) -> bool:
         """Return whether bytes wait that were not handled yet, in the system's buffer or with a reader."""
-        if self.discarding or self.reading_done or self.broken:  # what still arrives is not answered
+        if self.state.ignores_input():
             return False
         try:
             if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
@@ -253,9 +206,6 @@
         # After the peek: what was received before it is with a reader, or among the open requests by now.
         return self.running and not self.owner.idle_poller.is_waiting(self)
 
-    def _message_has_started(self) -> bool:
-        return self.message_started_at < math.inf and not self.discarding
-
     # -- writing: entries of the actor
 
     def answer(self, rpc_id: int, parts: list[bytes]) -> None:
@@ -263,8 +213,7 @@
         self.run_or_post(self._write_answer, rpc_id, parts)
 
     def _write_answer(self, rpc_id: int, parts: list[bytes]) -> None:
-        self.writing = self.has_answered = True
-        self.open_requests.discard(rpc_id)  # before it is sent: the client may use the id again at once
+        self.state.answer_queued(rpc_id)
         self.outgoing += parts
 
     def _write_reply(self, parts: list[bytes]) -> None:
@@ -273,9 +222,9 @@
 
     def request_close(self) -> None:
         """Ask the client to close the connection; an entry of the actor."""
-        if not self.close_requested_at:
+        if self.state.close_requested_at_s is None:
             self.outgoing += json_rpc.closing()
-            self.close_requested_at = time.monotonic()
+            self.state.close_requested(time.monotonic())
 
     def stop_reading(self) -> None:
         """Read nothing more, as the worker pool doesn't know its requests; an entry of the actor."""
@@ -285,30 +234,30 @@
 
     def _end_after_answers(self) -> None:
         self.request_close()
-        self.ends_after_answers = True
+        self.state.ends_after_answers = True
 
     def _set_reading_done(self) -> None:
-        self.reading_done = True
+        self.state.reading_done = True
 
     def on_idle(self) -> None:
-        """Write what a batch of entries left, blocking for WRITE_TIMEOUT at most; then close if finished."""
+        """Write what a batch of entries left, for WRITE_TIMEOUT_S at most; then close if finished."""
         if self.outgoing:
             self._write_all()
-            self.last_active_at = time.monotonic()
-        self.writing = False
+            self.state.last_active_at_s = time.monotonic()
+        self.state.writing = False
         self._close_if_finished()
 
     def flush_nonblocking(self) -> None:
         """Write what the system takes at once; the rest is left to `on_idle` on a thread of the pool."""
-        self.last_active_at = time.monotonic()
-        if self.broken:
+        self.state.last_active_at_s = time.monotonic()
+        if self.state.broken:
             self.outgoing = []
         try:
             if self.outgoing:
                 self.outgoing = send_now(self.sock, self.outgoing)
         except OSError:
             self._on_write_failed()
-        self.writing = bool(self.outgoing)
+        self.state.writing = bool(self.outgoing)
         if not self.outgoing:
             self._close_if_finished()
 
@@ -317,8 +266,9 @@
         return bool(self.outgoing)
 
     def _write_all(self) -> None:
-        parts, self.outgoing = self.outgoing, []
-        if self.broken:
+        parts = self.outgoing
+        self.outgoing = []
+        if self.state.broken:
             return
         try:
             send_parts(self.sock, parts)
@@ -326,18 +276,16 @@
             self._on_write_failed()
 
     def _on_write_failed(self) -> None:
-        self.broken = True
+        self.state.broken = True
         self.outgoing = []
         shut(self.sock)
         self.admission.post(self.admission.client_gone, self)
 
     def _close_if_finished(self) -> None:
-        if not self.mailbox.empty() or self.open_requests and not self.broken:
-            return
-        if self.ends_after_answers:
-            self.ends_after_answers = False
-            shut(self.sock, socket.SHUT_WR)
-        if self.reading_done and self.running:
-            self.running = False
-            self.sock.close()
-            self.owner.remove(self)
+        for step in self.state.close_steps():
+            if step is CloseStep.STOP_SENDING:
+                shut(self.sock, socket.SHUT_WR)
+            else:
+                self.running = False
+                self.sock.close()
+                self.owner.remove(self)
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -12,8 +12,11 @@
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
 from vetchford.server.client_messages import MessageHandler
+from vetchford.server.connection_limits import Crowding
 from vetchford.server.idle_poller import IdleConnectionPoller
 
+MS_PER_S = 1000.0
+
 
 class Listener:
     """The listening socket, the thread that accepts from it, and the table of open connections.
@@ -79,16 +82,16 @@
                 self.free_slots.release()
                 if not self.closing:
                     self.metrics.log_sampled("accept_failed", problem=str(error))
-                    time.sleep(connection_limits.ACCEPT_RETRY_DELAY)
+                    time.sleep(connection_limits.ACCEPT_RETRY_DELAY_S)
                 continue
             if not accepted:
                 self.free_slots.release()
-            elif self.is_fuller_than(connection_limits.CROWDED_SHARE):
+            elif self.crowding() is not Crowding.NORMAL:
                 self._close_longest_idle()
 
     def _reserve_slot(self) -> bool:
         """Wait for a free place in the table; return False if the listener is closing."""
-        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL):
+        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL_S):
             if self.closing:
                 return False
             self._close_longest_idle()
@@ -110,8 +113,8 @@
         """Put an accepted connection into the table and wait for its bytes; return False if it was lost."""
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT)
-            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT)
+            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT_S)
+            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT_S)
             connection = ClientConnection(sock, self, self.metrics)
             with self.lock:
                 self.connections.add(connection)
@@ -127,9 +130,14 @@
 
     # -- the table
 
-    def is_fuller_than(self, share: float) -> bool:
-        """Return whether more than this share of the table is in use."""
-        return len(self.connections) > share * self.max_connections
+    def crowding(self) -> Crowding:
+        """Return how full the table is; may be called from any thread."""
+        count = len(self.connections)
+        if count > connection_limits.NEARLY_FULL_SHARE * self.max_connections:
+            return Crowding.NEARLY_FULL
+        if count > connection_limits.CROWDED_SHARE * self.max_connections:
+            return Crowding.CROWDED
+        return Crowding.NORMAL
 
     def remove(self, connection: ClientConnection) -> None:
         """Take a closed connection out of the table."""
@@ -140,34 +148,36 @@
 
     def _close_longest_idle(self) -> None:
         """Ask the connections that were idle for longest to close, down to the crowded share."""
-        now = time.monotonic()
-        with self.lock:
-            staying = [connection for connection in self.connections if not connection.close_requested_at]
+        idle_since_s = time.monotonic() - connection_limits.CROWDED_IDLE_TIMEOUT_S
+        staying = self._staying()
         idle = [
             connection
             for connection in staying
-            if connection.has_sent_message
-            and not connection.open_requests
-            and now - connection.last_active_at > connection_limits.CROWDED_IDLE_TIMEOUT
+            if connection.state.has_sent_message and connection.state.is_idle_since(idle_since_s)
         ]
-        idle.sort(key=lambda connection: connection.last_active_at)
+        idle.sort(key=lambda connection: connection.state.last_active_at_s)
         excess = len(staying) - int(connection_limits.CROWDED_SHARE * self.max_connections)
         for connection in idle[: max(0, excess)]:
             self._request_close(connection)
 
-    def close_idle(self, keep_for: float) -> None:
-        """Ask the connections to close that were idle for more than `keep_for` milliseconds."""
-        idle_since = time.monotonic() - keep_for / 1000.0
+    def close_idle(self, idle_timeout_ms: float) -> None:
+        """Ask the connections to close that were idle for longer than that."""
+        idle_since_s = time.monotonic() - idle_timeout_ms / MS_PER_S
         with self.lock:
             idle = [
-                connection
-                for connection in self.connections
-                if not connection.open_requests and connection.last_active_at < idle_since
+                connection for connection in self.connections if connection.state.is_idle_since(idle_since_s)
             ]
         for connection in idle:
-            if not connection.close_requested_at:
+            if connection.state.close_requested_at_s is None:
                 self._request_close(connection)
 
+    def _staying(self) -> list[ClientConnection]:
+        """Return the connections that were not asked to close."""
+        with self.lock:
+            return [
+                connection for connection in self.connections if connection.state.close_requested_at_s is None
+            ]
+
     def _request_close(self, connection: ClientConnection) -> None:
         self.metrics.increment("connections_asked_to_close")
         connection.run_or_post(connection.request_close)
@@ -182,9 +192,7 @@
         self.closing = True
         with self.accept_lock:
             self._accept_backlog()
-        with self.lock:
-            staying = [connection for connection in self.connections if not connection.close_requested_at]
-        for connection in staying:
+        for connection in self._staying():
             connection.run_or_post(connection.request_close)
 
     def _accept_backlog(self) -> None:
@@ -208,13 +216,14 @@
 
     def is_drained(self) -> bool:
         """Return whether every request that came through the listener is answered, or can't be any more."""
-        now = time.monotonic()
+        now_s = time.monotonic()
         with self.lock:
             staying = list(self.connections)
 
         def all_finished() -> bool:
             return all(
-                connection.is_finished(now, connection_limits.DRAIN_CLOSE_TIMEOUT) for connection in staying
+                connection.is_finished(now_s, connection_limits.DRAIN_CLOSE_TIMEOUT_S)
+                for connection in staying
             )
 
         # Checked again after the look for unread bytes: the process may have been paused for the whole close
