--- a/tests/runtime/test_log_setup.py
+++ b/tests/runtime/test_log_setup.py
@@ -32,7 +32,7 @@
     writer.close()
     writer.end_by(time.time() - 1.0)
     writer.close()
-    assert waited == [log_setup.FLUSH_TIMEOUT, 0.0]
+    assert waited == [log_setup.FLUSH_TIMEOUT_S, 0.0]
     read.close()
     write.close()
     log_setup.start("error", "text", io.StringIO())
--- a/tests/runtime/test_thread_pool.py
+++ b/tests/runtime/test_thread_pool.py
@@ -28,7 +28,7 @@
     held.set()
     assert done.wait(PATIENCE)
     time.sleep(0)  # past its rest the thread is still there for the next
-    monkeypatch.setattr(thread_pools, "IDLE_THREAD_TIMEOUT", 0.01)
+    monkeypatch.setattr(thread_pools, "IDLE_THREAD_TIMEOUT_S", 0.01)
     again = threading.Event()
     thread_pool.run(again.set)
     assert again.wait(PATIENCE)
--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -19,7 +19,7 @@
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, cold, 5000.0)
-    assert actor.clock.now() >= 5000.0  # what is left of the ramp the controller gets by its clock
+    assert actor.clock.now_ms() >= 5000.0  # what is left of the ramp the controller gets by its clock
     assert actor.controller.workload.settings.warm_up_ms == (18_000.0 if cold else 0.0)
 
 
@@ -46,7 +46,18 @@
     actor.request_arrived(
         peer,
         IncomingRequest(
-            1, "ab", 0, "read", -1, 0, actor.clock.origin + actor.clock.now(), 1e9, 1e9, 1.0, None, ""
+            1,
+            "ab",
+            0,
+            "read",
+            -1,
+            0,
+            actor.clock.origin_unix_ms + actor.clock.now_ms(),
+            1e9,
+            1e9,
+            1.0,
+            None,
+            "",
         ),
     )
     request = actor.controller.workload.requests[0]
@@ -61,13 +72,24 @@
     actor.request_arrived(
         peer,
         IncomingRequest(
-            1, "ab", 0, "read", -1, 0, actor.clock.origin + actor.clock.now(), 1000.0, 20.0, 1.0, None, ""
+            1,
+            "ab",
+            0,
+            "read",
+            -1,
+            0,
+            actor.clock.origin_unix_ms + actor.clock.now_ms(),
+            1000.0,
+            20.0,
+            1.0,
+            None,
+            "",
         ),
     )
     actor.controller.on_tick = lambda *arguments: None
     actor.tick()
     assert "answer" not in [act[0] for act in peer.acts]
-    actor.clock.origin -= 2000.0  # its limit has passed
+    actor.clock.origin_unix_ms -= 2000.0  # its limit has passed
     actor.tick()
     actor.tick()
     assert [act[0] for act in peer.acts].count("answer") == 1
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -85,7 +85,7 @@
     signalled = clocked.now
     clocked.now += 300.0
     clocked.actor.shutdown_requested(signalled, 1000.0, 100.0)
-    assert clocked.actor.shutdown.schedule.kill == signalled + 1000.0
+    assert clocked.actor.shutdown.schedule.kill_at_unix_ms == signalled + 1000.0
     arrived_at = signalled + 150.0  # past the grace: the page forbids to run it
     clocked.actor.request_arrived(
         clocked.peer, IncomingRequest(1, "ab", 0, "read", -1, 0, arrived_at, 500.0, 20.0, 1.0, None, "")
--- a/vetchford/bench_adapter/__main__.py
+++ b/vetchford/bench_adapter/__main__.py
@@ -9,7 +9,8 @@
 def main() -> int:
     """Answer the batches on standard input; 1 where one is malformed, which ends it."""
     link = SimulatorLink()
-    read, write = sys.stdin.buffer, sys.stdout.buffer
+    read = sys.stdin.buffer
+    write = sys.stdout.buffer
     for number, line in enumerate(read, 1):
         try:
             reply = link.exchange(line)
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -17,8 +17,12 @@
 MAX_BODY_BYTES = 8192  # the longest content is 2,732 bytes in base64, the other fields are a few hundred
 MAX_CONTENT_BYTES = 2048  # of a request's decoded content, by the page
 MAX_MEMORY_KB = 2000.0  # that a request may book, by the page
-MAX_ARRIVAL_AGE = 120_000.0  # ms: far more than any deadline and any pause of a machine
-MAX_ARRIVAL_LEAD = 1000.0  # ms: both clocks are one machine's; a later time would add to the deadline
+MAX_ARRIVAL_AGE_MS = 120_000.0  # far more than any deadline and any pause of a machine
+MAX_ARRIVAL_LEAD_MS = 1000.0  # both clocks are one machine's; a later time would add to the deadline
+MAX_REQUEST_ID_LENGTH = 64  # characters
+MAX_TENANT_LENGTH = 256  # characters
+MAX_KEY_LENGTH = 128  # characters
+MIN_MEMORY_KB = 1e-6
 MAX_RPC_ID_LENGTH = 64  # characters: clients count from 1, and an error repeats the id
 MAX_BRACKETS = 32  # in a body: messages need two, and the stack of the JSON parser is small
 MAX_LENGTH_DIGITS = 9  # in a header: longer numbers are not converted
@@ -77,12 +81,12 @@
 class RequestParams(NamedTuple):
     """The parameters of a request; the comments give their names on the wire."""
 
-    name: str  # txn: the id of the request in the other services' messages
-    arrived_at: float  # door: when the balancer received it, in Unix ms
-    client_timeout: float | None  # limit: ms from `arrived_at` that the client waits
+    request_id: str  # txn: its id in the other services' messages
+    arrived_at_unix_ms: float  # door: when it reached the machine
+    client_timeout_ms: float | None  # limit: that the client waits, from the arrival on
     client_number: int  # lb: the number of the balancer; 0 if it sends none
     tenant: str | None  # team
-    work: float | None  # cpu: ms of a core
+    work_ms: float | None  # cpu: of a core
     memory_kb: float  # ram
     idempotency_key: str | None  # unique
     content: str  # content: the body, in base64
@@ -158,25 +162,29 @@
     raise ValueError(f"{name} is no JSON")
 
 
-def decode_request(params: dict[str, Any], rpc_id: int | str | None, now: float) -> RequestParams:
-    """Check the parameters of a request that is read at `now` (Unix ms); raise BadMessageError."""
-    name = _required(_word(params, "txn", 64, rpc_id), "txn", rpc_id)
-    if not name.isalnum():  # it is written into the messages to other services as it is
+def decode_request(params: dict[str, Any], rpc_id: int | str | None, now_unix_ms: float) -> RequestParams:
+    """Return the parameters of a request that is read at `now_unix_ms`.
+
+    Raises:
+        BadMessageError: One is missing or wrong; the text names it.
+    """
+    request_id = _required(_word(params, "txn", MAX_REQUEST_ID_LENGTH, rpc_id), "txn", rpc_id)
+    if not request_id.isalnum():  # it is written into the messages to other services as it is
         raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
-    earliest = now - MAX_ARRIVAL_AGE
-    latest = now + MAX_ARRIVAL_LEAD
-    arrived_at = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
+    earliest = now_unix_ms - MAX_ARRIVAL_AGE_MS
+    latest = now_unix_ms + MAX_ARRIVAL_LEAD_MS
+    arrived_at_unix_ms = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
     _number(params, "standing", 0.0, 1.0, rpc_id)  # checked, and not used
     content = _content(params, rpc_id)
     return RequestParams(
-        name=name,
-        arrived_at=arrived_at,
-        client_timeout=_number(params, "limit", 0.0, MAX_NUMBER, rpc_id),
+        request_id=request_id,
+        arrived_at_unix_ms=arrived_at_unix_ms,
+        client_timeout_ms=_number(params, "limit", 0.0, MAX_NUMBER, rpc_id),
         client_number=int(_number(params, "lb", 0.0, MAX_NUMBER, rpc_id) or 0),
-        tenant=_word(params, "team", 256, rpc_id),
-        work=_number(params, "cpu", 0.0, MAX_NUMBER, rpc_id),
-        memory_kb=_required(_number(params, "ram", 1e-6, MAX_MEMORY_KB, rpc_id), "ram", rpc_id),
-        idempotency_key=_word(params, "unique", 128, rpc_id),
+        tenant=_word(params, "team", MAX_TENANT_LENGTH, rpc_id),
+        work_ms=_number(params, "cpu", 0.0, MAX_NUMBER, rpc_id),
+        memory_kb=_required(_number(params, "ram", MIN_MEMORY_KB, MAX_MEMORY_KB, rpc_id), "ram", rpc_id),
+        idempotency_key=_word(params, "unique", MAX_KEY_LENGTH, rpc_id),
         content=content,
     )
 
@@ -255,15 +263,15 @@
     return _framed(json.dumps(message, separators=(",", ":")).encode())
 
 
-def rejected(rpc_id: int | str | None, terminal: bool, retry_after: float) -> list[bytes]:
+def rejected(rpc_id: int | str | None, terminal: bool, retry_after_ms: float) -> list[bytes]:
     """Encode the answer to a request that was rejected and did not run.
 
-    `terminal` says that it is not to be retried; `retry_after` is the time in ms that the client is asked to
-    wait before it retries, 0.0 for none.
+    `terminal` says that it is not to be retried; `retry_after_ms` is how long the client is asked to stay
+    away, 0.0 for none.
     """
     data: dict[str, Any] = {"giveup": 1} if terminal else {}
-    if retry_after > 0.0:
-        data["later"] = math.ceil(retry_after)
+    if retry_after_ms > 0.0:
+        data["later"] = math.ceil(retry_after_ms)
     return error(rpc_id, REJECTED, "overloaded", **data)
 
 
--- a/vetchford/protocol/receive_buffer.py
+++ b/vetchford/protocol/receive_buffer.py
@@ -41,7 +41,8 @@
     def _move_to_front(self) -> None:
         kept = self.end - self.start
         self.bytes[:kept] = self.bytes[self.start : self.end]
-        self.start, self.end = 0, kept
+        self.start = 0
+        self.end = kept
 
     def _grow(self) -> None:
         # A new object: messages taken before are views of the old bytes, and stay valid.
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -16,7 +16,7 @@
 
 MAX_LINE_BYTES = 65_536  # results of 4 KiB are 5.5 KB in base64; the page sets no bound on calls
 MAX_BRACKETS = 32  # in a line: the stack of the JSON parser is small
-MAX_DURATION = 1e12  # ms
+MAX_DURATION_MS = 1e12
 
 FINISHED = "finished"
 BLOCKED = "blocked"
@@ -129,7 +129,7 @@
 
 def _duration(fields: dict[str, Any]) -> float:
     value = _field(fields, "took", (int, float))
-    if not 0.0 <= value < MAX_DURATION:  # one infinite value would spoil every average it goes into
+    if not 0.0 <= value < MAX_DURATION_MS:  # one infinite value would spoil every average it goes into
         raise BadLineError("field 'took' is no time")
     return float(value)
 
--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -10,7 +10,7 @@
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
 MAILBOX_HIGH_WATER = 500  # entries, of 3 KB at most: a tenth of a second of work, and a MB or two
-HIGH_WATER_INTERVAL = 0.005  # s: the mailbox empties by some fifty entries meanwhile
+HIGH_WATER_INTERVAL_S = 0.005  # the mailbox empties by some fifty entries meanwhile
 BATCH_SIZE = 16  # entries before `on_idle`: what they bring is written at once, and no timer waits for long
 
 
@@ -22,7 +22,8 @@
 
     def __init__(self, name: str, metrics: Metrics) -> None:
         """Call the thread `name`; it is started by `start`."""
-        self.name, self.metrics = name, metrics
+        self.name = name
+        self.metrics = metrics
         self.mailbox: SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = SimpleQueue()
         self.running = True
 
@@ -36,7 +37,7 @@
         For readers of sockets: they stop reading then, and so stop those who write to them.
         """
         while self.mailbox.qsize() > MAILBOX_HIGH_WATER:
-            time.sleep(HIGH_WATER_INTERVAL)
+            time.sleep(HIGH_WATER_INTERVAL_S)
         self.mailbox.put((method, arguments))
 
     def start(self) -> None:
@@ -53,7 +54,8 @@
 
         Waits up to `timeout` seconds for the first entry; None: for as long as it takes.
         """
-        take, count = self.mailbox.get, 0
+        take = self.mailbox.get
+        count = 0
         try:
             method, arguments = take(timeout=timeout)
             while True:
@@ -136,5 +138,6 @@
     def _wake(self) -> bool:
         """Take the actor's place; return whether it was free."""
         with self.lock:
-            was_asleep, self.awake = not self.awake, True
+            was_asleep = not self.awake
+            self.awake = True
         return was_asleep
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -11,6 +11,7 @@
 
 VARIABLE = "VETCHFORD_CLOCK"
 TRUE_CLOCK = "0 1"
+MS_PER_S = 1000.0
 
 
 class Clock:
@@ -25,14 +26,15 @@
         if rate <= 0.0:
             raise ValueError("the rate of a clock must be above 0")
         self.rate = rate
-        self.started, self.started_unix = time.monotonic(), time.time() + offset
+        self.started = time.monotonic()
+        self.started_unix = time.time() + offset
         # As on a machine that was started so long ago: monotonic clocks differ between machines, and begin
         # at 0.
         self.uptime_at_start = abs(offset) if error else self.started
 
     def now(self) -> float:
         """Return monotonic milliseconds."""
-        return (self.uptime_at_start + self._elapsed()) * 1000.0
+        return (self.uptime_at_start + self._elapsed()) * MS_PER_S
 
     def day(self) -> float:
         """Return the Unix time in seconds."""
--- a/vetchford/runtime/log_setup.py
+++ b/vetchford/runtime/log_setup.py
@@ -12,7 +12,7 @@
 import structlog
 
 MAX_QUEUED_LINES = 1000  # a few hundred bytes each; more are dropped, and counted in the next one
-FLUSH_TIMEOUT = 0.2  # s at the end: what the log's reader has not taken by then is dropped
+FLUSH_TIMEOUT_S = 0.2  # at the end: what the log's reader has not taken by then is dropped
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 FORMATS = ("text", "json")
 
@@ -35,7 +35,8 @@
             self.dropped += 1
             return
         if self.dropped:
-            text, self.dropped = f"{text} lines_dropped={self.dropped}", 0
+            text = f"{text} lines_dropped={self.dropped}"
+            self.dropped = 0
         self.lines.put(text)
 
     debug = info = warning = error = msg = line
@@ -52,9 +53,9 @@
         self.close_by = deadline
 
     def close(self) -> None:
-        """Wait until all is written, for `FLUSH_TIMEOUT` at most."""
+        """Wait until all is written, for `FLUSH_TIMEOUT_S` at most."""
         self.lines.put(None)
-        self.thread.join(max(0.0, min(FLUSH_TIMEOUT, self.close_by - time.time())))
+        self.thread.join(max(0.0, min(FLUSH_TIMEOUT_S, self.close_by - time.time())))
 
 
 def start(level: str, log_format: str, file: TextIO = sys.stderr) -> LogWriter:
--- a/vetchford/runtime/thread_pool.py
+++ b/vetchford/runtime/thread_pool.py
@@ -10,8 +10,8 @@
 
 from vetchford.runtime.metrics import Metrics
 
-IDLE_THREAD_TIMEOUT = 0.5  # s that a thread of a pool waits for a job before it ends
-THREAD_RETRY_INTERVAL = 0.05  # s: other threads end meanwhile, as their connections are closed
+IDLE_THREAD_TIMEOUT_S = 0.5  # that a thread of a pool waits for a job before it ends
+THREAD_RETRY_INTERVAL_S = 0.05  # other threads end meanwhile, as their connections are closed
 
 
 def start_thread(run: Callable[[], None], name: str, metrics: Metrics) -> None:
@@ -25,7 +25,7 @@
             return
         except RuntimeError as problem:
             metrics.log_sampled("no_thread", part=name, problem=str(problem))
-            time.sleep(THREAD_RETRY_INTERVAL)
+            time.sleep(THREAD_RETRY_INTERVAL_S)
 
 
 class ThreadPool:
@@ -38,7 +38,8 @@
 
     def __init__(self, metrics: Metrics, max_threads: int) -> None:
         """Start no thread yet."""
-        self.metrics, self.max_threads = metrics, max_threads
+        self.metrics = metrics
+        self.max_threads = max_threads
         self.lock = threading.Lock()
         self.threads = 0
         self.jobs: SimpleQueue[Callable[[], None]] = SimpleQueue()
@@ -74,13 +75,13 @@
         return self.jobs.empty() and self.threads < self.max_threads // 2
 
     def serve(self, job: Callable[[], None], stays: bool = False) -> None:
-        """Do jobs, on a thread of the pool, until there was none for `IDLE_THREAD_TIMEOUT`; or for good."""
+        """Do jobs, on a thread of the pool, until there was none for `IDLE_THREAD_TIMEOUT_S`; or for good."""
         while True:
             self._do(job)
             with self.lock:
                 self.free += 1
             try:
-                job = self.jobs.get(timeout=None if stays else IDLE_THREAD_TIMEOUT)
+                job = self.jobs.get(timeout=None if stays else IDLE_THREAD_TIMEOUT_S)
             except Empty:
                 if self._may_end():
                     return
--- a/vetchford/runtime/timers.py
+++ b/vetchford/runtime/timers.py
@@ -5,12 +5,13 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+MS_PER_S = 1000.0
 MAX_FIRED_AT_ONCE = 64  # timers, before the mailbox is read again
 
 
 def unix_time_ms() -> float:
     """Now, in milliseconds since the Unix epoch."""
-    return time.time() * 1000.0
+    return time.time() * MS_PER_S
 
 
 class ScheduledCall(NamedTuple):
@@ -37,7 +38,7 @@
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next timer is due; None while there is none."""
-        return max(0.0, self.heap[0].due / 1000.0 - time.time()) if self.heap else None
+        return max(0.0, self.heap[0].due / MS_PER_S - time.time()) if self.heap else None
 
     def fire_due(self, run: Callable[..., None]) -> None:
         """Hand each call that is due to `run`, which must not raise; at most `MAX_FIRED_AT_ONCE` of them."""
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -49,8 +49,8 @@
 
 log = structlog.get_logger()
 
-OVERDUE = 30.0  # ms past an answer's due time: the tick before it has answered, and 150 are allowed
-SUMMARY_INTERVAL = 10_000.0  # ms
+OVERDUE_MS = 30.0  # past an answer's due time: the tick before it has answered, and 150 are allowed
+SUMMARY_INTERVAL_MS = 10_000.0
 
 
 class FleetSignals(Protocol):
@@ -83,8 +83,11 @@
     ) -> None:
         """Take the server's settings; without `make_bulkheads` request classes share all capacity."""
         super().__init__("admission", metrics)
-        self.seed, self.settings, self.make_bulkheads = seed, settings, make_bulkheads
-        self.clock, self.timers = ServerClock(), Timers()
+        self.seed = seed
+        self.settings = settings
+        self.make_bulkheads = make_bulkheads
+        self.clock = ServerClock()
+        self.timers = Timers()
         self.gauges = WorkerPoolGauges(settings.gauge_indices())
         self.controller: AdmissionController | None = None
         self.load_sampler: LoadSampler | None = None  # set before `attach`, for a server in a fleet
@@ -110,7 +113,8 @@
             commands=WorkerPoolCommands(worker_pool, requests, self.metrics),
             calls=DependencyCalls(records, self.timers, self.call_timed_out),
         )
-        self.listener, self.registry = listener, registry
+        self.listener = listener
+        self.registry = registry
         self.actions = ServerActions(self.state, listener, registry, self.tick)
         self.admission = RequestAdmission(self.state, self.actions)
         self.runs = RunEvents(self.state, self.admission, self.load_sampler)
@@ -149,13 +153,13 @@
 
     # -- events of the worker pool and the records service
 
-    def worker_pool_bound(self, link: int, cold: bool, started_ago: float) -> None:
-        """Use a new link; `cold`: speed still rises from the worker pool's start, `started_ago` ms ago."""
+    def worker_pool_bound(self, link: int, cold: bool, started_ms_ago: float) -> None:
+        """Use a new link; `cold`: the worker pool's speed still rises, from its start on."""
         self.state.commands.link_bound(link)
         if self.controller is None:
             if self.shutdown.schedule.started():
                 return  # a controller would report readiness, and what came before was rejected
-            self._start_controller(cold, started_ago)
+            self._start_controller(cold, started_ms_ago)
         self.state.commands.poll()  # notices that come before the answer are the replay
 
     def worker_pool_lost(self) -> None:
@@ -189,13 +193,13 @@
         """Take that the deadline of a call has passed, also if it has ended before."""
         self.runs.call_timed_out(self._bound_controller(), number)
 
-    def _start_controller(self, cold: bool, started_ago: float) -> None:
-        self.clock.start(started_ago)
+    def _start_controller(self, cold: bool, started_ms_ago: float) -> None:
+        self.clock.start(started_ms_ago)
         bulkheads = self.make_bulkheads() if self.make_bulkheads else None
         self.controller = factory.build(self.actions, self.seed, self.settings, cold, bulkheads)
         self.actions.controller = self.controller
-        log.info("pool_bound", cold=cold, started_ms_ago=round(started_ago))
-        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
+        log.info("pool_bound", cold=cold, started_ms_ago=round(started_ms_ago))
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL_MS, self.log_summary)
 
     def _bound_controller(self) -> AdmissionController:
         """Return the controller, in events that come only after the worker pool was bound."""
@@ -212,11 +216,11 @@
         with contextlib.ExitStack() as always:
             always.callback(self.shutdown.advance_if_closing)
             always.callback(self._close_idle_connections)
-            always.callback(self._fail_overdue, self.clock.now() - OVERDUE)
-            controller.on_tick(self.clock.now(), self.gauges.core_use(), on_cores)
+            always.callback(self._fail_overdue, self.clock.now_ms() - OVERDUE_MS)
+            controller.on_tick(self.clock.now_ms(), self.gauges.core_use(), on_cores)
 
-    def _fail_overdue(self, before: float) -> None:
-        self.state.answers.fail_overdue(before, self._bound_controller().health.kill_at_ms)
+    def _fail_overdue(self, before_ms: float) -> None:
+        self.state.answers.fail_overdue(before_ms, self._bound_controller().health.kill_at_ms)
 
     def _close_idle_connections(self) -> None:
         if self.actions.idle_timeout_ms < math.inf:
@@ -224,15 +228,17 @@
 
     # -- shutdown
 
-    def shutdown_requested(self, signalled_at: float, stop_ms: float, grace: float) -> None:
-        """Start a graceful shutdown that counts from Unix ms `signalled_at`, however late this is read."""
-        answers_due = self.shutdown.start(signalled_at, stop_ms, grace)
+    def shutdown_requested(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> None:
+        """Start a graceful shutdown that counts from the signal, however late this is read."""
+        answers_due_unix_ms = self.shutdown.start(signalled_at_unix_ms, stop_ms, grace_ms)
         if self.controller is None:  # no ticks come, and nothing can be run: only what was read is answered
             self.registry.post(self.registry.set_readiness, False)
             self.shutdown.advance_repeatedly()
             return
-        origin = self.clock.origin
-        self.controller.start_draining(signalled_at - origin, answers_due - origin)
+        origin_unix_ms = self.clock.origin_unix_ms
+        self.controller.start_draining(
+            signalled_at_unix_ms - origin_unix_ms, answers_due_unix_ms - origin_unix_ms
+        )
 
     # -- load reports and the summary
 
@@ -241,12 +247,13 @@
         controller = self.controller
         if controller is None or self.load_sampler is None:
             return
-        dependency, in_flight = controller.workload.dependency, controller.workload.in_flight
-        usual_duration = dependency.base_time_ms.value if dependency is not None else 0.0
+        dependency = controller.workload.dependency
+        in_flight = controller.workload.in_flight
+        usual_duration_ms = dependency.base_time_ms.value if dependency is not None else 0.0
         figures = self.load_sampler.figures(
-            self.clock.now(),
+            self.clock.now_ms(),
             self.state.calls.start_times(),
-            usual_duration,
+            usual_duration_ms,
             self.metrics.by_name.copy(),
             in_flight.used_bytes,
             in_flight.memory_bytes,
@@ -261,10 +268,10 @@
             )
 
     def log_summary(self) -> None:
-        """Log all counts, now and each `SUMMARY_INTERVAL` from now on."""
+        """Log all counts, now and each `SUMMARY_INTERVAL_MS` from now on."""
         self.metrics.log_summary(
             open=self.state.answers.count_unanswered(),
             connections=len(self.listener.connections),
             known=len(self.state.requests),
         )
-        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL, self.log_summary)
+        self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL_MS, self.log_summary)
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -1,14 +1,16 @@
 """Handles the messages of clients: requests go to the admission actor, all others are replied to here."""
 
-import time
 from typing import Any, Protocol
 
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.protocol.receive_buffer import UnreadableStreamError
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.timers import unix_time_ms
 from vetchford.server import connection_limits
 
+MAX_LOGGED_METHOD = 40  # characters
+MAX_LOGGED_PARAMS = 120  # characters
 NO_TENANT = -1  # the index for a request that names none
 
 
@@ -61,7 +63,9 @@
     def _handle_notification(self, client: Client, method: str, params: dict[str, Any]) -> None:
         # Not counted as bad messages: balancers have been seen to send hundreds at a time, and closing the
         # connection for that would fail its open requests.
-        self.target.metrics.log_sampled("balancer_notification", method=method[:40], params=str(params)[:120])
+        self.target.metrics.log_sampled(
+            "balancer_notification", method=method[:MAX_LOGGED_METHOD], params=str(params)[:MAX_LOGGED_PARAMS]
+        )
         if method in self.target.request_classes:  # a request that could not be answered for want of an id
             client.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
 
@@ -86,21 +90,21 @@
             self.target.metrics.increment("rejected_over_open")
             client.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
-        request = json_rpc.decode_request(params, rpc_id, time.time() * 1000.0)
+        request = json_rpc.decode_request(params, rpc_id, unix_time_ms())
         tenant = NO_TENANT if request.tenant is None else self.target.tenants.get(request.tenant)
         if tenant is None:
             raise json_rpc.UnknownTenantError(rpc_id)
         client.open_requests.add(rpc_id)
         incoming = IncomingRequest(
             rpc_id=rpc_id,
-            request_id=request.name,
+            request_id=request.request_id,
             request_class=request_class,
             method=method,
             tenant=tenant,
-            balancer=request.client_number,
-            arrived_at=request.arrived_at,
-            time_limit=request.client_timeout,
-            cpu_time=request.work,
+            client_number=request.client_number,
+            arrived_at_unix_ms=request.arrived_at_unix_ms,
+            client_timeout_ms=request.client_timeout_ms,
+            work_ms=request.work_ms,
             memory_kb=request.memory_kb,
             idempotency_key=request.idempotency_key,
             content=request.content,
--- a/vetchford/server/dependency_calls.py
+++ b/vetchford/server/dependency_calls.py
@@ -12,7 +12,7 @@
     """A call that has no outcome yet."""
 
     request_index: int
-    started_at: float  # ms by the server's clock
+    started_at_ms: float  # by the server's clock
 
 
 class DependencyCalls:
@@ -20,19 +20,23 @@
 
     def __init__(self, records: RecordsClient, timers: Timers, on_timeout: Callable[[int], None]) -> None:
         """Call `on_timeout` with the number of each call at its deadline, also of calls that have ended."""
-        self.records, self.timers, self.on_timeout = records, timers, on_timeout
+        self.records = records
+        self.timers = timers
+        self.on_timeout = on_timeout
         self.in_flight: dict[int, CallInFlight] = {}  # by number; emptied as calls end or are cancelled
         self.last_number = 0
 
-    def start(self, index: int, entry: RequestEntry, now: float, deadline: float, idempotent: bool) -> None:
-        """Make the call that a run waits for: `now` by the server's clock, `deadline` in Unix ms."""
+    def start(
+        self, index: int, entry: RequestEntry, now_ms: float, deadline_unix_ms: float, idempotent: bool
+    ) -> None:
+        """Make the call that a run waits for; `now_ms` is by the server's clock."""
         self.last_number += 1
         entry.call_number = self.last_number
-        self.in_flight[entry.call_number] = CallInFlight(index, now)
+        self.in_flight[entry.call_number] = CallInFlight(index, now_ms)
         self.records.start_call(
-            entry.request_id, entry.call_number, deadline, entry.call_body, not idempotent
+            entry.request_id, entry.call_number, deadline_unix_ms, entry.call_body, not idempotent
         )
-        self.timers.schedule(deadline, self.on_timeout, entry.call_number)
+        self.timers.schedule(deadline_unix_ms, self.on_timeout, entry.call_number)
 
     def end(self, number: int) -> CallInFlight | None:
         """Forget a call that has an outcome; None where it was given up before."""
@@ -52,4 +56,4 @@
 
     def start_times(self) -> Iterable[float]:
         """Yield when each call in flight was started, in ms by the server's clock."""
-        return (call.started_at for call in self.in_flight.values())
+        return (call.started_at_ms for call in self.in_flight.values())
--- a/vetchford/server/idempotency_cache.py
+++ b/vetchford/server/idempotency_cache.py
@@ -14,7 +14,7 @@
     """The request that holds a key."""
 
     request_index: int
-    until: float  # Unix ms: a request that arrives later is no repeat of it
+    until_unix_ms: float  # a request that arrives later is no repeat of it
 
 
 class IdempotencyCache:
@@ -31,18 +31,20 @@
         self.results: dict[int, RunResult] = {}  # of ended runs whose request holds a key
         self.followers: dict[int, list[int]] = {}  # requests that wait for the run of another
 
-    def remember(self, key: str, index: int, until: float) -> None:
-        """Let the request hold `key` until Unix ms `until`, in place of whichever held it before."""
+    def remember(self, key: str, index: int, until_unix_ms: float) -> None:
+        """Let the request hold `key` until `until_unix_ms`, in place of whichever held it before."""
         previous = self.entries.get(key)
         if previous is not None:
             self.keys.pop(previous.request_index, None)
-        self.entries[key] = KeyEntry(index, until)
+        self.entries[key] = KeyEntry(index, until_unix_ms)
         self.keys[index] = key
 
-    def find_original(self, key: str, arrived_at: float) -> int | None:
-        """Return the request that one which arrived at `arrived_at` repeats, however late it is read."""
+    def find_original(self, key: str, arrived_at_unix_ms: float) -> int | None:
+        """Return the request that one which arrived then repeats, however late it is read."""
         entry = self.entries.get(key)
-        return entry.request_index if entry is not None and arrived_at <= entry.until else None
+        return (
+            entry.request_index if entry is not None and arrived_at_unix_ms <= entry.until_unix_ms else None
+        )
 
     def forget(self, index: int) -> None:
         """Take its key from a request; later ones with this key are no repeats of it."""
--- a/vetchford/server/idle_poller.py
+++ b/vetchford/server/idle_poller.py
@@ -9,7 +9,7 @@
 
 from vetchford.runtime.thread_pool import ThreadPool
 
-TIMEOUT_CHECK_INTERVAL = 0.05  # s between checks for timed-out connections; half of the shortest timeout
+TIMEOUT_CHECK_INTERVAL_S = 0.05  # between checks for timed-out connections; half of the shortest timeout
 MAX_EVENTS_PER_POLL = 64  # connections handed to readers before timeouts are checked again
 
 
@@ -24,8 +24,8 @@
     def read_before_close(self) -> None:
         """Read once more and end the connection if nothing came; called on a reader thread."""
 
-    def check_timeouts(self, now: float) -> bool:
-        """Return whether the connection has timed out at `now` (monotonic seconds)."""
+    def check_timeouts(self, now_s: float) -> bool:
+        """Return whether the connection has timed out at `now_s` (monotonic)."""
 
 
 class IdleConnectionPoller:
@@ -41,7 +41,7 @@
         self.epoll = select.epoll()
         self.waiting: dict[int, PollableConnection] = {}  # by file descriptor
         self.lock = threading.Lock()  # held from the entry in `waiting` until the descriptor is registered
-        self.next_timeout_check = 0.0  # monotonic seconds; used by the polling thread only
+        self.next_timeout_check_s = 0.0  # monotonic; used by the polling thread only
 
     def start(self) -> None:
         """Start the polling thread, which runs for the life of the process."""
@@ -81,18 +81,18 @@
 
     def poll_once(self) -> None:
         """Hand over the connections that have bytes to read, then those that have timed out."""
-        for descriptor, _ in self.epoll.poll(TIMEOUT_CHECK_INTERVAL, MAX_EVENTS_PER_POLL):
+        for descriptor, _ in self.epoll.poll(TIMEOUT_CHECK_INTERVAL_S, MAX_EVENTS_PER_POLL):
             connection = self.waiting.pop(descriptor, None)
             if connection is not None:  # None: it timed out in the last round
                 self.reader_threads.run(connection.read)
-        now = time.monotonic()
-        if now >= self.next_timeout_check:
-            self.next_timeout_check = now + TIMEOUT_CHECK_INTERVAL
-            self._hand_over_timed_out(now)
+        now_s = time.monotonic()
+        if now_s >= self.next_timeout_check_s:
+            self.next_timeout_check_s = now_s + TIMEOUT_CHECK_INTERVAL_S
+            self._hand_over_timed_out(now_s)
 
-    def _hand_over_timed_out(self, now: float) -> None:
+    def _hand_over_timed_out(self, now_s: float) -> None:
         for descriptor, connection in list(self.waiting.items()):
-            if connection.check_timeouts(now):
+            if connection.check_timeouts(now_s):
                 with self.lock:  # not while `resume` is between its two steps
                     del self.waiting[descriptor]
                 # A last read, so that bytes which arrived since the poll are not lost.
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -9,14 +9,13 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import shut, time_limit
 from vetchford.runtime.thread_pool import ThreadPool
+from vetchford.runtime.timers import MS_PER_S
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
 from vetchford.server.client_messages import MessageHandler
 from vetchford.server.connection_limits import Crowding
 from vetchford.server.idle_poller import IdleConnectionPoller
 
-MS_PER_S = 1000.0
-
 
 class Listener:
     """The listening socket, the thread that accepts from it, and the table of open connections.
@@ -220,17 +219,18 @@
         with self.lock:
             staying = list(self.connections)
 
-        def all_finished() -> bool:
-            return all(
-                connection.is_finished(now_s, connection_limits.DRAIN_CLOSE_TIMEOUT_S)
-                for connection in staying
-            )
-
         # Checked again after the look for unread bytes: the process may have been paused for the whole close
         # timeout, with a request unread or just being read.
         return (
             self.closed
-            and all_finished()
+            and _all_finished(staying, now_s)
             and not any(connection.has_unread_bytes() for connection in staying)
-            and all_finished()
+            and _all_finished(staying, now_s)
         )
+
+
+def _all_finished(connections: list[ClientConnection], now_s: float) -> bool:
+    """Return whether nothing is left to do on any of them, nor crosses the notification to close."""
+    return all(
+        connection.is_finished(now_s, connection_limits.DRAIN_CLOSE_TIMEOUT_S) for connection in connections
+    )
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -44,17 +44,22 @@
     def change_address(self, address: tuple[str, int] | None) -> None:
         """Make new calls at `address`; those in flight end on their connections. Any thread may call it."""
         with self.lock:
-            unused, self.idle = (self.idle, []) if address != self.address else ([], self.idle)
+            unused = []
+            if address != self.address:
+                unused = self.idle
+                self.idle = []
             self.address = address
         for connection in unused:
             connection.post(connection.close)
 
-    def start_call(self, name: str, number: int, deadline: float, body: bytes, not_repeatable: bool) -> None:
-        """Make a call for the request `name`, which ends by `deadline` (Unix ms).
+    def start_call(
+        self, name: str, number: int, deadline_unix_ms: float, body: bytes, not_repeatable: bool
+    ) -> None:
+        """Make a call for the request `name`, which ends by `deadline_unix_ms`.
 
         `not_repeatable`: the call must not be made again unless it provably never ran.
         """
-        call = RecordsCall(name, number, deadline, body, not_repeatable)
+        call = RecordsCall(name, number, deadline_unix_ms, body, not_repeatable)
         with self.lock:
             if len(self.in_flight) >= self.max_in_flight:
                 self.waiting.append(call)
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -13,10 +13,11 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import connected, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool
+from vetchford.runtime.timers import unix_time_ms
 
-REUSE_TIMEOUT = 0.5  # s from its last reply: the service closes or forgets idle connections early
+REUSE_TIMEOUT_S = 0.5  # from its last reply: the service closes or forgets idle connections early
 MAX_CALLS_PER_CONNECTION = 256  # it remembers each; a new connection costs less than a call does
-CONNECT_TIMEOUT = 1.0  # s: past it the connection counts as refused, and no call was sent on it
+CONNECT_TIMEOUT_S = 1.0  # past it the connection counts as refused, and no call was sent on it
 
 REUSABLE_AFTER = (Outcome.COMPLETED, Outcome.SATURATED, Outcome.ERRORED)  # a whole reply was received
 
@@ -26,7 +27,7 @@
 
     name: str  # the request's name, which the service answers by
     number: int  # the admission actor's number of the call
-    deadline: float  # Unix ms
+    deadline_unix_ms: float
     body: bytes
     not_repeatable: bool  # must not be made again unless it provably never ran
 
@@ -64,7 +65,7 @@
         # Names that were called with here: a late second reply to one would pass for the reply to its next
         # call. Bounded, as a connection in steady use never ends by being idle.
         self.called_names: set[str] = set()
-        self.last_used_at = 0.0  # monotonic seconds
+        self.last_used_at_s = 0.0  # monotonic
         self.cancelled = False
 
     def is_reusable_for(self, name: str) -> bool:
@@ -73,7 +74,7 @@
             return False
         if len(self.called_names) >= MAX_CALLS_PER_CONNECTION:
             return False
-        if time.monotonic() - self.last_used_at > REUSE_TIMEOUT:
+        if time.monotonic() - self.last_used_at_s > REUSE_TIMEOUT_S:
             return False
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -103,7 +104,7 @@
         if result.outcome and not self.cancelled:
             admission = self.owner.admission
             admission.post(admission.call_ended, call.number, result.outcome, result.reply)
-        self.last_used_at = time.monotonic()
+        self.last_used_at_s = time.monotonic()
         nothing_unread = self.receive_buffer.start == self.receive_buffer.end
         reusable = result.outcome in REUSABLE_AFTER and nothing_unread and not self.cancelled
         self.owner.on_call_ended(call.number, self, reusable)
@@ -117,7 +118,7 @@
                 self.metrics.log_sampled("records_refused", problem=str(error))
                 return CallResult(Outcome.REFUSED_CONNECTION, b"")
             self.metrics.increment("records_connected")
-        timeout_ms = int(call.deadline - time.time() * 1000.0)
+        timeout_ms = int(call.deadline_unix_ms - unix_time_ms())
         if timeout_ms < 1 or self.cancelled:
             return CallResult(None, b"")  # the admission actor has cut it off, or is about to
         self.called_names.add(call.name)
@@ -127,7 +128,7 @@
     def _connect(self) -> socket.socket:
         if self.address is None:
             raise ConnectionRefusedError("there is no records service")
-        return connected(self.address, CONNECT_TIMEOUT)
+        return connected(self.address, CONNECT_TIMEOUT_S)
 
     def _receive_reply(self, sock: socket.socket, name: str) -> CallResult:
         buffer = self.receive_buffer
--- a/vetchford/server/registry_reporter.py
+++ b/vetchford/server/registry_reporter.py
@@ -7,12 +7,12 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 
-# s: an entry of the list expires 3 s after its last report, so that several in a row may be lost.
-REPORT_INTERVAL = 0.25
+# An entry of the list expires 3 s after its last report, so that several in a row may be lost.
+REPORT_INTERVAL_S = 0.25
 
 
 class RegistryReporter(Actor):
-    """Sends a heartbeat each REPORT_INTERVAL and upon each change; all methods run on its own thread."""
+    """Sends a heartbeat each REPORT_INTERVAL_S and upon each change; all methods run on its own thread."""
 
     def __init__(self, address: tuple[str, int], server_name: str, metrics: Metrics) -> None:
         """Create the reporter of `server_name` to the service at `address` (UDP)."""
@@ -21,30 +21,30 @@
         self.server_name = server_name
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.ready: bool | None = None  # None: not known yet, and nothing is reported
-        self.next_report_at = 0.0  # monotonic seconds
+        self.next_report_at_s = 0.0  # monotonic
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Report to `address` from now on, first at once; an entry of the actor."""
         self.address = address
-        self.next_report_at = 0.0
+        self.next_report_at_s = 0.0
 
     def set_readiness(self, ready: bool) -> None:
         """Report `ready` from now on, first at once; an entry of the actor."""
         self.ready = ready
-        self.next_report_at = 0.0
+        self.next_report_at_s = 0.0
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next report is due; None while there is nothing to report."""
         if self.ready is None:
             return None
-        return max(0.0, self.next_report_at - time.monotonic())
+        return max(0.0, self.next_report_at_s - time.monotonic())
 
     def on_idle(self) -> None:
         """Send the report if it is due."""
-        now = time.monotonic()
-        if self.ready is None or now < self.next_report_at:
+        now_s = time.monotonic()
+        if self.ready is None or now_s < self.next_report_at_s:
             return
-        self.next_report_at = now + REPORT_INTERVAL
+        self.next_report_at_s = now_s + REPORT_INTERVAL_S
         try:
             self.sock.sendto(heartbeat.encode_report(self.server_name, self.ready), self.address)
         except OSError as error:  # the service may be down; the next report says the same
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -23,8 +23,11 @@
 
     def __init__(self, state: ServerState, actions: ServerActions) -> None:
         """Enter requests in the table of `state`; `actions` are those of the controller."""
-        self.actions, self.metrics, self.clock = actions, state.metrics, state.clock
-        self.requests, self.answers = state.requests, state.answers
+        self.actions = actions
+        self.metrics = state.metrics
+        self.clock = state.clock
+        self.requests = state.requests
+        self.answers = state.answers
         self.idempotency_cache = state.idempotency_cache
 
     def reject_unready(self, client: Client, request: IncomingRequest) -> None:
@@ -50,14 +53,14 @@
             if self.requests.is_unanswered(index):
                 self.requests[index].answered = True
                 self.metrics.increment("callers_gone")
-                controller.client_gone(self.clock.now(), index)
+                controller.client_gone(self.clock.now_ms(), index)
 
     def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
         """Reject what is queued of a client whose requests did not come by the balancers."""
         for index, entry in self.requests.unanswered():
             if entry.client is client and index in controller.workload.queued:
                 self.answers.reject(entry, True, 0.0, "rejected_distrusted")
-                controller.client_gone(self.clock.now(), index)
+                controller.client_gone(self.clock.now_ms(), index)
 
     def deliver_shared_result(self, controller: AdmissionController, shared: SharedResult) -> None:
         """Answer a repeated request with the result of its original."""
@@ -66,20 +69,22 @@
             return
         outcome = Outcome.COMPLETED if result.completed else Outcome.ERRORED
         self.answers.run_ended(self.requests[index], outcome, result.content)
-        controller.run_ended(self.clock.now(), index, outcome, 0.0)
+        controller.run_ended(self.clock.now_ms(), index, outcome, 0.0)
 
     def _admit(self, controller: AdmissionController, client: Client, request: IncomingRequest) -> None:
-        now, arrived_at = self.clock.now(), request.arrived_at - self.clock.origin
+        now_ms = self.clock.now_ms()
+        arrived_at_ms = request.arrived_at_unix_ms - self.clock.origin_unix_ms
         request_class = controller.workload.classes[request.request_class]
         # No client waits for longer than the limit of the class, nor asks for more work than fits into it: a
         # request that claims so must neither be queued for hours nor outweigh all others in what is learnt.
-        deadline = None
-        if request.time_limit is not None:
-            deadline = arrived_at + min(request.time_limit, request_class.timeout_ms)
-        work = None if request.cpu_time is None else min(request.cpu_time, request_class.timeout_ms)
-        answer_due = max(now, arrived_at + request_class.timeout_ms if deadline is None else deadline)
+        deadline_ms = None
+        if request.client_timeout_ms is not None:
+            deadline_ms = arrived_at_ms + min(request.client_timeout_ms, request_class.timeout_ms)
+        work_ms = None if request.work_ms is None else min(request.work_ms, request_class.timeout_ms)
+        latest_answer_ms = arrived_at_ms + request_class.timeout_ms if deadline_ms is None else deadline_ms
+        answer_due_ms = max(now_ms, latest_answer_ms)
         entry = RequestEntry(
-            request.request_id, request.method, client, request.rpc_id, request.content, answer_due
+            request.request_id, request.method, client, request.rpc_id, request.content, answer_due_ms
         )
         original = None
         if request.idempotency_key is not None and request_class.effect == Effect.IDEMPOTENT_BY_KEY:
@@ -91,21 +96,21 @@
             index,
             request.request_class,
             request.tenant,
-            request.balancer,
-            deadline,
-            work,
+            request.client_number,
+            deadline_ms,
+            work_ms,
             max(1, round(request.memory_kb * BYTES_PER_KB)),
             False,
-            max(0.0, now - arrived_at),
+            max(0.0, now_ms - arrived_at_ms),
             original,
         )
-        controller.request_arrived(now, arrival)
+        controller.request_arrived(now_ms, arrival)
         self.actions.arriving = -1
 
     def _find_original(self, entry: RequestEntry, request: IncomingRequest) -> int | None:
         """Set the key of an entry, and return the request that it repeats, if any."""
         entry.idempotency_key = qualified_key(request)
-        original = self.idempotency_cache.find_original(entry.idempotency_key, request.arrived_at)
+        original = self.idempotency_cache.find_original(entry.idempotency_key, request.arrived_at_unix_ms)
         if original is not None:
             entry.original = original
         return original
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -24,9 +24,9 @@
         """Answer with an error that promises nothing about effects."""
         self._send(entry, json_rpc.failed(entry.rpc_id), "abandoned")
 
-    def reject(self, entry: RequestEntry, terminal: bool, retry_after: float, counter: str) -> None:
-        """Answer that it never ran: `retry_after` in ms, 0 for none; `terminal`: not to be sent again."""
-        self._send(entry, json_rpc.rejected(entry.rpc_id, terminal, retry_after), counter)
+    def reject(self, entry: RequestEntry, terminal: bool, retry_after_ms: float, counter: str) -> None:
+        """Answer that it never ran: `retry_after_ms`: 0 for none; `terminal`: not to be sent again."""
+        self._send(entry, json_rpc.rejected(entry.rpc_id, terminal, retry_after_ms), counter)
 
     def run_ended(self, entry: RequestEntry, outcome: Outcome, content: str) -> None:
         """Answer by how the run ended, unless another answer was sent before."""
@@ -37,13 +37,13 @@
         else:
             self.fail(entry)
 
-    def fail_overdue(self, before: float, deadline: float = math.inf) -> None:
-        """Fail what was due before `before`, in ms by the server's clock; all of it is due by `deadline`.
+    def fail_overdue(self, before_ms: float, deadline_ms: float = math.inf) -> None:
+        """Fail what was due before `before_ms` by the server's clock; all of it is due by `deadline_ms`.
 
         The controller answers in time. This holds whatever goes wrong there.
         """
         for entry in self.requests.unanswered_entries():
-            if min(entry.answer_due, deadline) < before:
+            if min(entry.answer_due_ms, deadline_ms) < before_ms:
                 self.metrics.log_sampled("must_hold_broken", what="answered_in_time", task=entry.request_id)
                 self.fail(entry)
 
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -29,7 +29,7 @@
     client: Client
     rpc_id: int
     content: str  # base64; emptied once the run has ended
-    answer_due: float  # ms by the server's clock
+    answer_due_ms: float  # by the server's clock
     idempotency_key: str | None = None  # with its class and a digest of the body; None: not idempotent by key
     answered: bool = False
     command: list[bytes] | None = None  # last command to the worker pool, while it may not have arrived
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -50,7 +50,7 @@
         if controller.workload.dependency is None:  # the controller would fail in each tick
             self._count_odd_notice(request_id, known=True)
             return
-        controller.run_blocked(self.clock.now(), index)
+        controller.run_blocked(self.clock.now_ms(), index)
 
     def run_ended(
         self,
@@ -73,7 +73,7 @@
         self.answers.run_ended(entry, outcome, content)
         result = RunResult(outcome == Outcome.COMPLETED, content)
         followers = self.idempotency_cache.run_ended(index, result)
-        controller.run_ended(self.clock.now(), index, outcome, duration_ms)
+        controller.run_ended(self.clock.now_ms(), index, outcome, duration_ms)
         for follower in followers:
             self.admission.deliver_shared_result(controller, SharedResult(follower, result))
 
@@ -100,14 +100,14 @@
             return
         index = call.request_index
         entry = self.requests[index]
-        duration_ms = self.clock.now() - call.started_at
+        duration_ms = self.clock.now_ms() - call.started_at_ms
         entry.call_number = 0
         self.metrics.increment("calls_" + outcome)
         if self.load_sampler is not None:
-            self.load_sampler.call_ended(self.clock.now(), outcome, duration_ms)
+            self.load_sampler.call_ended(self.clock.now_ms(), outcome, duration_ms)
         if outcome == Outcome.COMPLETED:
             self.commands.supply_reply(entry, reply)
-        controller.call_ended(self.clock.now(), index, outcome, duration_ms)
+        controller.call_ended(self.clock.now_ms(), index, outcome, duration_ms)
 
     def call_timed_out(self, controller: AdmissionController, number: int) -> None:
         """Give up a call at its deadline, if it is still in flight."""
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -18,7 +18,7 @@
 
 log = structlog.get_logger()
 
-POLL_AHEAD = 6.0  # ms before a tick: the gauges come back in under one, a busy machine takes a few
+POLL_AHEAD_MS = 6.0  # before a tick: the gauges come back in under one, a busy machine takes a few
 NOT_COMPLETED = RunResult(False, "")
 
 
@@ -46,11 +46,17 @@
         on_tick: Callable[[], None],
     ) -> None:
         """Act on the requests of `state`; `on_tick` is called as the controller asks for it."""
-        self.metrics, self.clock, self.timers = state.metrics, state.clock, state.timers
-        self.requests, self.answers = state.requests, state.answers
+        self.metrics = state.metrics
+        self.clock = state.clock
+        self.timers = state.timers
+        self.requests = state.requests
+        self.answers = state.answers
         self.idempotency_cache = state.idempotency_cache
-        self.commands, self.calls = state.commands, state.calls
-        self.listener, self.registry, self.on_tick = listener, registry, on_tick
+        self.commands = state.commands
+        self.calls = state.calls
+        self.listener = listener
+        self.registry = registry
+        self.on_tick = on_tick
         self.deferred: deque[SharedResult] = deque()
         self.arriving = -1  # index of the request that is just being admitted
         self.idle_timeout_ms = math.inf  # for which a silent connection is kept
@@ -90,8 +96,10 @@
 
     def call(self, index: int, cut_at_ms: float) -> None:
         """Make the dependency call that the run waits for."""
-        deadline = self.clock.origin + cut_at_ms
-        self.calls.start(index, self.requests[index], self.clock.now(), deadline, self._is_idempotent(index))
+        deadline = self.clock.origin_unix_ms + cut_at_ms
+        self.calls.start(
+            index, self.requests[index], self.clock.now_ms(), deadline, self._is_idempotent(index)
+        )
 
     def skip(self, index: int) -> None:
         """Let the run continue without its dependency call."""
@@ -101,7 +109,7 @@
         """Let the request hold its idempotency key, if it has one, for `keep_for_ms` from now."""
         key = self.requests[index].idempotency_key
         if key is not None:
-            until = math.ceil(self.clock.origin + self.clock.now() + keep_for_ms)
+            until = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
             self.idempotency_cache.remember(key, index, until)
 
     def forget(self, index: int) -> None:
@@ -134,7 +142,7 @@
     def schedule_tick(self, delay_ms: float) -> None:
         """Call `on_tick` after `delay_ms`, with gauges polled shortly before."""
         due = unix_time_ms() + delay_ms
-        self.timers.schedule(due - POLL_AHEAD, self.commands.poll)
+        self.timers.schedule(due - POLL_AHEAD_MS, self.commands.poll)
         self.timers.schedule(due, self.on_tick)
 
     def _is_idempotent(self, index: int) -> bool:
--- a/vetchford/server/server_clock.py
+++ b/vetchford/server/server_clock.py
@@ -11,12 +11,12 @@
 
     def __init__(self) -> None:
         """Count from the Unix epoch until `start` is called."""
-        self.origin = 0.0  # Unix ms
+        self.origin_unix_ms = 0.0
 
-    def start(self, elapsed: float) -> None:
-        """Let the clock stand at `elapsed` ms now."""
-        self.origin = timers.unix_time_ms() - elapsed
+    def start(self, elapsed_ms: float) -> None:
+        """Let the clock stand at `elapsed_ms` now."""
+        self.origin_unix_ms = timers.unix_time_ms() - elapsed_ms
 
-    def now(self) -> float:
-        """Return ms since the start."""
-        return timers.unix_time_ms() - self.origin
+    def now_ms(self) -> float:
+        """Return the time since the start."""
+        return timers.unix_time_ms() - self.origin_unix_ms
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -21,6 +21,7 @@
 )
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
+from vetchford.runtime.timers import MS_PER_S, unix_time_ms
 from vetchford.server import signals
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.listener import Listener
@@ -40,7 +41,7 @@
 MIN_CALL_DESCRIPTORS = 8
 MAX_CALL_DESCRIPTORS = 56  # three times the calls that a server of twelve cores may have in flight
 CALL_DESCRIPTORS_SHARE = 4  # one descriptor in so many is for calls, before the others are taken off
-PROCESS_EXIT_TIME = 0.02  # s from the last line of the log; half of shutdown.EXIT_BEFORE_KILL
+PROCESS_EXIT_TIME_S = 0.02  # from the last line of the log; half of shutdown.EXIT_BEFORE_KILL_MS
 
 
 class CannotListenError(VetchfordError):
@@ -113,15 +114,12 @@
         }
         return reload_configuration(current, read, move_peer, self._change_own_settings)
 
-    def start_shutdown(self, signalled_at: float, stop_ms: float) -> None:
-        """Start a graceful shutdown.
-
-        `signalled_at`: Unix ms of the termination notice; `stop_ms` later the process is killed.
-        """
+    def start_shutdown(self, signalled_at_unix_ms: float, stop_ms: float) -> None:
+        """Start a graceful shutdown; the process is killed `stop_ms` after the signal."""
         if self.fleet_member is not None:
             self.fleet_member.post(self.fleet_member.leave)
         self.admission.post(
-            self.admission.shutdown_requested, signalled_at, stop_ms, self.settings.drain_grace_ms
+            self.admission.shutdown_requested, signalled_at_unix_ms, stop_ms, self.settings.drain_grace_ms
         )
 
     def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
@@ -190,13 +188,14 @@
         lambda run: start_thread(run, "configuration-reload", metrics),
     )
     number = signals.wait_for_termination(reloader.request)
-    signalled_at = time.time() * 1000.0
+    signalled_at_unix_ms = unix_time_ms()
     log.info("signal_received", number=number)
     stop_ms = reloader.configuration.stop_ms
-    log_ends_by((signalled_at + stop_ms) / 1000.0 - PROCESS_EXIT_TIME)
-    server.start_shutdown(signalled_at, stop_ms)
+    kill_at_unix_s = (signalled_at_unix_ms + stop_ms) / MS_PER_S
+    log_ends_by(kill_at_unix_s - PROCESS_EXIT_TIME_S)
+    server.start_shutdown(signalled_at_unix_ms, stop_ms)
     handle_further_signals(reloader, metrics)
-    if not server.stopped.wait(max(0.0, (signalled_at + stop_ms) / 1000.0 - time.time())):
+    if not server.stopped.wait(max(0.0, kill_at_unix_s - time.time())):
         # The thread of the admission actor is stuck; a kill is next.
         log.error("shutdown_timed_out", stop_ms=stop_ms)
         return 1
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -13,8 +13,8 @@
 
 log = structlog.get_logger()
 
-EXIT_TIME = 120.0  # ms from the last answers to the tick that sees them written, and the exit itself
-EXIT_BEFORE_KILL = 40.0  # ms before the kill: what is not written by then will not be
+EXIT_TIME_MS = 120.0  # from the last answers to the tick that sees them written, and the exit itself
+EXIT_BEFORE_KILL_MS = 40.0  # before the kill: what is not written by then will not be
 MAX_GRACE_SHARE = 0.6  # of the time to stop: a short one must still leave time for what is unanswered
 
 
@@ -23,32 +23,33 @@
 
     def __init__(self) -> None:
         """Expect no shutdown."""
-        self.kill = self.close_at = math.inf
+        self.kill_at_unix_ms = math.inf
+        self.close_at_unix_ms = math.inf
 
-    def start(self, signalled_at: float, stop_ms: float, grace: float) -> float:
+    def start(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> float:
         """Count from the termination notice; return by when all must be answered.
 
         `stop_ms`: until the program is killed. `grace`: what arrives later is not run.
         """
-        self.kill = signalled_at + stop_ms
-        self.close_at = signalled_at + min(grace, MAX_GRACE_SHARE * stop_ms)
-        return self.kill - EXIT_TIME
+        self.kill_at_unix_ms = signalled_at_unix_ms + stop_ms
+        self.close_at_unix_ms = signalled_at_unix_ms + min(grace_ms, MAX_GRACE_SHARE * stop_ms)
+        return self.kill_at_unix_ms - EXIT_TIME_MS
 
     def started(self) -> bool:
         """Whether the termination notice has come."""
-        return self.kill < math.inf
+        return self.kill_at_unix_ms < math.inf
 
     def last_exit(self) -> float:
         """Return when the program exits, whatever is unanswered: a moment later it would be killed."""
-        return self.kill - EXIT_BEFORE_KILL
+        return self.kill_at_unix_ms - EXIT_BEFORE_KILL_MS
 
-    def closes(self, now: float) -> bool:
+    def closes(self, now_unix_ms: float) -> bool:
         """Whether nothing new is taken any more."""
-        return now >= self.close_at
+        return now_unix_ms >= self.close_at_unix_ms
 
-    def must_exit(self, now: float) -> bool:
+    def must_exit(self, now_unix_ms: float) -> bool:
         """Whether the program can wait no longer."""
-        return now >= self.last_exit()
+        return now_unix_ms >= self.last_exit()
 
 
 class GracefulShutdown:
@@ -66,18 +67,21 @@
         on_stopped: Callable[[], None],
     ) -> None:
         """Call `log_summary` and then `on_stopped` once, at the end."""
-        self.listener, self.answers, self.timers = listener, answers, timers
-        self.log_summary, self.on_stopped = log_summary, on_stopped
+        self.listener = listener
+        self.answers = answers
+        self.timers = timers
+        self.log_summary = log_summary
+        self.on_stopped = on_stopped
         self.metrics: Metrics = answers.metrics
         self.schedule = ShutdownSchedule()
         self.stopped = False
 
-    def start(self, signalled_at: float, stop_ms: float, grace: float) -> float:
+    def start(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> float:
         """Start the schedule; return by when all must be answered, in Unix ms."""
         log.info("shutdown_started", stop_ms=stop_ms, open=self.answers.count_unanswered())
-        answers_due = self.schedule.start(signalled_at, stop_ms, grace)
+        answers_due_unix_ms = self.schedule.start(signalled_at_unix_ms, stop_ms, grace_ms)
         self.timers.schedule(self.schedule.last_exit(), self.advance)  # ticks may fall on either side of it
-        return answers_due
+        return answers_due_unix_ms
 
     def advance_repeatedly(self) -> None:
         """Advance at the interval of ticks, where there is no controller that asks for them."""
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -13,9 +13,9 @@
 from vetchford.runtime.sockets import send_now, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
-RECONNECT_DELAY = 0.02  # s between attempts: runs go on meanwhile, and the pool is on the same machine
-MAX_RECONNECT_DELAY = 0.5  # s: what the delay doubles up to while nobody listens
-CONNECT_TIMEOUT = 2.0  # s: far more than a connection on one machine takes
+RECONNECT_DELAY_S = 0.02  # between attempts: runs go on meanwhile, and the pool is on the same machine
+MAX_RECONNECT_DELAY_S = 0.5  # what the delay doubles up to while nobody listens
+CONNECT_TIMEOUT_S = 2.0  # far more than a connection on one machine takes
 
 
 class WorkerPoolClient(PooledActor):
@@ -54,7 +54,8 @@
     def send(self, link: int, parts: list[bytes]) -> None:
         """Send a command on the link of that number; it is dropped if the link is lost."""
         if link != self.outgoing_link:
-            self.outgoing, self.outgoing_link = [], link
+            self.outgoing = []
+            self.outgoing_link = link
         self.outgoing += parts
 
     def on_idle(self) -> None:
@@ -70,7 +71,8 @@
         return bool(self.outgoing)
 
     def _write(self, send: Callable[[socket.socket, list[bytes]], list[bytes] | None]) -> None:
-        parts, self.outgoing = self.outgoing, []
+        parts = self.outgoing
+        self.outgoing = []
         # Read before the number of the link, which the reader raises first: never the next link's socket.
         sock = self.sock
         if not parts or sock is None or self.outgoing_link != self.link:
@@ -84,24 +86,24 @@
     # -- the link, on the reader thread
 
     def _maintain_link(self) -> None:
-        delay = RECONNECT_DELAY
+        delay_s = RECONNECT_DELAY_S
         while True:
             address = self.address
             try:
-                sock = socket.create_connection(address, CONNECT_TIMEOUT)
+                sock = socket.create_connection(address, CONNECT_TIMEOUT_S)
             except OSError as error:
                 self.metrics.log_sampled("pool_refused", problem=str(error))
-                time.sleep(delay)
-                delay = min(MAX_RECONNECT_DELAY, 2.0 * delay)
+                time.sleep(delay_s)
+                delay_s = min(MAX_RECONNECT_DELAY_S, 2.0 * delay_s)
                 continue
-            delay = RECONNECT_DELAY
+            delay_s = RECONNECT_DELAY_S
             reason = self._use_link(sock, address)
             self.sock = None
             sock.close()
             self.metrics.log_sampled("pool_link_lost", why=reason, last=self.last_notice)
             self.admission.post(self.admission.worker_pool_lost)
             if address == self.address:
-                time.sleep(delay)
+                time.sleep(delay_s)
 
     def _use_link(self, sock: socket.socket, address: tuple[str, int]) -> str:
         """Bind and read until the link is lost; return why it was."""
@@ -109,7 +111,8 @@
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             send_parts(sock, worker_pool_lines.bind(self.last_notice))
-            self.link, self.sock = self.link + 1, sock
+            self.link += 1  # before the socket: see `_write`
+            self.sock = sock
             if address == self.address:  # else it has changed, and nothing would close this link
                 self._read(sock)
         except (OSError, UnreadableStreamError) as error:
--- a/vetchford/server/worker_pool_commands.py
+++ b/vetchford/server/worker_pool_commands.py
@@ -17,15 +17,19 @@
 
     def __init__(self, client: WorkerPoolClient, requests: RequestTable, metrics: Metrics) -> None:
         """Send nothing until a link is bound."""
-        self.client, self.requests, self.metrics = client, requests, metrics
+        self.client = client
+        self.requests = requests
+        self.metrics = metrics
         self.link = 0  # number of the current link; 0: none yet
         self.ready = False  # whether the notices that the link replays have been read
         self.polls_sent = 0
-        self.confirmed_link, self.confirmed_poll = 0, 0  # of the last poll that was answered
+        self.confirmed_link = 0  # link of the last poll that was answered
+        self.confirmed_poll = 0  # and its number
 
     def link_bound(self, link: int) -> None:
         """Use a new link, once its replay has been read."""
-        self.link, self.ready = link, False
+        self.link = link
+        self.ready = False
 
     def link_lost(self) -> None:
         """Keep commands until another link is ready."""
@@ -49,10 +53,13 @@
 
     def send(self, entry: RequestEntry, parts: list[bytes], confirm: bool = False) -> None:
         """Send a command of a request, now or once a link is ready; `confirm`: have it confirmed at once."""
-        entry.command, entry.command_link, entry.command_poll = parts, 0, 0
+        entry.command = parts
+        entry.command_link = 0
+        entry.command_poll = 0
         if not self.ready:
             return
-        entry.command_link, entry.command_poll = self.link, self.polls_sent
+        entry.command_link = self.link
+        entry.command_poll = self.polls_sent
         if confirm:
             # The poll is answered in well under a millisecond. A command that is not confirmed when the link
             # breaks is sent again, and might start a run anew that ends just then.
@@ -78,7 +85,8 @@
         if not self.ready:  # the first answer on a link comes after the replay
             self.ready = True
             self._send_unconfirmed()
-        self.confirmed_link, self.confirmed_poll = self.link, number
+        self.confirmed_link = self.link
+        self.confirmed_poll = number
 
     def _send_unconfirmed(self) -> None:
         """Send again what may not have arrived on the last link, and is answered by no notice."""
