--- a/tests/bench_adapter/test_simulator_link.py
+++ b/tests/bench_adapter/test_simulator_link.py
@@ -52,11 +52,11 @@
     return [action for action in decisions if action["t"] == kind]
 
 
-def test_a_batch_with_nothing_in_it_gets_a_reply_with_nothing_in_it():
+def test_an_empty_batch_gets_an_empty_reply():
     assert SimulatorLink().exchange(b'{"time":5,"happened":[]}') == b'{"decisions":[]}\n'
 
 
-def test_a_server_that_exits_and_attaches_in_one_batch_starts_clean():
+def test_an_instance_that_exits_and_attaches_in_one_batch_starts_without_state():
     link = SimulatorLink()
     exchange(link, 10, attach())
     first = exchange(link, 20, ingress("a" * 16, kind="pay"))
@@ -68,7 +68,7 @@
     assert of(lost, "fail") and not of(lost, "execute") and not of(lost, "notNow")
 
 
-def test_zero_and_null_are_the_same_as_absent():
+def test_zero_and_null_fields_equal_absent_ones():
     link = SimulatorLink()
     exchange(link, 10, attach())
     fields = {"validUntil": 0, "repeats": 0, "predicted": None, "project": 0, "resent": None}
@@ -81,7 +81,7 @@
     assert exchange(link, 20, {"t": "lapsed", "i": 0, "call": "f" * 16}) == []
 
 
-def test_two_instances_in_one_process_act_as_each_would_alone():
+def test_instances_in_one_process_do_not_affect_each_other():
     events = [ingress(f"{n:016x}", queuedFor=n * 1000) for n in range(9)]
     alone = SimulatorLink()
     exchange(alone, 10, attach(7))
@@ -106,12 +106,12 @@
         (json.dumps({"time": 1, "happened": [attach(), {"t": "ingress", "i": 0}]}).encode(), "'call'"),
     ],
 )
-def test_malformed_input_is_refused_by_name(line, names):
+def test_malformed_input_raises_an_error_that_names_the_field(line, names):
     with pytest.raises(MalformedInputError, match=names):
         SimulatorLink().exchange(line)
 
 
-def test_an_exception_in_the_controller_becomes_a_crash_that_says_where(monkeypatch):
+def test_an_exception_in_the_controller_is_reported_as_a_crash_with_its_place(monkeypatch):
     link = SimulatorLink()
     exchange(link, 10, attach())
     monkeypatch.setattr(link.servers[0].controller, "request_arrived", lambda *given: 1 / 0)
--- a/tests/protocol/test_codecs.py
+++ b/tests/protocol/test_codecs.py
@@ -144,7 +144,7 @@
         ),
     ],
 )
-def test_parsers_find_what_plain_ones_find_however_the_bytes_are_split(take, size, plain, message):
+def test_parsers_match_reference_parsers_however_the_bytes_are_split(take, size, plain, message):
     followed = found = 0
     for seed in range(300):
         chance = random.Random(seed)
@@ -159,7 +159,7 @@
     assert found > 60 and 20 < followed < 300  # both ends were reached
 
 
-def test_broken_json_is_a_bad_message_or_a_bad_line_and_nothing_else():
+def test_broken_json_raises_only_the_errors_of_the_codec():
     rpc = (
         b'{"jsonrpc":"2.0","id":7,"method":"read","params":{"txn":"9b","door":1,"content":"aa==","ram":2.5}}'
     )
@@ -197,7 +197,7 @@
     assert good > 500 and bad > 500
 
 
-def test_figures_of_the_pool_that_are_no_times_are_not_taken():
+def test_a_run_time_that_is_no_finite_duration_is_refused():
     # One infinite run time would spoil every mean of the module for good.
     for wrong in ("1e999", "-1", "true", "null", '"5"'):
         line = b'{"type":"finished","n":1,"job":"a","state":"error","took":%b}' % wrong.encode()
@@ -205,7 +205,7 @@
             worker_pool_lines.decode_run_ended(worker_pool_lines.decode(line)[1])
 
 
-def test_what_is_written_reads_as_the_page_has_it():
+def test_encoded_messages_have_the_form_of_the_protocol_page():
     assert b"".join(json_rpc.completed(7, "QkFTRTY0")).split(b"\r\n\r\n")[1] == (
         b'{"jsonrpc":"2.0","id":7,"result":{"content":"QkFTRTY0"}}'
     )
@@ -226,7 +226,7 @@
     assert b"".join(records_lines.call("9b", 250, b"\r\n")) == b"OP 9b 250 2\r\n\r\n\r\n"
 
 
-def test_a_gathered_write_that_is_cut_short_goes_on_where_it_ended():
+def test_a_partial_gathered_write_is_continued():
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     near.settimeout(20)  # a socket with a limit takes what fits, and no more, at each call
@@ -247,7 +247,7 @@
     assert heard == b"".join(parts)
 
 
-def test_what_the_system_does_not_take_at_once_is_left_over_and_nobody_waits():
+def test_a_nonblocking_write_returns_the_unsent_rest():
     ours, theirs = socket.socketpair()
     parts = [bytes([n % 251]) * (n % 4000) for n in range(900)]
     left, got, want = list(parts), b"", b"".join(parts)
--- a/tests/runtime/test_log_setup.py
+++ b/tests/runtime/test_log_setup.py
@@ -9,7 +9,7 @@
 from vetchford.runtime.metrics import Metrics
 
 
-def test_what_a_peer_can_provoke_is_logged_ever_more_rarely_and_a_stuck_log_stops_nobody():
+def test_sampled_events_are_logged_at_powers_of_two_and_a_blocked_log_blocks_no_thread():
     read, write = socket.socketpair()
     writer = log_setup.start("info", "json", write.makefile("w"))
     metrics = Metrics()
@@ -24,7 +24,7 @@
     log_setup.start("error", "text", io.StringIO())
 
 
-def test_the_log_s_end_is_waited_for_no_longer_than_it_was_told():
+def test_closing_the_log_waits_no_longer_than_its_deadline():
     read, write = socket.socketpair()
     writer = log_setup.start("info", "json", write.makefile("w"))
     waited = []
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -9,7 +9,7 @@
 from vetchford.runtime.metrics import Metrics
 
 
-def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds():
+def test_invariants_are_asserted_in_debug_builds_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
         Metrics().check_invariant(False, "one_answer")
     release = (
--- a/tests/runtime/test_thread_pool.py
+++ b/tests/runtime/test_thread_pool.py
@@ -11,7 +11,7 @@
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
 
-def test_a_job_that_finds_no_thread_is_done_all_the_same(monkeypatch):
+def test_a_job_runs_later_if_no_thread_can_be_started(monkeypatch):
     thread_pool, done = ThreadPool(Metrics(), 4), threading.Event()
     thread_pool.start()
     until(lambda: thread_pool.free == 1, "its first thread waits")
@@ -34,7 +34,7 @@
     assert again.wait(PATIENCE)
 
 
-def test_where_there_is_no_thread_the_next_try_takes_the_connection(monkeypatch):
+def test_starting_a_thread_is_retried_until_it_succeeds(monkeypatch):
     metrics, begun, tries = Metrics(), [], []
 
     class Scarce(threading.Thread):
@@ -49,7 +49,7 @@
     assert begun == ["reader"] and metrics.by_name["no_thread"] == 2
 
 
-def test_a_thread_pool_takes_no_more_threads_than_it_may_and_does_all_it_is_given():
+def test_a_thread_pool_runs_all_jobs_within_its_thread_limit():
     thread_pool, done, hold = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
     for n in range(50):
         thread_pool.run(lambda n=n: (hold.wait(20), done.put(n)))
--- a/tests/server/whole_server.py
+++ b/tests/server/rpc_values.py
@@ -1,4 +1,4 @@
-"""What the tests of the whole server share beside the fixture in conftest.py."""
+"""Values of the clients' protocol that several tests of the server process use."""
 
 import base64
 
@@ -6,5 +6,5 @@
 
 
 def content(message):
-    """The decoded content of an answer."""
+    """Return the decoded content of an answer."""
     return base64.b64decode(message["result"]["content"])
--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_actor_keeps_to_the_plain_model_over_links_that_break(seed, monkeypatch):
+def test_the_actor_matches_a_reference_model_over_broken_links(seed, monkeypatch):
     day = Day(seed, monkeypatch)
     while day.actor.controller is None:
         day.step()
--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -23,7 +23,7 @@
     assert actor.controller.workload.settings.warm_up_ms == (18_000.0 if cold else 0.0)
 
 
-def test_a_run_that_ended_since_the_poll_does_not_pass_for_reading():
+def test_a_run_that_ended_since_the_poll_is_subtracted_from_the_gauge():
     # It would be taken off the slots, and a core would stand idle for what nobody reads.
     actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
@@ -38,7 +38,7 @@
     assert ticks == [(0.9, 2.0)]  # one reads, as at the poll
 
 
-def test_figures_that_no_client_can_mean_neither_queue_a_request_for_hours_nor_outweigh_the_others():
+def test_the_timeout_and_work_of_a_request_are_capped_by_its_class():
     actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
@@ -64,7 +64,7 @@
     assert request.work_ms == 60_000.0 and request.deadline_ms - request.arrived_at_ms <= 60_000.1
 
 
-def test_a_request_that_the_controller_loses_is_answered_all_the_same():
+def test_a_request_that_the_controller_never_answers_is_failed_when_overdue():
     actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
--- a/tests/server/test_idempotency_cache.py
+++ b/tests/server/test_idempotency_cache.py
@@ -5,7 +5,7 @@
 from vetchford.server.idempotency_cache import IdempotencyCache, RunResult
 
 
-def test_idempotency_keys_agree_with_a_plain_list_of_what_was_kept():
+def test_the_cache_matches_a_reference_list_of_kept_keys():
     for seed in range(50):
         chance, cache, plain, ended = random.Random(seed), IdempotencyCache(), [], {}
         for index in range(200):
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -43,7 +43,7 @@
     entered.listener.close()
 
 
-def test_a_connection_between_two_hands_keeps_the_drain_from_its_end(entrance):
+def test_a_connection_being_accepted_is_not_missed_by_the_shutdown(entrance):
     """Accepted and not yet in the table, as the listener closes and the drain looks whether all is done."""
     checkpoint, listener = Checkpoint(), entrance.listener
     listener.add = checkpoint.before(listener.add)
@@ -60,7 +60,7 @@
     assert {client.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
 
 
-def test_a_listener_out_of_descriptors_accepts_at_the_next_sweep_what_waits_in_the_backlog(entrance):
+def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(entrance):
     """The drain closes the listener with a request in the backlog and no descriptor left for it."""
     listener, short = entrance.listener, [OSError(errno.EMFILE, "too many")]
     listening = listener.sock
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("by", ["accept", "close"])
-def test_a_connection_reset_before_its_options_are_set_costs_no_other(entrance, by):
+def test_a_connection_reset_before_its_options_are_set_affects_no_other(entrance, by):
     listener, listening, bad = entrance.listener, entrance.listener.sock, []
 
     def reset(*given):
@@ -112,7 +112,7 @@
     until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
 
 
-def test_the_last_look_sees_what_stands_unread(entrance, monkeypatch):
+def test_the_drained_check_sees_unread_bytes(entrance, monkeypatch):
     """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = entrance.listener
@@ -130,7 +130,7 @@
     until(listener.is_drained, "the end once it is answered")
 
 
-def test_a_message_begun_before_closing_is_waited_for(entrance, monkeypatch):
+def test_a_message_started_before_closing_is_waited_for(entrance, monkeypatch):
     """Half a request was read; the listener closes, the time after `closing` passes; then comes the rest."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = entrance.listener
@@ -155,7 +155,7 @@
     until(listener.is_drained, "the end once it is answered")
 
 
-def test_one_that_speaks_as_it_is_let_go_is_read_on(entrance, monkeypatch):
+def test_a_request_that_arrives_as_its_connection_times_out_is_answered(entrance, monkeypatch):
     """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
     monkeypatch.setattr(connection_limits, "FIRST_MESSAGE_TIMEOUT_S", 0.05)
     listener, checkpoint = entrance.listener, Checkpoint()
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_none_is_let_go_between_its_place_in_the_table_and_its_arming(first):
+def test_no_connection_times_out_between_its_entry_and_its_registration_with_epoll(first):
     """Let go there it would be closed, and its number armed anew for whoever has it next."""
     poller, visitor, checkpoint = IdleConnectionPoller(ThreadPool(Metrics(), 4)), Visitor(), Checkpoint()
     visitor.resume = poller.resume
@@ -230,7 +230,7 @@
     assert visitor.let_go.get(timeout=PATIENCE) or visitor.back.wait(PATIENCE)
 
 
-def test_a_connection_that_cannot_be_watched_again_is_ended_and_leaves_the_table(entrance):
+def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(entrance):
     """It was read, and the system refuses to watch it on: in the listener's table it would stay for good."""
     listener = entrance.listener
 
--- a/tests/server/test_platform_config.py
+++ b/tests/server/test_platform_config.py
@@ -31,7 +31,7 @@
         ("settings.requestClasses", [5]),
     ],
 )
-def test_a_wrong_configuration_is_named_by_its_key(key, value):
+def test_the_error_names_the_key_that_is_wrong(key, value):
     told = json.loads(json.dumps(GOOD))
     inner, *path = told, *key.split(".")
     for step in path[:-1]:
@@ -41,7 +41,7 @@
         platform_config.decode(told)
 
 
-def test_a_good_configuration_is_understood_and_the_environment_goes_before_it(tmp_path):
+def test_the_environment_overrides_the_configuration_file(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD))
     told = platform_config.load(
@@ -51,7 +51,7 @@
     assert told.summary()["stages"][1]["limit_ms"] == 60_000.0
 
 
-def test_where_nothing_is_below_no_records_service_need_be_named():
+def test_the_records_address_is_optional_without_a_dependency():
     told = json.loads(json.dumps(GOOD))
     for records in (None, ""):
         told["records"] = records
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -14,7 +14,7 @@
     return host, int(port)
 
 
-def test_a_connection_cancelled_just_as_its_call_ended_takes_no_later_call():
+def test_a_connection_cancelled_as_its_call_ends_is_not_reused():
     """cancel_call holds the connection; its reply arrives and the call ends; then cancel_call shuts it."""
     service, module = RecordsPeer(), Heard()
     records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
@@ -41,7 +41,7 @@
     assert module.take("call_ended") == (2, "completed", b"ok")
 
 
-def test_a_waiting_call_cancelled_as_its_turn_comes_is_not_left_out():
+def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
     """A call's end takes the next of the waiting; cancel_call of just that one comes behind it."""
     service, module = RecordsPeer(), Heard()
     records = RecordsClient(host_and_port(service.address), 2, module, Metrics())  # one out at a time
@@ -62,7 +62,7 @@
     assert 2 not in records.in_flight and not records.waiting  # else it is out, and nobody will give it up
 
 
-def test_a_connection_in_steady_use_does_not_remember_each_request_for_good():
+def test_a_reused_connection_remembers_a_bounded_number_of_request_ids():
     """One call after the other, each before its connection has been idle for long: all could share it."""
     service, module = RecordsPeer(), Heard()
     records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
--- a/tests/server/test_registry_races.py
+++ b/tests/server/test_registry_races.py
@@ -9,7 +9,7 @@
 from vetchford.server.registry_reporter import RegistryReporter
 
 
-def test_a_readiness_that_changes_while_a_report_is_being_sent_is_reported_next():
+def test_a_readiness_change_during_a_heartbeat_is_sent_next():
     service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     service.bind(("127.0.0.1", 0))
     service.settimeout(PATIENCE)
@@ -23,7 +23,7 @@
     assert [service.recv(64) for _ in range(3)] == [b"HB n1 UP", b"HB n1 OUT", b"HB n1 OUT"]
 
 
-def test_reports_go_on_by_themselves_when_none_gets_out_and_when_the_service_moves():
+def test_heartbeats_continue_after_send_errors_and_after_a_change_of_address():
     services = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
     for service in services:
         service.bind(("127.0.0.1", 0))
--- a/tests/server/test_reload_races.py
+++ b/tests/server/test_reload_races.py
@@ -4,7 +4,7 @@
 from vetchford.server.reload import ConfigurationReloader
 
 
-def test_a_renewal_that_raises_keeps_no_later_one_from_its_turn():
+def test_a_failed_reload_does_not_block_later_reloads():
     """The second wish comes while the first is served, and that one ends in an error."""
     gate, served = Checkpoint(), []
 
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -8,10 +8,10 @@
 
 import pytest
 from helpers import TOLD, Balancer, Running
-from whole_server import IDEMPOTENCY_KEY, content
+from rpc_values import IDEMPOTENCY_KEY, content
 
 
-def test_a_request_with_a_call_goes_through_all_parts_with_its_bodies_unchanged(server):
+def test_a_request_with_a_dependency_call_is_served_with_all_bodies_unchanged(server):
     client = server.balancer()
     job = client.ask(1, content=base64.b64encode(bytes(range(256))).decode())
     spawned = server.pool.take("spawn")[1]
@@ -29,7 +29,7 @@
     assert "must_hold_broken" not in log and "finished=1" in log
 
 
-def test_answers_come_in_the_order_of_their_runs_and_a_rejection_says_when_to_come_back(server):
+def test_answers_are_sent_as_runs_end_and_a_rejection_carries_a_retry_after(server):
     client = server.balancer()
     jobs = [client.ask(n) for n in (1, 2, 3)]
     # One whose client has almost stopped waiting is rejected at once: nothing of it ran.
@@ -47,7 +47,7 @@
     assert failed["id"] == 3 and failed["error"]["code"] != -32050
 
 
-def test_a_repeat_while_its_request_runs_and_one_after_it_get_the_same_result_and_no_second_run(server):
+def test_retries_with_one_idempotency_key_get_one_result_of_one_run(server):
     one, two = server.balancer(), server.balancer()
     job = one.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -64,7 +64,7 @@
     assert server.pool.nothing_more("spawn")
 
 
-def test_a_repeat_that_arrived_after_the_window_is_a_request_of_its_own(server):
+def test_a_retry_after_the_key_window_runs_as_a_new_request(server):
     client = server.balancer()
     job = client.ask(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
     first = client.hear()  # too old to be run: rejected, and its fingerprint forgotten
@@ -75,7 +75,7 @@
     client.hear()
 
 
-def test_a_repeat_of_a_run_that_failed_fails_with_it_and_is_not_run(server):
+def test_a_retry_of_a_failed_run_fails_and_does_not_run(server):
     client = server.balancer()
     job = client.ask(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -86,7 +86,7 @@
     assert server.pool.nothing_more("spawn")
 
 
-def test_until_the_pool_is_up_nothing_is_served_reported_or_run(tmp_path):
+def test_before_the_worker_pool_is_bound_the_server_is_not_ready_and_rejects(tmp_path):
     with Running(tmp_path, up=False) as server:
         client = server.balancer()
         client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
@@ -99,7 +99,7 @@
         assert client.hear()["result"] == {"serving": True}
 
 
-def test_a_new_configuration_moves_all_peers_under_load_and_a_wrong_one_changes_nothing(server):
+def test_a_reload_moves_all_peers_under_load_and_a_wrong_configuration_changes_nothing(server):
     client = server.balancer()
     job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     old_pool = server.pool
@@ -127,7 +127,7 @@
     assert log.count("moved=pool,records,members") == 2
 
 
-def test_no_thread_lets_a_signal_end_the_program_while_the_one_before_is_served(server):
+def test_every_thread_blocks_the_signals_that_the_main_thread_waits_for(server):
     held = {signal.SIGHUP, signal.SIGINT, signal.SIGTERM}
     for status in Path(f"/proc/{server.process.pid}/task").glob("*/status"):
         if status.parent.name == str(server.process.pid):  # the one that waits for them
@@ -136,7 +136,7 @@
         assert held <= {number for number in held if blocked >> (number - 1) & 1}
 
 
-def test_a_drain_answers_all_takes_nothing_late_and_leaves_with_0(server):
+def test_a_graceful_shutdown_answers_open_requests_rejects_late_ones_and_exits_with_0(server):
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
@@ -153,7 +153,7 @@
     assert server.process.wait(20) == 0
 
 
-def test_a_drain_with_a_run_that_never_ends_answers_it_before_the_stop(tmp_path):
+def test_a_graceful_shutdown_fails_a_run_that_never_ends_before_the_kill(tmp_path):
     with Running(tmp_path, stop_ms=1200) as server:
         client = server.balancer()
         client.ask(1)
@@ -164,7 +164,7 @@
         assert server.process.wait(20) == 0
 
 
-def test_after_a_kill_the_same_address_serves_again_at_once(server, tmp_path):
+def test_a_killed_server_can_restart_on_its_address_at_once(server, tmp_path):
     client = server.balancer()
     client.ask(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -178,14 +178,14 @@
         assert "result" in client.hear()
 
 
-def test_a_run_that_never_ends_is_answered_when_its_client_stops_waiting(server):
+def test_a_run_that_never_ends_is_failed_at_its_deadline(server):
     client = server.balancer()
     client.ask(1, limit=700)
     server.pool.take("spawn")
     assert client.hear()["error"]["code"] == -32051  # it may have had its effect
 
 
-def test_a_pause_of_the_machine_loses_no_answer(server):
+def test_a_paused_process_loses_no_answer(server):
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
@@ -199,7 +199,7 @@
     assert client.hear()["id"] == 2
 
 
-def test_the_key_of_another_body_brings_nobody_that_request_s_result(server):
+def test_an_idempotency_key_with_another_body_is_another_request(server):
     client, bad = server.balancer(), server.balancer()
     job = client.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -213,7 +213,7 @@
     assert server.pool.take("spawn")[1]["job"] == "a3"  # what never ran has left nothing to share
 
 
-def test_a_server_with_nothing_below_starts_serves_moves_and_stands_a_call_that_cannot_be(tmp_path):
+def test_a_server_without_a_records_service_serves_reloads_and_survives_a_stray_call(tmp_path):
     info = {**TOLD["familyInfo"], "below": "silent"}
     with Running(tmp_path, no_records=True, familyInfo=info) as server:
         client = server.balancer()
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -6,10 +6,10 @@
 
 import pytest
 from helpers import TOLD, Running
-from whole_server import IDEMPOTENCY_KEY, content
+from rpc_values import IDEMPOTENCY_KEY, content
 
 
-def test_a_balancer_that_reads_nothing_holds_up_itself_alone(server):
+def test_a_client_that_does_not_read_delays_no_other_client(server):
     mute = server.balancer()
     mute.sock.settimeout(0.2)  # s: for each write; how many fit does not matter
     check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
@@ -23,7 +23,7 @@
     assert client.hear()["id"] == 1
 
 
-def test_a_balancer_that_has_said_all_it_will_still_gets_its_answers(server):
+def test_a_half_closed_connection_still_gets_its_answers(server):
     client = server.balancer()
     job = client.ask(1)
     client.sock.shutdown(socket.SHUT_WR)
@@ -32,7 +32,7 @@
     assert client.hear()["id"] == 1 and client.hear() is None
 
 
-def test_a_client_that_resets_its_connection_costs_nobody_else_an_answer(server):
+def test_a_connection_reset_loses_no_answer_of_other_clients(server):
     gone, stays = server.balancer(), server.balancer()
     lost, kept = gone.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY), stays.ask(1, txn="f2")
     for _ in range(2):
@@ -100,7 +100,7 @@
 ]
 
 
-def test_bad_messages_are_answered_by_their_codes_and_the_connection_goes_on(server):
+def test_bad_messages_get_their_error_codes_and_the_connection_stays_open(server):
     for at, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
         if at % 5 == 0:  # a few on each connection: it stands no more
             client = server.balancer()
@@ -120,7 +120,7 @@
     assert "result" in client.hear()
 
 
-def test_a_connection_that_brings_one_bad_message_after_another_is_closed(server):
+def test_a_connection_with_too_many_bad_messages_is_closed(server):
     client = server.balancer()
     client.ask(1)
     server.pool.take("spawn")
@@ -132,7 +132,7 @@
     assert client.hear()["id"] == 1 and client.hear() is None
 
 
-def test_messages_that_owe_no_answer_end_no_connection(server):
+def test_notifications_do_not_close_the_connection(server):
     client = server.balancer()
     client.ask(1)
     server.pool.take("spawn")
@@ -146,7 +146,7 @@
     assert server.pool.take("spawn")
 
 
-def test_a_balancer_with_more_open_than_it_waits_for_is_refused_and_keeps_its_connection(server):
+def test_requests_over_the_limit_of_a_connection_are_rejected_and_it_stays_open(server):
     client = server.balancer()
     for rpc_id in range(1, 65 + 20):  # the last twenty are too many; as bad messages they would end it
         client.ask(rpc_id)
@@ -156,7 +156,7 @@
     assert "result" in client.hear()
 
 
-def test_who_sends_what_the_pool_does_not_know_is_refused_the_rest_and_closed(server):
+def test_a_client_whose_requests_the_worker_pool_does_not_know_is_rejected_and_closed(server):
     client, bad = server.balancer(), server.balancer()
     for rpc_id in range(1, 6):
         bad.ask(rpc_id, txn=f"b{rpc_id}")
@@ -173,14 +173,14 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
-def test_who_says_nothing_or_half_a_message_is_closed(server, said):
+def test_a_silent_connection_or_an_incomplete_message_times_out(server, said):
     client = server.balancer()
     client.raw(said)
     while client.hear() is not None:
         pass
 
 
-def test_silent_connections_shut_no_balancer_out(tmp_path):
+def test_silent_connections_do_not_lock_out_other_clients(tmp_path):
     with Running(tmp_path, sockets=40) as server:
         silent = [server.balancer() for _ in range(60)]  # more than may be open
         client = server.balancer()
@@ -203,7 +203,7 @@
         b"Content-Length: 100000\r\n\r\n",
     ],
 )
-def test_a_stream_that_cannot_be_followed_is_closed_after_what_is_open_on_it(server, head):
+def test_an_unparsable_stream_is_closed_after_its_open_requests_are_answered(server, head):
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize(("sockets", "files"), [(40, None), (1024, 24)])
-def test_a_full_table_serves_on_and_takes_newcomers_as_others_leave(tmp_path, sockets, files):
+def test_a_full_connection_table_accepts_new_clients_as_others_leave(tmp_path, sockets, files):
     with Running(tmp_path, sockets=sockets, files=files) as server:
         clients = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
         job = clients[0].ask(1)
--- a/tests/server/test_server_records.py
+++ b/tests/server/test_server_records.py
@@ -5,14 +5,14 @@
 
 import pytest
 from helpers import TOLD, Running
-from whole_server import IDEMPOTENCY_KEY
+from rpc_values import IDEMPOTENCY_KEY
 
 # A call is cut off after half of its share (0.2) of `callsOver`: here 40 s, in the other tests 0.1 s, which a
 # busy machine takes to move a server to other peers.
 UNHURRIED_CALLS = {**TOLD["familyInfo"], "callsOver": 400_000_000_000}
 
 
-def test_a_call_that_hangs_is_given_up_and_its_late_reply_reaches_no_later_call(server):
+def test_a_timed_out_call_is_cancelled_and_its_late_reply_is_dropped(server):
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("end", ["WAIT", "EMPTY", "ERROR", "PAST", "cut", "nonsense"])
-def test_a_call_is_made_again_only_where_it_never_ran(server, end):
+def test_a_call_is_retried_only_if_it_never_ran(server, end):
     client = server.balancer()
     job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -61,7 +61,7 @@
         b"%b DONE -1\r\n\r\n",
     ],
 )
-def test_an_unreadable_reply_costs_its_own_call_and_no_other(server, unreadable):
+def test_an_unreadable_reply_fails_only_its_own_call(server, unreadable):
     client = server.balancer()
     jobs = [client.ask(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
     connections = []
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("more", [b"t1 DONE 5\r\nfirst\r\n", b"other WAIT\r\n", b"t1 DO"])
-def test_more_than_a_call_s_reply_reaches_no_later_call(server, more):
+def test_surplus_bytes_after_a_reply_are_not_read_as_the_next_reply(server, more):
     client = server.balancer()
     client.ask(1, txn="t1")
     server.pool.take("spawn")
@@ -93,7 +93,7 @@
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"second"
 
 
-def test_a_connection_that_the_service_closed_early_is_not_used_again(server):
+def test_a_connection_closed_by_the_service_is_not_reused(server):
     client = server.balancer()
     for job in ("v1", "v2"):
         client.ask(int(job[1]), txn=job)
@@ -108,7 +108,7 @@
         client.hear()
 
 
-def test_calls_that_nobody_takes_are_made_when_the_service_is_back(tmp_path):
+def test_calls_refused_while_the_service_is_down_are_retried_once_it_is_up(tmp_path):
     with Running(tmp_path, records_up=False) as server:
         client = server.balancer()
         job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -1,10 +1,10 @@
 """The whole server in a process of its own: the link to the worker pool."""
 
 from helpers import Running
-from whole_server import IDEMPOTENCY_KEY, content
+from rpc_values import IDEMPOTENCY_KEY, content
 
 
-def test_a_lost_link_loses_no_notice_takes_none_twice_and_starts_nothing_twice(server):
+def test_a_reconnect_delivers_each_notice_once_and_starts_no_run_twice(server):
     client = server.balancer()
     done, runs = client.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), client.ask(2, txn="d2")
     for _ in range(2):
@@ -24,7 +24,7 @@
     assert "must_hold_broken" not in server.stop()
 
 
-def test_commands_given_while_the_link_is_down_are_sent_once_it_is_back(tmp_path):
+def test_commands_are_queued_while_the_link_is_down_and_sent_on_the_next(tmp_path):
     with Running(tmp_path) as server:
         client = server.balancer()
         server.pool.up.clear()  # links are taken, and nothing is answered on them
@@ -39,7 +39,7 @@
         assert client.hear()["id"] == 1
 
 
-def test_what_the_pool_says_amiss_is_counted_and_changes_nothing(server):
+def test_malformed_messages_of_the_worker_pool_are_counted_and_ignored(server):
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -33,7 +33,7 @@
         self.actor.on_idle()
 
 
-def test_a_decision_that_raises_in_every_tick_of_a_shutdown_keeps_nobody_from_its_end(monkeypatch):
+def test_a_controller_that_raises_at_every_tick_does_not_prevent_the_end_of_a_shutdown(monkeypatch):
     clocked = Clocked(monkeypatch)
 
     def raises(*arguments):
@@ -51,7 +51,7 @@
     assert clocked.stops
 
 
-def test_the_end_comes_before_the_kill_wherever_the_ticks_fall(monkeypatch):
+def test_a_shutdown_ends_before_the_kill_between_two_ticks(monkeypatch):
     """A peer reads nothing, and the ticks fall 45 ms before the kill and 5 ms behind it."""
     clocked = Clocked(monkeypatch)
     kill = clocked.now + 1000.0
@@ -66,7 +66,9 @@
     assert clocked.stops and clocked.stops[0] <= kill - 39.0
 
 
-def test_a_notice_before_the_worker_pool_is_there_waits_for_what_is_open_and_reports_not_ready(monkeypatch):
+def test_a_shutdown_before_the_worker_pool_is_bound_waits_for_open_connections_and_is_not_ready(
+    monkeypatch,
+):
     clocked = Clocked(monkeypatch, bound=False)
     clocked.actor.shutdown_requested(clocked.now, 1000.0, 100.0)
     assert not clocked.stops and ("close",) in clocked.listener.acts
@@ -79,7 +81,7 @@
     assert clocked.stops
 
 
-def test_grace_and_kill_count_from_the_signal_however_late_the_actor_reads_it(monkeypatch):
+def test_grace_and_kill_are_counted_from_the_time_of_the_signal(monkeypatch):
     """The signal is read behind a full mailbox: 300 ms pass, and a request arrives within them."""
     clocked = Clocked(monkeypatch)
     signalled = clocked.now
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -10,12 +10,11 @@
 
 import pytest
 from helpers import TOLD, Running
+from rpc_values import IDEMPOTENCY_KEY
 
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import beside
 
-MARK = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-
 
 @pytest.fixture
 def server(tmp_path):
@@ -44,7 +43,7 @@
     return ends[0]
 
 
-def test_a_sighup_before_the_configuration_is_read_ends_nothing(tmp_path):
+def test_sighup_before_the_configuration_is_read_does_not_end_the_process(tmp_path):
     with Running(tmp_path) as model:  # stand-ins, and a configuration that suits them
         told = model.config.read_text()
         pipe = tmp_path / "pipe.json"
@@ -72,7 +71,7 @@
             process.wait()
 
 
-def test_a_stop_before_the_configuration_is_read_ends_the_start_with_0(tmp_path):
+def test_sigterm_before_the_configuration_is_read_exits_with_0(tmp_path):
     pipe = tmp_path / "pipe.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -92,7 +91,7 @@
         process.wait()
 
 
-def test_a_slow_configuration_takes_nothing_from_the_stop_behind_it(server):
+def test_sigterm_during_a_slow_reload_is_handled_at_once(server):
     server.config.unlink()
     os.mkfifo(server.config)
     server.process.send_signal(signal.SIGHUP)
@@ -102,7 +101,7 @@
         assert server.process.wait(PATIENCE) == 0
 
 
-def test_a_stop_before_the_pool_is_there_answers_what_has_begun_and_is_never_reported_fit(tmp_path):
+def test_sigterm_before_the_worker_pool_is_bound_answers_a_started_message_and_never_reports_ready(tmp_path):
     with Running(tmp_path, up=False) as server:
         caller = server.balancer()
         whole, send = [], caller.sock.sendall
@@ -129,9 +128,9 @@
 # -- shutdown
 
 
-def test_a_move_and_a_second_sigterm_in_a_drain_change_nothing_but_the_addresses(server):
+def test_a_reload_and_a_second_sigterm_during_shutdown_change_only_addresses(server):
     caller = server.balancer()
-    job = caller.ask(1, "pay", unique=MARK)
+    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
     assert caller.hear()["method"] == "closing"
@@ -145,9 +144,9 @@
     assert old[0].nothing_more("spawn") and server.pool.nothing_more("spawn")
 
 
-def test_a_drain_under_a_lost_pool_link_and_no_membership_service_answers_all(server):
+def test_a_shutdown_without_worker_pool_link_and_registry_answers_all_requests(server):
     caller = server.balancer()
-    job = caller.ask(1, "pay", unique=MARK)
+    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.members.close()  # nobody takes reports any more
     server.process.terminate()
@@ -158,13 +157,13 @@
     assert server.process.wait(PATIENCE) == 0
 
 
-def test_a_repeat_in_a_drain_gets_its_first_try_s_result_and_no_second_run(server):
+def test_a_retry_during_shutdown_gets_the_result_of_the_first_attempt(server):
     one, two = server.balancer(), server.balancer()
-    job = one.ask(1, "pay", txn="a1", unique=MARK)
+    job = one.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
     assert one.hear()["method"] == two.hear()["method"] == "closing"  # past the grace
-    two.ask(1, "pay", txn="a2", unique=MARK)
+    two.ask(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
     two.ask(2, txn="a3")  # nothing new is run; its answer shows that the repeat before it was read
     assert two.hear()["error"]["code"] == -32050
     server.pool.finish(job, b"paid")
@@ -173,7 +172,7 @@
     assert server.pool.nothing_more("spawn")
 
 
-def test_a_log_that_nobody_reads_does_not_spoil_the_exit(tmp_path):
+def test_a_blocked_log_pipe_does_not_delay_the_exit(tmp_path):
     """Its pipe is full from the first line on, so the thread that writes it is stuck as the program ends."""
     with Running(tmp_path) as model:  # stand-ins, and a port
         model.stop()
@@ -252,7 +251,7 @@
     return other
 
 
-def test_answers_half_written_as_a_drain_begins_are_whole_once_the_peer_reads_on(server):
+def test_partly_written_answers_are_completed_during_shutdown(server):
     caller = narrow(server)
     other = half_written(server, caller)
     server.process.terminate()
@@ -263,7 +262,7 @@
     assert server.process.wait(PATIENCE) == 0
 
 
-def test_a_peer_that_never_reads_its_answers_does_not_keep_a_drain_from_its_end(tmp_path):
+def test_a_client_that_never_reads_does_not_prevent_the_end_of_a_shutdown(tmp_path):
     with Running(tmp_path, stop_ms=1500) as server:
         caller = narrow(server)
         half_written(server, caller)
@@ -276,7 +275,7 @@
 # -- settings
 
 
-def test_a_renewed_configuration_with_other_settings_moves_addresses_alone(server):
+def test_a_reload_with_other_settings_applies_only_addresses(server):
     caller = server.balancer()
     server.told = {
         "requestClasses": [{**TOLD["requestClasses"][1], "effect": "read_like", "name": "read"}],
@@ -285,10 +284,10 @@
     server.move()
     server.pool.take("bind")
     assert server.heard_report() == ["HB", "n1", "UP"]
-    job = caller.ask(1, "pay", unique=MARK)  # stage and tenant of the start
+    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)  # stage and tenant of the start
     server.pool.take("spawn")
     server.pool.finish(job, b"paid")
     assert content(caller.hear()) == b"paid"
-    caller.ask(2, "pay", txn="b2", unique=MARK)
+    caller.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
     assert content(caller.hear()) == b"paid"  # still fingerprinted
     assert "not_changed=" in server.stop()
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_wrong_usage_and_configuration_are_one_line_and_2_and_nothing_listens(tmp_path):
+def test_wrong_usage_or_configuration_exits_with_2_and_one_error_line(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps({**GOOD, "pool": "?"}))
     for given in (
@@ -41,7 +41,7 @@
     assert "pool" in command("check", ROUTER_CONFIG=str(file)).stderr
 
 
-def test_an_address_in_use_is_a_failure_at_run_time_in_plain_words(tmp_path):
+def test_an_address_in_use_exits_with_1_and_logs_listen_failed(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "config.json"
         file.write_text(json.dumps({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
@@ -49,7 +49,7 @@
     assert ran.returncode == 1 and json.loads(ran.stderr)["event"] == "listen_failed"
 
 
-def test_good_commands_exit_with_0(tmp_path):
+def test_successful_commands_exit_with_0(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD))
     assert command("version").stdout == vetchford.__version__ + "\n"
@@ -59,14 +59,14 @@
     assert command("--version").stdout == command("--log-form", "json", "version").stdout
 
 
-def test_brackets_in_brackets_without_end_are_refused_in_one_line(tmp_path):
+def test_deeply_nested_json_is_refused_with_one_error_line(tmp_path):
     file = tmp_path / "config.json"
     file.write_text("[" * 200_000)
     out = command("check", "--config", str(file))
     assert out.returncode == 2 and out.stderr.count("\n") == 1 and "no JSON" in out.stderr
 
 
-def test_every_event_stands_on_the_on_call_page_and_the_other_way_round():
+def test_the_code_and_the_on_call_page_name_the_same_log_events():
     code = "".join(path.read_text() for path in sorted((ROOT / "vetchford").rglob("*.py")))
     calls = r"(?:log\.\w+|\.log_sampled|\.log_event|\.count_event|\.note|host\.count|talk\.count|self\.count)"
     said = set(re.findall(calls + r"\(\s*\"(\w+)\"", code))
@@ -74,7 +74,7 @@
     assert said == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(said) > 15
 
 
-def test_in_a_fuller_table_those_who_owe_a_word_are_let_go_sooner():
+def test_silent_connections_time_out_sooner_in_a_fuller_table():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
     doors = Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
     ours, theirs = socket.socketpair()
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -3,13 +3,13 @@
 import json
 
 import pytest
-from whole_server import IDEMPOTENCY_KEY, content
+from rpc_values import IDEMPOTENCY_KEY, content
 
 from testkit.faults.checkpoints import until
 
 
 @pytest.mark.parametrize("way", ["no line", "no field", "missing"])
-def test_a_notice_that_does_not_arrive_whole_is_told_again_on_a_new_link(server, way):
+def test_an_incomplete_notice_is_replayed_on_a_new_link(server, way):
     client = server.balancer()
     job, other = client.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), client.ask(2, txn="d2")
     for _ in range(2):
@@ -40,7 +40,7 @@
     assert "must_hold_broken" not in server.stop()
 
 
-def test_a_notice_that_stays_unreadable_ends_its_run_and_loops_nowhere(server):
+def test_a_notice_unreadable_on_replay_fails_its_run_without_a_reconnect_loop(server):
     client = server.balancer()
     job = client.ask(1, txn="e1")
     server.pool.take("spawn")
@@ -53,7 +53,7 @@
     assert client.hear()["id"] == 2 and server.pool.nothing_more("bind")
 
 
-def test_what_arrived_two_links_ago_is_not_sent_again(server):
+def test_a_command_confirmed_two_links_ago_is_not_resent(server):
     """A reply told twice would pass for a later call's; a spawn told twice could run anew what just ended."""
     client = server.balancer()
     client.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
