--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -124,7 +124,7 @@
     "server.request_answers": {*PEER_ACTORS, "admission.request", "server.request_table"},
     "server.request_table": {"server.index_allocator"},
     "server.server_clock": {"runtime"},
-    "server.worker_pool": PEER_ACTORS,
+    "server.worker_pool": {*PEER_ACTORS, "admission.request"},
     "server.worker_pool_commands": {*PEER_ACTORS, "server.request_table", "server.worker_pool"},
     "server.worker_pool_gauges": {"protocol.platform_settings"},
     "subsetting": set(),
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -54,20 +54,32 @@
         self.rpc_id = rpc_id
 
 
-class RequestIdInUseError(BadMessageError):
+class BadFieldError(BadMessageError):
+    """A field of a message is missing or wrong."""
+
+    def __init__(
+        self, field: str, problem: str, rpc_id: int | str | None = None, code: int = INVALID_PARAMS
+    ) -> None:
+        """Name the field as the client wrote it; `problem` goes behind the name in the text."""
+        super().__init__(code, f"field '{field}' {problem}", rpc_id)
+        self.field = field
+        self.problem = problem
+
+
+class RequestIdInUseError(BadFieldError):
     """A request has the id of another that is known."""
 
     def __init__(self, rpc_id: int | str | None) -> None:
         """Name the message by its JSON-RPC id."""
-        super().__init__(INVALID_PARAMS, "field 'txn' is in use", rpc_id)
+        super().__init__("txn", "is in use", rpc_id)
 
 
-class UnknownTenantError(BadMessageError):
+class UnknownTenantError(BadFieldError):
     """A request names a tenant that the settings do not have."""
 
     def __init__(self, rpc_id: int | str | None) -> None:
         """Name the message by its JSON-RPC id."""
-        super().__init__(INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+        super().__init__("team", "names no tenant", rpc_id)
 
 
 class Call(NamedTuple):
@@ -144,16 +156,16 @@
     rpc_id = message.get("id")
     if isinstance(rpc_id, bool) or not isinstance(rpc_id, int | str) or len(str(rpc_id)) > MAX_RPC_ID_LENGTH:
         if "id" in message:
-            raise BadMessageError(INVALID_REQUEST, "field 'id' is no number")
+            raise BadFieldError("id", "is no number", code=INVALID_REQUEST)
         rpc_id = None
     if message.get("jsonrpc") != "2.0":
-        raise BadMessageError(INVALID_REQUEST, "field 'jsonrpc' is not \"2.0\"", rpc_id)
+        raise BadFieldError("jsonrpc", 'is not "2.0"', rpc_id, INVALID_REQUEST)
     method = message.get("method")
     if not isinstance(method, str):
-        raise BadMessageError(INVALID_REQUEST, "field 'method' is missing or no string", rpc_id)
+        raise BadFieldError("method", "is missing or no string", rpc_id, INVALID_REQUEST)
     params = message.get("params", {})
     if not isinstance(params, dict):
-        raise BadMessageError(INVALID_PARAMS, "field 'params' is no object", rpc_id)
+        raise BadFieldError("params", "is no object", rpc_id)
     return Call(method, rpc_id, params)
 
 
@@ -170,7 +182,7 @@
     """
     request_id = _required(_word(params, "txn", MAX_REQUEST_ID_LENGTH, rpc_id), "txn", rpc_id)
     if not request_id.isalnum():  # it is written into the messages to other services as it is
-        raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
+        raise BadFieldError("txn", "is no id", rpc_id)
     earliest = now_unix_ms - MAX_ARRIVAL_AGE_MS
     latest = now_unix_ms + MAX_ARRIVAL_LEAD_MS
     arrived_at_unix_ms = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
@@ -192,13 +204,13 @@
 def _content(params: dict[str, Any], rpc_id: int | str | None) -> str:
     content = params.get("content")
     if not isinstance(content, str):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is missing or no string", rpc_id)
+        raise BadFieldError("content", "is missing or no string", rpc_id)
     try:
         length = len(base64.b64decode(content, validate=True))
     except (ValueError, binascii.Error):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is no base64", rpc_id) from None
+        raise BadFieldError("content", "is no base64", rpc_id) from None
     if length > MAX_CONTENT_BYTES:
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is longer than it may be", rpc_id)
+        raise BadFieldError("content", "is longer than it may be", rpc_id)
     return content
 
 
@@ -209,7 +221,7 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is no number that it may be", rpc_id)
+        raise BadFieldError(key, "is no number that it may be", rpc_id)
     return float(value)
 
 
@@ -223,13 +235,13 @@
         or not value.isascii()
         or not value.isprintable()
     ):
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is no word that it may be", rpc_id)
+        raise BadFieldError(key, "is no word that it may be", rpc_id)
     return value
 
 
 def _required(value: Value | None, key: str, rpc_id: int | str | None) -> Value:
     if value is None:
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is missing", rpc_id)
+        raise BadFieldError(key, "is missing", rpc_id)
     return value
 
 
--- a/vetchford/protocol/platform_configuration.py
+++ b/vetchford/protocol/platform_configuration.py
@@ -33,6 +33,16 @@
 MAX_PORT = 65_535
 
 
+class WrongKeyError(MalformedInputError):
+    """A key of the configuration is missing or wrong."""
+
+    def __init__(self, key: str, allowed: str) -> None:
+        """Name the key by its whole path; `allowed` is what it must be."""
+        super().__init__(f"key '{key}' must be {allowed}")
+        self.key = key
+        self.allowed = allowed
+
+
 class Address(NamedTuple):
     """Where a peer listens, or where to listen."""
 
@@ -132,7 +142,7 @@
 def _check_name(name: Any) -> None:
     """Raise MalformedInputError unless the name is printable ASCII without a space."""
     if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
-        raise MalformedInputError(f"key '{NAME_KEY}' must be a word")
+        raise WrongKeyError(NAME_KEY, "a word")
 
 
 def _address(document: JsonObject, key: str) -> Address:
@@ -142,7 +152,7 @@
         if not 0 <= int(port) <= MAX_PORT:
             raise ValueError
     except ValueError:
-        raise MalformedInputError(f"key '{key}' must be an address and a port") from None
+        raise WrongKeyError(key, "an address and a port") from None
     return Address(host, int(port))
 
 
@@ -157,20 +167,20 @@
     try:
         return int(str(document.get(SEED_KEY)), HEXADECIMAL)
     except ValueError:
-        raise MalformedInputError(f"key '{SEED_KEY}' must be a number in hex digits") from None
+        raise WrongKeyError(SEED_KEY, "a number in hex digits") from None
 
 
 def _object(document: JsonObject, key: str) -> JsonObject:
     value = document.get(key)
     if not isinstance(value, dict):
-        raise MalformedInputError(f"key '{key}' must be an object")
+        raise WrongKeyError(key, "an object")
     return value
 
 
 def _number(values: JsonObject, key: str, minimum: float, prefix: str = "") -> float:
     value = values.get(key)
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < MAX_NUMBER:
-        raise MalformedInputError(f"key '{prefix}{key}' must be a number of {minimum:g} or more")
+        raise WrongKeyError(f"{prefix}{key}", f"a number of {minimum:g} or more")
     return float(value)
 
 
--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 from queue import Empty, SimpleQueue
-from typing import Any
+from typing import Any, Protocol
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
@@ -14,6 +14,16 @@
 BATCH_SIZE = 16  # entries before `on_idle`: what they bring is written at once, and no timer waits for long
 
 
+class Mailbox(Protocol):
+    """The part of an actor that other threads use."""
+
+    def post(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Let the actor's thread call `method`, one of its own, with the arguments; never blocks."""
+
+    def post_when_room(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Like `post`, after a wait while the mailbox is far behind."""
+
+
 class Actor:
     """One thread and its mailbox, whose entries are methods of the actor with their arguments.
 
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -5,6 +5,7 @@
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.protocol.receive_buffer import UnreadableStreamError
+from vetchford.runtime.actor import Mailbox
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import unix_time_ms
 from vetchford.server import connection_limits
@@ -14,6 +15,16 @@
 NO_TENANT = -1  # the index for a request that names none
 
 
+class ClientEvents(Mailbox, Protocol):
+    """What the admission actor is told by client connections; each is posted to its mailbox."""
+
+    def request_arrived(self, client: Any, request: IncomingRequest) -> None:
+        """Take a request that was read from the connection `client`."""
+
+    def client_gone(self, client: Any) -> None:
+        """Take that the connection `client` broke."""
+
+
 class Client(Protocol):
     """The connection that a message comes from."""
 
@@ -30,7 +41,7 @@
     request_classes: dict[str, int]  # index by method name
     tenants: dict[str, int]  # index by name
     ready: bool  # the result of a health check
-    admission: Any  # the AdmissionActor
+    admission: ClientEvents
     metrics: Metrics
 
 
@@ -83,7 +94,7 @@
         if request_class is None:
             raise json_rpc.BadMessageError(json_rpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
         if not isinstance(rpc_id, int):
-            raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
+            raise json_rpc.BadFieldError("id", "is no number", rpc_id, json_rpc.INVALID_REQUEST)
         if len(client.open_requests) >= connection_limits.MAX_OPEN_REQUESTS:
             # Not a bad message: the server isn't told when a client gives a request up, so a client that
             # gave up many may send as many more.
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -4,7 +4,6 @@
 import socket
 import threading
 import time
-from typing import Any
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import shut, time_limit
@@ -12,7 +11,7 @@
 from vetchford.runtime.timers import MS_PER_S
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
-from vetchford.server.client_messages import MessageHandler
+from vetchford.server.client_messages import ClientEvents, MessageHandler
 from vetchford.server.connection_limits import Crowding
 from vetchford.server.idle_poller import IdleConnectionPoller
 
@@ -29,7 +28,7 @@
         max_connections: int,
         request_classes: dict[str, int],
         tenants: dict[str, int],
-        admission: Any,
+        admission: ClientEvents,
         metrics: Metrics,
     ) -> None:
         """Bind to `address`, or raise OSError; `start` begins to accept.
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -2,11 +2,10 @@
 
 import threading
 from collections import deque
-from typing import Any
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
-from vetchford.server.records_connection import RecordsCall, RecordsConnection
+from vetchford.server.records_connection import CallEvents, RecordsCall, RecordsConnection
 
 CONNECTIONS_PER_IDLE = 4  # one connection in so many may be kept for the next call; the others are for calls
 THREADS_PER_CONNECTION = 2  # for calls in flight, and for cancelled ones whose threads have yet to end
@@ -20,7 +19,7 @@
     """
 
     def __init__(
-        self, address: tuple[str, int] | None, max_connections: int, admission: Any, metrics: Metrics
+        self, address: tuple[str, int] | None, max_connections: int, admission: CallEvents, metrics: Metrics
     ) -> None:
         """Create the client of the service at `address`; without one, every call counts as refused.
 
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -4,12 +4,12 @@
 import threading
 import time
 from contextlib import suppress
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from vetchford.admission.request import Outcome
 from vetchford.protocol import records_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.actor import PooledActor
+from vetchford.runtime.actor import Mailbox, PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import connected, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool
@@ -39,11 +39,18 @@
     reply: bytes
 
 
+class CallEvents(Mailbox, Protocol):
+    """What the admission actor is told of dependency calls; each is posted to its mailbox."""
+
+    def call_ended(self, number: int, outcome: Outcome, reply: bytes) -> None:
+        """Take the outcome of the call of that number."""
+
+
 class ConnectionOwner(Protocol):
     """The client that the connection belongs to."""
 
     address: tuple[str, int] | None
-    admission: Any  # the AdmissionActor
+    admission: CallEvents
     lock: threading.Lock
     metrics: Metrics
     thread_pool: ThreadPool
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -3,12 +3,13 @@
 import socket
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
+from vetchford.admission.request import Outcome
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded, UnknownMessageError
-from vetchford.runtime.actor import PooledActor
+from vetchford.runtime.actor import Mailbox, PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
@@ -18,6 +19,28 @@
 CONNECT_TIMEOUT_S = 2.0  # far more than a connection on one machine takes
 
 
+class WorkerPoolEvents(Mailbox, Protocol):
+    """What the admission actor is told by the worker pool; each is posted to its mailbox."""
+
+    def worker_pool_bound(self, link: int, cold: bool, started_ms_ago: float) -> None:
+        """Take that a link is open."""
+
+    def worker_pool_lost(self) -> None:
+        """Take that the link is lost."""
+
+    def poll_answered(self, reference: str, gauges: list[float]) -> None:
+        """Take the answer to a poll."""
+
+    def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
+        """Take the end of a run; `content` is its result in base64."""
+
+    def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
+        """Take that a run waits for a dependency call with this body."""
+
+    def command_unknown(self, command: str, request_id: str) -> None:
+        """Take that a command was not carried out."""
+
+
 class WorkerPoolClient(PooledActor):
     """Sends commands on the open link, and posts the pool's messages to the admission actor.
 
@@ -25,7 +48,7 @@
     command which was meant for a lost link is not sent on the next one.
     """
 
-    def __init__(self, address: tuple[str, int], admission: Any, metrics: Metrics) -> None:
+    def __init__(self, address: tuple[str, int], admission: WorkerPoolEvents, metrics: Metrics) -> None:
         """Create the client of the pool at `address`; `start` opens the first link."""
         super().__init__("worker-pool", metrics, ThreadPool(metrics, 1))
         self.address = address
