--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -17,7 +17,7 @@
 from vetchford.server import connection_limits
 from vetchford.server.client_messages import MessageHandler, RequestTarget
 from vetchford.server.connection_limits import Crowding
-from vetchford.server.connection_state import CloseStep, ConnectionState, Reading, TimeoutAction
+from vetchford.server.connection_state import CLOSE, DISCARDING, REQUEST_CLOSE, CloseStep, ConnectionState
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
@@ -79,7 +79,7 @@
         was_silent = not state.has_sent_message
         self.is_last_read = True
         more = self._receive()
-        if more and state.has_spoken(was_silent) and state.reading is not Reading.DISCARDING:
+        if more and state.has_spoken(was_silent) and state.reading is not DISCARDING:
             # The client sent a message while it timed out, and may send more before it learns of the close.
             # Closing with that unread would reset the connection and lose the answer.
             self.is_last_read = False
@@ -123,7 +123,7 @@
                 break
             if not count:
                 return False
-            if self.state.reading is Reading.DISCARDING:
+            if self.state.reading is DISCARDING:
                 if not self.state.bytes_discarded(count):
                     return False
             else:
@@ -185,10 +185,10 @@
         One that is idle for too long is first asked to close, which takes effect at a later check.
         """
         action = self.state.timeout_action(now_s, self.owner.crowding)
-        if action is TimeoutAction.REQUEST_CLOSE:
+        if action is REQUEST_CLOSE:
             self.metrics.increment("connections_asked_to_close")
             self.run_or_post(self.request_close)
-        return action is TimeoutAction.CLOSE
+        return action is CLOSE
 
     def is_finished(self, now_s: float, close_timeout_s: float) -> bool:
         """Return whether it was asked to close `close_timeout_s` ago, and nothing is left to do."""
--- a/vetchford/server/connection_limits.py
+++ b/vetchford/server/connection_limits.py
@@ -73,19 +73,25 @@
     """Above NEARLY_FULL_SHARE."""
 
 
+# Bound once, as in connection_state.
+NORMAL = Crowding.NORMAL
+CROWDED = Crowding.CROWDED
+NEARLY_FULL = Crowding.NEARLY_FULL
+
+
 def first_message_timeout_s(crowding: Crowding) -> float:
     """Return how long a new connection may send nothing."""
-    if crowding is Crowding.NEARLY_FULL:
+    if crowding is NEARLY_FULL:
         return NEARLY_FULL_TIMEOUT_S
-    if crowding is Crowding.CROWDED:
+    if crowding is CROWDED:
         return CROWDED_FIRST_MESSAGE_TIMEOUT_S
     return FIRST_MESSAGE_TIMEOUT_S
 
 
 def close_timeout_s(crowding: Crowding) -> float:
     """Return how long a client may take to close a connection that it was asked to close."""
-    if crowding is Crowding.NEARLY_FULL:
+    if crowding is NEARLY_FULL:
         return NEARLY_FULL_TIMEOUT_S
-    if crowding is Crowding.CROWDED:
+    if crowding is CROWDED:
         return DRAIN_CLOSE_TIMEOUT_S
     return CLOSE_TIMEOUT_S
--- a/vetchford/server/connection_state.py
+++ b/vetchford/server/connection_state.py
@@ -51,6 +51,19 @@
     CLOSE = auto()
 
 
+# Bound once: the timeouts of each connection are checked 20 times a second, and a member that is read through
+# its class costs as much as the rest of a check.
+BETWEEN_MESSAGES = Reading.BETWEEN_MESSAGES
+IN_MESSAGE = Reading.IN_MESSAGE
+DISCARDING = Reading.DISCARDING
+ANSWERS = Waiting.ANSWERS
+END_OF_STREAM = Waiting.END_OF_STREAM
+FIRST_MESSAGE = Waiting.FIRST_MESSAGE
+CLIENT_CLOSE = Waiting.CLIENT_CLOSE
+NEXT_MESSAGE = Waiting.NEXT_MESSAGE
+NONE = TimeoutAction.NONE
+REQUEST_CLOSE = TimeoutAction.REQUEST_CLOSE
+CLOSE = TimeoutAction.CLOSE
 NO_STEPS: tuple[CloseStep, ...] = ()
 
 
@@ -67,7 +80,7 @@
         self.open_requests: set[int | str] = set()  # ids that were read and whose answers haven't been sent
         self.last_active_at_s = now_s
 
-        self.reading = Reading.BETWEEN_MESSAGES
+        self.reading = BETWEEN_MESSAGES
         self.message_started_at_s = now_s  # holds in a message only
         self.has_sent_message = False  # whether the client ever sent a whole message
         self.discarded_bytes = 0
@@ -90,17 +103,17 @@
 
     def message_handled(self) -> None:
         """Take that the message was handed on: the bytes behind it are the next one."""
-        self.reading = Reading.BETWEEN_MESSAGES
+        self.reading = BETWEEN_MESSAGES
 
     def message_continues(self, now_s: float) -> None:
         """Take that part of a message was received, and no more has arrived."""
-        if self.reading is not Reading.IN_MESSAGE:
+        if self.reading is not IN_MESSAGE:
             self.message_started_at_s = now_s
-            self.reading = Reading.IN_MESSAGE
+            self.reading = IN_MESSAGE
 
     def parsing_failed(self, now_s: float) -> None:
         """Take that the stream can't be parsed any further."""
-        self.reading = Reading.DISCARDING
+        self.reading = DISCARDING
         self.last_active_at_s = now_s
 
     def bytes_discarded(self, count: int) -> bool:
@@ -138,11 +151,11 @@
 
     def message_has_started(self) -> bool:
         """Return whether part of a message was received that will be answered once it is whole."""
-        return self.reading is Reading.IN_MESSAGE
+        return self.reading is IN_MESSAGE
 
     def ignores_input(self) -> bool:
         """Return whether what still arrives is not answered."""
-        return self.reading is Reading.DISCARDING or self.reading_done or self.broken
+        return self.reading is DISCARDING or self.reading_done or self.broken
 
     def has_spoken(self, was_silent: bool) -> bool:
         """Return whether the client has sent something since it timed out that is owed an answer.
@@ -158,7 +171,7 @@
         quiet = (
             not self.open_requests
             and not self.writing
-            and not self.message_has_started()
+            and self.reading is not IN_MESSAGE
             and self.mailbox_is_empty()
         )
         if self.broken:
@@ -173,14 +186,14 @@
     def waits_for(self) -> Waiting:
         """Return what it waits for."""
         if self.open_requests:
-            return Waiting.ANSWERS
-        if self.reading is Reading.DISCARDING:
-            return Waiting.END_OF_STREAM
+            return ANSWERS
+        if self.reading is DISCARDING:
+            return END_OF_STREAM
         if not self.has_sent_message:
-            return Waiting.FIRST_MESSAGE
+            return FIRST_MESSAGE
         if self.close_requested_at_s is not None:
-            return Waiting.CLIENT_CLOSE
-        return Waiting.NEXT_MESSAGE
+            return CLIENT_CLOSE
+        return NEXT_MESSAGE
 
     def timeout_action(self, now_s: float, crowding: Callable[[], Crowding]) -> TimeoutAction:
         """Return what to do about the connection at `now_s`; `crowding` is that of the connection table.
@@ -188,21 +201,21 @@
         One that is idle for too long is first asked to close, which takes effect at a later check.
         """
         message_age_s = now_s - self.message_started_at_s
-        if self.message_has_started() and message_age_s > connection_limits.MESSAGE_TIMEOUT_S:
-            return TimeoutAction.CLOSE
+        if self.reading is IN_MESSAGE and message_age_s > connection_limits.MESSAGE_TIMEOUT_S:
+            return CLOSE
         waits_for = self.waits_for()
-        if waits_for is Waiting.ANSWERS:
-            return TimeoutAction.NONE
-        if waits_for is Waiting.CLIENT_CLOSE:
+        if waits_for is ANSWERS:
+            return NONE
+        if waits_for is CLIENT_CLOSE:
             finished = self.is_finished(now_s, connection_limits.close_timeout_s(crowding()))
-            return TimeoutAction.CLOSE if finished else TimeoutAction.NONE
-        if waits_for is Waiting.END_OF_STREAM:
+            return CLOSE if finished else NONE
+        if waits_for is END_OF_STREAM:
             timeout_s = connection_limits.DISCARD_TIMEOUT_S
-        elif waits_for is Waiting.FIRST_MESSAGE:
+        elif waits_for is FIRST_MESSAGE:
             timeout_s = connection_limits.first_message_timeout_s(crowding())
         else:
             timeout_s = connection_limits.IDLE_TIMEOUT_S
         if now_s - self.last_active_at_s <= timeout_s:
-            return TimeoutAction.NONE
-        is_next = waits_for is Waiting.NEXT_MESSAGE
-        return TimeoutAction.REQUEST_CLOSE if is_next else TimeoutAction.CLOSE
+            return NONE
+        is_next = waits_for is NEXT_MESSAGE
+        return REQUEST_CLOSE if is_next else CLOSE
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -12,7 +12,7 @@
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
 from vetchford.server.client_messages import ClientEvents, MessageHandler
-from vetchford.server.connection_limits import Crowding
+from vetchford.server.connection_limits import CROWDED, NEARLY_FULL, NORMAL, Crowding
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
@@ -84,7 +84,7 @@
                 continue
             if not accepted:
                 self.free_slots.release()
-            elif self.crowding() is not Crowding.NORMAL:
+            elif self.crowding() is not NORMAL:
                 self._close_longest_idle()
 
     def _reserve_slot(self) -> bool:
@@ -132,10 +132,10 @@
         """Return how full the table is; may be called from any thread."""
         count = len(self.connections)
         if count > connection_limits.NEARLY_FULL_SHARE * self.max_connections:
-            return Crowding.NEARLY_FULL
+            return NEARLY_FULL
         if count > connection_limits.CROWDED_SHARE * self.max_connections:
-            return Crowding.CROWDED
-        return Crowding.NORMAL
+            return CROWDED
+        return NORMAL
 
     def remove(self, connection: ClientConnection) -> None:
         """Take a closed connection out of the table."""
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -39,6 +39,9 @@
     reply: bytes
 
 
+NO_REPLY = CallResult(Outcome.SEVERED, b"")
+
+
 class CallEvents(Mailbox, Protocol):
     """What the admission actor is told of dependency calls; each is posted to its mailbox."""
 
@@ -93,7 +96,7 @@
 
     def make_call(self, call: RecordsCall) -> None:
         """Make a call, wait for its reply and post the outcome to the admission actor."""
-        result = CallResult(Outcome.SEVERED, b"")  # unless more is known: it may have run
+        result = NO_REPLY  # unless more is known: it may have run
         try:
             result = self._exchange(call)
         except UnreadableStreamError as error:
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -7,6 +7,8 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.request_table import RequestEntry, RequestTable
 
+COMPLETED = Outcome.COMPLETED  # bound once: read through its class, a member costs a method call
+
 
 class RequestAnswers:
     """Sends answers to clients and counts them. Used by the thread of the admission actor alone."""
@@ -32,7 +34,7 @@
         """Answer by how the run ended, unless another answer was sent before."""
         if entry.answered:
             self.metrics.increment("runs_unwanted")
-        elif outcome == Outcome.COMPLETED:
+        elif outcome == COMPLETED:
             self.complete(entry, content)
         else:
             self.fail(entry)
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -13,6 +13,8 @@
 if TYPE_CHECKING:
     from vetchford.coordination.load_sampler import LoadSampler
 
+COMPLETED = Outcome.COMPLETED  # bound once: read through its class, a member costs a method call
+SUPERSEDED = Outcome.SUPERSEDED
 EXECUTING_STATES = (RequestState.EXECUTING,)
 STARTED_STATES = (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING)
 MAX_LOGGED_ID = 64  # characters
@@ -68,10 +70,10 @@
         entry.command = None
         entry.content = ""
         self.calls.cancel(entry)
-        if outcome == Outcome.SUPERSEDED:  # it never ran: a request with its key is no repeat of it
+        if outcome == SUPERSEDED:  # it never ran: a request with its key is no repeat of it
             self.idempotency_cache.forget(index)
         self.answers.run_ended(entry, outcome, content)
-        result = RunResult(outcome == Outcome.COMPLETED, content)
+        result = RunResult(outcome == COMPLETED, content)
         followers = self.idempotency_cache.run_ended(index, result)
         controller.run_ended(self.clock.now_ms(), index, outcome, duration_ms)
         for follower in followers:
@@ -87,7 +89,7 @@
         client = self.requests[index].client
         # Before this end frees a core for its next request.
         self.admission.reject_queued_of(controller, client)
-        self.run_ended(controller, request_id, Outcome.SUPERSEDED, 0.0, "")
+        self.run_ended(controller, request_id, SUPERSEDED, 0.0, "")
         client.run_or_post(client.stop_reading)
 
     def call_ended(
@@ -105,7 +107,7 @@
         self.metrics.increment("calls_" + outcome)
         if self.load_sampler is not None:
             self.load_sampler.call_ended(self.clock.now_ms(), outcome, duration_ms)
-        if outcome == Outcome.COMPLETED:
+        if outcome == COMPLETED:
             self.commands.supply_reply(entry, reply)
         controller.call_ended(self.clock.now_ms(), index, outcome, duration_ms)
 
