--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -8,6 +8,8 @@
 import pytest
 from helpers import Running
 
+from testkit.faults.checkpoints import until
+
 POOLS = """
 version: 1
 pools: {
@@ -58,8 +60,9 @@
         assert caller.hear()["id"] == n + 1
         if n < 4:
             server.pool.take("spawn")
-    log = server.stop()
-    assert re.search("configuration_(renewed.*declared|refused.*pools.heavy.share)", log)
+    reloaded = re.compile("configuration_(renewed.*declared|refused.*pools.heavy.share)")
+    until(lambda: reloaded.search("".join(server.log)), "the reload")  # a shutdown does not wait for it
+    assert reloaded.search(server.stop())
 
 
 def test_draining_with_full_bulkheads_answers_everything(server):
