--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -105,7 +105,7 @@
                 request_class=kind,
                 method=CLASSES[kind]["name"],
                 tenant=0,
-                balancer=rpc_id % 3,
+                client_number=rpc_id % 3,
                 arrived_at_unix_ms=arrived_at,
                 client_timeout_ms=LIMIT,
                 work_ms=50.0,
