--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -10,6 +10,7 @@
 import pytest
 from helpers import Recorder, new_controller, request_class, send
 
+from vetchford.admission.rejection import RejectionReason
 from vetchford.admission.settings import Effect, LoadSignal
 from vetchford.bulkheads.bulkheads import BulkheadSet
 from vetchford.bulkheads.settings import BulkheadSettings
@@ -50,7 +51,8 @@
     def stop(self, q):
         assert not self.tasks[q]["effect"]
 
-    def reject(self, q, terminal, pause):
+    def reject(self, q, terminal, pause, reason):
+        assert isinstance(reason, RejectionReason)
         task = self.tasks[q]
         assert not (task["effect"] and task["ran"]), "turned away after it ran"
         assert 0.0 <= pause <= 1000.0
--- a/tests/admission/test_policy_files.py
+++ b/tests/admission/test_policy_files.py
@@ -10,13 +10,9 @@
     "capacity",
     "events",
     "factory",
-    "health_state",
-    "load_advice_state",
-    "part",
+    "rejection",
     "request",
     "settings",
-    "undivided_capacity",
-    "workload_state",
 }
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,11 +7,9 @@
 from testkit.fakes.server_process import Running
 from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.health import Health
 from vetchford.admission.in_flight_bytes import InFlightBytes
-from vetchford.admission.load_advice import LoadAdvice
-from vetchford.admission.load_advice_state import AdviceSettings
-from vetchford.admission.request import AdmissionSettings, RequestArrival, RequestClass
+from vetchford.admission.rejection import RejectionReason
+from vetchford.admission.request import AdmissionSettings, AdviceSettings, RequestArrival, RequestClass
 from vetchford.admission.settings import Effect, LoadSignal
 from vetchford.admission.shared_capacity import SharedCapacity
 from vetchford.admission.tenant_quotas import TenantQuotas
@@ -45,13 +43,21 @@
 
 
 class Recorder:
-    """Actions that keep each act as (name, *arguments), and the answers by request."""
+    """Actions that keep each act as (name, *arguments), and answers and reasons by request."""
 
     def __init__(self):
         self.acts = []
         self.now = 0.0
         self.timers = []
         self.answers = {}
+        self.reasons = {}
+
+    def reject(self, q, terminal, retry_after_ms, reason):
+        assert isinstance(reason, RejectionReason)
+        assert q not in self.answers, "a second final answer"
+        self.reasons[q] = reason
+        self.answers[q] = "reject"
+        self.acts.append(("reject", q, terminal, retry_after_ms))
 
     def __getattr__(self, name):
         if name.startswith("_"):
@@ -59,7 +65,7 @@
 
         def act(*given):
             self.acts.append((name, *given))
-            if name in ("reject", "fail"):
+            if name == "fail":
                 assert given[0] not in self.answers, "a second final answer"
                 self.answers[given[0]] = name
             if name == "schedule_tick":
@@ -118,9 +124,9 @@
         dependency=DependencyConcurrencyLimit(share, 5000.0, 200.0, cores),
         tenants=TenantQuotas(list(quotas), 1, 0.05),
     )
-    advice = LoadAdvice(actions, AdviceSettings(7, signal, 1000.0, clients, cores, 30_000.0))
+    advice = AdviceSettings(7, signal, 1000.0, clients, cores, 30_000.0)
     capacity = SharedCapacity() if bulkheads is None else BulkheadCapacity(bulkheads)
-    return AdmissionController(actions, workload, capacity, advice, Health(actions, workload))
+    return AdmissionController(actions, workload, capacity, advice)
 
 
 def send(
--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -2,6 +2,8 @@
 
 from typing import Protocol
 
+from vetchford.admission.rejection import RejectionReason
+
 
 class AdmissionActions(Protocol):
     """Acts on requests by their small index; times and durations are milliseconds with fractions.
@@ -15,10 +17,14 @@
     def stop(self, index: int) -> None:
         """Stop a run; not an answer. Only where the settings say how runs are stopped."""
 
-    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
+    def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
         """Final answer: rejected, never run.
 
-        `terminal`: not to be sent to another server; `retry_delay` > 0: not to be retried for that long.
+        Args:
+            index: Of the request.
+            terminal: Not to be sent to another server.
+            retry_after_ms: Not to be retried for that long; 0: nothing is asked.
+            reason: The rule that rejected it.
         """
 
     def fail(self, index: int) -> None:
--- /dev/null
+++ b/vetchford/admission/admission_checks.py
@@ -0,0 +1,94 @@
+"""Whether an arriving request is admitted, and which one gives way where the server is full."""
+
+from vetchford.admission.capacity import Capacity
+from vetchford.admission.completion_estimate import CompletionEstimate, due_before_next_tick
+from vetchford.admission.health import Health
+from vetchford.admission.lifecycle import RequestLifecycle
+from vetchford.admission.rejection import RejectionReason
+from vetchford.admission.request import Request
+from vetchford.admission.workload import Workload
+
+
+class AdmissionChecks:
+    """The checks of an arriving request, in the order in which they are made."""
+
+    def __init__(
+        self,
+        workload: Workload,
+        capacity: Capacity,
+        health: Health,
+        estimate: CompletionEstimate,
+        lifecycle: RequestLifecycle,
+    ) -> None:
+        """Reject through `lifecycle`."""
+        self.workload = workload
+        self.capacity = capacity
+        self.health = health
+        self.estimate = estimate
+        self.lifecycle = lifecycle
+
+    def reason_not_to_serve(self, now_ms: float, request: Request) -> RejectionReason | None:
+        """Return why the request is not served now, whatever it costs; None where it may be."""
+        if self.health.is_past_drain_grace(request.arrived_at_ms):
+            return RejectionReason.DRAINING
+        if self.health.stalled:
+            return RejectionReason.STALLED
+        if due_before_next_tick(now_ms, request):
+            return RejectionReason.DEADLINE
+        return None
+
+    def admit(self, now_ms: float, request: Request) -> bool:
+        """Return whether the request may be queued; another one may have been rejected in its place."""
+        queue_delay_ms = self.capacity.queue_delay_ms(now_ms, request)
+        if not self.memory_fits(request):
+            self.lifecycle.reject(request, RejectionReason.MEMORY)
+            return False
+        if not self.estimate.is_in_time(now_ms, request, queue_delay_ms):
+            self.lifecycle.reject(request, RejectionReason.LATENCY_OBJECTIVE)
+            return False
+        return self._within_byte_limits(request)
+
+    def memory_fits(self, request: Request) -> bool:
+        """Return whether the run of the request would fit into memory, and its idempotency key if it has one.
+
+        Executing requests count at a multiple of their size, and kept keys count too (design).
+        """
+        in_flight = self.workload.in_flight
+        key_bytes = in_flight.key_size_bytes if request.has_key else 0.0
+        return self.capacity.memory_fits(request, key_bytes + request.size_bytes * in_flight.running_extra)
+
+    def _within_byte_limits(self, request: Request) -> bool:
+        """Check both counters of unanswered bytes; where one is over its limit, evict the lowest priority.
+
+        A counter that is over its threshold is answered by a prompt rejection (design, after the paper's
+        THROW_ON_OVERLOAD). Room goes to the higher priority.
+        """
+        over_client = self.workload.in_flight.over_client_limit(request.client, request.size_bytes)
+        if self.capacity.has_room(request) and not over_client:
+            return True
+        queued = self._queued_of(request.client) if over_client else list(self.workload.queued.values())
+        candidates = self.capacity.eviction_candidates(request, queued)
+        if not candidates:
+            return True
+        evicted = self.lowest_priority(candidates)
+        reason = RejectionReason.CLIENT_BYTES if over_client else RejectionReason.NODE_BYTES
+        self.lifecycle.reject(evicted, reason)
+        return evicted is not request
+
+    def lowest_priority(self, candidates: list[Request]) -> Request:
+        """Return whom to evict: the lowest priority; of equals the heaviest client's, then the newest."""
+        priority = self.workload.priority
+        bytes_by_client = self.workload.in_flight.bytes_by_client
+
+        def eviction_order(request: Request) -> tuple[float, int, float, int]:
+            return (
+                priority(request),
+                -bytes_by_client[request.client],
+                -request.arrived_at_ms,
+                request.index,
+            )
+
+        return min(candidates, key=eviction_order)
+
+    def _queued_of(self, client: int) -> list[Request]:
+        return [request for request in self.workload.queued.values() if request.client == client]
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -1,37 +1,77 @@
-"""The events of one server's life, each with the decisions that follow from it (docs/design.md)."""
+"""The events of one server's life, handed to the parts that decide (docs/design.md)."""
 
 import math
 
+from vetchford.admission.actions import AdmissionActions
+from vetchford.admission.admission_checks import AdmissionChecks
+from vetchford.admission.capacity import Capacity
+from vetchford.admission.completion_estimate import TICK_MS, CompletionEstimate, due_before_next_tick
+from vetchford.admission.dependency_calls import DependencyCalls
 from vetchford.admission.events import AdmissionEvents
-from vetchford.admission.part import AdmissionPart
-from vetchford.admission.queue_times import QueueTimeHistogram
-from vetchford.admission.request import Outcome, Request, RequestArrival, RequestState
+from vetchford.admission.health import Health
+from vetchford.admission.idle_timeout import IdleTimeout
+from vetchford.admission.lifecycle import RequestLifecycle
+from vetchford.admission.published_load import PublishedLoad
+from vetchford.admission.rejection import RejectionReason
+from vetchford.admission.request import AdviceSettings, Outcome, Request, RequestArrival, RequestState
+from vetchford.admission.retry_after import RetryAfter, TerminalRejection
+from vetchford.admission.retry_objective import RetryObjective
 from vetchford.admission.scheduler import Scheduler
-from vetchford.admission.workload import RECENT
+from vetchford.admission.traffic import RecentTraffic
+from vetchford.admission.workload import Workload
 
-TICK = 50.0  # ms: answers due before the next tick leave in this one, so they are early by this at most
-BUSY, ROOM_TO_GROW = 0.8, 0.5  # utilization of the cores: the design's mark; more runs only slow all above
+BUSY_UTILIZATION = 0.8
+"""Utilization of the cores above which the concurrency limit may be cut (the design's busy mark)."""
+ROOM_UTILIZATION = 0.5
+"""Utilization below which the limit may grow: more runs on busy cores only slow all."""
+UNANSWERED_OUTCOMES = (Outcome.OVERDUE, Outcome.SEVERED)
+"""Of a call that may still have its effect."""
+NEVER_RAN_OUTCOMES = (Outcome.SATURATED, Outcome.REFUSED_CONNECTION)
+"""Of a call that the dependency did not run, so that it may be made again."""
 
 
-class AdmissionController(AdmissionPart, AdmissionEvents):
-    """All admission decisions of one server; acts through `AdmissionActions`."""
+class AdmissionController(AdmissionEvents):
+    """All admission decisions of one server; acts through `AdmissionActions`.
 
-    def __post_init__(self) -> None:
-        self.queue_times, self.scheduler = QueueTimeHistogram(), Scheduler(*self.shared)
-        self.lifecycle = self.scheduler.lifecycle
-        self.capacity.attach(self.workload)
+    Each event updates the counts, then lets `dependency_calls` and `scheduler` use what has become free.
+    """
+
+    def __init__(
+        self, actions: AdmissionActions, workload: Workload, capacity: Capacity, advice: AdviceSettings
+    ) -> None:
+        """Start with readiness published and the first tick scheduled; `capacity` is used by no other one."""
+        self.actions = actions
+        self.workload = workload
+        self.capacity = capacity
+        self.traffic = RecentTraffic()
+        self.health = Health(actions, workload)
+        self.retry_after = RetryAfter(advice.seed, advice.max_retry_after_ms)
+        self.terminal_rejection = TerminalRejection(self.traffic)
+        self.retry_objective = RetryObjective(self.retry_after)
+        self.published_load = PublishedLoad(actions, advice.signal, advice.cores, advice.clients)
+        self.idle_timeout = IdleTimeout(actions, self.traffic, advice.max_idle_timeout_ms, advice.clients)
+        self.lifecycle = RequestLifecycle(
+            actions, workload, capacity, self.traffic, self.retry_after, self.terminal_rejection
+        )
+        self.estimate = CompletionEstimate(workload, capacity)
+        self.checks = AdmissionChecks(workload, capacity, self.health, self.estimate, self.lifecycle)
+        self.dependency_calls = DependencyCalls(actions, workload, capacity, self.health)
+        self.scheduler = Scheduler(actions, workload, capacity, self.health, self.estimate, self.lifecycle)
+        self.capacity.attach(workload)
         self.actions.set_readiness(True)
-        self.actions.schedule_tick(TICK)
+        self.actions.schedule_tick(TICK_MS)
 
     def request_arrived(self, now_ms: float, arrival: RequestArrival) -> None:
-        request = self._enter(now_ms, arrival)
-        drained = request.arrived_at_ms > self.health.notice_at_ms + self.workload.settings.drain_grace_ms
-        late = drained or self.health.stalled or request.deadline_ms <= now_ms + TICK
-        if arrival.original is not None and self.lifecycle.resolve_repeat(request, arrival.original, late):
+        """Admit an arriving request, reject it, or let a repeat share the result of its original."""
+        request = self._count_arrival(now_ms, arrival)
+        reason = self.checks.reason_not_to_serve(now_ms, request)
+        original = arrival.original
+        if original is not None and self.lifecycle.resolve_repeat(request, original, reason is not None):
             return
-        if late:
-            self.lifecycle.reject(request, False, self.advice.retry_after_ms(math.inf))
-        elif self._admit(now_ms, request):
+        if reason is not None:
+            longest_ms = self.retry_after.with_jitter_ms(math.inf)
+            self.lifecycle.reject(request, reason, retry_after_ms=longest_ms)
+        elif self.checks.admit(now_ms, request):
             self.workload.queued[request.index] = request
             if request.has_key:
                 self.lifecycle.keep_key(now_ms, request, arrival.queued_for_ms)
@@ -40,46 +80,40 @@
     def apply_fleet_signals(
         self, call_slowdown: float, call_capacity: float, is_full: bool, retry_after_factor: float
     ) -> None:
-        self.advice.fleet_full = is_full
-        self.advice.retry_after_factor = retry_after_factor
-        dependency = self.workload.dependency
-        if dependency is not None:
-            dependency.usable_fraction = call_capacity
-            usual_ms = dependency.base_time_ms.value
-            slow_ms = usual_ms * call_slowdown if call_slowdown > 1.0 else 0.0
-            dependency.min_call_time_ms = math.inf if call_capacity == 0.0 else slow_ms
+        """Take what many servers measure together."""
+        self.terminal_rejection.fleet_full = is_full
+        self.retry_after.factor = retry_after_factor
+        if self.workload.dependency is not None:
+            self.workload.dependency.apply_fleet_signals(call_slowdown, call_capacity)
 
     def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
+        """Cut all deadlines, so that everything is answered before the process is killed."""
         self.health.start_draining(now_ms, kill_at_ms)
         for request in self.workload.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.health.kill_at_ms)
 
     def client_gone(self, now_ms: float, index: int) -> None:
+        """Cancel a request that nobody waits for."""
         request = self.workload.requests[index]
-        if not request.answered:
-            if not request.is_retry:  # a retry's client may leave for reasons of the first attempt
-                self.queue_times.add((now_ms - request.arrived_at_ms) / request.request_class.timeout_ms)
-            self.lifecycle.cancel(request)
-            self.scheduler.dispatch(now_ms)
+        if request.answered:
+            return
+        if not request.is_retry:  # a retry's client may leave for reasons of the first attempt
+            self.retry_objective.client_left(now_ms, request.arrived_at_ms, request.request_class.timeout_ms)
+        self.lifecycle.cancel(request)
+        self.scheduler.dispatch(now_ms)
 
     def run_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
-        load, request = self.workload, self.workload.requests[index]
+        """Learn from a run that completed, and free what it held."""
+        request = self.workload.requests[index]
         if request.state != RequestState.SHARING:
-            self.capacity.run_ended(now_ms, request)
-            if request.state == RequestState.EXECUTING:
-                load.running -= 1
-                if outcome == Outcome.COMPLETED:
-                    load.learn(now_ms, request, took_ms)
-            elif request.state == RequestState.CALLING and load.dependency is not None:
-                load.dependency.ended(now_ms, None)
-            self.health.run_left(now_ms)
-            load.in_flight.used_bytes -= request.size_bytes * load.in_flight.running_extra
+            self._count_run_back(now_ms, request, outcome, took_ms)
         if not request.answered:
             self.lifecycle.settle(request)
         self.lifecycle.finish(request)
         self.scheduler.dispatch(now_ms)
 
     def run_blocked(self, now_ms: float, index: int) -> None:
+        """Make the call that a run waits for, queue it, or let the run go on without it."""
         request = self.workload.requests[index]
         self.workload.running -= 1
         self.capacity.run_blocked(now_ms, request)
@@ -88,119 +122,105 @@
         request.dependency_wait_ms -= now_ms
         if not request.answered:  # else it ends by itself
             self.workload.waiting[index] = request
-            self.scheduler.start_calls(now_ms)
-            waits = request.state == RequestState.WAITING_FOR_CALL and request.request_class.skip_fraction
-            if waits and (self.workload.calls_stopped or self.capacity.should_skip(request)):
-                self.scheduler.skip_call(now_ms, request)
+            self.dependency_calls.start_calls(now_ms)
+            if self.dependency_calls.should_skip(request):
+                self.dependency_calls.skip(now_ms, request)
         self.scheduler.dispatch(now_ms)
 
     def call_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
-        request, dependency = self.workload.requests[index], self.workload.dependency
-        answered_after = None if outcome in (Outcome.OVERDUE, Outcome.SEVERED) else took_ms
-        never_ran = outcome in (Outcome.SATURATED, Outcome.REFUSED_CONNECTION)
-        if dependency is not None:
-            dependency.ended(now_ms, answered_after)
-        self.capacity.call_ended(now_ms, request, answered_after, never_ran)
+        """Let the run go on, try its call again where it never ran, or fail the request."""
+        request = self.workload.requests[index]
+        answered_after_ms = None if outcome in UNANSWERED_OUTCOMES else took_ms
+        never_ran = outcome in NEVER_RAN_OUTCOMES
+        if self.workload.dependency is not None:
+            self.workload.dependency.ended(now_ms, answered_after_ms)
+        self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
         request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
         if outcome == Outcome.COMPLETED:
-            self.scheduler.resume(now_ms, request)
-        elif not request.answered and request.request_class.skip_fraction > 0.0:
-            self.scheduler.skip_call(now_ms, request)
-        elif not request.answered and never_ran:
-            self.workload.waiting[index] = request  # it may be made again, at the next tick
-            return
+            self.dependency_calls.resume(now_ms, request)
         elif not request.answered:  # one given up on while its call was out ends by itself
-            self.lifecycle.give_up(request)
-        self.scheduler.start_calls(now_ms)
+            if request.request_class.skip_fraction > 0.0:
+                self.dependency_calls.skip(now_ms, request)
+            elif never_ran:
+                self.workload.waiting[index] = request  # its call may be made again, at the next tick
+                return
+            else:
+                self.lifecycle.give_up(request)
+        self.dependency_calls.start_calls(now_ms)
         self.scheduler.dispatch(now_ms)
 
     def on_tick(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
-        load = self.workload
-        self.actions.schedule_tick(TICK)
-        self.scheduler.cores_busy = utilization is None or utilization > BUSY
-        load.reading += 0.3 * (min(max(0.0, (on_cores or 0.0) - load.running), load.cores) - load.reading)
+        """Take in the gauges, answer what is due, and update what clients are advised."""
+        self.actions.schedule_tick(TICK_MS)
         self.lifecycle.expire_keys(now_ms)
-        load.slowdown += 0.0 if load.running else RECENT * (1.0 - load.slowdown)  # idle cores unlearn
-        load.reweigh_classes()
-        load.update_ceiling(now_ms)
-        self.capacity.on_tick(now_ms)
-        # More runs on busy cores only slow all, and at a few cores the root is a large part of the limit.
-        may_grow = utilization is not None and utilization < ROOM_TO_GROW
-        load.limit.step(now_ms, load.ceiling, self.scheduler.cores_busy, may_grow)
+        self._update_workload(now_ms, utilization, on_cores)
         self.health.on_tick(now_ms)
-        for request in [request for request in load.requests.values() if not request.answered]:
+        for request in [each for each in self.workload.requests.values() if not each.answered]:
             self._answer_if_due(now_ms, request)
-        self.scheduler.start_calls(now_ms)
-        self.advice.update_load(self.health.read_delay_ratio, load.speed())
-        self.advice.update_idle_timeout(self.health.read_delay_ratio, load.reading / load.cores)
+        self.dependency_calls.start_calls(now_ms)
+        self._update_advice()
         self.scheduler.dispatch(now_ms)
 
-    def _enter(self, now_ms: float, arrival: RequestArrival) -> Request:
-        kind, given, is_retry = (
-            self.workload.classes[arrival.class_index],
-            arrival.deadline_ms,
-            arrival.is_retry,
-        )
-        arrived_at_ms, usual = now_ms - arrival.queued_for_ms, self.queue_times.most_common()
-        deadline_ms = min(arrived_at_ms + kind.timeout_ms if given is None else given, self.health.kill_at_ms)
-        patience = kind.timeout_ms if given else 0.95 * usual * kind.timeout_ms
-        objective_at_ms = arrived_at_ms + min(kind.latency_objective_ms, patience)
-        if given is not None:
-            age = self.queue_times.age((given - arrived_at_ms) / kind.timeout_ms)
-            objective_at_ms -= age * kind.timeout_ms
-            is_retry = is_retry or age > 0.05  # under a twentieth it only tried another server
-        elif is_retry:
-            objective_at_ms -= (
-                0.5 * self.advice.mean_retry_after_ms
-            )  # it backed off as asked, or not at all: half
-        request = Request.of(
-            arrival, kind, arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, is_retry
-        )
+    def _count_arrival(self, now_ms: float, arrival: RequestArrival) -> Request:
+        kind = self.workload.classes[arrival.class_index]
+        times = self.retry_objective.times(now_ms, arrival, kind, self.health.kill_at_ms)
+        request = Request.of(arrival, kind, times)
         self.workload.requests[request.index] = request
         self.workload.in_flight.add(request.client, request.size_bytes)
         self.capacity.arrived(request)
-        self.advice.arrivals, self.advice.retries = self.advice.arrivals + 1.0, self.advice.retries + is_retry
-        if not is_retry:
+        self.traffic.arrived(request.is_retry)
+        if not request.is_retry:
             kind.offered += self.workload.value(request)
             self.workload.tenants.count(now_ms, request.tenant)
-        delay_ms = arrival.queued_for_ms / max(1.0, kind.latency_objective_ms)
-        self.health.read_delay_ratio += RECENT * (delay_ms - self.health.read_delay_ratio)
+        self.health.request_read(arrival.queued_for_ms, kind.latency_objective_ms)
         return request
 
-    def _admit(self, now_ms: float, request: Request) -> bool:
-        load, in_flight = self.workload, self.workload.in_flight
-        key = in_flight.key_size_bytes if request.has_key else 0.0
-        delay_ms = self.capacity.queue_delay_ms(now_ms, request)
-        fits = self.capacity.memory_fits(request, key + request.size_bytes * in_flight.running_extra)
-        if not fits or not self.scheduler.in_time(now_ms, request, delay_ms):
-            self.lifecycle.reject(request, False)
-            return False
-        over_client = in_flight.over_client_limit(request.client, request.size_bytes)
-        if self.capacity.has_room(request) and not over_client:
-            return True
-        queued = [o for o in load.queued.values() if not over_client or o.client == request.client]
-        candidates = self.capacity.eviction_candidates(request, queued)
-        if not candidates:
-            return True
-        sizes = (
-            in_flight.bytes_by_client
-        )  # room goes to the higher priority; among equals the heaviest loses it
-        lowest = min(
-            candidates, key=lambda o: (load.priority(o), -sizes[o.client], -o.arrived_at_ms, o.index)
-        )
-        self.lifecycle.reject(lowest, False)
-        return lowest is not request
+    def _count_run_back(self, now_ms: float, request: Request, outcome: str, took_ms: float) -> None:
+        load = self.workload
+        self.capacity.run_ended(now_ms, request)
+        if request.state == RequestState.EXECUTING:
+            load.running -= 1
+            if outcome == Outcome.COMPLETED:
+                load.learn(now_ms, request, took_ms)
+        elif request.state == RequestState.CALLING and load.dependency is not None:
+            load.dependency.ended(now_ms, None)
+        self.health.run_left(now_ms)
+        load.in_flight.used_bytes -= request.size_bytes * load.in_flight.running_extra
+
+    def _update_workload(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
+        load = self.workload
+        cores_busy = utilization is None or utilization > BUSY_UTILIZATION
+        self.estimate.cores_busy = cores_busy
+        load.observe_on_cores(on_cores)
+        load.forget_contention_if_idle()
+        load.reweigh_classes()
+        load.update_ceiling(now_ms)
+        self.capacity.on_tick(now_ms)
+        may_grow = utilization is not None and utilization < ROOM_UTILIZATION
+        load.limit.step(now_ms, load.ceiling, cores_busy, may_grow)
+
+    def _update_advice(self) -> None:
+        read_delay_ratio = self.health.read_delay_ratio
+        self.published_load.update_open_fraction(read_delay_ratio, self.traffic.rejected_fraction())
+        self.traffic.on_tick()
+        self.published_load.publish(self.workload.speed())
+        self.idle_timeout.update(read_delay_ratio, self.workload.reading / self.workload.cores)
 
     def _answer_if_due(self, now_ms: float, request: Request) -> None:
-        useful_until_ms = (
-            request.deadline_ms if request.request_class.late_fraction else request.objective_at_ms
-        )
-        finish = now_ms + 0.5 * self.workload.expected_run_time_ms(request)  # half a run follows a call
-        if request.deadline_ms <= now_ms + TICK:
+        """Answer a request that has no chance any more, so that its client can act on it."""
+        if due_before_next_tick(now_ms, request):
             self.lifecycle.give_up(request)
         elif request.state == RequestState.QUEUED:
-            if self.health.stalled or not self.scheduler.in_time(now_ms, request, 0.0):
-                self.lifecycle.reject(request, not self.health.stalled)
-        elif request.index in self.workload.waiting and finish > useful_until_ms:
-            may_skip = request.request_class.skip_fraction > 0.0
-            self.scheduler.skip_call(now_ms, request) if may_skip else self.lifecycle.give_up(request)
+            self._reject_if_hopeless(now_ms, request)
+        elif request.index in self.workload.waiting and self.estimate.is_call_too_late(now_ms, request):
+            if request.request_class.skip_fraction > 0.0:
+                self.dependency_calls.skip(now_ms, request)
+            else:
+                self.lifecycle.give_up(request)
+
+    def _reject_if_hopeless(self, now_ms: float, request: Request) -> None:
+        """Reject a queued request; terminal only where it would be too late on any server."""
+        if self.health.stalled:
+            self.lifecycle.reject(request, RejectionReason.STALLED)
+        elif not self.estimate.is_in_time(now_ms, request, 0.0):
+            self.lifecycle.reject(request, RejectionReason.LATENCY_OBJECTIVE, terminal=True)
--- a/vetchford/admission/factory.py
+++ b/vetchford/admission/factory.py
@@ -4,11 +4,8 @@
 from vetchford.admission.capacity import Capacity
 from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit
 from vetchford.admission.controller import AdmissionController
-from vetchford.admission.health import Health
 from vetchford.admission.in_flight_bytes import InFlightBytes
-from vetchford.admission.load_advice import LoadAdvice
-from vetchford.admission.load_advice_state import AdviceSettings
-from vetchford.admission.request import AdmissionSettings, RequestClass
+from vetchford.admission.request import AdmissionSettings, AdviceSettings, RequestClass
 from vetchford.admission.settings import RequestClassSettings, ServerSettings
 from vetchford.admission.shared_capacity import SharedCapacity
 from vetchford.admission.tenant_quotas import TenantQuotas
@@ -24,11 +21,11 @@
     cold: bool,
     capacity: Capacity | None = None,
 ) -> AdmissionController:
-    """The controller for these settings.
+    """Return the controller for these settings.
 
     Args:
         actions: What it acts through.
-        seed: Of the random spread of retry delays.
+        seed: Of the jitter of retry-afters.
         settings: What the server is told of itself.
         cold: Whether the server's speed still rises from the start.
         capacity: Bulkheads for these request classes, where there are to be any.
@@ -40,10 +37,8 @@
         settings=_admission_settings(settings, cold),
         in_flight=_in_flight_bytes(settings),
     )
-    advice = LoadAdvice(actions, _advice_settings(settings, seed))
-    return AdmissionController(
-        actions, workload, capacity or SharedCapacity(), advice, Health(actions, workload)
-    )
+    advice = _advice_settings(settings, seed)
+    return AdmissionController(actions, workload, capacity or SharedCapacity(), advice)
 
 
 def _request_class(settings: RequestClassSettings) -> RequestClass:
@@ -106,5 +101,5 @@
         max_retry_after_ms=settings.max_retry_after_ms,
         clients=settings.clients,
         cores=settings.cores,
-        idle_timeout_ms=settings.idle_timeout_ms,
+        max_idle_timeout_ms=settings.idle_timeout_ms,
     )
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -2,48 +2,88 @@
 
 import heapq
 
-from vetchford.admission.part import AdmissionPart
+from vetchford.admission.actions import AdmissionActions
+from vetchford.admission.capacity import Capacity
+from vetchford.admission.rejection import RejectionReason
 from vetchford.admission.request import Request, RequestState
+from vetchford.admission.retry_after import RetryAfter, TerminalRejection
 from vetchford.admission.settings import Effect
+from vetchford.admission.traffic import RecentTraffic
+from vetchford.admission.workload import Workload
 
+MIN_KEY_WINDOW_MS = 1.0
 
-class RequestLifecycle(AdmissionPart):
-    """Answers requests and releases their bytes, idempotency keys and indices."""
 
-    def __post_init__(self) -> None:
-        self.key_expiries: list[tuple[float, int]] = []  # heap, emptied as keys expire
+class RequestLifecycle:
+    """Answers requests and releases their bytes, idempotency keys and indices.
 
-    def reject(self, request: Request, terminal: bool, delay_ms: float | None = None) -> None:
-        """Answer that it never ran. `delay` (ms) is asked of the client; None: until the queue is empty."""
-        advice = self.advice
-        advice.rejections += 1.0
+    Invariant: an index is released once, after the final answer, the end of the run and the key's expiry.
+    """
+
+    def __init__(
+        self,
+        actions: AdmissionActions,
+        workload: Workload,
+        capacity: Capacity,
+        traffic: RecentTraffic,
+        retry_after: RetryAfter,
+        terminal_rejection: TerminalRejection,
+    ) -> None:
+        """Answer through `actions`."""
+        self.actions = actions
+        self.workload = workload
+        self.capacity = capacity
+        self.traffic = traffic
+        self.retry_after = retry_after
+        self.terminal_rejection = terminal_rejection
+        self.key_expiries: list[tuple[float, int]] = []
+        """Heap of expiry (ms) and index, emptied as keys expire."""
+
+    def reject(
+        self,
+        request: Request,
+        reason: RejectionReason,
+        terminal: bool = False,
+        retry_after_ms: float | None = None,
+    ) -> None:
+        """Answer that a request never ran.
+
+        Args:
+            request: Queued, or just arrived.
+            reason: The rule that rejects it.
+            terminal: Ask in any case that no other server be tried.
+            retry_after_ms: Asked of the client; None: until the queue is expected to be empty, with jitter.
+        """
+        self.traffic.rejections += 1.0
         self.settle(request)
-        delay_ms = (
-            advice.retry_after_ms(self.capacity.retry_after_ms(request)) if delay_ms is None else delay_ms
-        )
-        # A retry that is rejected again has found two servers full: more only spread the overload, and
-        # so would all others where a quarter of what comes was rejected elsewhere.
-        terminal |= request.is_retry or advice.fleet_full or advice.retries > 0.25 * advice.arrivals
-        self.actions.reject(request.index, terminal, delay_ms)
+        if retry_after_ms is None:
+            retry_after_ms = self.retry_after.with_jitter_ms(self.capacity.backlog_ms(request))
+        terminal = terminal or self.terminal_rejection.is_terminal(request)
+        self.actions.reject(request.index, terminal, retry_after_ms, reason)
         self.finish(request)
 
     def give_up(self, request: Request) -> None:
+        """Answer a request that can't be completed in time: rejected if it never ran, else failed."""
         if request.state == RequestState.QUEUED:
-            self.reject(request, True)
+            self.reject(request, RejectionReason.DEADLINE, terminal=True)
         else:
             self.actions.fail(request.index)
             self.cancel(request)
 
     def cancel(self, request: Request) -> None:
-        """No answer is needed any more; a run is stopped where that is possible and it may run again."""
+        """Note that no answer is needed any more; a run that may run again is stopped where that is possible.
+
+        The result of a run with an idempotency key may still be shared, so it goes on.
+        """
         self.settle(request)
-        stoppable = self.workload.settings.can_stop and request.request_class.effect == Effect.IDEMPOTENT
+        can_stop = self.workload.settings.can_stop and request.request_class.effect == Effect.IDEMPOTENT
         if request.state in (RequestState.QUEUED, RequestState.SHARING):
             self.finish(request)
-        elif request.state == RequestState.EXECUTING and stoppable:  # a keyed one's result may be shared
+        elif request.state == RequestState.EXECUTING and can_stop:
             self.actions.stop(request.index)
 
     def settle(self, request: Request) -> None:
+        """Count a request as answered, and take it out of the queues."""
         request.answered = True
         self.workload.queued.pop(request.index, None)
         self.workload.waiting.pop(request.index, None)
@@ -51,8 +91,9 @@
         self.capacity.answered(request)
 
     def finish(self, request: Request) -> None:
-        in_flight = self.workload.in_flight
-        in_flight.used_bytes, request.state = in_flight.used_bytes - request.size_bytes, RequestState.DONE
+        """Free the memory of a request that is answered and does not run."""
+        self.workload.in_flight.used_bytes -= request.size_bytes
+        request.state = RequestState.DONE
         self.capacity.released(request)
         if request.key_expires_at_ms and not request.started:
             self._drop_key(request)
@@ -60,16 +101,20 @@
         self._release_index(request)
 
     def keep_key(self, now_ms: float, request: Request, queued_for_ms: float) -> None:
+        """Keep the idempotency key for what is left of its window since the request arrived.
+
+        The index is kept for one timeout more: a repeat that arrives within the window may be read that much
+        later.
+        """
         kind = request.request_class
-        keep_for_ms = max(1.0, kind.key_window_ms - queued_for_ms)
-        request.key_expires_at_ms = (
-            now_ms + keep_for_ms + kind.timeout_ms
-        )  # a repeat in time may be read that much later
+        keep_for_ms = max(MIN_KEY_WINDOW_MS, kind.key_window_ms - queued_for_ms)
+        request.key_expires_at_ms = now_ms + keep_for_ms + kind.timeout_ms
         self.workload.in_flight.used_bytes += self.workload.in_flight.key_size_bytes
         heapq.heappush(self.key_expiries, (request.key_expires_at_ms, request.index))
         self.actions.remember(request.index, keep_for_ms)
 
     def expire_keys(self, now_ms: float) -> None:
+        """Drop the keys whose time is over."""
         while self.key_expiries and self.key_expiries[0][0] <= now_ms:
             expires_at_ms, index = heapq.heappop(self.key_expiries)
             request = self.workload.requests.get(index)
@@ -77,14 +122,26 @@
                 self._drop_key(request)
                 self._release_index(request)
 
-    def resolve_repeat(self, request: Request, original: int, late: bool) -> bool:
-        """True where the repeat needs no admission; False where it replaces an attempt that never ran."""
+    def resolve_repeat(self, request: Request, original: int, not_served: bool) -> bool:
+        """Return True where a repeat is answered with the result of its original, and needs no admission.
+
+        False where it takes the place of an original that is still queued, whose client has given up on it. A
+        repeat of an unknown original is failed, as that may have run.
+
+        Args:
+            request: The repeat.
+            original: Index of the original, -1 for an unknown one.
+            not_served: Whether the repeat itself would be rejected.
+        """
         first = self.workload.requests.get(original)
-        if first and first.state == RequestState.QUEUED and not late and request.has_key:
-            self.reject(first, True, 0.0)  # its client has given up on it, the newer one has more time
+        if first and first.state == RequestState.QUEUED and not not_served and request.has_key:
+            self.reject(first, RejectionReason.SUPERSEDED, terminal=True, retry_after_ms=0.0)
             return False
         request.state = RequestState.SHARING
-        self.actions.share(request.index) if first else self.give_up(request)  # an unknown one may have run
+        if first:
+            self.actions.share(request.index)
+        else:
+            self.give_up(request)
         return True
 
     def _drop_key(self, request: Request) -> None:
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -9,7 +9,12 @@
 from typing import NamedTuple
 
 from vetchford.admission.concurrency_limits import RUNS_BY_COUNT, TimeWeightedAverage
-from vetchford.admission.settings import Effect
+from vetchford.admission.settings import Effect, LoadSignal
+
+UNKNOWN_WORK_MS = 1.0
+"""Expected work of a request whose client gives none: the class's mean run time then stands for it."""
+NOTHING_OFFERED = 1e-9
+"""Keeps the achieved part of what was offered defined before the first request."""
 
 
 class RequestState(IntEnum):
@@ -82,7 +87,7 @@
     """Recent time that a run waits on calls."""
     learnt_at_ms: float = -math.inf
     """When a run last completed."""
-    offered: float = 1e-9
+    offered: float = NOTHING_OFFERED
     """Priority weight of recent first attempts."""
     achieved: float = 0.0
     """Part of it that was answered within the latency objective."""
@@ -93,6 +98,16 @@
     bulkhead: int = 0
 
 
+class AttemptTimes(NamedTuple):
+    """Until when an attempt is useful; times are milliseconds of the controller's clock."""
+
+    arrived_at_ms: float
+    objective_at_ms: float
+    """Up to which an answer earns the full priority weight."""
+    deadline_ms: float
+    is_retry: bool
+
+
 @dataclass(slots=True)
 class Request:
     """One request from its arrival until its index is released."""
@@ -125,27 +140,19 @@
         return self.request_class.effect == Effect.IDEMPOTENT_BY_KEY
 
     @classmethod
-    def of(
-        cls,
-        arrival: RequestArrival,
-        request_class: RequestClass,
-        arrived_at_ms: float,
-        objective_at_ms: float,
-        deadline_ms: float,
-        is_retry: bool,
-    ) -> "Request":
-        """The request of an arrival, with the times that were decided for it."""
+    def of(cls, arrival: RequestArrival, request_class: RequestClass, times: AttemptTimes) -> "Request":
+        """Return the request of an arrival, with the times that were decided for it."""
         return cls(
             arrival.request_index,
             request_class,
             arrival.tenant,
             arrival.client,
-            arrived_at_ms,
-            objective_at_ms,
-            deadline_ms,
-            arrival.work_ms or 1.0,
+            times.arrived_at_ms,
+            times.objective_at_ms,
+            times.deadline_ms,
+            arrival.work_ms or UNKNOWN_WORK_MS,
             arrival.size_bytes,
-            is_retry,
+            times.is_retry,
             bulkhead=request_class.bulkhead,
         )
 
@@ -169,3 +176,18 @@
     """Duration after the termination notice in which arrivals are still admitted."""
     worst_class_weight: float
     """Weight of the worst-served class in the service goal over that of the rest."""
+
+
+@dataclass(frozen=True, slots=True)
+class AdviceSettings:
+    """Settings of what clients are advised: retry-after, published load, idle timeout."""
+
+    seed: int
+    """Of the jitter of retry-afters."""
+    signal: LoadSignal
+    max_retry_after_ms: float
+    clients: int
+    """That hold connections to this server."""
+    cores: int
+    max_idle_timeout_ms: float
+    """Longest duration for which an idle connection is kept open; 0: nothing is closed."""
--- a/vetchford/admission/tenant_quotas.py
+++ b/vetchford/admission/tenant_quotas.py
@@ -2,22 +2,37 @@
 
 import math
 
-RATE_WINDOW = 2000.0  # ms: a surge shows within a couple of seconds, chance clumps do not
+RATE_WINDOW_MS = 2000.0
+MIN_RATE_PER_MS = 1e-9
 
 
 class TenantQuotas:
-    """Rates of the tenants' first attempts against their quotas."""
+    """Rates of the tenants' first attempts against their quotas. Rates are requests a millisecond."""
 
     def __init__(self, quotas: list[float], servers: int, over_quota_weight: float) -> None:
-        self.quotas = [quota / max(1, servers) for quota in quotas] + [math.inf]  # a ms; index -1: no tenant
+        """Divide the quotas evenly among the servers.
+
+        Args:
+            quotas: First attempts a millisecond over the whole fleet, by tenant.
+            servers: Of the fleet.
+            over_quota_weight: Factor on the priority weight beyond the quota.
+        """
+        self.quotas = [quota / max(1, servers) for quota in quotas]
+        self.quotas.append(math.inf)  # at index -1: requests of no tenant
         self.over_quota_weight = over_quota_weight
-        self.rates, self.updated_at = [0.0] * len(self.quotas), [0.0] * len(self.quotas)
+        self.rates = [0.0] * len(self.quotas)
+        self.updated_at_ms = [0.0] * len(self.quotas)
 
     def count(self, now_ms: float, tenant: int) -> None:
-        fade = math.exp((self.updated_at[tenant] - now_ms) / RATE_WINDOW)
-        self.rates[tenant], self.updated_at[tenant] = self.rates[tenant] * fade + 1.0 / RATE_WINDOW, now_ms
+        """Count a first attempt of the tenant."""
+        fade = math.exp((self.updated_at_ms[tenant] - now_ms) / RATE_WINDOW_MS)
+        self.rates[tenant] = self.rates[tenant] * fade + 1.0 / RATE_WINDOW_MS
+        self.updated_at_ms[tenant] = now_ms
 
     def weight(self, tenant: int) -> float:
-        """Factor on the priority weight of the tenant's requests, 1 within its quota."""
-        within = min(1.0, self.quotas[tenant] / max(1e-9, self.rates[tenant]))
+        """Return the factor on the priority weight of the tenant's requests, 1 within its quota.
+
+        Requests within and beyond the quota are not told apart; all get their mean weight.
+        """
+        within = min(1.0, self.quotas[tenant] / max(MIN_RATE_PER_MS, self.rates[tenant]))
         return within + (1.0 - within) * self.over_quota_weight
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -3,6 +3,7 @@
 import math
 from typing import Any
 
+from vetchford.admission.rejection import RejectionReason
 from vetchford.protocol.platform_settings import NS_PER_MS
 from vetchford.server.index_allocator import IndexAllocator
 
@@ -35,8 +36,8 @@
         """Stop a run."""
         self._act_on("suspend", index)
 
-    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
-        """Answer that it never ran."""
+    def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
+        """Answer that it never ran; the wire has no place for the reason."""
         self._act_on("notNow", index, terminal=terminal, pause=int(retry_after_ms * NS_PER_MS))
 
     def fail(self, index: int) -> None:
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -76,7 +76,7 @@
         own = priority(request)
         return self._delay_behind(now_ms, request, [o for o in self._queued(request) if priority(o) >= own])
 
-    def retry_after_ms(self, request: Request) -> float:
+    def backlog_ms(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
         return self._delay_behind(self.bulkheads.slots.updated_at, request, self._queued(request))
 
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -9,6 +9,7 @@
 
 from vetchford.admission.actions import AdmissionActions
 from vetchford.admission.controller import AdmissionController
+from vetchford.admission.rejection import RejectionReason
 from vetchford.admission.settings import Effect
 from vetchford.runtime.timers import unix_time_ms
 from vetchford.server.idempotency_cache import RunResult
@@ -20,6 +21,8 @@
 
 POLL_AHEAD = 6.0  # ms before a tick: the gauges come back in under one, a busy machine takes a few
 NOT_COMPLETED = RunResult(False, "")
+REASON_COUNTERS = {reason: f"rejection_{reason.name.lower()}" for reason in RejectionReason}
+"""Metric that counts the rejections by each rule; those of `_rejection_counter` say when they happened."""
 
 
 class SharedResult(NamedTuple):
@@ -63,17 +66,10 @@
         """Count only: the protocol has no such command yet. The run ends by itself and changes no answer."""
         self.metrics.increment("stops_not_sent")
 
-    def reject(self, index: int, terminal: bool, retry_after_ms: float) -> None:
-        """Answer that the request was rejected and never ran."""
-        if self.controller.health.notice_at_ms < math.inf:
-            counter = "rejected_draining"
-        elif self.controller.health.stalled:
-            counter = "rejected_stalled"
-        elif index == self.arriving:
-            counter = "rejected_at_door"
-        else:
-            counter = "rejected_held"
-        self.answers.reject(self.requests[index], terminal, retry_after_ms, counter)
+    def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
+        """Answer that the request was rejected and never ran, and count it."""
+        self.metrics.increment(REASON_COUNTERS[reason])
+        self.answers.reject(self.requests[index], terminal, retry_after_ms, self._rejection_counter(index))
 
     def fail(self, index: int) -> None:
         """Answer with an error."""
@@ -137,5 +133,15 @@
         self.timers.schedule(due - POLL_AHEAD, self.commands.poll)
         self.timers.schedule(due, self.on_tick)
 
+    def _rejection_counter(self, index: int) -> str:
+        """Return the counter of a rejection, by the server's state or whether the request was queued."""
+        if self.controller.health.notice_at_ms < math.inf:
+            return "rejected_draining"
+        if self.controller.health.stalled:
+            return "rejected_stalled"
+        if index == self.arriving:
+            return "rejected_at_door"
+        return "rejected_held"
+
     def _is_idempotent(self, index: int) -> bool:
         return self.controller.workload.requests[index].request_class.effect == Effect.IDEMPOTENT
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from vetchford.admission.controller import TICK
+from vetchford.admission.completion_estimate import TICK_MS
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers, unix_time_ms
 from vetchford.server.listener import Listener
@@ -83,7 +83,7 @@
         """Advance at the interval of ticks, where there is no controller that asks for them."""
         self.advance()
         if not self.stopped:
-            self.timers.schedule(unix_time_ms() + TICK, self.advance_repeatedly)
+            self.timers.schedule(unix_time_ms() + TICK_MS, self.advance_repeatedly)
 
     def advance_if_closing(self) -> None:
         """Advance if the grace is over."""
