--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -25,8 +25,8 @@
     assert host.names(1) == ["share"]
 
 
-def test_a_server_that_rejected_all_in_a_slow_spell_admits_again_when_idle():
-    # Nothing runs while all is rejected, so only idleness can unlearn the spell.
+def test_a_server_that_rejected_all_after_slow_runs_admits_again_once_idle():
+    # Nothing runs while all is rejected, so only idleness can unlearn the slowdown.
     host = Recorder()
     server = new_controller(host, classes=[request_class()])
     for q, took in enumerate([300.0] * 10 + [9000.0] * 60):
@@ -41,8 +41,8 @@
     assert host.names(101) == ["start"]
 
 
-def test_a_class_whose_first_runs_were_very_long_is_admitted_again_to_learn():
-    # One stage shut out by its own pace has no runs to correct it, however busy the other keeps the server.
+def test_a_class_rejected_for_its_long_runs_is_admitted_again_after_the_relearn_time():
+    # A rejected class has no runs that would correct its expected run time.
     host = Recorder()
     server = new_controller(host, classes=[request_class(), request_class(priority_weight=3.0)])
     send(server, 0.0, 0, kind=1)
@@ -58,8 +58,8 @@
         server.on_tick(float(at), busy, server.workload.running if on_cores is None else on_cores)
 
 
-def test_idle_connections_are_closed_where_clients_hardly_come_back_and_kept_where_they_do():
-    # A thousand callers fill a small server's table with connections that nobody uses again.
+def test_the_idle_timeout_is_short_where_clients_seldom_come_and_full_where_they_often_do():
+    # A thousand clients fill a small server's connection table with connections that nobody uses again.
     for callers, kept in ((1000, False), (4, True)):
         host = Recorder()
         server = new_controller(host, clients=callers)
@@ -72,7 +72,7 @@
         assert (told[-1] == 30_000.0) is kept and (kept or told[-1] < 1000.0)
 
 
-def test_a_server_that_reads_far_too_late_lets_its_connection_table_fill():
+def test_the_idle_timeout_is_full_while_requests_are_read_too_late():
     # Each new connection and read costs more than it brings there; a full table turns them away unread.
     host = Recorder()
     server = new_controller(host, clients=1000)
@@ -95,7 +95,7 @@
     assert host.names(12) == [] and list(host.answers.values()).count("reject") > 0
 
 
-def test_a_retry_with_a_later_deadline_than_first_attempts_is_as_old_as_the_rest_of_its_timeout():
+def test_the_objective_of_a_retry_is_cut_by_the_age_that_its_deadline_shows():
     # Its age is not told; run as if new it would finish too late. Callers may differ: 2.2 and 2.3 s are new.
     host = Recorder()
     server = new_controller(host, classes=[request_class()], cores=40)
@@ -112,7 +112,7 @@
     )
 
 
-def test_two_cores_with_a_little_reading_run_two_and_overloaded_with_reading_still_one():
+def test_slots_are_rounded_up_beside_a_little_reading_and_one_is_left_beside_much():
     for on_cores, runs in ((0.3, 2), (9, 1)):
         host = Recorder()
         server = new_controller(host, classes=[request_class()])
@@ -122,7 +122,7 @@
         assert server.workload.running == runs
 
 
-def test_the_limit_of_two_cores_grows_only_while_they_have_room_and_starts_higher_without_expected_work():
+def test_the_concurrency_limit_grows_only_below_half_utilization_and_its_floor_is_higher_without_work():
     # Grown while half busy it stood at two runs a core, which lost their time to each other.
     for work, busy, expected in ((300.0, 0.6, 2.0), (None, 0.6, 3.0), (300.0, 0.3, 2.5)):
         host = Recorder()
@@ -150,7 +150,7 @@
     assert [act[2] for act in host.acts if act[0] == "reject"][-6:] == [True] * 6
 
 
-def test_fleet_signals_stop_calls_reject_late_ones_make_rejections_terminal_and_lengthen_retry_delays():
+def test_fleet_signals_stop_calls_reject_late_ones_make_rejections_terminal_and_lengthen_retry_after():
     # At rest the numbers change nothing: tests/admission/test_recorded_decisions.py has the digests.
     host = Recorder()
     server = new_controller(
--- a/tests/admission/test_factory.py
+++ b/tests/admission/test_factory.py
@@ -7,7 +7,7 @@
 from vetchford.protocol import platform_settings
 
 
-def test_two_configurations_beside_each_other_decide_as_each_alone():
+def test_two_controllers_with_different_settings_do_not_affect_each_other():
     short = {"promise": 900_000_000, "deadline": 1_500_000_000}
     told = {**TOLD, "requestClasses": [{**entry, **short} for entry in TOLD["requestClasses"]]}
     other = {
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -81,6 +81,70 @@
 PEER_ACTORS = {"protocol", "runtime"}
 ALLOWED_IMPORTS = {
     "admission": set(),
+    "admission.actions": {"admission.rejection"},
+    "admission.admission_checks": {
+        "admission.capacity",
+        "admission.completion_estimate",
+        "admission.health",
+        "admission.lifecycle",
+        "admission.rejection",
+        "admission.request",
+        "admission.workload",
+    },
+    "admission.capacity": {"admission.request", "admission.workload"},
+    "admission.completion_estimate": {"admission.capacity", "admission.request", "admission.workload"},
+    "admission.concurrency_limits": set(),
+    "admission.dependency_calls": {
+        "admission.actions",
+        "admission.capacity",
+        "admission.health",
+        "admission.request",
+        "admission.workload",
+    },
+    "admission.events": {"admission.request"},
+    "admission.health": {"admission.actions", "admission.workload"},
+    "admission.idle_timeout": {"admission.actions", "admission.traffic"},
+    "admission.in_flight_bytes": set(),
+    "admission.lifecycle": {
+        "admission.actions",
+        "admission.capacity",
+        "admission.rejection",
+        "admission.request",
+        "admission.retry_after",
+        "admission.settings",
+        "admission.traffic",
+        "admission.workload",
+    },
+    "admission.published_load": {"admission.actions", "admission.settings"},
+    "admission.queue_times": set(),
+    "admission.rejection": set(),
+    "admission.request": {"admission.concurrency_limits", "admission.settings"},
+    "admission.retry_after": {"admission.request", "admission.traffic"},
+    "admission.retry_objective": {"admission.queue_times", "admission.request", "admission.retry_after"},
+    "admission.scheduler": {
+        "admission.actions",
+        "admission.capacity",
+        "admission.completion_estimate",
+        "admission.health",
+        "admission.lifecycle",
+        "admission.rejection",
+        "admission.request",
+        "admission.workload",
+    },
+    "admission.settings": set(),
+    "admission.shared_capacity": {"admission.capacity", "admission.request", "admission.workload"},
+    "admission.slow_start": {"admission.request"},
+    "admission.tenant_quotas": set(),
+    "admission.traffic": set(),
+    "admission.workload": {
+        "admission.concurrency_limits",
+        "admission.in_flight_bytes",
+        "admission.request",
+        "admission.slow_start",
+        "admission.tenant_quotas",
+        "admission.worst_class",
+    },
+    "admission.worst_class": {"admission.request"},
     "bench_adapter": {"admission", "protocol.platform_settings", "server.index_allocator"},
     "bulkheads": {
         "admission.concurrency_limits",
@@ -147,6 +211,12 @@
     assert packages == {name for name in ALLOWED_IMPORTS if "." not in name}
 
 
+def test_every_module_of_admission_has_its_rule_but_those_that_wire_it():
+    modules = {path.stem for path in (ROOT / "vetchford/admission").glob("*.py")}
+    ruled = {name.removeprefix("admission.") for name in ALLOWED_IMPORTS if name.startswith("admission.")}
+    assert ruled == modules - {"__init__", "controller", "factory"}
+
+
 @pytest.mark.parametrize("part", sorted(ALLOWED_IMPORTS))
 def test_imports_run_one_way(part):
     place = ROOT / "vetchford" / part.replace(".", "/")
--- a/vetchford/admission/events.py
+++ b/vetchford/admission/events.py
@@ -34,7 +34,7 @@
         """
 
     def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
-        """The termination notice came; the process is killed at `kill_at`."""
+        """The termination notice came; the process is killed at `kill_at_ms`."""
 
     def apply_fleet_signals(
         self, call_slowdown: float, call_capacity: float, is_full: bool, retry_after_factor: float
