--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -80,7 +80,7 @@
     ours, theirs = socket.socketpair()
     connection = ClientConnection(ours, doors, Metrics())
     for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
-        doors.connections = set(range(held))
+        doors.connections.open = set(range(held))
         assert not connection.check_timeouts(connection.state.last_active_at_s + stays)
         assert connection.check_timeouts(connection.state.last_active_at_s + stays + 0.15)
     for part in (ours, theirs, doors.sock):
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -21,6 +21,16 @@
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
+class ConnectionSet(Protocol):
+    """The table of open connections, as far as a connection needs it."""
+
+    def crowding(self) -> Crowding:
+        """Return how full the table is."""
+
+    def remove(self, connection: "ClientConnection") -> None:
+        """Take out a closed connection, and free its slot."""
+
+
 class ConnectionOwner(RequestTarget, Protocol):
     """The listener that accepted the connection, as far as the connection needs it."""
 
@@ -29,11 +39,9 @@
     idle_poller: IdleConnectionPoller
     messages: MessageHandler
 
-    def crowding(self) -> Crowding:
-        """Return how full the connection table is."""
-
-    def remove(self, connection: "ClientConnection") -> None:
-        """Take a closed connection out of the table."""
+    @property
+    def connections(self) -> ConnectionSet:
+        """The table that the connection is in."""
 
 
 class ClientConnection(PooledActor):
@@ -184,7 +192,7 @@
 
         One that is idle for too long is first asked to close, which takes effect at a later check.
         """
-        action = self.state.timeout_action(now_s, self.owner.crowding)
+        action = self.state.timeout_action(now_s, self.owner.connections.crowding)
         if action is REQUEST_CLOSE:
             self.metrics.increment("connections_asked_to_close")
             self.run_or_post(self.request_close)
@@ -288,4 +296,4 @@
             else:
                 self.running = False
                 self.sock.close()
-                self.owner.remove(self)
+                self.owner.connections.remove(self)
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients (balancers) and keeps the table of those that are open."""
+"""Accepts the connections of clients (balancers), and closes them at the end."""
 
 import select
 import socket
@@ -8,18 +8,18 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import shut, time_limit
 from vetchford.runtime.thread_pool import ThreadPool
-from vetchford.runtime.timers import MS_PER_S
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
 from vetchford.server.client_messages import ClientEvents, MessageHandler
-from vetchford.server.connection_limits import CROWDED, NEARLY_FULL, NORMAL, Crowding
+from vetchford.server.connection_limits import NORMAL
+from vetchford.server.connection_table import ConnectionTable
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
 class Listener:
-    """The listening socket, the thread that accepts from it, and the table of open connections.
+    """The listening socket, and the thread that accepts from it.
 
-    `close`, `close_idle` and `is_drained` are called by the admission actor, `remove` by the connections.
+    `close`, `close_idle` and `is_drained` are called by the admission actor.
     """
 
     def __init__(
@@ -43,14 +43,11 @@
         self.reader_threads = ThreadPool(metrics, connection_limits.MAX_READER_THREADS)
         self.idle_poller = IdleConnectionPoller(self.reader_threads)
         self.messages = MessageHandler(self)
-        self.max_connections = max_connections
+        self.connections = ConnectionTable(max_connections, metrics)
         self.ready = False  # the result of health checks; set by the admission actor
-        self.connections: set[ClientConnection] = set()
-        self.lock = threading.Lock()  # for `connections`
         self.closing = False  # `close` was called: no further connection is waited for
         self.closed = False  # the listening socket is closed
         self.accept_lock = threading.Lock()  # held from accepting a connection until it is in the table
-        self.free_slots = threading.Semaphore(max_connections)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
@@ -77,22 +74,22 @@
             try:
                 accepted = self._accept_one()
             except OSError as error:
-                self.free_slots.release()
+                self.connections.free_slots.release()
                 if not self.closing:
                     self.metrics.log_sampled("accept_failed", problem=str(error))
                     time.sleep(connection_limits.ACCEPT_RETRY_DELAY_S)
                 continue
             if not accepted:
-                self.free_slots.release()
-            elif self.crowding() is not NORMAL:
-                self._close_longest_idle()
+                self.connections.free_slots.release()
+            elif self.connections.crowding() is not NORMAL:
+                self.connections.close_longest_idle()
 
     def _reserve_slot(self) -> bool:
         """Wait for a free place in the table; return False if the listener is closing."""
-        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL_S):
+        while not self.connections.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL_S):
             if self.closing:
                 return False
-            self._close_longest_idle()
+            self.connections.close_longest_idle()
         return True
 
     def _accept_one(self) -> bool:
@@ -109,76 +106,25 @@
 
     def add(self, sock: socket.socket) -> bool:
         """Put an accepted connection into the table and wait for its bytes; return False if it was lost."""
+        connection = None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT_S)
             time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT_S)
             connection = ClientConnection(sock, self, self.metrics)
-            with self.lock:
-                self.connections.add(connection)
+            self.connections.add(connection)
             self.idle_poller.add(connection)
         except OSError as error:  # ends this connection, not the thread that accepts all others
             self.metrics.log_sampled("connections_lost_at_door", problem=str(error))
-            with self.lock:
-                self.connections = {other for other in self.connections if other.sock is not sock}
+            self.connections.discard(connection)
             sock.close()
             return False
         self.metrics.increment("connections_accepted")
         return True
 
-    # -- the table
-
-    def crowding(self) -> Crowding:
-        """Return how full the table is; may be called from any thread."""
-        count = len(self.connections)
-        if count > connection_limits.NEARLY_FULL_SHARE * self.max_connections:
-            return NEARLY_FULL
-        if count > connection_limits.CROWDED_SHARE * self.max_connections:
-            return CROWDED
-        return NORMAL
-
-    def remove(self, connection: ClientConnection) -> None:
-        """Take a closed connection out of the table."""
-        with self.lock:
-            if connection in self.connections:
-                self.connections.remove(connection)
-                self.free_slots.release()
-
-    def _close_longest_idle(self) -> None:
-        """Ask the connections that were idle for longest to close, down to the crowded share."""
-        idle_since_s = time.monotonic() - connection_limits.CROWDED_IDLE_TIMEOUT_S
-        staying = self._staying()
-        idle = [
-            connection
-            for connection in staying
-            if connection.state.has_sent_message and connection.state.is_idle_since(idle_since_s)
-        ]
-        idle.sort(key=lambda connection: connection.state.last_active_at_s)
-        excess = len(staying) - int(connection_limits.CROWDED_SHARE * self.max_connections)
-        for connection in idle[: max(0, excess)]:
-            self._request_close(connection)
-
     def close_idle(self, idle_timeout_ms: float) -> None:
         """Ask the connections to close that were idle for longer than that."""
-        idle_since_s = time.monotonic() - idle_timeout_ms / MS_PER_S
-        with self.lock:
-            idle = [
-                connection for connection in self.connections if connection.state.is_idle_since(idle_since_s)
-            ]
-        for connection in idle:
-            if connection.state.close_requested_at_s is None:
-                self._request_close(connection)
-
-    def _staying(self) -> list[ClientConnection]:
-        """Return the connections that were not asked to close."""
-        with self.lock:
-            return [
-                connection for connection in self.connections if connection.state.close_requested_at_s is None
-            ]
-
-    def _request_close(self, connection: ClientConnection) -> None:
-        self.metrics.increment("connections_asked_to_close")
-        connection.run_or_post(connection.request_close)
+        self.connections.close_idle(idle_timeout_ms)
 
     # -- shutdown
 
@@ -190,7 +136,7 @@
         self.closing = True
         with self.accept_lock:
             self._accept_backlog()
-        for connection in self._staying():
+        for connection in self.connections.not_asked_to_close():
             connection.run_or_post(connection.request_close)
 
     def _accept_backlog(self) -> None:
@@ -215,9 +161,7 @@
     def is_drained(self) -> bool:
         """Return whether every request that came through the listener is answered, or can't be any more."""
         now_s = time.monotonic()
-        with self.lock:
-            staying = list(self.connections)
-
+        staying = self.connections.snapshot()
         # Checked again after the look for unread bytes: the process may have been paused for the whole close
         # timeout, with a request unread or just being read.
         return (
