--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -40,6 +40,7 @@
 import os
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 from typing import Any
 
@@ -51,12 +52,24 @@
 from vetchford.runtime import log_setup
 from vetchford.server import platform_config, server_process, signals
 
-Options = dict[str, Any]  # as docopt gives them, by the names in the usage above
-
 EXIT_DONE = 0
 EXIT_WRONG_USAGE = 2  # or a wrong file; `serve` and `agent` return 1 for a failure at run time themselves
 
 
+@dataclass(frozen=True)
+class Options:
+    """The command line, by the names in the usage above."""
+
+    command: str
+    config_path: str | None
+    """None: the environment names the configuration file."""
+    own_paths: list[str]
+    """Files of our own settings, each once."""
+    log_level: str
+    log_form: str
+    schema: bool
+
+
 class UsageError(VetchfordError):
     """The command line, or a file that it names, is wrong; the text is for the user."""
 
@@ -70,7 +83,7 @@
         return command_line.main(arguments[1:])
     try:
         options = _parse(arguments)
-        return _command(options)(options)
+        return COMMANDS[options.command](options)
     except UsageError as error:
         for line in str(error).splitlines():
             print(f"vetchford: {line}", file=sys.stderr)
@@ -79,27 +92,21 @@
 
 def _parse(arguments: list[str]) -> Options:
     try:
-        options: Options = docopt(__doc__, arguments, version=vetchford.__version__)
+        given = docopt(__doc__, arguments, version=vetchford.__version__)
     except DocoptExit:
         raise UsageError("wrong usage; `vetchford --help` tells how") from None
-    options["--with"] = list(dict.fromkeys(options["--with"]))  # docopt repeats a repeated option
     choices = {"--log-level": tuple(log_setup.LEVELS), "--log-form": log_setup.FORMATS}
     for option, allowed in choices.items():
-        if options[option] not in allowed:
+        if given[option] not in allowed:
             raise UsageError(f"{option} must be one of {', '.join(allowed)}")
-    return options
-
-
-def _command(options: Options) -> Callable[[Options], int]:
-    """The command that was named; docopt sees to it that it is exactly one."""
-    commands: dict[str, Callable[[Options], int]] = {
-        "version": _print_version,
-        "settings": _print_schema if options["--schema"] else _print_settings,
-        "agent": _run_agent,
-        "check": _check,
-        "serve": _serve,
-    }
-    return next(command for name, command in commands.items() if options[name])
+    return Options(
+        command=next(name for name in COMMANDS if given[name]),  # docopt sees to it that it is exactly one
+        config_path=given["--config"],
+        own_paths=list(dict.fromkeys(given["--with"])),  # docopt repeats a repeated option
+        log_level=given["--log-level"],
+        log_form=given["--log-form"],
+        schema=given["--schema"],
+    )
 
 
 def _print_version(options: Options) -> int:
@@ -107,7 +114,7 @@
     return EXIT_DONE
 
 
-def _print_schema(options: Options) -> int:
+def _print_schema() -> int:
     from vetchford.configuration import isolated_reader  # imported only where such files are read
 
     print(isolated_reader.schema(), end="")
@@ -115,16 +122,18 @@
 
 
 def _print_settings(options: Options) -> int:
+    if options.schema:
+        return _print_schema()
     configuration = _load(options)
     print(json.dumps(configuration.summary(), indent=2))
     return EXIT_DONE
 
 
 def _check(options: Options) -> int:
-    settings_files: list[str] = options["--with"]
-    if settings_files and not (options["--config"] or os.environ.get("ROUTER_CONFIG")):
-        _read_settings(settings_files)
-        print(f"{', '.join(settings_files)}: good")
+    own_paths = options.own_paths
+    if own_paths and not (options.config_path or os.environ.get(platform_config.FILE_VARIABLE)):
+        _read_settings(own_paths)
+        print(f"{', '.join(own_paths)}: good")
         return EXIT_DONE
     configuration = _load(options)
     print(f"{configuration.name}: configuration is good")
@@ -134,7 +143,7 @@
 def _serve(options: Options) -> int:
     configuration = _load(options)
     signals.block_signals()
-    writer = log_setup.start(options["--log-level"], options["--log-form"])
+    writer = log_setup.start(options.log_level, options.log_form)
     try:
         return server_process.serve(configuration, _loader(options), writer.end_by)
     finally:
@@ -144,10 +153,10 @@
 def _run_agent(options: Options) -> int:
     from vetchford.fleet import agent_main  # a server does without it
 
-    settings = _read_settings(options["--with"])["agent"] if options["--with"] else None
+    settings = _read_settings(options.own_paths)["agent"] if options.own_paths else None
     if settings is None:
         raise UsageError("no file given by --with has the key 'agent'")
-    writer = log_setup.start(options["--log-level"], options["--log-form"])
+    writer = log_setup.start(options.log_level, options.log_form)
     try:
         return agent_main.serve(settings)
     finally:
@@ -156,7 +165,7 @@
 
 def _loader(options: Options) -> Callable[[], ServerConfiguration]:
     """Reads the platform's file and ours, also anew while a server runs."""
-    return partial(platform_config.load, path=options["--config"], own_paths=options["--with"])
+    return partial(platform_config.load, path=options.config_path, own_paths=options.own_paths)
 
 
 def _load(options: Options) -> ServerConfiguration:
@@ -175,3 +184,12 @@
         return isolated_reader.read(paths, None)
     except MalformedInputError as error:
         raise UsageError(str(error)) from None
+
+
+COMMANDS: dict[str, Callable[[Options], int]] = {
+    "version": _print_version,
+    "settings": _print_settings,
+    "agent": _run_agent,
+    "check": _check,
+    "serve": _serve,
+}
