--- a/tests/fleet/test_rollout_record.py
+++ b/tests/fleet/test_rollout_record.py
@@ -1,5 +1,6 @@
 """Stored rollouts and requests of tools keep their form: agents and tools of other versions read them."""
 
+import copy
 import json
 
 import pytest
@@ -45,6 +46,15 @@
     assert rollout.rolling_back is (state is RolloutState.ROLLING_BACK)
 
 
+def test_a_record_is_not_changed_by_later_steps():
+    rollout = Rollout.from_record(copy.deepcopy(HALF_DONE))
+    record = rollout.to_record()
+    rollout.steps["n1"] = StepState.DONE
+    rollout.killed.append("n1")
+    rollout.previous_versions["n2"] = "v0"
+    assert record == HALF_DONE
+
+
 def test_a_paused_rollback_round_trips():
     record = {**HALF_DONE, "state": "paused", "why": "asked to", "back": True}
     rollout = Rollout.from_record(record)
