--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -59,15 +59,15 @@
         while self.running:
             self.process_batch(self.next_timeout())
 
-    def process_batch(self, timeout: float | None) -> bool:
+    def process_batch(self, timeout_s: float | None) -> bool:
         """Run what the mailbox holds, up to `BATCH_SIZE`, then `on_idle`; return whether there was any.
 
-        Waits up to `timeout` seconds for the first entry; None: for as long as it takes.
+        Waits up to `timeout_s` for the first entry; None: for as long as it takes.
         """
         take = self.mailbox.get
         count = 0
         try:
-            method, arguments = take(timeout=timeout)
+            method, arguments = take(timeout=timeout_s)
             while True:
                 count += 1
                 self.run_guarded(method, *arguments)
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -26,22 +26,22 @@
         if rate <= 0.0:
             raise ValueError("the rate of a clock must be above 0")
         self.rate = rate
-        self.started = time.monotonic()
-        self.started_unix = time.time() + offset
+        self.started_at_s = time.monotonic()
+        self.started_at_unix_s = time.time() + offset
         # As on a machine that was started so long ago: monotonic clocks differ between machines, and begin
         # at 0.
-        self.uptime_at_start = abs(offset) if error else self.started
+        self.uptime_at_start_s = abs(offset) if error else self.started_at_s
 
     def now(self) -> float:
         """Return monotonic milliseconds."""
-        return (self.uptime_at_start + self._elapsed()) * MS_PER_S
+        return (self.uptime_at_start_s + self._elapsed()) * MS_PER_S
 
     def day(self) -> float:
         """Return the Unix time in seconds."""
-        return self.started_unix + self._elapsed()
+        return self.started_at_unix_s + self._elapsed()
 
     def _elapsed(self) -> float:
-        return (time.monotonic() - self.started) * self.rate
+        return (time.monotonic() - self.started_at_s) * self.rate
 
 
 try:
--- a/vetchford/runtime/log_setup.py
+++ b/vetchford/runtime/log_setup.py
@@ -23,7 +23,7 @@
     def __init__(self, file: TextIO) -> None:
         """Write to `file`, on a thread that runs until `close`."""
         self.file = file
-        self.close_by = math.inf  # Unix s
+        self.close_by_unix_s = math.inf
         self.lines: SimpleQueue[str | None] = SimpleQueue()
         self.dropped = 0
         self.thread = threading.Thread(target=self.write, name="log", daemon=True)
@@ -48,14 +48,14 @@
                 self.file.write(text + "\n")
                 self.file.flush()
 
-    def end_by(self, deadline: float) -> None:
-        """Let `close` not wait beyond this Unix time in seconds, as a kill is next."""
-        self.close_by = deadline
+    def end_by(self, deadline_unix_s: float) -> None:
+        """Let `close` not wait beyond this time, as a kill is next; may be called from any thread."""
+        self.close_by_unix_s = deadline_unix_s
 
     def close(self) -> None:
         """Wait until all is written, for `FLUSH_TIMEOUT_S` at most."""
         self.lines.put(None)
-        self.thread.join(max(0.0, min(FLUSH_TIMEOUT_S, self.close_by - time.time())))
+        self.thread.join(max(0.0, min(FLUSH_TIMEOUT_S, self.close_by_unix_s - time.time())))
 
 
 def start(level: str, log_format: str, file: TextIO = sys.stderr) -> LogWriter:
--- a/vetchford/runtime/sockets.py
+++ b/vetchford/runtime/sockets.py
@@ -5,24 +5,24 @@
 import struct
 
 MAX_PARTS = 512  # in one system call; half of what the system takes
-MICROSECONDS = 1e6  # a second
+MICROSECONDS_PER_S = 1e6
 
 
-def time_limit(sock: socket.socket, option: int, seconds: float) -> None:
+def time_limit(sock: socket.socket, option: int, timeout_s: float) -> None:
     """Set SO_RCVTIMEO or SO_SNDTIMEO of a blocking socket; a call past it raises BlockingIOError."""
-    timeval = struct.pack("ll", int(seconds), int(seconds % 1.0 * MICROSECONDS))
+    timeval = struct.pack("ll", int(timeout_s), int(timeout_s % 1.0 * MICROSECONDS_PER_S))
     sock.setsockopt(socket.SOL_SOCKET, option, timeval)
 
 
-def connected(address: tuple[str, int], seconds: float) -> socket.socket:
-    """Return a new TCP connection; OSError if there is none within `seconds`.
+def connected(address: tuple[str, int], timeout_s: float) -> socket.socket:
+    """Return a new TCP connection; OSError if there is none within `timeout_s`.
 
     It costs a third of `socket.create_connection`, which looks names up and polls.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        time_limit(sock, socket.SO_SNDTIMEO, seconds)  # holds for connecting as well
+        time_limit(sock, socket.SO_SNDTIMEO, timeout_s)  # holds for connecting as well
         sock.connect(address)
     except OSError:
         sock.close()
--- a/vetchford/runtime/timers.py
+++ b/vetchford/runtime/timers.py
@@ -17,7 +17,7 @@
 class ScheduledCall(NamedTuple):
     """An entry of the heap; ordered by its time, and among equal times by its number."""
 
-    due: float  # Unix ms
+    due_unix_ms: float
     number: int
     method: Callable[..., None]
     arguments: tuple[Any, ...]
@@ -31,19 +31,19 @@
         self.heap: list[ScheduledCall] = []
         self.scheduled_count = 0
 
-    def schedule(self, due: float, method: Callable[..., None], *arguments: Any) -> None:
-        """Call `method` with `arguments` at `due`, in Unix ms; there is no way to take it back."""
+    def schedule(self, due_unix_ms: float, method: Callable[..., None], *arguments: Any) -> None:
+        """Call `method` with `arguments` at `due_unix_ms`; there is no way to take it back."""
         self.scheduled_count += 1
-        heapq.heappush(self.heap, ScheduledCall(due, self.scheduled_count, method, arguments))
+        heapq.heappush(self.heap, ScheduledCall(due_unix_ms, self.scheduled_count, method, arguments))
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next timer is due; None while there is none."""
-        return max(0.0, self.heap[0].due / MS_PER_S - time.time()) if self.heap else None
+        return max(0.0, self.heap[0].due_unix_ms / MS_PER_S - time.time()) if self.heap else None
 
     def fire_due(self, run: Callable[..., None]) -> None:
         """Hand each call that is due to `run`, which must not raise; at most `MAX_FIRED_AT_ONCE` of them."""
         for _ in range(MAX_FIRED_AT_ONCE):
-            if not self.heap or self.heap[0].due > unix_time_ms():
+            if not self.heap or self.heap[0].due_unix_ms > unix_time_ms():
                 return
             _, _, method, arguments = heapq.heappop(self.heap)
             run(method, *arguments)
