--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -79,7 +79,11 @@
             thread.start()
         several.until(
             lambda: (
-                {one["server"] for one in several.events("records_state_changed") if one["state"] == "dead"}
+                {
+                    one["server"]
+                    for one in several.events("records_state_changed")
+                    if one["state"] == "unavailable"
+                }
                 == set(several.names)
             ),
             20.0,
@@ -90,7 +94,7 @@
                 {
                     one["server"]
                     for one in several.events("records_state_changed")
-                    if one["state"] == "well" and one["was"] == "opening"
+                    if one["state"] == "healthy" and one["was"] == "recovering"
                 }
                 == set(several.names)
             ),
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -12,7 +12,8 @@
 from testkit.fakes.peers import PATIENCE
 from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped, until
 from vetchford.coordination.fleet_member import FleetMember
-from vetchford.gossip.fleet_signals import PROBE, RecordsState
+from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME
+from vetchford.gossip.records_health import RecordsState
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 from vetchford.transport import framing
@@ -146,9 +147,9 @@
     """The turn is given back at the notice; then the records service is held for dead."""
     one = neighbours()
     one.request_probe_lease()
-    assert PROBE in one.lease_client.requests
+    assert PROBE_LEASE_NAME in one.lease_client.requests
     one.leave()
-    one.signal_policy.set_state(one.now(), RecordsState.DEAD, "its calls are lost")
+    one.signal_policy.records.set_state(one.now(), RecordsState.UNAVAILABLE, "its calls are lost")
     assert not one.lease_client.requests
 
 
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -20,10 +20,11 @@
 from vetchford.fleet.failure_detector import FailureDetector
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
-from vetchford.gossip.fleet_signals import PROBE, FleetSignalPolicy, FleetSignals, RecordsState
+from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME, FleetSignalPolicy, FleetSignals
 from vetchford.gossip.load_gossip import LoadGossip
 from vetchford.gossip.messages import LoadReport
 from vetchford.gossip.metrics import METRICS, Metric
+from vetchford.gossip.records_health import RecordsState
 from vetchford.leases.lease_client import LeaseClient
 from vetchford.leases.lease_server import LeaseServer
 from vetchford.leases.messages import ClientMessage, LeaseMessage
@@ -136,7 +137,7 @@
         self.lease_client.tick(now)
         self.load_gossip.tick(now)
         if now >= self.next_survey_at:
-            is_dead = self.signal_policy.state is RecordsState.DEAD
+            is_dead = self.signal_policy.records.state is RecordsState.UNAVAILABLE
             self.next_survey_at = now + (SURVEY_INTERVAL_WHILE_DEAD_MS if is_dead else SURVEY_INTERVAL_MS)
             self.survey(self.on_surveyed)
         if now >= self.next_summary_at:
@@ -196,7 +197,7 @@
                 member.state == MemberState.ALIVE
                 for member in self.failure_detector.membership.members.values()
             ),
-            records=self.signal_policy.state,
+            records=self.signal_policy.records.state,
             **seen,
             room=round(self.signals.call_capacity, 3),
             bytes_sent=self.transport.bytes_sent,
@@ -247,15 +248,15 @@
     def request_probe_lease(self) -> None:
         """Asks for the probe lease; not at the shutdown, which would keep it from all others for a while."""
         if not self.is_leaving:
-            self.lease_client.acquire(self.now(), PROBE)
+            self.lease_client.acquire(self.now(), PROBE_LEASE_NAME)
 
     def release_probe_lease(self) -> None:
         """Gives the probe lease back."""
-        self.lease_client.release(PROBE)
+        self.lease_client.release(PROBE_LEASE_NAME)
 
     def holds_probe_lease(self) -> bool:
         """Whether the probe lease is held now."""
-        return self.lease_client.fencing_token(self.now(), PROBE) != 0
+        return self.lease_client.fencing_token(self.now(), PROBE_LEASE_NAME) != 0
 
     def log_event(self, event: str, **fields: Any) -> None:
         """Counts and logs an event."""
--- a/vetchford/coordination/settings.py
+++ b/vetchford/coordination/settings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from vetchford.gossip.fleet_signals import PROBE
+from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
             listen=record["listen"],
             servers=record["servers"],
             lease_servers=record["keepers"],
-            lease_capacities={**record["turns"], PROBE: record["probes"]},
+            lease_capacities={**record["turns"], PROBE_LEASE_NAME: record["probes"]},
             zone=record["zone"],
             acts_on_records=record["records"],
             acts_on_full=record["full"],
--- a/vetchford/gossip/aggregation.py
+++ b/vetchford/gossip/aggregation.py
@@ -1,15 +1,15 @@
-"""The mean of a metric over many servers, which few liars can't move far.
+"""The mean of a metric over many servers, which a few false reports can't move far. No I/O.
 
-A trimmed mean: the highest and the lowest sixth of the values are left out. One value for each server, so
-liars fewer than a sixth can move the mean within what honest servers report and no further.
+A trimmed mean: the highest and the lowest sixth of the values are left out. With one value for each server,
+false reports from fewer than a sixth of the servers can't move it past what honest servers report.
 """
 
 import math
 from dataclasses import dataclass
 
-MIN_REPORTS = 3  # below which there is no aggregate
+MIN_REPORTS = 3  # for an aggregate
 TRIM_FRACTION = 1.0 / 6.0  # of the values, at each end
-MIN_TRIMMED_REPORTS = 3  # below which nothing is trimmed
+MIN_TRIMMED_REPORTS = 3  # from which values are left out
 
 
 @dataclass(frozen=True, slots=True)
