--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -251,7 +251,7 @@
     def on_elected(self, now: float, term: int) -> None:
         """Grants from now on."""
         super().on_elected(now, term)
-        self.grants_from = 0.0
+        self.grants_from_ms = 0.0
 
 
 class CountsFromAnswer(LeaseClient):
@@ -264,7 +264,7 @@
         if not isinstance(message, LeaseGranted) or request is None:
             return
         if request.fencing_token == message.fencing_token:
-            request.expires_at = now + LEASE_MS * MAX_CLOCK_RATE_RATIO
+            request.expires_at_ms = now + LEASE_MS * MAX_CLOCK_RATE_RATIO
 
 
 class IgnoresClock(LeaseClient):
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(("message", "form"), FORMS, ids=[form["do"] for _, form in FORMS])
-def test_each_message_has_the_bytes_of_the_first_version_and_comes_back_as_itself(message, form):
+def test_each_message_has_the_bytes_of_the_first_version_and_decodes_to_itself(message, form):
     encoded = msgspec.msgpack.encode(messages.encode(message))
     assert encoded == msgspec.msgpack.encode(form)
     assert messages.decode(msgspec.msgpack.decode(encoded)) == message
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -50,16 +50,23 @@
     server.tick(now)
     for _ in range(2):  # its own vote, asked for and given
         sent, actions.sent = actions.sent, []
-        for _, word in sent:
-            receive(server, now, "k", word)
+        for _, message in sent:
+            receive(server, now, "k", message)
     assert server.leads(now)
-    server.grants_from = now
+    server.grants_from_ms = now
     actions.sent = []
     return server, actions
 
 
-def acquire(number=1, wish=1, life=1, zone=""):
-    return {"do": "want", "turn": "deep", "life": life, "wish": wish, "zone": zone, "number": number}
+def acquire(sequence=1, request_number=1, incarnation=1, zone=""):
+    return {
+        "do": "want",
+        "turn": "deep",
+        "life": incarnation,
+        "wish": request_number,
+        "zone": zone,
+        "number": sequence,
+    }
 
 
 def test_under_faults_at_most_k_hold_leases_tokens_grow_and_leases_are_granted_after_healing():
@@ -71,7 +78,7 @@
         run.heal()
         run.world.run(run.world.now + 30_000.0)
         assert not run.violations, (seed, run.violations[:3])
-        assert sum(run.acquired.values()) >= had + 3, (seed, "nobody gets a turn after healing")
+        assert sum(run.acquired.values()) >= had + 3, (seed, "no lease is granted after healing")
         for kind, count in run.faults.items():
             faults[kind] = faults.get(kind, 0) + count
     assert len(faults) == 10 and min(faults.values()) >= 10  # each kind was met
@@ -93,7 +100,7 @@
     )
 
 
-def test_without_faults_all_clients_get_leases_alike():
+def test_without_faults_all_clients_are_granted_leases_equally():
     run = LeaseSimulation(5, count=9, capacity=1, zones=3)
     run.world.run(300_000.0)
     assert (
@@ -114,24 +121,24 @@
     assert actions.sent[-1][1]["do"] == "voted"
     receive(
         server, LEADER_LEASE_MS * MAX_CLOCK_RATE_RATIO + 1.0, "k3", {**vote, "term": 200_000}
-    )  # while the other's lease may run
+    )  # while the lease of the other may run
     assert actions.sent[-1][1]["do"] == "no_vote"
 
 
-def test_a_dead_holder_blocks_its_slot_for_a_lease_and_no_longer():
+def test_a_holder_that_died_blocks_its_slot_until_its_lease_expires():
     server, actions = leading(capacity=1)
     receive(server, 10_000.0, "a", acquire())
     receive(server, 10_001.0, "b", acquire())
     assert [to for to, _ in actions.take("yours")] == ["a"]
-    server.election.leads_until = 1e9
+    server.election.leads_until_ms = 1e9
     for at in range(10_500, 13_751, 250):  # b goes on asking
-        receive(server, float(at), "b", acquire(number=at))
+        receive(server, float(at), "b", acquire(sequence=at))
         server.tick(float(at))
     taken = [body for to, body in actions.take("yours") if to == "b"]
     assert taken and "lease_expired" in actions.events
 
 
-def test_leases_go_round_the_zones_and_in_order_within_one():
+def test_leases_go_round_the_zones_and_in_order_of_request_within_a_zone():
     server, actions = leading(capacity=1)
     for at, (name, zone) in enumerate((("a1", "a"), ("a2", "a"), ("a3", "a"), ("b1", "b"), ("c1", "c"))):
         receive(server, 10_000.0 + at, name, acquire(zone=zone))
@@ -149,13 +156,12 @@
 
 
 def test_a_request_that_overtakes_the_release_of_the_last_lease_gets_a_lease_of_its_own():
-    # Found by schedule 15: renewal, end and the next wish arrived in the wrong order, 2 s late; the new
-    # wish was
-    # given the old permit, which the end then took away from under it.
+    # Found by schedule 15: renewal, release and the next request arrived in the wrong order, 2 s late. The
+    # new request was granted the old lease, which the release then took away.
     server, actions = leading(capacity=1)
-    receive(server, 10_000.0, "a", acquire(number=1, wish=1))
+    receive(server, 10_000.0, "a", acquire(sequence=1, request_number=1))
     ((_, first),) = actions.take("yours")
-    receive(server, 10_100.0, "a", acquire(number=9, wish=5))
+    receive(server, 10_100.0, "a", acquire(sequence=9, request_number=5))
     ((_, second),) = actions.take("yours")
     assert second["fence"] > first["fence"] and second["mark"] == [1, 5]
     receive(
@@ -169,7 +175,7 @@
     actions = RecordedActions()
     client = LeaseClient(actions, "a", SERVERS, "", 1)
     client.acquire(0.0, "deep")
-    ((to, word),) = actions.take("want")
+    ((to, message),) = actions.take("want")
     receive(
         client,
         900.0,
@@ -180,8 +186,8 @@
             "slot": 0,
             "fence": 7,
             "term": 1,
-            "number": word["number"],
-            "mark": [1, word["wish"]],
+            "number": message["number"],
+            "mark": [1, message["wish"]],
         },
     )
     assert client.fencing_token(LEASE_MS - 1.0, "deep") == 7
@@ -198,8 +204,8 @@
             "slot": 0,
             "fence": 7,
             "term": 1,
-            "number": word["number"],
-            "mark": [1, word["wish"]],
+            "number": message["number"],
+            "mark": [1, message["wish"]],
         },
     )
     assert client.fencing_token(LEASE_MS + 1.0, "deep") == 0  # the same answer, late
@@ -207,15 +213,15 @@
 
 def test_messages_of_another_request_term_or_lease_name_change_nothing():
     server, actions = leading(capacity=1)
-    receive(server, 10_000.0, "a", acquire(wish=2))
+    receive(server, 10_000.0, "a", acquire(request_number=2))
     ((_, given),) = actions.take("yours")
-    for word in (
-        acquire(wish=1),
+    for message in (
+        acquire(request_number=1),
         {**acquire(), "do": "renew", "slot": 0, "fence": given["fence"], "term": server.election.term - 1},
         {**acquire(), "do": "renew", "slot": 5, "fence": 1, "term": server.election.term},
         {**acquire(), "turn": "unknown"},
         {"do": "no such word", "turn": "deep"},
     ):
-        receive(server, 10_001.0, "a", word)
+        receive(server, 10_001.0, "a", message)
     assert not actions.take("yours")
     assert [lease.fencing_token for lease in server.pools["deep"].leases.values()] == [given["fence"]]
--- a/vetchford/leases/lease_client.py
+++ b/vetchford/leases/lease_client.py
@@ -19,10 +19,16 @@
     RenewRequest,
     RequestId,
 )
-from vetchford.leases.timing import LEASE_MS, QUEUE_POLL_INTERVAL_MS, RENEWAL_INTERVAL_MS
+from vetchford.leases.timing import (
+    LEASE_MS,
+    MAX_UNANSWERED,
+    QUEUE_POLL_INTERVAL_MS,
+    RENEWAL_INTERVAL_MS,
+    UNANSWERED_WINDOW_MS,
+)
 
-UNANSWERED_WINDOW_MS = RENEWAL_INTERVAL_MS * 3  # in which unanswered requests count against a server
-MAX_UNANSWERED = 2  # requests of that window; then another server is asked
+NO_TOKEN = 0
+NO_SLOT = -1
 
 
 @dataclass(slots=True)
@@ -30,50 +36,85 @@
     """A lease that this process wants or holds."""
 
     number: int  # grows from request to request of one incarnation
-    slot: int = -1  # -1: none is held
-    fencing_token: int = 0  # 0: none is held
-    expires_at: float = 0.0  # counted from when we asked
+    slot: int = NO_SLOT
+    fencing_token: int = NO_TOKEN
+    expires_at_ms: float = 0.0  # counted from when we asked
     server: str = ""  # that we ask; empty: any
     term: int = 0
-    next_send_at: float = 0.0
-    sent_at: dict[int, float] = field(default_factory=dict)  # unanswered, by sequence; dropped with age
+    next_send_at_ms: float = 0.0
+    sent_at_ms: dict[int, float] = field(default_factory=dict)  # unanswered, by sequence; dropped with age
 
     def holds(self) -> bool:
         """Whether a lease was granted and has not been found expired."""
-        return self.fencing_token != 0
+        return self.fencing_token != NO_TOKEN
 
     def forget_lease(self) -> None:
         """Goes back to wanting a lease."""
-        self.fencing_token, self.slot = 0, -1
+        self.fencing_token = NO_TOKEN
+        self.slot = NO_SLOT
+
+    def unanswered_count(self, now_ms: float) -> int:
+        """How many requests of the last `UNANSWERED_WINDOW_MS` have no answer yet."""
+        return sum(now_ms - sent_at_ms < UNANSWERED_WINDOW_MS for sent_at_ms in self.sent_at_ms.values())
+
+    def drop_old_requests(self, now_ms: float) -> None:
+        """Forgets requests whose answer could grant no lease any more."""
+        self.sent_at_ms = {
+            sequence: sent_at_ms
+            for sequence, sent_at_ms in self.sent_at_ms.items()
+            if now_ms - sent_at_ms <= LEASE_MS
+        }
+
+    def drop_requests_until(self, answered_ms: float) -> None:
+        """Forgets requests sent at `answered_ms` or before; answers to later ones extend the lease further."""
+        self.sent_at_ms = {
+            sequence: sent_at_ms
+            for sequence, sent_at_ms in self.sent_at_ms.items()
+            if sent_at_ms > answered_ms
+        }
 
 
 class LeaseClient:
-    """Acquires, renews and releases the leases of one process."""
+    """Acquires, renews and releases the leases of one process. Not thread-safe: for one actor's thread."""
 
     def __init__(
         self, actions: LeaseActions, name: str, servers: Sequence[str], zone: str, incarnation: int
     ) -> None:
-        """`servers`: the lease servers; `zone`: leases go round the zones of their clients."""
-        self.actions, self.name, self.servers = actions, name, sorted(servers)
-        self.zone, self.incarnation = zone, incarnation
+        """Wants no lease yet.
+
+        Args:
+            actions: What it acts through.
+            name: Of this process.
+            servers: The lease servers; one at least.
+            zone: Of this process; leases go round the zones of their clients.
+            incarnation: Of this process; higher at each start.
+        """
+        self.actions = actions
+        self.name = name
+        self.servers = sorted(servers)
+        self.zone = zone
+        self.incarnation = incarnation
         self.requests: dict[str, LeaseRequest] = {}  # by lease name; removed by `release`
-        self.sequence = self.server_choices = 0
+        self.sequence = 0
+        self.server_choices = 0
 
-    def acquire(self, now: float, lease_name: str) -> None:
+    def acquire(self, now_ms: float, lease_name: str) -> None:
         """Asks for a lease until `release`; does nothing where that was asked for already."""
         if lease_name not in self.requests:
             self.sequence += 1
             self.requests[lease_name] = LeaseRequest(self.sequence)
-            self._send_request(now, lease_name, self.requests[lease_name])
+            self._send_request(now_ms, lease_name, self.requests[lease_name])
 
-    def fencing_token(self, now: float, lease_name: str) -> int:
+    def fencing_token(self, now_ms: float, lease_name: str) -> int:
         """The token under which an act may begin now; 0: no lease is held. To be asked before each act."""
         request = self.requests.get(lease_name)
-        return request.fencing_token if request is not None and now < request.expires_at else 0
+        if request is None or now_ms >= request.expires_at_ms:
+            return NO_TOKEN
+        return request.fencing_token
 
     def slot(self, lease_name: str) -> int:
         """The slot below the capacity of the lease name; -1: none is held."""
-        return self.requests[lease_name].slot if lease_name in self.requests else -1
+        return self.requests[lease_name].slot if lease_name in self.requests else NO_SLOT
 
     def release(self, lease_name: str) -> None:
         """Gives a lease back, or stops waiting for one."""
@@ -86,37 +127,35 @@
             notice = self._release_notice(lease_name, request.fencing_token, request.number)
             self.actions.send_lease_message(request.server, notice)
 
-    def begin_incarnation(self, now: float, incarnation: int) -> None:
+    def begin_incarnation(self, now_ms: float, incarnation: int) -> None:
         """Asks for all leases anew under another incarnation; those held under the old one are forgotten."""
         self.incarnation = incarnation
         for lease_name in list(self.requests):
             del self.requests[lease_name]
-            self.acquire(now, lease_name)
+            self.acquire(now_ms, lease_name)
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Handles timers; to be called several times a second."""
         for lease_name, request in self.requests.items():
-            if request.holds() and now >= request.expires_at:
+            if request.holds() and now_ms >= request.expires_at_ms:
                 self.actions.log_event("lease_lost", turn=lease_name, fence=request.fencing_token)
                 request.forget_lease()
-            request.sent_at = {
-                sequence: at for sequence, at in request.sent_at.items() if now - at <= LEASE_MS
-            }
-            if now >= request.next_send_at:
-                self._send_request(now, lease_name, request)
+            request.drop_old_requests(now_ms)
+            if now_ms >= request.next_send_at_ms:
+                self._send_request(now_ms, lease_name, request)
 
-    def receive(self, now: float, sender: str, message: ClientMessage) -> None:
+    def receive(self, now_ms: float, sender: str, message: ClientMessage) -> None:
         """Handles an answer of a lease server."""
         request = self.requests.get(message.lease_name)
         match message:
             case LeaseGranted():
                 self.on_lease_granted(sender, message, request)
             case QueuePosition():
-                self.on_queue_position(now, sender, message, request)
+                self.on_queue_position(now_ms, sender, message, request)
             case LeaderReferral():
-                self.on_leader_referral(now, sender, message, request)
+                self.on_leader_referral(now_ms, sender, message, request)
             case LeaseRevoked():
-                self.on_lease_revoked(now, message, request)
+                self.on_lease_revoked(now_ms, message, request)
 
     def on_lease_granted(self, sender: str, granted: LeaseGranted, request: LeaseRequest | None) -> None:
         """Holds the lease from when it was asked for; gives it back where it is no longer wanted."""
@@ -125,8 +164,8 @@
             notice = self._release_notice(granted.lease_name, granted.fencing_token, number)
             self.actions.send_lease_message(sender, notice)
             return
-        sent_at = request.sent_at.get(granted.sequence)
-        if sent_at is None or granted.request_id != RequestId(self.incarnation, request.number):
+        sent_at_ms = request.sent_at_ms.get(granted.sequence)
+        if sent_at_ms is None or granted.request_id != RequestId(self.incarnation, request.number):
             return
         if granted.fencing_token < request.fencing_token:
             return
@@ -134,58 +173,65 @@
             self.actions.log_event(
                 "lease_acquired", turn=granted.lease_name, slot=granted.slot, fence=granted.fencing_token
             )
-        request.slot, request.fencing_token = granted.slot, granted.fencing_token
-        request.term, request.server = granted.term, sender
-        request.expires_at = max(request.expires_at, sent_at + LEASE_MS)
-        request.sent_at = {sequence: at for sequence, at in request.sent_at.items() if at > sent_at}
+        request.slot = granted.slot
+        request.fencing_token = granted.fencing_token
+        request.term = granted.term
+        request.server = sender
+        request.expires_at_ms = max(request.expires_at_ms, sent_at_ms + LEASE_MS)
+        request.drop_requests_until(sent_at_ms)
 
     def on_queue_position(
-        self, now: float, sender: str, position: QueuePosition, request: LeaseRequest | None
+        self, now_ms: float, sender: str, position: QueuePosition, request: LeaseRequest | None
     ) -> None:
         """Goes on asking this server, which leads."""
         if request is None:
-            self.actions.send_lease_message(
-                sender, self._release_notice(position.lease_name, 0, self.sequence)
-            )
-        elif position.sequence in request.sent_at and not request.holds():
-            request.server, request.term = sender, position.term
-            # The queued message is the one whose sequence comes back with the grant, so it stays in
-            # `sent_at`.
-            request.next_send_at = max(request.next_send_at, now + QUEUE_POLL_INTERVAL_MS)
+            notice = self._release_notice(position.lease_name, NO_TOKEN, self.sequence)
+            self.actions.send_lease_message(sender, notice)
+        elif position.sequence in request.sent_at_ms and not request.holds():
+            request.server = sender
+            request.term = position.term
+            # A grant echoes the sequence of the request in the queue, so that stays in `sent_at_ms`.
+            request.next_send_at_ms = max(request.next_send_at_ms, now_ms + QUEUE_POLL_INTERVAL_MS)
 
     def on_leader_referral(
-        self, now: float, sender: str, referral: LeaderReferral, request: LeaseRequest | None
+        self, now_ms: float, sender: str, referral: LeaderReferral, request: LeaseRequest | None
     ) -> None:
         """Asks the server that is said to lead, or any where none is known."""
-        if request is None or referral.sequence not in request.sent_at:
+        if request is None or referral.sequence not in request.sent_at_ms:
             return
-        del request.sent_at[referral.sequence]
+        del request.sent_at_ms[referral.sequence]
         if not referral.leader or referral.term < request.term:
             request.server = ""
             return
-        request.server, request.term = referral.leader, referral.term
+        request.server = referral.leader
+        request.term = referral.term
         if sender != referral.leader or request.holds():
-            request.next_send_at = now
+            request.next_send_at_ms = now_ms
 
-    def on_lease_revoked(self, now: float, revoked: LeaseRevoked, request: LeaseRequest | None) -> None:
+    def on_lease_revoked(self, now_ms: float, revoked: LeaseRevoked, request: LeaseRequest | None) -> None:
         """Asks for another lease in place of the one that the leader no longer knows."""
         if request is None or not request.holds() or request.fencing_token != revoked.fencing_token:
             return
         self.actions.log_event("lease_lost", turn=revoked.lease_name, fence=request.fencing_token)
         request.forget_lease()
-        request.expires_at, request.next_send_at = 0.0, now
+        request.expires_at_ms = 0.0
+        request.next_send_at_ms = now_ms
 
-    def _send_request(self, now: float, lease_name: str, request: LeaseRequest) -> None:
-        if not request.server:  # whoever leads answers, the others name the leader
+    def _send_request(self, now_ms: float, lease_name: str, request: LeaseRequest) -> None:
+        """Asks for a lease or its renewal; after `MAX_UNANSWERED` in vain the next goes to another server."""
+        if not request.server:  # the leader answers, the others name the leader
             request.server = self._choose_server()
-        unanswered = sum(now - at < UNANSWERED_WINDOW_MS for at in request.sent_at.values())
+        unanswered_count = request.unanswered_count(now_ms)
         self.sequence += 1
-        request.sent_at[self.sequence], request.next_send_at = now, now + RENEWAL_INTERVAL_MS
+        request.sent_at_ms[self.sequence] = now_ms
+        request.next_send_at_ms = now_ms + RENEWAL_INTERVAL_MS
         self.actions.send_lease_message(request.server, self._message(lease_name, request))
-        if unanswered >= MAX_UNANSWERED:
-            request.server, request.sent_at = "", {self.sequence: now}
+        if unanswered_count >= MAX_UNANSWERED:
+            request.server = ""
+            request.sent_at_ms = {self.sequence: now_ms}
 
     def _choose_server(self) -> str:
+        """The next server in turn; clients begin with different ones, by their name."""
         self.server_choices += 1
         start = zlib.crc32(self.name.encode()) % len(self.servers)
         return self.servers[(start + self.server_choices) % len(self.servers)]
--- a/vetchford/leases/messages.py
+++ b/vetchford/leases/messages.py
@@ -64,25 +64,30 @@
     term: int
 
 
-class AcquireRequest(_Message, frozen=True, kw_only=True):
-    """A client asks for a lease, or for its place in the queue."""
+class _LeaseRequest(_Message, frozen=True, kw_only=True):
+    """Base of the requests of a client that are answered."""
 
     lease_name: str
     incarnation: int
     request_number: int
     zone: str
     sequence: int
+
+    @property
+    def request_id(self) -> RequestId:
+        """Which request of the client it belongs to."""
+        return RequestId(self.incarnation, self.request_number)
+
+
+class AcquireRequest(_LeaseRequest, frozen=True, kw_only=True):
+    """A client asks for a lease, or for its place in the queue."""
+
     kind: Literal["want"] = "want"
 
 
-class RenewRequest(_Message, frozen=True, kw_only=True):
+class RenewRequest(_LeaseRequest, frozen=True, kw_only=True):
     """A client asks to keep a lease that was granted under `term`."""
 
-    lease_name: str
-    incarnation: int
-    request_number: int
-    zone: str
-    sequence: int
     kind: Literal["renew"] = "renew"
     slot: int
     fencing_token: int
@@ -98,6 +103,11 @@
     incarnation: int
     request_number: int
 
+    @property
+    def request_id(self) -> RequestId:
+        """Which request of the client it ends."""
+        return RequestId(self.incarnation, self.request_number)
+
 
 class LeaseGranted(_Message, frozen=True, kw_only=True):
     """Answer to an acquire or renew request."""
@@ -161,7 +171,7 @@
 
 
 def encode(message: LeaseMessage) -> dict[str, Any]:
-    """The map that goes over the wire, its keys in their order."""
+    """The map that is sent, its keys in their order."""
     encoded: dict[str, Any] = msgspec.to_builtins(message)
     return encoded
 
