--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -110,7 +110,7 @@
             part,
             reserve=seed % 3 if name == "a" else 0,
             lends=seed % 2 == 0,
-            call_budget=300.0 if name == "a" else math.inf,
+            call_budget_ms=300.0 if name == "a" else math.inf,
         )
         for name, part in (("a", 0.2), ("b", 0.3), ("c", 0.5))
     ]
--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -14,88 +14,93 @@
 CHECK, QUOTE, CHARGE = range(3)
 
 
-class Seen:
+class RecordingObserver:
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def __getattr__(self, name):
-        return lambda *given: self.told.append((name, *given))
+        return lambda *given: self.events.append((name, *given))
 
     def count(self, *wanted):
-        return sum(entry[: len(wanted)] == wanted for entry in self.told)
+        return sum(entry[: len(wanted)] == wanted for entry in self.events)
 
 
-def pooled(host, terms=None, seen=None, bulkhead_of_class=(0, 1, 2), stages=None, **given):
-    terms = terms or [
+def divided_controller(
+    actions, settings=None, observer=None, bulkhead_of_class=(0, 1, 2), classes=None, **given
+):
+    settings = settings or [
         BulkheadSettings("gate", 0.2, 0.2, 0.2, reserve=1),
         BulkheadSettings("quotes", 0.3, 0.3, 0.3),
         BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
-    stages = stages or [
+    classes = classes or [
         request_class(),
         request_class(priority_weight=2.0, skip_fraction=0.5),
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
     return new_controller(
-        host, classes=stages, bulkheads=BulkheadSet(seen or Seen(), terms, bulkhead_of_class), **given
+        actions,
+        classes=classes,
+        bulkheads=BulkheadSet(observer or RecordingObserver(), settings, bulkhead_of_class),
+        **given,
     )
 
 
-def started(host):
-    return [act[1] for act in host.acts if act[0] == "start"]
+def started(actions):
+    return [act[1] for act in actions.acts if act[0] == "start"]
 
 
-def test_the_reserve_starts_a_check_at_once_whatever_runs_and_no_other_bulkhead_gets_it():
-    host, seen = Recorder(), Seen()
-    server = pooled(host, seen=seen)
+def test_a_request_starts_on_its_reserve_at_once_and_no_other_bulkhead_uses_it():
+    actions, observer = Recorder(), RecordingObserver()
+    server = divided_controller(actions, observer=observer)
     server.workload.ceiling = 8.0
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
-    assert started(host) == [0, 1]
+    assert started(actions) == [0, 1]
     send(server, 1.0, 10, kind=CHECK)
-    assert started(host) == [0, 1, 10] and seen.count("reserve_used", 0) == 1
+    assert started(actions) == [0, 1, 10] and observer.count("reserve_used", 0) == 1
     send(server, 2.0, 11, kind=CHECK)
-    assert started(host) == [0, 1, 10]  # one is its reserve
+    assert started(actions) == [0, 1, 10]  # one is its reserve
     server.run_ended(30.0, 10, "completed", 28.0)
-    assert started(host) == [0, 1, 10, 11]
+    assert started(actions) == [0, 1, 10, 11]
 
 
 def test_a_bulkhead_alone_has_all_slots_and_their_owner_is_next_when_it_returns():
-    host, seen = Recorder(), Seen()
-    server = pooled(host, seen=seen, cores=4)
+    actions, observer = Recorder(), RecordingObserver()
+    server = divided_controller(actions, observer=observer, cores=4)
     for q in range(12):
         send(server, 0.0, q, kind=CHARGE)
-    assert started(host) == [0, 1, 2, 3] and seen.count("borrowed", 2, "slots") == 2
+    assert started(actions) == [0, 1, 2, 3] and observer.count("borrowed", 2, "slots") == 2
     send(server, 100.0, 20, kind=QUOTE)
     server.run_ended(100.0, 0, "completed", 100.0)
-    assert started(host)[-1] == 20 and seen.count("returned", 2, "slots") == 1
+    assert started(actions)[-1] == 20 and observer.count("returned", 2, "slots") == 1
 
 
-def test_an_owner_that_returns_at_the_instant_a_slot_is_freed_gets_it_in_either_order():
+def test_a_bulkhead_that_returns_as_a_borrowed_slot_is_freed_gets_it_in_either_order():
     for first in ("arrival", "end"):
-        host = Recorder()
-        server = pooled(host)
+        actions = Recorder()
+        server = divided_controller(actions)
         for q in range(4):
             send(server, 0.0, q, kind=CHARGE)
         if first == "arrival":
             send(server, 50.0, 20, kind=QUOTE)
             server.run_ended(50.0, 0, "completed", 50.0)
-            assert started(host)[-1] == 20
+            assert started(actions)[-1] == 20
         else:  # the slot was lent again before it came: the next one is its
             server.run_ended(50.0, 0, "completed", 50.0)
             send(server, 50.0, 20, kind=QUOTE)
             server.run_ended(50.0, 1, "completed", 50.0)
-            assert started(host)[-1] == 20
+            assert started(actions)[-1] == 20
 
 
 def test_two_busy_bulkheads_share_the_slots_by_their_shares_over_time():
-    host = Recorder()
-    terms = [
+    actions = Recorder()
+    settings = [
         BulkheadSettings("gate", 0.2, 0.5, 0.5),
         BulkheadSettings("quotes", 0.3, 0.5, 0.5),
         BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
-    server = pooled(host, terms=terms, memory=1e9)
+    server = divided_controller(actions, settings=settings, memory=1e9)
     now, q, runs, used = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
         for kind in (QUOTE, CHARGE):
@@ -103,8 +108,8 @@
             if held < 2:
                 q += 1
                 send(server, now, q, kind=kind, deadline=now + 4000.0)
-        runs += [(now + 40.0, one) for one in started(host)]
-        host.acts.clear()
+        runs += [(now + 40.0, one) for one in started(actions)]
+        actions.acts.clear()
         runs.sort()
         now, one = runs.pop(0)
         used[server.workload.requests[one].bulkhead] += 1
@@ -113,19 +118,19 @@
 
 
 def test_a_bulkhead_that_does_not_lend_keeps_its_slot_free():
-    host = Recorder()
-    terms = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
-    server = pooled(host, terms=terms, bulkhead_of_class=(0, 1, 1))
+    actions = Recorder()
+    settings = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
+    server = divided_controller(actions, settings=settings, bulkhead_of_class=(0, 1, 1))
     for q in range(4):
         send(server, 0.0, q, kind=CHARGE)
-    assert started(host) == [0]  # the other slot is the gate's
+    assert started(actions) == [0]  # the other slot is the gate's
     send(server, 1.0, 10, kind=CHECK)
-    assert started(host) == [0, 10]
+    assert started(actions) == [0, 10]
 
 
-def test_charges_that_fill_the_bytes_give_way_to_a_bulkhead_within_its_share():
-    host = Recorder()
-    server = pooled(host)
+def test_requests_of_a_bulkhead_over_its_byte_share_are_evicted_for_one_within_its_share():
+    actions = Recorder()
+    server = divided_controller(actions)
     server.workload.in_flight.clearable_bytes, server.workload.ceiling = 100.0, 8.0
     for q in range(12):
         send(server, 0.0, q, kind=CHARGE, client=q, size=10)
@@ -133,35 +138,35 @@
     send(server, 1.0, 30, kind=CHECK, client=30, size=10)
     send(server, 1.0, 31, kind=CHECK, client=31, size=10)
     assert not {30, 31} & set(
-        host.answers
+        actions.answers
     )  # let in, one by its reserve, and a charge went for what was too much
     assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered_bytes == 100
-    before = set(host.answers)
+    before = set(actions.answers)
     send(server, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its part: a charge goes for it
-    assert 40 in server.workload.queued and len(set(host.answers) - before) == 1
+    assert 40 in server.workload.queued and len(set(actions.answers) - before) == 1
     assert server.workload.in_flight.unanswered_bytes == 100 and all(
-        answer == "reject" for answer in host.answers.values()
+        answer == "reject" for answer in actions.answers.values()
     )
 
 
-def test_charges_that_wait_for_a_dead_dependency_leave_the_memory_of_other_bulkheads_free():
-    host = Recorder()
-    server = pooled(host, memory=2000.0, share=50.0)
+def test_requests_that_wait_for_an_unavailable_dependency_leave_the_memory_of_other_bulkheads_free():
+    actions = Recorder()
+    server = divided_controller(actions, memory=2000.0, share=50.0)
     now, q = 0.0, 0
     for q in range(100):
         send(server, now, q, kind=CHARGE, client=q, size=10)
-        for one in started(host):
+        for one in started(actions):
             if server.workload.requests[one].state == RequestState.EXECUTING:
                 server.run_blocked(now, one)
         now += 1.0
-    assert any(answer == "reject" for answer in host.answers.values())  # full
+    assert any(answer == "reject" for answer in actions.answers.values())  # full
     send(server, now, 500, kind=CHECK, size=10)
-    assert 500 in started(host)
+    assert 500 in started(actions)
 
 
-def test_what_must_call_is_not_started_into_a_full_queue_for_calls_and_others_go_on():
-    host = Recorder()
-    server = pooled(host, share=1.0)
+def test_a_request_that_must_call_is_not_started_while_its_queue_for_calls_is_full_and_others_are():
+    actions = Recorder()
+    server = divided_controller(actions, share=1.0)
     for q in range(8):
         send(server, 0.0, q, kind=CHARGE)
     for q in (0, 1, 2, 3):
@@ -173,67 +178,67 @@
     assert server.workload.running == before + 1
 
 
-def test_a_quote_that_waits_longer_than_its_budget_goes_on_without_the_call():
-    host = Recorder()
-    terms = [
+def test_a_call_past_the_call_budget_of_its_bulkhead_is_abandoned_and_its_run_skips_it():
+    actions = Recorder()
+    settings = [
         BulkheadSettings("gate", 0.2, 0.2, 0.2),
-        BulkheadSettings("quotes", 0.3, 0.3, 0.3, call_budget=600.0),
+        BulkheadSettings("quotes", 0.3, 0.3, 0.3, call_budget_ms=600.0),
         BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
-    server = pooled(host, terms=terms, share=4.0)
+    server = divided_controller(actions, settings=settings, share=4.0)
     send(server, 0.0, 1, kind=QUOTE)
     server.run_blocked(10.0, 1)
-    assert ("call", 1, 610.0) in host.acts
+    assert ("call", 1, 610.0) in actions.acts
     server.call_ended(610.0, 1, "overdue", 600.0)
-    assert ("skip", 1) in host.acts
+    assert ("skip", 1) in actions.acts
 
 
-def test_the_retry_delay_is_the_backlog_of_the_request_s_own_bulkhead():
-    host = Recorder()
-    server = pooled(host)
+def test_retry_after_is_the_backlog_of_the_request_s_own_bulkhead():
+    actions = Recorder()
+    server = divided_controller(actions)
     for q in range(200, 208):
         send(server, 0.0, q, kind=CHARGE, work=300.0)
         server.run_ended(0.0, q, "completed", 300.0)
     for q in range(40):
         send(server, 0.0, q, kind=CHARGE, work=300.0, client=q % 5)
-    told = {act[1]: act[3] for act in host.acts if act[0] == "reject"}
-    assert told and min(told.values()) > 400.0
+    events = {act[1]: act[3] for act in actions.acts if act[0] == "reject"}
+    assert events and min(events.values()) > 400.0
     send(server, 1.0, 100, kind=QUOTE, size=200_000)  # more than the memory: nobody of its pool is in line
-    assert ("reject", 100, False, 0.0) in host.acts
+    assert ("reject", 100, False, 0.0) in actions.acts
 
 
 def test_a_repeat_of_a_charge_that_is_queued_in_a_full_bulkhead_takes_its_place_and_runs_once():
-    host = Recorder()
-    server = pooled(host)
+    actions = Recorder()
+    server = divided_controller(actions)
     for q in range(6):
         send(server, 0.0, q, kind=CHARGE)
     waits = next(iter(server.workload.queued))
     send(server, 50.0, 50, kind=CHARGE, original=waits)
-    assert host.answers[waits] == "reject" and 50 in server.workload.queued
+    assert actions.answers[waits] == "reject" and 50 in server.workload.queued
     send(server, 60.0, 51, kind=CHARGE, original=0)
-    assert "share" in host.names(51) and started(host).count(0) == 1
+    assert "share" in actions.names(51) and started(actions).count(0) == 1
 
 
-def test_a_bulkhead_whose_dependency_was_dead_admits_one_to_try_as_soon_as_no_call_is_out():
-    host = Recorder()
-    server = pooled(host, share=8.0)
+def test_after_unanswered_calls_a_bulkhead_admits_one_request_to_try_as_soon_as_no_call_is_out():
+    actions = Recorder()
+    server = divided_controller(actions, share=8.0)
     now = 0.0
     for q in range(30):
         send(server, now, q, kind=CHARGE, deadline=now + 1800.0)
-        if q in started(host):
+        if q in started(actions):
             server.run_blocked(now + 5.0, q)
             server.call_ended(now + 1700.0, q, "overdue", 1695.0)
         now += 2000.0
     send(server, now, 99, kind=CHARGE)
-    assert 99 in started(host)
+    assert 99 in started(actions)
 
 
 def test_draining_with_full_bulkheads_answers_everything_and_empties_every_table():
-    host = Recorder()
-    server = pooled(host, share=2.0)
+    actions = Recorder()
+    server = divided_controller(actions, share=2.0)
     for q in range(30):
         send(server, 0.0, q, kind=q % 3, client=q % 4)
-    for q in started(host)[:2]:
+    for q in started(actions)[:2]:
         server.run_blocked(20.0, q)
     server.start_draining(100.0, 2100.0)
     for at in range(150, 2100, 50):
@@ -243,16 +248,21 @@
         if request.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
             server.run_ended(2100.0, q, "recalled", 2000.0)
     server.on_tick(40_000.0, 0.0, 0.0)
-    pools = server.capacity.bulkheads
-    assert set(host.answers) == set(range(30)) and not server.workload.requests
-    assert pools.unanswered == [0, 0, 0] and pools.used == [0.0, 0.0, 0.0]
-    assert pools.slots.in_use == pools.calls.in_use == pools.on_reserve == [0, 0, 0]
-    assert not any(pools.call_starts)
+    bulkheads = server.capacity.bulkheads
+    assert set(actions.answers) == set(range(30)) and not server.workload.requests
+    assert bulkheads.bytes.unanswered_bytes == [0, 0, 0] and bulkheads.bytes.used_bytes == [0.0, 0.0, 0.0]
+    in_use = [
+        bulkheads.slots.fair_share.in_use,
+        bulkheads.calls.fair_share.in_use,
+        bulkheads.slots.on_reserve,
+    ]
+    assert in_use == [[0, 0, 0]] * 3
+    assert not any(bulkheads.calls.call_starts_ms)
 
 
 def test_classes_that_no_bulkhead_names_share_the_rest_and_always_have_a_share():
-    made = builder.build(
-        Seen(),
+    bulkheads = builder.build(
+        RecordingObserver(),
         {
             "gate": {
                 "stages": ["check"],
@@ -267,30 +277,30 @@
         [0, 0, 1],
         [1.0, 2.0, 3.0],
     )
-    assert [made.settings[p].name for p in made.bulkhead_of_class] == ["gate", "rest", "rest"]
-    assert made.slots.shares[1] > 0.05 and made.settings[0].call_budget == math.inf
-    assert builder.build(Seen(), "none", ["check"], [0], [1.0]) is None
+    assert [bulkheads.settings[p].name for p in bulkheads.bulkhead_of_class] == ["gate", "rest", "rest"]
+    assert bulkheads.slots.fair_share.shares[1] > 0.05 and bulkheads.settings[0].call_budget_ms == math.inf
+    assert builder.build(RecordingObserver(), "none", ["check"], [0], [1.0]) is None
 
 
 def test_derived_bulkheads_find_the_light_class_by_its_runs_and_keep_to_it():
-    host, seen = Recorder(), Seen()
-    stages = [
+    actions, observer = Recorder(), RecordingObserver()
+    classes = [
         request_class(),
         request_class(priority_weight=2.0),
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
-    made = builder.derived(seen, [0, 0, 1], [1.0, 2.0, 3.0])
-    server = new_controller(host, classes=stages, bulkheads=made)
-    assert [kind.bulkhead for kind in stages] == [2, 2, 1]  # nothing measured yet
+    bulkheads = builder.derived(observer, [0, 0, 1], [1.0, 2.0, 3.0])
+    server = new_controller(actions, classes=classes, bulkheads=bulkheads)
+    assert [kind.bulkhead for kind in classes] == [2, 2, 1]  # nothing measured yet
     now = 0.0
     for q in range(90):
         send(server, now, q, kind=q % 3)
         server.run_ended(now + 5.0, q, "completed", (6.0, 40.0, 60.0)[q % 3])
         now += 10.0
     server.on_tick(6000.0, 1.0, 0.0)
-    assert [kind.bulkhead for kind in stages] == [0, 2, 1] and seen.count("regrouped") == 1
+    assert [kind.bulkhead for kind in classes] == [0, 2, 1] and observer.count("regrouped") == 1
     for q in range(100, 190):  # now all are dear: none is light
         send(server, 7000.0 + q, q, kind=q % 3)
         server.run_ended(7005.0 + q, q, "completed", 60.0)
     server.on_tick(12_000.0, 1.0, 0.0)
-    assert [kind.bulkhead for kind in stages] == [2, 2, 1]
+    assert [kind.bulkhead for kind in classes] == [2, 2, 1]
--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -26,7 +26,7 @@
         yield running
 
 
-def test_a_read_has_its_reserve_among_pays_and_the_log_counts_it(server):
+def test_a_light_request_starts_on_its_reserve_and_the_log_counts_it(server):
     caller = server.balancer()
     pays = [caller.ask(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
     server.pool.take("spawn")
--- a/vetchford/bulkheads/builder.py
+++ b/vetchford/bulkheads/builder.py
@@ -1,17 +1,22 @@
 """Builds a `BulkheadSet` from the declared record of the operators and the server's request classes."""
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
 from vetchford.bulkheads.bulkheads import BulkheadSet
-from vetchford.bulkheads.classification import LIGHT_RESERVE, LIGHT_SHARE, REST, WITH_EFFECT
+from vetchford.bulkheads.classification import (
+    LIGHT_RESERVE,
+    LIGHT_SHARE,
+    REST,
+    WITH_EFFECT,
+    effect_share,
+)
 from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings
 
-REST_NAME = "rest"
-"""The bulkhead of the classes that no bulkhead of the file names."""
-MIN_REST_SHARE = 0.1
-"""Of all shares, where the named bulkheads leave less over: no class is shut out."""
+REST_NAME = "rest"  # the bulkhead of the classes that no bulkhead of the file names
+MIN_REST_SHARE = 0.1  # of all shares, where the named bulkheads leave less over
 NO_BULKHEADS = "none"
+STAGES_KEY = "stages"
 FIELDS = {
     "share": "slot_share",
     "bytes": "byte_share",
@@ -20,7 +25,7 @@
     "lends": "lends",
     "borrows": "borrows",
     "most_calls": "max_calls",
-    "call_budget": "call_budget",
+    "call_budget": "call_budget_ms",
 }
 """Keys of a declared record, and the fields of `BulkheadSettings` that they set."""
 
@@ -44,36 +49,43 @@
     if isinstance(declared, str):
         return derived(observer, effects, weights)
     settings = [_settings(name, record) for name, record in declared.items()]
-    owners = {name: at for at, record in enumerate(declared.values()) for name in record["stages"]}
+    owners = {
+        class_name: bulkhead
+        for bulkhead, record in enumerate(declared.values())
+        for class_name in record[STAGES_KEY]
+    }
     if any(name not in owners for name in names):
         settings.append(_rest(settings, declared))
     return BulkheadSet(observer, settings, [owners.get(name, len(settings) - 1) for name in names])
 
 
 def _settings(name: str, record: Mapping[str, Any]) -> BulkheadSettings:
-    given = {FIELDS[key]: value for key, value in record.items() if key != "stages" and value is not None}
+    given = {FIELDS[key]: value for key, value in record.items() if key != STAGES_KEY and value is not None}
     return BulkheadSettings(name=name, **given)
 
 
 def _rest(settings: Sequence[BulkheadSettings], declared: Mapping[str, Any]) -> BulkheadSettings:
+    """The bulkhead of all other classes; it has a share of each resource, so that no class is shut out."""
     return BulkheadSettings(
         name=REST_NAME if REST_NAME not in declared else REST_NAME + "-unnamed",
-        slot_share=max(MIN_REST_SHARE, 1.0 - sum(each.slot_share for each in settings)),
-        byte_share=max(MIN_REST_SHARE, 1.0 - sum(each.byte_share for each in settings)),
-        call_share=max(MIN_REST_SHARE, 1.0 - sum(each.call_share for each in settings)),
+        slot_share=_rest_share(each.slot_share for each in settings),
+        byte_share=_rest_share(each.byte_share for each in settings),
+        call_share=_rest_share(each.call_share for each in settings),
     )
 
 
+def _rest_share(shares: Iterable[float]) -> float:
+    return max(MIN_REST_SHARE, 1.0 - sum(shares))
+
+
 def derived(observer: BulkheadObserver, effects: Sequence[int], weights: Sequence[float]) -> BulkheadSet:
     """Light work, work with an effect, and the rest. What is light shows by its runs alone."""
-    total = sum(weights) or 1.0
     heavy_share = 1.0 - LIGHT_SHARE
-    with_effect = sum(weight for weight, effect in zip(weights, effects, strict=True) if effect) / total
-    effect_share = heavy_share * min(0.9, max(0.1, with_effect))
+    with_effect_share = heavy_share * effect_share(effects, weights)
     settings = [
         _evenly("light", LIGHT_SHARE, LIGHT_RESERVE),
-        _evenly("effect", effect_share, 0),
-        _evenly(REST_NAME, heavy_share - effect_share, 0),
+        _evenly("effect", with_effect_share, 0),
+        _evenly(REST_NAME, heavy_share - with_effect_share, 0),
     ]
     bulkhead_of_class = [WITH_EFFECT if effect else REST for effect in effects]
     return BulkheadSet(observer, settings, bulkhead_of_class, derive=True)
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -27,44 +27,44 @@
 
     def arrived(self, request: Request) -> None:
         """Count its bytes."""
-        self.bulkheads.arrived(request.bulkhead, request.size_bytes)
+        self.bulkheads.bytes.arrived(request.bulkhead, request.size_bytes)
 
     def answered(self, request: Request) -> None:
         """Count its bytes as answered."""
-        self.bulkheads.answered(request.bulkhead, request.size_bytes)
+        self.bulkheads.bytes.answered(request.bulkhead, request.size_bytes)
 
     def released(self, request: Request) -> None:
         """Count its memory as free."""
-        self.bulkheads.released(request.bulkhead, request.size_bytes)
+        self.bulkheads.bytes.released(request.bulkhead, request.size_bytes)
 
     def run_started(self, now_ms: float, request: Request, slots: float) -> None:
         """Take a slot, or a reserved one."""
-        self.bulkheads.run_started(now_ms, request.bulkhead, slots, self._extra_memory(request))
+        self.bulkheads.run_started(now_ms, request.bulkhead, slots, self._extra_bytes(request))
 
     def run_resumed(self, now_ms: float, request: Request) -> None:
         """Take a slot, whether or not one is free."""
-        self.bulkheads.run_resumed(now_ms, request.bulkhead, self.workload.slots())
+        self.bulkheads.slots.run_resumed(now_ms, request.bulkhead, self.workload.slots())
 
     def run_blocked(self, now_ms: float, request: Request) -> None:
         """Give the slot back."""
-        self.bulkheads.run_left_cores(now_ms, request.bulkhead)
+        self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
 
     def run_ended(self, now_ms: float, request: Request) -> None:
         """Give back its slot or its call, and its memory as an executing request."""
         if request.state == RequestState.EXECUTING:
-            self.bulkheads.run_left_cores(now_ms, request.bulkhead)
+            self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
         elif request.state == RequestState.CALLING:
-            self.bulkheads.call_ended(now_ms, request.bulkhead, request.index, None, False)
+            self.bulkheads.calls.call_ended(now_ms, request.bulkhead, request.index, None, False)
         called = request.dependency_wait_ms != 0.0
-        self.bulkheads.run_ended(request.bulkhead, called, self._extra_memory(request))
+        self.bulkheads.run_ended(request.bulkhead, called, self._extra_bytes(request))
 
     def call_started(self, now_ms: float, request: Request) -> None:
         """Count the call."""
-        self.bulkheads.call_started(now_ms, request.bulkhead, request.index, self._call_limit())
+        self.bulkheads.calls.call_started(now_ms, request.bulkhead, request.index, self._call_limit())
 
     def call_ended(self, now_ms: float, request: Request, took_ms: float | None, rejected: bool) -> None:
         """Count the call back and adapt the bulkhead's limit."""
-        self.bulkheads.call_ended(now_ms, request.bulkhead, request.index, took_ms, rejected)
+        self.bulkheads.calls.call_ended(now_ms, request.bulkhead, request.index, took_ms, rejected)
 
     def on_tick(self, now_ms: float) -> None:
         """Regroup derived bulkheads where it is time."""
@@ -74,56 +74,67 @@
         """Behind the requests of its own bulkhead with the same priority or a higher one."""
         priority = self.workload.priority
         own = priority(request)
-        return self._delay_behind(now_ms, request, [o for o in self._queued(request) if priority(o) >= own])
+        ahead = [other for other in self._queued(request) if priority(other) >= own]
+        return self._delay_behind(now_ms, request, ahead)
 
     def retry_after_ms(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
-        return self._delay_behind(self.bulkheads.slots.updated_at, request, self._queued(request))
+        return self._delay_behind(
+            self.bulkheads.slots.fair_share.updated_at_ms, request, self._queued(request)
+        )
 
     def has_room(self, request: Request) -> bool:
         """By its bulkhead's part of the bytes, and what others lend."""
         in_flight = self.workload.in_flight
-        return self.bulkheads.has_room(
+        return self.bulkheads.bytes.has_room(
             request.bulkhead, in_flight.unanswered_bytes, in_flight.clearable_bytes
         )
 
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
         """Those of bulkheads beyond their part; the request itself only where its own is."""
-        clearable = self.workload.in_flight.clearable_bytes
-        within = self.bulkheads.is_within_share(request.bulkhead, clearable)
-        candidates = queued if within else [*queued, request]
-        return self.bulkheads.eviction_candidates(request.bulkhead, candidates, clearable)
+        sharing = self.bulkheads.bytes
+        clearable_bytes = self.workload.in_flight.clearable_bytes
+        is_within_share = sharing.is_within_share(request.bulkhead, clearable_bytes)
+        candidates = queued if is_within_share else [*queued, request]
+        return sharing.eviction_candidates(request.bulkhead, candidates, clearable_bytes)
 
     def memory_fits(self, request: Request, more_bytes: float) -> bool:
         """By its bulkhead's part of the memory, and what others lend."""
         in_flight = self.workload.in_flight
-        return self.bulkheads.memory_fits(
+        return self.bulkheads.bytes.memory_fits(
             request.bulkhead, more_bytes, in_flight.used_bytes, in_flight.usable_bytes
         )
 
     def startable(self, now_ms: float, slots: float, blocked: set[int]) -> Sequence[Request]:
         """The queued requests of the bulkhead whose turn it is."""
         load = self.workload
-        queued, waiting = load.queued.values(), load.waiting.values()
-        return self.bulkheads.startable(now_ms, queued, waiting, load.running, slots, load.ceiling, blocked)
+        return self.bulkheads.startable(
+            now_ms,
+            load.queued.values(),
+            load.waiting.values(),
+            load.running,
+            slots,
+            load.ceiling,
+            blocked,
+        )
 
     def callable(self, now_ms: float) -> Sequence[Request]:
         """The waiting requests of the bulkhead whose turn it is."""
-        return self.bulkheads.callable(now_ms, self.workload.waiting.values(), self._call_limit())
+        return self.bulkheads.calls.callable(now_ms, self.workload.waiting.values(), self._call_limit())
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
         """By its bulkhead's call budget, or when an answer would come too late."""
-        return self.bulkheads.call_deadline(now_ms, request)
+        return self.bulkheads.calls.call_cutoff_ms(now_ms, request)
 
     def should_skip(self, request: Request) -> bool:
         """Where its bulkhead's queue for calls is long, or one that must call waits."""
-        return self.bulkheads.should_skip(request.bulkhead, self.workload.waiting.values())
+        return self.bulkheads.calls.should_skip(request.bulkhead, self.workload.waiting.values())
 
     def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
         """By the calls of its bulkhead."""
-        return self.bulkheads.dependency_wait(now_ms, request.bulkhead, self._queued_calls(request))
+        return self.bulkheads.calls.dependency_wait_ms(now_ms, request.bulkhead, self._queued_calls(request))
 
-    def _extra_memory(self, request: Request) -> float:
+    def _extra_bytes(self, request: Request) -> float:
         return request.size_bytes * self.workload.in_flight.running_extra
 
     def _call_limit(self) -> float:
@@ -137,7 +148,7 @@
 
     def _delay_behind(self, now_ms: float, request: Request, ahead: list[Request]) -> float:
         load = self.workload
-        return self.bulkheads.queue_delay(
+        return self.bulkheads.queue_delay_ms(
             now_ms,
             request.bulkhead,
             sum(map(load.expected_run_time_ms, ahead)),
--- a/vetchford/bulkheads/bulkhead_metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -12,27 +12,32 @@
 from vetchford.bulkheads import builder
 from vetchford.bulkheads.adaptive_limit import LimitChange
 from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
+from vetchford.bulkheads.settings import Resource
 from vetchford.runtime.metrics import Metrics
 
 log = structlog.get_logger()
 
 
 class BulkheadMetrics:
-    """Observes a `BulkheadSet`: counts by the bulkhead's name, of which there are 17 at most."""
+    """Observes a `BulkheadSet`: counts by the bulkhead's name, of which there are 17 at most.
+
+    For the thread that owns the controller.
+    """
 
     def __init__(self, metrics: Metrics, class_names: Sequence[str]) -> None:
-        """`names` is to be set before the first event: the bulkheads' names, by index."""
-        self.metrics, self.class_names = metrics, class_names
+        """`class_names`: by class index; `names`, by bulkhead, is to be set before the first event."""
+        self.metrics = metrics
+        self.class_names = class_names
         self.names: list[str] = []
 
     def _increment(self, bulkhead: int, event: str) -> int:
         return self.metrics.increment(f"pool_{self.names[bulkhead]}_{event}")
 
-    def borrowed(self, bulkhead: int, resource: str) -> None:
+    def borrowed(self, bulkhead: int, resource: Resource) -> None:
         """Counted as `borrowed_...`."""
         self._increment(bulkhead, f"borrowed_{resource}")
 
-    def returned(self, bulkhead: int, resource: str) -> None:
+    def returned(self, bulkhead: int, resource: Resource) -> None:
         """Counted as `returned_...`."""
         self._increment(bulkhead, f"returned_{resource}")
 
@@ -40,7 +45,7 @@
         """Counted as `reserve_used`."""
         self._increment(bulkhead, "reserve_used")
 
-    def limit_reached(self, bulkhead: int, resource: str) -> None:
+    def limit_reached(self, bulkhead: int, resource: Resource) -> None:
         """Counted as `bound_...`."""
         self._increment(bulkhead, f"bound_{resource}")
 
@@ -59,7 +64,9 @@
     def regrouped(self, bulkhead_of_class: Sequence[int]) -> None:
         """Logged."""
         pairs = zip(self.class_names, bulkhead_of_class, strict=True)
-        log.info("pools_regrouped", stages=",".join(f"{name}:{self.names[at]}" for name, at in pairs))
+        log.info(
+            "pools_regrouped", stages=",".join(f"{name}:{self.names[bulkhead]}" for name, bulkhead in pairs)
+        )
 
 
 def capacity(
@@ -74,6 +81,6 @@
     if bulkheads is None:
         return None
     observer.names = [each.name for each in bulkheads.settings]
-    by_class = ",".join(observer.names[at] for at in bulkheads.bulkhead_of_class)
+    by_class = ",".join(observer.names[bulkhead] for bulkhead in bulkheads.bulkhead_of_class)
     log.info("pools", names=",".join(observer.names), stages=by_class)
     return BulkheadCapacity(bulkheads)
--- a/vetchford/bulkheads/settings.py
+++ b/vetchford/bulkheads/settings.py
@@ -3,11 +3,21 @@
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
 from vetchford.bulkheads.adaptive_limit import LimitChange
 
 
+class Resource(StrEnum):
+    """What is divided into bulkheads; the values are parts of the metrics' names."""
+
+    SLOTS = "slots"
+    BYTES = "bytes"
+    CALLS = "calls"
+    SKIPPED_CALLS = "skip"
+
+
 @dataclass(frozen=True, slots=True)
 class BulkheadSettings:
     """One bulkhead. Shares count against the sum of all bulkheads' shares."""
@@ -23,23 +33,27 @@
     borrows: bool = True
     """Whether it may use what others leave idle."""
     max_calls: int = 64
-    call_budget: float = math.inf
-    """Milliseconds after which a call is abandoned."""
+    call_budget_ms: float = math.inf
+    """Duration after which a call is abandoned."""
+
+    def keeps_bytes(self) -> bool:
+        """Whether its share of the bytes stays free for it: it does not lend, or has a reserve to fill."""
+        return not self.lends or self.reserve > 0
 
 
 class BulkheadObserver(Protocol):
-    """Notified when a limit of a bulkhead acted; `resource` is "slots", "bytes", "calls" or "skip"."""
+    """Notified when a limit of a bulkhead acted, on the thread that owns the controller."""
 
-    def borrowed(self, bulkhead: int, resource: str) -> None:
+    def borrowed(self, bulkhead: int, resource: Resource) -> None:
         """It took more than its share."""
 
-    def returned(self, bulkhead: int, resource: str) -> None:
+    def returned(self, bulkhead: int, resource: Resource) -> None:
         """It gave back what it had beyond its share."""
 
     def reserve_used(self, bulkhead: int) -> None:
         """A request started on a reserved slot."""
 
-    def limit_reached(self, bulkhead: int, resource: str) -> None:
+    def limit_reached(self, bulkhead: int, resource: Resource) -> None:
         """A limit kept a request waiting, or made one skip its call or give way."""
 
     def call_limit_changed(self, bulkhead: int, reason: LimitChange, limit: float) -> None:
--- a/vetchford/leases/lease_client.py
+++ b/vetchford/leases/lease_client.py
@@ -66,7 +66,7 @@
         }
 
     def drop_requests_until(self, answered_ms: float) -> None:
-        """Forgets requests sent at `answered_ms` or before; answers to later ones extend the lease further."""
+        """Forgets requests sent at `answered_ms` or before; later ones extend the lease further."""
         self.sent_at_ms = {
             sequence: sent_at_ms
             for sequence, sent_at_ms in self.sent_at_ms.items()
