--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -235,7 +235,7 @@
     rig.until(
         lambda: (
             {entry.get("why") for entry in rig.events() if entry["event"] == "peer_refused"}
-            >= {"no_frame", "other_version", "too_long", "crowd"}
+            >= {"not_a_frame", "other_version", "too_long", "too_many_connections"}
         ),
         10.0,
         "not all were told",
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -1,11 +1,10 @@
-"""The sockets between processes: one port for datagrams and for streams.
+"""`Transport`: carries out what `SessionManager` decides, by the sockets of an endpoint and of its streams.
 
-`Transport` carries out what `SessionManager` decides. All decisions are made on the thread of the actor that
-owns it; the other threads accept, connect, read and write, and post what they get to that actor.
+All decisions are made on the thread of the actor that owns it; the threads of the sockets post what they get
+to that actor.
 """
 
 import socket
-import time
 from collections.abc import Mapping
 from typing import Any, Protocol
 
@@ -16,6 +15,8 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
 from vetchford.transport import framing
+from vetchford.transport.endpoint import Endpoint, parse_address
+from vetchford.transport.faults import FrameFault
 from vetchford.transport.framing import Envelope, FrameError
 from vetchford.transport.peers import Identity, LinkState
 from vetchford.transport.session_manager import SessionManager
@@ -23,11 +24,6 @@
 
 log = structlog.get_logger()
 
-CONNECT_TIMEOUT_S = 1.0  # within a site it takes a few ms
-ACCEPT_RETRY_S = 0.1  # after an error, mostly for want of descriptors
-READ_RETRY_S = 0.01  # after an error of the datagram socket
-LISTEN_BACKLOG = 64
-
 INCARNATION_KIND = "life"  # datagrams that tell a peer which incarnation of it is known
 DATAGRAM_KIND = "news"  # all others
 
@@ -69,31 +65,36 @@
         seed: int,
         streams: bool = True,
     ) -> None:
-        """Binds `listen`; `addresses` has where each peer is to be found from here ("host:port").
-
-        Raises OSError where `listen` can't be bound.
+        """Binds its address; the actor owns it.
+
+        Args:
+            actor: On whose thread all decisions are made.
+            owner: Told what comes, on the same thread.
+            metrics: Where events are counted.
+            identity: Of this process.
+            listen: The address to bind, "host:port".
+            addresses: Where each peer is to be found from here, "host:port" by name.
+            seed: Chooses the jitter of reconnections.
+            streams: Whether there are connections, or datagrams only.
+
+        Raises OSError where `listen` can't be bound, ValueError where a port is no number.
         """
-        self.actor, self.owner, self.metrics = actor, owner, metrics
+        self.actor = actor
+        self.owner = owner
+        self.metrics = metrics
         self.addresses = {
             peer: parse_address(address) for peer, address in addresses.items() if peer != identity.name
         }
         hosts = {peer: host for peer, (host, _) in self.addresses.items()}
         self.sessions = SessionManager(self, identity, hosts, seed, streams)
         self.streams: dict[int, StreamConnection] = {}  # by number of the link; removed as links end
-        self.bytes_sent = self.datagrams_sent = 0
-        self.local_address = parse_address(listen)
-        self.listener = socket.create_server(self.local_address, backlog=LISTEN_BACKLOG)
-        try:
-            self.datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self.datagram_socket.bind(self.local_address)
-        except OSError:
-            self.listener.close()
-            raise
+        self.bytes_sent = 0
+        self.datagrams_sent = 0
+        self.endpoint = Endpoint(parse_address(listen), self, metrics)
 
     def start(self) -> None:
         """Begins to accept connections and to read datagrams."""
-        start_thread(self._accept, "transport-accept", self.metrics)
-        start_thread(self._read_datagrams, "transport-datagrams", self.metrics)
+        self.endpoint.start()
 
     def tick(self) -> None:
         """Handles timers."""
@@ -116,7 +117,7 @@
                 return
             self.bytes_sent += len(data)
             self.datagrams_sent += 1
-            self.datagram_socket.sendto(data, socket.MSG_DONTWAIT, self.addresses[peer])
+            self.endpoint.send_datagram(data, self.addresses[peer])
         except OSError as problem:  # nobody there, or no room
             self.metrics.log_sampled("datagram_not_sent", problem=str(problem))
 
@@ -124,7 +125,7 @@
 
     def connect(self, peer: str, link: int) -> None:
         """Connects on a thread of its own; see `SessionActions`."""
-        start_thread(lambda: self._connect(peer, link), "transport-connect", self.metrics)
+        self.endpoint.connect(link, self.addresses[peer])
 
     def write(self, link: int, kind: str, body: Any, sequence: int) -> bool:
         """Queues a frame on a stream; see `SessionActions`."""
@@ -200,7 +201,7 @@
         """Starts the reader and writer of a connection; False where it is broken already."""
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError as problem:  # reset by now: not told, the link would stay in CONNECTING
+        except OSError as problem:  # reset by now: unreported, the link would stay in CONNECTING
             sock.close()
             self.on_ended(link, _describe(problem))
             return False
@@ -228,47 +229,38 @@
             incarnation, nonce = envelope.body
             self.sessions.compare_incarnation(int(incarnation), int(nonce))
         except framing.MALFORMED:
-            self.count_event("peer_refused", why="malformed", peer=envelope.sender)
+            self.count_event("peer_refused", why=FrameFault.MALFORMED.log_term, peer=envelope.sender)
 
-    # -- threads
+    # -- what the endpoint tells, on its threads
 
-    def _accept(self) -> None:
-        while True:
-            try:
-                sock, (address, _) = self.listener.accept()
-            except OSError as problem:  # out of descriptors: connections wait in the backlog
-                self.metrics.log_sampled("accept_failed", problem=str(problem))
-                time.sleep(ACCEPT_RETRY_S)
-                continue
-            self.actor.post_when_room(self.on_accepted, sock, address)
+    def stream_accepted(self, sock: socket.socket, host: str) -> None:
+        """Hands an accepted connection to the actor."""
+        self.actor.post_when_room(self.on_accepted, sock, host)
 
-    def _connect(self, peer: str, link: int) -> None:
-        try:
-            source = (self.local_address[0], 0)
-            sock = socket.create_connection(self.addresses[peer], CONNECT_TIMEOUT_S, source)
-            sock.settimeout(None)
-        except Exception as problem:  # whatever it is: without `on_ended` no attempt would be made again
-            self.actor.post(self.on_ended, link, f"no connection: {_describe(problem)}")
-            return
+    def stream_connected(self, link: int, sock: socket.socket) -> None:
+        """Hands a connection that we asked for to the actor."""
         self.actor.post(self.on_connected, link, sock)
 
-    def _read_datagrams(self) -> None:
-        while True:
-            try:
-                data, (address, _) = self.datagram_socket.recvfrom(framing.MAX_DATAGRAM_BYTES + 1)
-                self.actor.post_when_room(self.on_datagram, address, framing.decode_datagram(data))
-            except FrameError as problem:
-                self.count_event("peer_refused", why=problem.fault)
-            except OSError as problem:  # an ICMP answer to a datagram that we sent to nobody
-                self.metrics.log_sampled("datagram_not_read", problem=str(problem))
-                time.sleep(READ_RETRY_S)
+    def connect_failed(self, link: int, problem: Exception) -> None:
+        """Tells the actor that there is no connection."""
+        self.actor.post(self.on_ended, link, f"no connection: {_describe(problem)}")
+
+    def datagram_received(self, host: str, envelope: Envelope) -> None:
+        """Hands a datagram to the actor."""
+        self.actor.post_when_room(self.on_datagram, host, envelope)
+
+    def datagram_refused(self, fault: FrameFault) -> None:
+        """Counts a datagram that can't be read."""
+        self.count_event("peer_refused", why=fault.log_term)
+
+    # -- the threads of one stream
 
     def _read(self, link: int, stream: StreamConnection) -> None:
         reason = "closed by the other side"
         try:
             stream.read(lambda envelope: self.actor.post_when_room(self.on_envelope, link, envelope))
         except FrameError as problem:
-            self.count_event("peer_refused", why=problem.fault)
+            self.count_event("peer_refused", why=problem.fault.log_term)
             reason = f"an unreadable message: {problem.fault}"
         except OSError as problem:
             reason = _describe(problem)
@@ -287,11 +279,5 @@
         return framing.encode_frame(envelope)
 
 
-def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of "host:port"; raises ValueError where the port is no number."""
-    host, _, port = address.rpartition(":")
-    return host, int(port)
-
-
 def _describe(problem: Exception) -> str:
     return str(getattr(problem, "strerror", None) or problem)
--- a/vetchford/transport/framing.py
+++ b/vetchford/transport/framing.py
@@ -6,33 +6,24 @@
 """
 
 import struct
-from enum import StrEnum
 from typing import Any
 
 import msgspec
 import xxhash
 
 from vetchford.errors import VetchfordError
+from vetchford.transport.faults import FrameFault
 
-MAGIC, VERSION = b"vf", 1
+MAGIC = b"vf"
+VERSION = 1
 HEADER = struct.Struct(">2sBBIQ")
-MAX_BODY_BYTES = 1 << 20  # a record of changes of a thousand instances is a sixth of that
-MAX_DATAGRAM_BYTES = 1400  # under the usual Ethernet frame, so that none is fragmented
+MAX_BODY_BYTES = 1 << 20
+MAX_DATAGRAM_BYTES = 1400  # fits into an Ethernet frame, so that none is fragmented
 
 # What taking a body of the wrong form apart raises; OverflowError comes from an infinity as a number.
 MALFORMED = (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError)
 
 
-class FrameFault(StrEnum):
-    """What is wrong with a frame; the values are the words that operators see."""
-
-    NOT_A_FRAME = "no_frame"
-    OTHER_VERSION = "other_version"
-    TOO_LONG = "too_long"
-    WRONG_CHECKSUM = "spoilt"
-    MALFORMED = "malformed"
-
-
 class FrameError(VetchfordError):
     """A frame that can't be read or written; `fault` says why."""
 
--- a/vetchford/transport/outbox.py
+++ b/vetchford/transport/outbox.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-MAX_MESSAGES = 512  # for one peer: some seconds of a rollout's polls and answers
-MAX_BYTES = 4 << 20  # of them: four of the longest
-# Kinds that are sent anew anyway: the oldest of them is dropped first.
+MAX_MESSAGES = 512  # for one peer
+MAX_BYTES = 4 << 20  # of them
+# Kinds that are sent again anyway: the oldest of them is dropped first.
 REPEATED_KINDS = frozenset(("beat", "look", "seen", "news"))
 
 
@@ -16,7 +16,9 @@
 
     def __init__(self, max_messages: int = MAX_MESSAGES, max_bytes: int = MAX_BYTES) -> None:
         """Begins empty."""
-        self.max_messages, self.max_bytes, self.bytes = max_messages, max_bytes, 0
+        self.max_messages = max_messages
+        self.max_bytes = max_bytes
+        self.bytes = 0
         self.messages: deque[tuple[str, bytes]] = deque()  # kind and frame
         self.dropped = 0
 
--- a/vetchford/transport/peers.py
+++ b/vetchford/transport/peers.py
@@ -7,12 +7,13 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+from vetchford.transport.faults import IncarnationFault, Refusal
 from vetchford.transport.framing import Envelope
 from vetchford.transport.replay_window import ReplayWindow
 
 
 class LinkState(StrEnum):
-    """The state of the link to one peer; the values are the words that operators see."""
+    """The state of the link to one peer; the values are those of the tool's replies."""
 
     OFF = "off"  # no connection; the next attempt is due after a backoff
     CONNECTING = "calling"
@@ -21,26 +22,6 @@
     SILENT = "silent"  # connected, and nothing was received for SILENCE_TIMEOUT_MS
 
 
-class Refusal(StrEnum):
-    """Why a connection or frame is refused; the values are the words that operators see."""
-
-    OTHER_FLEET = "another fleet"
-    UNKNOWN_PEER = "not listed"
-    WRONG_ADDRESS = "not its address"
-    WRONG_SENDER = "another's name"
-    DATAGRAMS_ONLY = "datagrams alone"
-    TOO_MANY_CONNECTIONS = "crowd"
-    NO_HANDSHAKE = "no greeting"
-    WRONG_SIDE = "called by the wrong side"
-
-
-class IncarnationFault(StrEnum):
-    """Why the sender of a frame is not who it claims; the values are the words that operators see."""
-
-    STALE = "earlier_life"
-    DUPLICATE_IDENTITY = "twin"  # two processes by one name: the later one has to begin a new incarnation
-
-
 @dataclass(frozen=True, slots=True)
 class Identity:
     """Under which name and incarnation a process talks to its peers."""
@@ -56,10 +37,10 @@
     """One connection, from its beginning to its end."""
 
     peer: str  # empty until the other side's handshake has come
-    since: float  # when the state began
+    since_ms: float  # when the state began
     state: LinkState
-    last_received_at: float
-    last_sent_at: float
+    last_received_at_ms: float
+    last_sent_at_ms: float
     sent_sequence: int = 0
     received_sequence: int = 0
 
@@ -78,8 +59,8 @@
     nonce: int = 0
     link: int = 0  # number of its connection; 0: none
     attempts: int = 0  # to connect, since the backoff began anew
-    next_attempt_at: float = 0.0
-    up_since: float = 0.0
+    next_attempt_at_ms: float = 0.0
+    up_since_ms: float = 0.0
     window: ReplayWindow = field(default_factory=ReplayWindow)
     last_failure: str = "not tried yet"  # why there is no link
 
@@ -94,7 +75,8 @@
         on_peer_incarnation: Callable[[str, int, int], None],
     ) -> None:
         """`on_peer_incarnation`: called with name, incarnation and nonce where a peer begins a new one."""
-        self.fleet, self.on_peer_incarnation = fleet, on_peer_incarnation
+        self.fleet = fleet
+        self.on_peer_incarnation = on_peer_incarnation
         self.by_name = {name: Peer(address) for name, address in addresses.items()}
 
     def has_address(self, address: str) -> bool:
@@ -111,11 +93,12 @@
         """Takes in a newer incarnation of a listed peer; returns what is wrong with any other."""
         peer = self.by_name[envelope.sender]
         if envelope.incarnation < peer.incarnation:
-            return IncarnationFault.STALE
+            return IncarnationFault.STALE_INCARNATION
         if envelope.incarnation == peer.incarnation and envelope.nonce != peer.nonce:
             return IncarnationFault.DUPLICATE_IDENTITY
         if envelope.incarnation > peer.incarnation:
-            peer.incarnation, peer.nonce = envelope.incarnation, envelope.nonce
+            peer.incarnation = envelope.incarnation
+            peer.nonce = envelope.nonce
             peer.window = ReplayWindow()
             self.on_peer_incarnation(envelope.sender, envelope.incarnation, envelope.nonce)
         return None
--- a/vetchford/transport/replay_window.py
+++ b/vetchford/transport/replay_window.py
@@ -3,19 +3,11 @@
 The sliding window is that of IPsec (RFC 4303, section 3.4.3).
 """
 
-from enum import StrEnum
+from vetchford.transport.faults import SequenceFault
 
 WINDOW_SIZE = 64  # datagrams that may overtake each other; older ones are refused unseen
 
 
-class SequenceFault(StrEnum):
-    """What is wrong with a sequence number; the values are the words that operators see."""
-
-    LATE = "late"
-    DUPLICATE = "doubled"
-    GAP = "gap"  # numbers before it were skipped; only streams, where the message is taken nevertheless
-
-
 class ReplayWindow:
     """The numbers that were seen from one incarnation of a peer."""
 
@@ -39,4 +31,5 @@
     def _advance(self, sequence: int) -> None:
         step = sequence - self.newest
         kept = (self.seen << step) & ((1 << WINDOW_SIZE) - 1) if step < WINDOW_SIZE else 0
-        self.newest, self.seen = sequence, kept
+        self.newest = sequence
+        self.seen = kept
--- a/vetchford/transport/session_manager.py
+++ b/vetchford/transport/session_manager.py
@@ -3,11 +3,11 @@
 Each pair of processes has one stream: the one whose name is first in order connects to the other. Every frame
 names an incarnation of its sender and a sequence number, so that a late or duplicated frame, and one of an
 earlier incarnation, are known as such. `LinkState` has the states of a link. A connection in HANDSHAKING is
-dropped after HANDSHAKE_TIMEOUT_MS ("mute"), one that is SILENT after GIVE_UP_TIMEOUT_MS ("silent"): such
-peers are frozen or cut off in one direction. Peers that refuse connections are gone; operators see the
-difference.
+dropped after HANDSHAKE_TIMEOUT_MS, one that is SILENT after GIVE_UP_TIMEOUT_MS: such peers are frozen or cut
+off in one direction. Peers that refuse connections are gone; `LinkFailure` tells the two apart.
 
-The module is longer than most because links, handshake and datagrams are one state machine over one table.
+Links and their handshake are one state machine over one table; datagrams, which have no links, are in
+`datagram_sessions`.
 """
 
 import zlib
@@ -16,27 +16,18 @@
 from typing import Any
 
 from vetchford.transport import handshake
+from vetchford.transport.backoff import JITTER_STEPS, backoff_ms
+from vetchford.transport.datagram_sessions import DatagramSessions
+from vetchford.transport.faults import IncarnationFault, LinkFailure, LoggedReason, Refusal, SequenceFault
 from vetchford.transport.framing import Envelope
-from vetchford.transport.peers import (
-    Identity,
-    IncarnationFault,
-    Link,
-    LinkState,
-    Peer,
-    PeerTable,
-    Refusal,
-)
-from vetchford.transport.replay_window import SequenceFault
+from vetchford.transport.peers import Identity, Link, LinkState, Peer, PeerTable
 from vetchford.transport.session_actions import SessionActions
+from vetchford.transport.session_events import count_out_of_sequence, count_refused
 from vetchford.transport.timing import (
     GIVE_UP_TIMEOUT_MS,
     HANDSHAKE_TIMEOUT_MS,
     HEARTBEAT_INTERVAL_MS,
-    MAX_BACKOFF_EXPONENT,
-    MAX_BACKOFF_MS,
-    MAX_LOGGED_NAME,
     MAX_PENDING_PER_PEER,
-    MIN_BACKOFF_MS,
     SILENCE_TIMEOUT_MS,
     STABLE_AFTER_MS,
     SUSPENDED_AFTER_MS,
@@ -47,7 +38,7 @@
 
 
 class SessionManager:
-    """The sessions of one process with all listed peers."""
+    """The sessions of one process with all listed peers. Not thread-safe: for one actor's thread."""
 
     def __init__(
         self,
@@ -57,94 +48,108 @@
         seed: int,
         streams: bool = True,
     ) -> None:
-        """Knows nobody else than the peers in `addresses`, which has the host of each by name.
-
-        Without `streams` there are no connections, and incarnations are told by datagrams.
+        """Knows the listed peers only.
+
+        Args:
+            actions: What it acts through.
+            identity: Of this process.
+            addresses: The host of each peer, by name.
+            seed: With the name of this process it chooses the jitter of reconnections.
+            streams: Whether there are connections; without them incarnations are told by datagrams.
         """
-        self.actions, self.identity, self.streams = actions, identity, streams
-        self.seed, self.draws = seed, 0
+        self.actions = actions
+        self.identity = identity
+        self.streams = streams
+        self.seed = seed
+        self.draws = 0
         others = {name: address for name, address in addresses.items() if name != identity.name}
         self.table = PeerTable(identity.fleet, others, actions.on_peer_incarnation)
         self.peers: dict[str, Peer] = self.table.by_name
         self.links: dict[int, Link] = {}  # by number; removed as connections end
         self.last_link_number = 0
-        self.last_datagram_sequence = 0
-        self.last_tick_at = 0.0
+        self.datagrams = DatagramSessions(actions, self.table, tells_incarnations=not streams)
+        self.last_tick_at_ms = 0.0
 
     # -- time
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Handles timers; to be called some ten times a second."""
-        self._compensate_suspension(now)
+        self._compensate_suspension(now_ms)
         for name, peer in self.peers.items():
-            if peer.state is LinkState.OFF and self._connects_to(name) and now >= peer.next_attempt_at:
-                peer.link = self.add_link(now, name, LinkState.CONNECTING)
+            if self._is_connection_due(now_ms, name, peer):
+                peer.link = self.add_link(now_ms, name, LinkState.CONNECTING)
                 self.set_state(name, LinkState.CONNECTING)
                 self.actions.connect(name, peer.link)
         for number, link in list(self.links.items()):
             if link.is_established():
-                self._check_silence(now, number, link)
-            elif link.state is LinkState.HANDSHAKING and now - link.since >= HANDSHAKE_TIMEOUT_MS:
-                self._drop(now, number, "connected, and no word came", counted_as="mute")
+                self._check_silence(now_ms, number, link)
+            elif link.state is LinkState.HANDSHAKING and now_ms - link.since_ms >= HANDSHAKE_TIMEOUT_MS:
+                self._give_up(now_ms, number, LinkFailure.NO_HANDSHAKE)
 
-    def _compensate_suspension(self, now: float) -> None:
+    def _is_connection_due(self, now_ms: float, name: str, peer: Peer) -> bool:
+        """Whether we are the side that connects to a peer, it is off and its backoff has passed."""
+        return peer.state is LinkState.OFF and self._connects_to(name) and now_ms >= peer.next_attempt_at_ms
+
+    def _compensate_suspension(self, now_ms: float) -> None:
         """Moves the times of all links on where this process was suspended: no peer is late because of it."""
-        suspended = now - self.last_tick_at - SUSPENDED_AFTER_MS
-        self.last_tick_at = now
-        if suspended <= 0.0:
+        suspended_ms = now_ms - self.last_tick_at_ms - SUSPENDED_AFTER_MS
+        self.last_tick_at_ms = now_ms
+        if suspended_ms <= 0.0:
             return
         for link in self.links.values():
-            link.since += suspended
-            link.last_received_at += suspended
-            link.last_sent_at += suspended
-
-    def _check_silence(self, now: float, number: int, link: Link) -> None:
-        silent_for = now - link.last_received_at
-        if silent_for >= GIVE_UP_TIMEOUT_MS:
-            self._drop(now, number, "accepts and says nothing", counted_as="silent")
+            link.since_ms += suspended_ms
+            link.last_received_at_ms += suspended_ms
+            link.last_sent_at_ms += suspended_ms
+
+    def _check_silence(self, now_ms: float, number: int, link: Link) -> None:
+        """Sends a heartbeat where it is due, and finds links that are silent or to be given up."""
+        silent_for_ms = now_ms - link.last_received_at_ms
+        if silent_for_ms >= GIVE_UP_TIMEOUT_MS:
+            self._give_up(now_ms, number, LinkFailure.UNRESPONSIVE)
             return
-        if silent_for >= SILENCE_TIMEOUT_MS and link.state is LinkState.UP:
+        if silent_for_ms >= SILENCE_TIMEOUT_MS and link.state is LinkState.UP:
             link.state = LinkState.SILENT
             self.actions.count_event("peer_silent", peer=link.peer)
             self.set_state(link.peer, LinkState.SILENT)
-        if now - link.last_sent_at >= HEARTBEAT_INTERVAL_MS:
-            self._write(now, number, HEARTBEAT, None)
+        if now_ms - link.last_sent_at_ms >= HEARTBEAT_INTERVAL_MS:
+            self._write(now_ms, number, HEARTBEAT, None)
 
     # -- connections
 
-    def on_connected(self, now: float, number: int) -> None:
+    def on_connected(self, now_ms: float, number: int) -> None:
         """A connection that we asked for is established."""
         link = self.links.get(number)
         if link is None:
             self.actions.close_link(number)
             return
-        link.state, link.since = LinkState.HANDSHAKING, now
+        link.state = LinkState.HANDSHAKING
+        link.since_ms = now_ms
         self.set_state(link.peer, LinkState.HANDSHAKING)
-        self._send_handshake(now, number, link.peer)
+        self._send_handshake(now_ms, number, link.peer)
 
-    def on_accepted(self, now: float, address: str) -> int:
+    def on_accepted(self, now_ms: float, address: str) -> int:
         """Somebody connected to us; returns the number of the link, or 0 where it is to be closed at once."""
         refusal = self._refuse_connection(address)
         if refusal is not None:
-            self.actions.count_event("peer_refused", why=refusal, address=address)
+            self.actions.count_event("peer_refused", why=refusal.log_term, address=address)
             return 0
-        return self.add_link(now, "", LinkState.HANDSHAKING)
+        return self.add_link(now_ms, "", LinkState.HANDSHAKING)
 
-    def on_closed(self, now: float, number: int, reason: str) -> None:
+    def on_closed(self, now_ms: float, number: int, reason: str) -> None:
         """A connection ended, or could not be made."""
-        self._drop(now, number, reason)
+        self._drop(now_ms, number, reason)
 
-    def begin_incarnation(self, now: float, incarnation: int, nonce: int) -> None:
+    def begin_incarnation(self, now_ms: float, incarnation: int, nonce: int) -> None:
         """Goes on under another incarnation of this process: all links are dropped, to be made anew."""
         for number in list(self.links):
-            self.on_closed(now, number, "a new life of ours")
+            self.on_closed(now_ms, number, LinkFailure.INCARNATION_CHANGED)
         self.identity = replace(self.identity, incarnation=incarnation, nonce=nonce)
-        self.last_datagram_sequence = 0
+        self.datagrams.begin_incarnation()
 
-    def add_link(self, now: float, peer: str, state: LinkState) -> int:
+    def add_link(self, now_ms: float, peer: str, state: LinkState) -> int:
         """Adds a connection; returns its number."""
         self.last_link_number += 1
-        self.links[self.last_link_number] = Link(peer, now, state, now, now)
+        self.links[self.last_link_number] = Link(peer, now_ms, state, now_ms, now_ms)
         return self.last_link_number
 
     def set_state(self, name: str, state: LinkState) -> None:
@@ -155,6 +160,7 @@
             self.actions.on_link_state(name, state)
 
     def _refuse_connection(self, address: str) -> Refusal | None:
+        """Why a connection from this host is not accepted; None where it is."""
         if not self.table.has_address(address):
             return Refusal.UNKNOWN_PEER
         if not self.streams:  # each connection would hold a descriptor that is needed elsewhere
@@ -164,68 +170,68 @@
             return Refusal.TOO_MANY_CONNECTIONS
         return None
 
-    def _drop(self, now: float, number: int, reason: str, counted_as: str = "") -> None:
+    def _give_up(self, now_ms: float, number: int, failure: LinkFailure) -> None:
+        """Closes a link that still stands, and counts that."""
+        self._drop(now_ms, number, failure, counted_as=failure)
+
+    def _drop(self, now_ms: float, number: int, reason: str, counted_as: LoggedReason | None = None) -> None:
         """Closes a link; its peer is off until the backoff has passed."""
         link = self.links.pop(number, None)
         if link is None:
             return
         self.actions.close_link(number)
-        if counted_as:
-            self.actions.count_event("peer_dropped", peer=link.peer or "?", why=counted_as)
+        if counted_as is not None:
+            self.actions.count_event("peer_dropped", peer=link.peer or "?", why=counted_as.log_term)
         peer = self.peers.get(link.peer)
         if peer is None or peer.link != number:
             return
-        peer.link, peer.last_failure = 0, reason
-        if peer.up_since and now - peer.up_since >= STABLE_AFTER_MS:
+        peer.link = 0
+        peer.last_failure = str(reason)
+        if peer.up_since_ms and now_ms - peer.up_since_ms >= STABLE_AFTER_MS:
             peer.attempts = 0
-        peer.up_since = 0.0
-        peer.next_attempt_at = now + self._backoff(peer.attempts)
+        peer.up_since_ms = 0.0
+        peer.next_attempt_at_ms = now_ms + backoff_ms(peer.attempts, self._draw(JITTER_STEPS))
         peer.attempts += 1
         self.set_state(link.peer, LinkState.OFF)
 
-    def _backoff(self, attempts: int) -> float:
-        """Doubles with each attempt, with jitter: all peers of a restarted process lost it at once."""
-        backoff = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2.0 ** min(MAX_BACKOFF_EXPONENT, attempts))
-        return backoff * (0.5 + self._draw(1000) / 1000.0)
-
     # -- messages
 
-    def send(self, now: float, peer: str, kind: str, body: Any) -> bool:
+    def send(self, now_ms: float, peer: str, kind: str, body: Any) -> bool:
         """Queues a message on the stream to a peer; False where there is none: the caller asks again."""
         known = self.peers.get(peer)
         if known is None or not known.link or not self.links[known.link].is_established():
             return False
-        return self._write(now, known.link, kind, body)
+        return self._write(now_ms, known.link, kind, body)
 
-    def receive(self, now: float, number: int, envelope: Envelope) -> None:
+    def receive(self, now_ms: float, number: int, envelope: Envelope) -> None:
         """Handles a frame of a connection."""
         link = self.links.get(number)
         if link is None:
             return
         refusal = self._refuse_frame(link, envelope)
         if refusal is not None:
-            self._count_refused(refusal, envelope.sender)
-            self._drop(now, number, refusal)
+            count_refused(self.actions, refusal, envelope.sender)
+            self._drop(now_ms, number, refusal)
             return
         if not self._take_sequence(link, envelope):
             return
-        link.last_received_at = now
+        link.last_received_at_ms = now_ms
         fault = self.table.check_incarnation(envelope)
         if fault is not None:
-            self._reject_incarnation(now, number, envelope.sender, fault)
+            self._reject_incarnation(now_ms, number, envelope.sender, fault)
             return
         if link.state is LinkState.HANDSHAKING:
-            self._receive_handshake(now, number, link, envelope)
+            self._receive_handshake(now_ms, number, link, envelope)
         elif link.state is LinkState.SILENT:
             link.state = LinkState.UP
             self.set_state(link.peer, LinkState.UP)
         if envelope.kind not in OWN_KINDS and number in self.links:
             self.actions.deliver(envelope.sender, envelope.kind, envelope.body)
 
-    def _write(self, now: float, number: int, kind: str, body: Any) -> bool:
+    def _write(self, now_ms: float, number: int, kind: str, body: Any) -> bool:
         link = self.links[number]
         link.sent_sequence += 1
-        link.last_sent_at = now
+        link.last_sent_at_ms = now_ms
         return self.actions.write(number, kind, body, link.sent_sequence)
 
     def _refuse_frame(self, link: Link, envelope: Envelope) -> Refusal | None:
@@ -237,62 +243,65 @@
     def _take_sequence(self, link: Link, envelope: Envelope) -> bool:
         """Whether the frame is new; a gap is counted only."""
         if envelope.sequence <= link.received_sequence:
-            self._count_out_of_sequence(SequenceFault.DUPLICATE, envelope.sender)
+            count_out_of_sequence(self.actions, SequenceFault.DUPLICATE, envelope.sender)
             return False
         if envelope.sequence != link.received_sequence + 1:  # the sender's outbox was full
-            self._count_out_of_sequence(SequenceFault.GAP, envelope.sender)
+            count_out_of_sequence(self.actions, SequenceFault.GAP, envelope.sender)
         link.received_sequence = envelope.sequence
         return True
 
-    def _reject_incarnation(self, now: float, number: int, sender: str, fault: IncarnationFault) -> None:
+    def _reject_incarnation(self, now_ms: float, number: int, sender: str, fault: IncarnationFault) -> None:
         """Drops the link; one that has just connected first hears which incarnation of it is known.
 
-        So it can begin a new incarnation. Its link is dropped as mute later.
+        So it can begin a new incarnation. Its link is given up for want of a handshake later.
         """
         if self.links[number].sent_sequence:
             reason = f"{fault.replace('_', ' ')} of {sender}"
-            self._drop(now, number, reason, counted_as=fault)
+            self._drop(now_ms, number, reason, counted_as=fault)
         else:
-            self.actions.count_event("peer_of_another_life", why=fault, peer=sender)
-            self._send_handshake(now, number, sender)
+            self.actions.count_event("peer_of_another_life", why=fault.log_term, peer=sender)
+            self._send_handshake(now_ms, number, sender)
 
     # -- handshake
 
-    def _send_handshake(self, now: float, number: int, recipient: str) -> None:
+    def _send_handshake(self, now_ms: float, number: int, recipient: str) -> None:
         known = self.peers[recipient]
-        self._write(now, number, handshake.KIND, handshake.encode(recipient, known.incarnation, known.nonce))
+        self._write(
+            now_ms, number, handshake.KIND, handshake.encode(recipient, known.incarnation, known.nonce)
+        )
 
-    def _receive_handshake(self, now: float, number: int, link: Link, envelope: Envelope) -> None:
+    def _receive_handshake(self, now_ms: float, number: int, link: Link, envelope: Envelope) -> None:
         """Takes the first message of a connection: the link is up, or it is dropped."""
         name = envelope.sender
-        greeting = handshake.decode(envelope.body) if envelope.kind == handshake.KIND else None
-        if greeting is None or greeting.recipient != self.identity.name:
-            self._count_refused(Refusal.NO_HANDSHAKE, name)
-            self._drop(now, number, Refusal.NO_HANDSHAKE)
+        received = handshake.decode(envelope.body) if envelope.kind == handshake.KIND else None
+        if received is None or received.recipient != self.identity.name:
+            count_refused(self.actions, Refusal.NO_HANDSHAKE, name)
+            self._drop(now_ms, number, Refusal.NO_HANDSHAKE)
             return
         connected_by_us = bool(link.peer)
-        if not connected_by_us and not self._assign_link(now, number, link, name):
+        if not connected_by_us and not self._assign_link(now_ms, number, link, name):
             return
         peer = self.peers[name]
-        link.state, peer.up_since = LinkState.UP, now
+        link.state = LinkState.UP
+        peer.up_since_ms = now_ms
         if not connected_by_us:
             peer.attempts = 0
         self.set_state(name, LinkState.UP)
-        if greeting.known_incarnation is not None:
-            self.compare_incarnation(*greeting.known_incarnation)
+        if received.known_incarnation is not None:
+            self.compare_incarnation(*received.known_incarnation)
 
-    def _assign_link(self, now: float, number: int, link: Link, name: str) -> bool:
+    def _assign_link(self, now_ms: float, number: int, link: Link, name: str) -> bool:
         """Makes an accepted connection the stream of a peer; a newer connection replaces an older one."""
         if self._connects_to(name):  # it should have waited for us: a pair has one stream
-            self._count_refused(Refusal.WRONG_SIDE, name)
-            self._drop(now, number, Refusal.WRONG_SIDE)
+            count_refused(self.actions, Refusal.WRONG_SIDE, name)
+            self._drop(now_ms, number, Refusal.WRONG_SIDE)
             return False
         peer = self.peers[name]
         link.peer = name
         if peer.link:
-            self._drop(now, peer.link, "a newer connection", counted_as="replaced")
+            self._give_up(now_ms, peer.link, LinkFailure.REPLACED)
         peer.link = number
-        self._send_handshake(now, number, name)
+        self._send_handshake(now_ms, number, name)
         return True
 
     def compare_incarnation(self, incarnation: int, nonce: int) -> None:
@@ -306,38 +315,16 @@
 
     def next_datagram_sequence(self) -> int:
         """The sequence number of the next datagram that we send."""
-        self.last_datagram_sequence += 1
-        return self.last_datagram_sequence
+        return self.datagrams.next_sequence()
 
-    def accept_datagram(self, now: float, address: str, envelope: Envelope) -> bool:
+    def accept_datagram(self, now_ms: float, address: str, envelope: Envelope) -> bool:
         """Whether a datagram from this host is to be delivered."""
-        refusal = self.table.refuse_sender(envelope)
-        if refusal is None and self.peers[envelope.sender].address != address:
-            refusal = Refusal.WRONG_ADDRESS
-        if refusal is not None:
-            self._count_refused(refusal, envelope.sender)
-            return False
-        fault = self.table.check_incarnation(envelope)
-        if fault is not None:
-            self.actions.count_event("peer_of_another_life", why=fault, peer=envelope.sender)
-            self._answer_other_incarnation(now, envelope.sender)
-            return False
-        late = self.peers[envelope.sender].window.take(envelope.sequence)
-        if late is not None:
-            self._count_out_of_sequence(late, envelope.sender)
-        return late is None
-
-    def _answer_other_incarnation(self, now: float, sender: str) -> None:
-        """Without streams: tells the sender by datagram, seldom, which incarnation of it is known."""
-        peer = self.peers[sender]
-        if not self.streams and now >= peer.next_attempt_at:
-            peer.next_attempt_at = now + MIN_BACKOFF_MS
-            self.actions.send_known_incarnation(sender, peer.incarnation, peer.nonce)
+        return self.datagrams.accept(now_ms, address, envelope)
 
     # -- status
 
     def status(self) -> list[dict[str, Any]]:
-        """A row for each peer, under the words that operators see."""
+        """A row for each peer, by the keys of the tool's replies."""
         return [
             {
                 "name": name,
@@ -351,12 +338,6 @@
     def _connects_to(self, peer: str) -> bool:
         return self.streams and self.identity.name < peer
 
-    def _count_refused(self, refusal: Refusal, sender: str) -> None:
-        self.actions.count_event("peer_refused", why=refusal, peer=sender[:MAX_LOGGED_NAME])
-
-    def _count_out_of_sequence(self, fault: SequenceFault, sender: str) -> None:
-        self.actions.count_event("peer_out_of_sequence", why=fault, peer=sender)
-
     def _draw(self, count: int) -> int:
         """A reproducible pseudo-random number below `count`."""
         self.draws += 1
--- a/vetchford/transport/stream_connection.py
+++ b/vetchford/transport/stream_connection.py
@@ -11,7 +11,7 @@
 from vetchford.transport.framing import Envelope, StreamDecoder
 from vetchford.transport.outbox import Outbox
 
-READ_BYTES = 64 * 1024  # at once
+READ_BYTES = 64 * 1024  # in one call
 
 
 class StreamConnection:
@@ -19,7 +19,9 @@
 
     def __init__(self, sock: socket.socket) -> None:
         """Takes over a connected socket; the owner starts the threads."""
-        self.sock, self.outbox, self.is_open = sock, Outbox(), True
+        self.sock = sock
+        self.outbox = Outbox()
+        self.is_open = True
         self.changed = threading.Condition()  # guards `outbox` and `is_open`
         self.reader_done = threading.Event()
 
