--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -1,4 +1,4 @@
-"""Servers in processes of their own that speak to each other, over links that break."""
+"""Servers in processes of their own that coordinate over links that fail."""
 
 import json
 import signal
@@ -38,7 +38,7 @@
     return [entry["server"] for entry in several.events("lease_leader_elected")]
 
 
-def test_servers_find_each_other_lose_one_that_dies_and_take_it_back_in_a_new_incarnation(several):
+def test_servers_see_each_other_detect_one_that_dies_and_see_it_again_in_a_new_incarnation(several):
     gone = several.names[3]
     several.kill(gone)
     several.until(lambda: gone not in there(several, several.names[0]), 30.0, "its death is seen")
@@ -46,7 +46,7 @@
     several.until(lambda: gone in there(several, several.names[0]), 20.0, "it is seen again")
 
 
-def test_a_frozen_lease_leader_is_replaced_and_steps_down_as_it_wakes(several):
+def test_a_suspended_lease_leader_is_replaced_and_steps_down_when_it_resumes(several):
     several.until(lambda: leaders(several), 20.0, "nobody leads")
     first = leaders(several)[-1]
     left = len(several.events("lease_leader_stepped_down", first))
@@ -60,7 +60,9 @@
     )
 
 
-def test_a_records_service_that_hangs_is_called_by_one_at_a_time_and_by_all_once_it_answers(tmp_path):
+def test_an_unavailable_records_service_is_called_by_one_server_at_a_time_and_by_all_once_it_answers(
+    tmp_path,
+):
     speed = [(0.0, 1.0), (4.0, 0.0), (11.0, 1.0)]
     told = settings()
     told["familyInfo"]["depShare"] = 4.0
@@ -87,7 +89,7 @@
                 == set(several.names)
             ),
             20.0,
-            "not all hold it for dead",
+            "not all find it unavailable",
         )
         several.until(
             lambda: (
@@ -99,7 +101,7 @@
                 == set(several.names)
             ),
             30.0,
-            "not all opened",
+            "not all have recovered",
         )
         for thread in threads:
             thread.join()
@@ -110,7 +112,7 @@
         assert not several.broken()
 
 
-def test_links_cut_and_one_way_between_servers_cost_no_server_and_heal(several):
+def test_servers_survive_links_that_are_cut_and_see_each_other_again_once_they_heal(several):
     one = several.names[0]
     for kind in ("cut", "one_way", "lose"):
         several.links.fault(kind, several.links.of(one))
@@ -119,7 +121,7 @@
     several.until(lambda: len(there(several, one)) == 3, 40.0, "it sees all again")
 
 
-def test_datagrams_of_no_server_of_the_fleet_are_counted_and_change_nothing(several):
+def test_datagrams_that_are_no_frames_are_counted_and_change_nothing(several):
     address = several.programs[several.names[0]]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"", b"GET /", b"vf\x09" + b"\0" * 30, b"vf\x01\0" + b"\xff" * 40, b"\0" * 1400):
@@ -138,7 +140,7 @@
     several.until(lambda: several.events("configuration_refused", name), 20.0, "a wrong file was taken")
 
 
-def test_a_file_that_names_no_such_server_is_refused_in_one_line_with_its_place(tmp_path):
+def test_a_file_with_inconsistent_servers_is_refused_in_one_line_with_its_place(tmp_path):
     from vetchford.configuration.isolated_reader import read
     from vetchford.errors import MalformedInputError
 
--- a/tests/subsetting/test_subsets.py
+++ b/tests/subsetting/test_subsets.py
@@ -1,4 +1,4 @@
-"""Who deals with whom, against slow plain models: one answer, bounded load, little movement, shards apart."""
+"""Subsets against slow plain models: one answer, bounded load, little movement, distinct shards."""
 
 import itertools
 import math
@@ -19,21 +19,21 @@
 
 
 def plain_owners(view, keys, slack=MAX_LOAD_FACTOR):
-    """Rounds of asking until nobody is turned away: the textbook's way, with all lists whole."""
-    room = max(1, math.ceil(slack * len(keys) / len(view.names)))
-    turn, held = dict.fromkeys(keys, 0), {name: set() for name in view.names}
-    asking = set(keys)
-    while asking:
-        for key in asking:
+    """Rounds of applications until no key is rejected: the textbook's algorithm, with all ranks."""
+    capacity = max(1, math.ceil(slack * len(keys) / len(view.names)))
+    applications, accepted = dict.fromkeys(keys, 0), {name: set() for name in view.names}
+    applying = set(keys)
+    while applying:
+        for key in applying:
             order = sorted(view.names, key=lambda name: (-plain_weight(view.seed, name, key), name))  # noqa: B023
-            held[order[turn[key]]].add(key)
-            turn[key] += 1
-        asking = set()
-        for name, kept in held.items():
-            for key in sorted(kept, key=lambda key: -plain_weight(view.seed, name, key))[room:]:  # noqa: B023
+            accepted[order[applications[key]]].add(key)
+            applications[key] += 1
+        applying = set()
+        for name, kept in accepted.items():
+            for key in sorted(kept, key=lambda key: -plain_weight(view.seed, name, key))[capacity:]:  # noqa: B023
                 kept.remove(key)
-                asking.add(key)
-    return {key: name for name, kept in held.items() for key in kept}
+                applying.add(key)
+    return {key: name for name, kept in accepted.items() for key in kept}
 
 
 def test_owners_agree_with_the_plain_model_and_not_with_the_order_of_names():
@@ -59,7 +59,7 @@
     assert MembershipView([], "s").owners(keys) == {}
 
 
-def test_a_shard_changes_by_one_place_when_a_name_comes_or_goes_and_two_rarely_share_all():
+def test_a_shard_changes_in_one_place_when_a_server_joins_or_leaves_and_two_are_rarely_equal():
     some = names(40)
     view = MembershipView(some, "s")
     shards = {f"t{n}": view.shard(f"t{n}", 4) for n in range(300)}
@@ -83,7 +83,7 @@
         assert len(set(shard)) == 4 and {zones[name] for name in shard} == {"a", "b", "c"}
 
 
-def test_names_that_differ_by_one_character_or_run_into_each_other_are_far_apart():
+def test_weights_of_names_that_differ_by_one_character_or_concatenate_alike_are_unrelated():
     view = MembershipView(["a", "b", "ab", "aa"], "s")
     weights = {view.weight(name, key) for name in view.names for key in ("x", "bx", "ax")}
     assert len(weights) == 12
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 10, 60, 300])
-def test_nobody_is_a_hub_and_all_reach_all_also_with_a_tenth_gone(count):
+def test_no_server_is_a_hub_and_all_reach_each_other_also_with_a_tenth_gone(count):
     view, chance = MembershipView(names(count), "s"), random.Random(3)
     rings = view.ring_successors(3)
     heard = [name for listened in rings.values() for name in listened]
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -1,9 +1,9 @@
 """A server's part in its fleet: an actor that carries membership, load reports and leases over datagrams.
 
 One thread. The admission actor is asked for metrics and told signals, and never waits. Without another server
-in sight the signals are those of a server alone.
+in sight the signals are those of a server without a fleet.
 
-The module is longer than most because one object is what all parts act through; it decides nothing itself.
+`FleetMember` is what all parts act through, with one section for each; it decides nothing itself.
 """
 
 import time
@@ -13,6 +13,7 @@
 import structlog
 
 from vetchford.coordination import datagrams
+from vetchford.coordination.admission_signals import AdmissionSignals
 from vetchford.coordination.datagrams import LeaseDatagram, LoadReportsDatagram, MembershipDatagram
 from vetchford.coordination.incarnation import IncarnationCounter
 from vetchford.coordination.load_sampler import LoadSampler
@@ -23,11 +24,12 @@
 from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME, FleetSignalPolicy, FleetSignals
 from vetchford.gossip.load_gossip import LoadGossip
 from vetchford.gossip.messages import LoadReport
-from vetchford.gossip.metrics import METRICS, Metric
+from vetchford.gossip.metrics import METRICS
 from vetchford.gossip.records_health import RecordsState
 from vetchford.leases.lease_client import LeaseClient
 from vetchford.leases.lease_server import LeaseServer
 from vetchford.leases.messages import ClientMessage, LeaseMessage
+from vetchford.leases.timing import EPOCHS_PER_S
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -39,19 +41,16 @@
 log = structlog.get_logger()
 
 TICK_INTERVAL_S = 0.05
-SURVEY_INTERVAL_MS = (
-    200.0  # between two questions for metrics: a tenth of the window that they are taken over
-)
-SURVEY_INTERVAL_WHILE_DEAD_MS = 100.0  # so that the first answer of a dead service is told sooner
-SUMMARY_INTERVAL_MS = 10_000.0  # between two log lines on what is seen
-BROADCAST_CHANGE = 0.5  # of the share of lost calls: a service that failed or recovered, told at once
-RINGS = 3  # of all names; we send reports to our next in each
+SURVEY_INTERVAL_MS = 200.0  # between two questions for metrics
+SURVEY_INTERVAL_WHILE_UNAVAILABLE_MS = 100.0  # so that the first answer of the service is known sooner
+SUMMARY_INTERVAL_MS = 10_000.0
+RINGS = 3  # of all names; load reports go to the next in each
 REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_actor.py
 SAMPLED_EVENTS = frozenset(("lease_queue_full", "lease_expired"))  # caused by others: logged ever more rarely
 
 
 class FleetMember(Actor):
-    """Started by `start` after the admission actor; `survey` and `apply_signals` are posted to the latter."""
+    """Started by `start` after the admission actor; other threads post to it, but for `on_surveyed`."""
 
     def __init__(
         self,
@@ -61,53 +60,57 @@
         survey: Callable[[Any], None],
         apply_signals: Callable[[FleetSignals], None],
     ) -> None:
-        """Binds its address; raises OSError where it can't.
-
-        `record`: `together` of the settings; `survey` is given what to call with the metrics;
-        `apply_signals` is told what holds from now on.
+        """Binds its address. Raises OSError where it can't.
+
+        Args:
+            record: `together` of the settings, which the settings reader has checked.
+            seed: The same on all servers of the fleet.
+            metrics: Where events are counted.
+            survey: Given a function, which is to be called with this server's metrics.
+            apply_signals: Given the signals that hold from now on.
         """
-        super().__init__("neighbours", metrics)
+        super().__init__("fleet-member", metrics)
         self.settings = settings = FleetMemberSettings.from_record(record)
-        self.name, self.survey, self.apply_signals = settings.name, survey, apply_signals
+        self.name = settings.name
+        self.survey = survey
+        self.apply_signals = apply_signals
         self.counter = IncarnationCounter()
-        incarnation, nonce = self.counter.incarnation, self.counter.nonce
+        incarnation = self.counter.incarnation
+        identity = Identity(settings.fleet, self.name, incarnation, self.counter.nonce)
         self.transport = Transport(
-            self,
-            self,
-            metrics,
-            Identity(settings.fleet, self.name, incarnation, nonce),
-            settings.listen,
-            settings.servers,
-            seed,
-            streams=False,
-        )
-        now = self.now()
-        self.failure_detector = FailureDetector(
-            self,
-            self.name,
-            settings.servers,
-            seed,
-            incarnation * REFUTATIONS_PER_INCARNATION,
-            fixed_members=True,
-            now=now,
+            self, self, metrics, identity, settings.listen, settings.servers, seed, streams=False
         )
+        now_ms = self.now()
+        self.failure_detector = self._make_failure_detector(seed, now_ms)
         self.load_gossip = LoadGossip(self, self.name, incarnation, METRICS, seed)
         self.signal_policy = FleetSignalPolicy(self, self.name, seed, self.load_gossip)
-        self.lease_server = self._make_lease_server(seed, now)
+        self.admission_signals = AdmissionSignals(self.load_gossip, self.signal_policy)
+        self.lease_server = self._make_lease_server(seed, now_ms)
         self.lease_client = LeaseClient(self, self.name, settings.lease_servers, settings.zone, incarnation)
-        self.next_tick = 0.0  # monotonic s
-        self.next_survey_at, self.next_summary_at = 0.0, now + SUMMARY_INTERVAL_MS
-        self.signals, self.lost_calls = FleetSignals(), 0.0
+        self.next_tick_s = 0.0  # monotonic
+        self.next_survey_at_ms = 0.0
+        self.next_summary_at_ms = now_ms + SUMMARY_INTERVAL_MS
         self.is_leaving = False
         self._update_members()
 
-    def _make_lease_server(self, seed: int, now: float) -> LeaseServer | None:
+    def _make_failure_detector(self, seed: int, now_ms: float) -> FailureDetector:
+        return FailureDetector(
+            self,
+            self.name,
+            self.settings.servers,
+            seed,
+            self.counter.incarnation * REFUTATIONS_PER_INCARNATION,
+            fixed_members=True,
+            now=now_ms,
+        )
+
+    def _make_lease_server(self, seed: int, now_ms: float) -> LeaseServer | None:
         settings = self.settings
         if self.name not in settings.lease_servers:
             return None
-        epoch = int(clock.day() * 10.0)
+        epoch = int(clock.day() * EPOCHS_PER_S)
         return LeaseServer(
-            self, self.name, settings.lease_servers, settings.lease_capacities, seed, epoch, now
+            self, self.name, settings.lease_servers, settings.lease_capacities, seed, epoch, now_ms
         )
 
     # -- the actor
@@ -118,31 +121,35 @@
         self.transport.start()
 
     def now(self) -> float:
-        """The clock of all parts, in ms."""
+        """Monotonic time of all parts, in ms."""
         return clock.now()
 
     def next_timeout(self) -> float | None:
         """Seconds until the next tick."""
-        return max(0.0, self.next_tick - time.monotonic())
+        return max(0.0, self.next_tick_s - time.monotonic())
 
     def on_idle(self) -> None:
         """Runs the timers of all parts, where a tick is due."""
-        if time.monotonic() < self.next_tick:
+        if time.monotonic() < self.next_tick_s:
             return
-        self.next_tick = time.monotonic() + TICK_INTERVAL_S
-        now = self.now()
-        self.failure_detector.tick(now)
+        self.next_tick_s = time.monotonic() + TICK_INTERVAL_S
+        now_ms = self.now()
+        self.failure_detector.tick(now_ms)
         if self.lease_server is not None:
-            self.lease_server.tick(now)
-        self.lease_client.tick(now)
-        self.load_gossip.tick(now)
-        if now >= self.next_survey_at:
-            is_dead = self.signal_policy.records.state is RecordsState.UNAVAILABLE
-            self.next_survey_at = now + (SURVEY_INTERVAL_WHILE_DEAD_MS if is_dead else SURVEY_INTERVAL_MS)
+            self.lease_server.tick(now_ms)
+        self.lease_client.tick(now_ms)
+        self.load_gossip.tick(now_ms)
+        if now_ms >= self.next_survey_at_ms:
+            self.next_survey_at_ms = now_ms + self._survey_interval_ms()
             self.survey(self.on_surveyed)
-        if now >= self.next_summary_at:
-            self.next_summary_at = now + SUMMARY_INTERVAL_MS
-            self._log_summary(now)
+        if now_ms >= self.next_summary_at_ms:
+            self.next_summary_at_ms = now_ms + SUMMARY_INTERVAL_MS
+            self._log_summary(now_ms)
+
+    def _survey_interval_ms(self) -> float:
+        if self.signal_policy.records.state is RecordsState.UNAVAILABLE:
+            return SURVEY_INTERVAL_WHILE_UNAVAILABLE_MS
+        return SURVEY_INTERVAL_MS
 
     # -- the admission actor, and the server process
 
@@ -152,14 +159,10 @@
 
     def report(self, metrics: dict[str, float]) -> None:
         """Reports metrics to the fleet, and tells admission of signals that changed."""
-        now = self.now()
-        before, self.lost_calls = self.lost_calls, metrics.get(Metric.LOST_CALLS, self.lost_calls)
-        self.load_gossip.report_own(now, metrics)
-        if abs(self.lost_calls - before) >= BROADCAST_CHANGE:
-            self.load_gossip.broadcast_own(now)
-        signals = self._permitted(self.signal_policy.update(now))
-        if signals != self.signals:
-            self.signals = signals
+        now_ms = self.now()
+        self.admission_signals.report(now_ms, metrics)
+        signals = self.admission_signals.update(now_ms, self.settings)
+        if signals is not None:
             self.apply_signals(signals)
 
     def allow(self, record: dict[str, Any]) -> None:
@@ -170,36 +173,19 @@
         )
 
     def leave(self) -> None:
-        """At the shutdown: releases all leases, so that others needn't wait, and asks for none any more."""
+        """At the shutdown: releases all leases, so that others need not wait, and asks for none any more."""
         self.is_leaving = True
         for lease_name in list(self.lease_client.requests):
             self.lease_client.release(lease_name)
 
-    def _permitted(self, signals: FleetSignals) -> FleetSignals:
-        """The signals without those that the settings don't let act."""
-        alone, settings = FleetSignals(), self.settings
-        records = signals if settings.acts_on_records else alone
-        full = signals if settings.acts_on_full else alone
-        return FleetSignals(
-            records.call_slowdown, records.call_capacity, full.is_full, full.retry_after_factor
-        )
-
-    def _log_summary(self, now: float) -> None:
-        seen: dict[str, Any] = {}
-        for metric in METRICS:
-            aggregate = self.load_gossip.aggregate(now, metric.name)
-            if aggregate is not None:
-                seen[metric.name] = round(aggregate.value, 3)
-                seen[f"{metric.name}_rows"] = aggregate.report_count
+    def _log_summary(self, now_ms: float) -> None:
+        members = self.failure_detector.membership.members.values()
         log.info(
             "together",
-            there=sum(
-                member.state == MemberState.ALIVE
-                for member in self.failure_detector.membership.members.values()
-            ),
+            there=sum(member.state == MemberState.ALIVE for member in members),
             records=self.signal_policy.records.state,
-            **seen,
-            room=round(self.signals.call_capacity, 3),
+            **self.admission_signals.summary(now_ms),
+            room=round(self.admission_signals.signals.call_capacity, 3),
             bytes_sent=self.transport.bytes_sent,
             datagrams_sent=self.transport.datagrams_sent,
         )
@@ -217,13 +203,13 @@
         self._update_members()
 
     def _update_members(self) -> None:
-        there = [
+        reachable = [
             name
             for name, member in self.failure_detector.membership.members.items()
             if member.state != MemberState.UNREACHABLE
         ]
-        ring = MembershipView([*there, self.name], self.settings.fleet).ring_successors(RINGS)[self.name]
-        self.load_gossip.set_members(there, ring)
+        ring = MembershipView([*reachable, self.name], self.settings.fleet).ring_successors(RINGS)[self.name]
+        self.load_gossip.set_members(reachable, ring)
 
     # -- what gossip, leases and the signal policy act through
 
@@ -295,15 +281,16 @@
 
     def on_later_incarnation(self, incarnation: int, nonce: int) -> None:
         """Goes on under an incarnation later than the one that another server knows."""
-        now, known = self.now(), incarnation
-        if not self.counter.raise_above(now, known):
+        now_ms = self.now()
+        known = incarnation
+        if not self.counter.raise_above(now_ms, known):
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
         incarnation = self.counter.incarnation
         log.warning("life_raised", life=incarnation, known=known)
         self.failure_detector.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
-        self.lease_client.begin_incarnation(now, incarnation)
+        self.lease_client.begin_incarnation(now_ms, incarnation)
         self.transport.begin_incarnation(incarnation, self.counter.nonce)
 
 
--- a/vetchford/coordination/incarnation.py
+++ b/vetchford/coordination/incarnation.py
@@ -1,6 +1,6 @@
 """The incarnation of a server in its fleet: begun at its start, and raised where others know a later one.
 
-Others know a later one where the day's clock went back, or where two servers have one name. In the latter
+Others know a later one where the time of day went back, or where two servers have one name. In the latter
 case both would raise theirs for ever, so this is done a few times a minute only.
 """
 
@@ -11,23 +11,27 @@
 MAX_RAISES = 5  # in RAISE_WINDOW_MS
 RAISE_WINDOW_MS = 60_000.0
 NONCE_BITS = 62
+MS_PER_S = 1000.0
 
 
 class IncarnationCounter:
-    """The incarnation and nonce of this process; from start to start it grows with the day's clock."""
+    """The incarnation and nonce of this process; from start to start the former grows with the time of day.
+
+    Not thread-safe: for one actor's thread.
+    """
 
     def __init__(self) -> None:
         """Begins a new incarnation."""
-        self.incarnation = int(clock.day() * 1000.0)
+        self.incarnation = int(clock.day() * MS_PER_S)
         self.nonce = _draw_nonce()
-        self.raised_at: list[float] = []
+        self.raised_at_ms: list[float] = []
 
-    def raise_above(self, now: float, known: int) -> bool:
+    def raise_above(self, now_ms: float, known: int) -> bool:
         """Begins an incarnation above `known`; False where this happens too often: the name is disputed."""
-        self.raised_at = [at for at in self.raised_at if now - at < RAISE_WINDOW_MS]
-        if len(self.raised_at) >= MAX_RAISES:
+        self.raised_at_ms = [at_ms for at_ms in self.raised_at_ms if now_ms - at_ms < RAISE_WINDOW_MS]
+        if len(self.raised_at_ms) >= MAX_RAISES:
             return False
-        self.raised_at.append(now)
+        self.raised_at_ms.append(now_ms)
         self.incarnation = max(known, self.incarnation) + 1
         self.nonce = _draw_nonce()
         return True
--- a/vetchford/gossip/messages.py
+++ b/vetchford/gossip/messages.py
@@ -8,7 +8,7 @@
 from vetchford.errors import MalformedInputError
 from vetchford.gossip.metrics import RESOLUTION, UNKNOWN
 
-MAX_REPORTS_PER_MESSAGE = 12  # under 700 bytes with six metrics and names of 16 characters
+MAX_REPORTS_PER_MESSAGE = 12
 MAX_AGE_MS = 1e9  # of a report that is read at all
 
 Quantized = Annotated[int, msgspec.Meta(ge=UNKNOWN, le=RESOLUTION)]
@@ -26,12 +26,16 @@
 
 
 class OtherMetricsError(MalformedInputError, ValueError):
-    """A report with more or fewer values than there are metrics: of another version."""
+    """A report with more or fewer values than there are metrics: of another version.
+
+    Attributes: `value_count` of the report, `metric_count` of this process.
+    """
 
     def __init__(self, value_count: int, metric_count: int) -> None:
         """Makes the message of the counts."""
         super().__init__(f"a report of {value_count} values for {metric_count} metrics")
-        self.value_count, self.metric_count = value_count, metric_count
+        self.value_count = value_count
+        self.metric_count = metric_count
 
 
 def decode_reports(body: Any, metric_count: int) -> Iterator[LoadReport]:
@@ -39,8 +43,8 @@
 
     Raises TypeError or ValueError (msgspec.ValidationError, OtherMetricsError) at a malformed one.
     """
-    for row in body[:MAX_REPORTS_PER_MESSAGE]:
-        report = msgspec.convert(row, LoadReport)
+    for encoded in body[:MAX_REPORTS_PER_MESSAGE]:
+        report = msgspec.convert(encoded, LoadReport)
         if len(report.values) != metric_count:
             raise OtherMetricsError(len(report.values), metric_count)
         yield report
--- a/vetchford/gossip/metrics.py
+++ b/vetchford/gossip/metrics.py
@@ -24,7 +24,7 @@
 
 
 class Metric(StrEnum):
-    """The metrics of a server; the values are the words that operators see."""
+    """The metrics of a server; the values are the names of the log's fields."""
 
     CALL_SLOWDOWN = "pace"  # recent time of a call over the usual one
     LOST_CALLS = "lost"  # share of calls that were cut off, refused or broken off
--- a/vetchford/subsetting/subsets.py
+++ b/vetchford/subsetting/subsets.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-MAX_LOAD_FACTOR = 1.15  # load of the fullest over the mean: the aim; at 1.05 twice as many move at a join
+MAX_LOAD_FACTOR = 1.15  # of the mean, that the fullest owner has
 FIRST_CHOICES = 8  # that are ranked at once; more only for keys that are rejected that often
 
 
@@ -25,12 +25,19 @@
     """A set of names and what follows from it; made anew when the set changes. May be read by any thread."""
 
     def __init__(self, names: Iterable[str], seed: str, zones: Mapping[str, str] | None = None) -> None:
-        """`zones`: the zone of each name where it is known; shards are spread over them."""
+        """Takes the names in any order.
+
+        Args:
+            names: The fleet as it is seen.
+            seed: Shared by the fleet.
+            zones: The zone of each name where it is known; shards are spread over them.
+        """
         self.names = sorted(set(names))
-        self.seed, self.zones = seed, dict(zones or {})
+        self.seed = seed
+        self.zones = dict(zones or {})
 
     def weight(self, name: str, key: str) -> int:
-        """The weight of a name for a key, of 64 bits; lengths keep the hashed parts from running together."""
+        """The weight of a name for a key, of 64 bits; lengths separate the parts that are hashed."""
         return xxhash.xxh3_64_intdigest(f"{len(self.seed)}:{self.seed}{len(name)}:{name}{key}")
 
     def ranked(self, key: str, limit: int | None = None) -> list[str]:
@@ -112,5 +119,5 @@
 
     def _all_choices(self, key: str, rejected_by: list[str]) -> list[str]:
         if len(rejected_by) == len(self.names):
-            raise ValueError("more keys than capacity")  # capacity * n >= keys: never
+            raise ValueError("more keys than capacity")  # can't occur: capacity * n >= keys
         return self.ranked(key)
--- a/vetchford/transport/handshake.py
+++ b/vetchford/transport/handshake.py
@@ -1,4 +1,4 @@
-"""Codec of the handshake, the first message of each side of a stream; its encoded words stay as they are."""
+"""Codec of the handshake, the first message of each side of a stream; its encoded form may not change."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Handshake:
-    """To whom it is said, and which incarnation of that peer its sender knows."""
+    """Whom its sender addresses, and which incarnation of that peer it knows."""
 
     recipient: str
     known_incarnation: tuple[int, int] | None  # incarnation and nonce; None where they are unreadable
