--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,50 @@
+"""What the pages for developers name exists: modules, classes, and functions of the table of decisions."""
+
+import ast
+import re
+
+import pytest
+from helpers import ROOT
+
+PAGES = ("docs/architecture.md", "docs/glossary.md", "docs/on-call.md", "CONTRIBUTING.md", "DEVELOPERS.md")
+CODE = re.compile(r"`([^`\n]+)`")
+CLASS = re.compile(r"(?:[A-Z][a-z]+){2,}")
+PATH = re.compile(r"[\w/]+\.(?:py|vet|toml)")
+DECISION = re.compile(r"^\| [\w ,-]+ \| `(\w+)\.([\w.]+)`", re.MULTILINE)
+FROM_ELSEWHERE = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}  # of the models, in DEVELOPERS.md
+FOLDERS = ("", "vetchford", "docs")
+
+
+def quoted(page):
+    return CODE.findall((ROOT / page).read_text())
+
+
+@pytest.fixture(scope="module")
+def classes():
+    trees = (ast.parse(path.read_text()) for path in (ROOT / "vetchford").rglob("*.py"))
+    return {node.name for tree in trees for node in ast.walk(tree) if isinstance(node, ast.ClassDef)}
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_classes_that_a_page_names_exist(page, classes):
+    named = {name for text in quoted(page) for name in CLASS.findall(text.split("(")[0]) if text[0].isupper()}
+    assert named - FROM_ELSEWHERE <= classes
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_modules_that_a_page_names_exist(page):
+    named = [text for text in quoted(page) if PATH.fullmatch(text) and "/" in text]
+    missing = [path for path in named if not any((ROOT / folder / path).exists() for folder in FOLDERS)]
+    assert set(missing) <= FROM_ELSEWHERE
+
+
+def test_each_rule_in_the_table_of_decisions_is_a_function():
+    rows = DECISION.findall((ROOT / "docs/architecture.md").read_text())
+    assert len(rows) > 20
+    for module, name in rows:
+        scope = ast.parse((ROOT / f"vetchford/admission/{module}.py").read_text())
+        for part in name.split("."):
+            found = [node for node in scope.body if getattr(node, "name", None) == part]
+            assert found, f"{module}.{name}"
+            scope = found[0]
+        assert isinstance(scope, ast.FunctionDef), f"{module}.{name}"
