--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -19,17 +19,19 @@
 from vetchford.server.listener import Listener
 
 
-class Entrance:
+class ListenerUnderTest:
     """A listener on loopback, with an admission actor that only records."""
 
     def __init__(self, most=16):
-        self.module, self.metrics = Heard(), Metrics()
-        self.listener = Listener(("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.module, self.metrics)
+        self.admission, self.metrics = Heard(), Metrics()
+        self.listener = Listener(
+            ("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.admission, self.metrics
+        )
         self.port = self.listener.sock.getsockname()[1]
 
     def request(self):
         """The connection and the id of the next request that the admission actor gets."""
-        connection, request = self.module.take("request_arrived")
+        connection, request = self.admission.take("request_arrived")
         return connection, request.rpc_id
 
     def finish(self, connection, rpc_id):
@@ -37,18 +39,18 @@
 
 
 @pytest.fixture
-def entrance():
-    entered = Entrance()
-    yield entered
-    entered.listener.close()
+def under_test():
+    listening = ListenerUnderTest()
+    yield listening
+    listening.listener.close()
 
 
-def test_a_connection_being_accepted_is_not_missed_by_the_shutdown(entrance):
+def test_a_connection_being_accepted_is_not_missed_by_the_shutdown(under_test):
     """Accepted and not yet in the table, as the listener closes and the drain looks whether all is done."""
-    checkpoint, listener = Checkpoint(), entrance.listener
+    checkpoint, listener = Checkpoint(), under_test.listener
     listener.add = checkpoint.before(listener.add)
     listener.start()
-    client = Balancer(entrance.port)
+    client = Balancer(under_test.port)
     client.ask(1)
     checkpoint.wait()
     closing, done = beside(lambda: (listener.close(), listener.is_drained())[1])
@@ -56,16 +58,16 @@
     checkpoint.open()
     closing.join(PATIENCE)
     assert done == [False]
-    entrance.finish(*entrance.request())
+    under_test.finish(*under_test.request())
     assert {client.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
 
 
-def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(entrance):
+def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(under_test):
     """The drain closes the listener with a request in the backlog and no descriptor left for it."""
-    listener, short = entrance.listener, [OSError(errno.EMFILE, "too many")]
+    listener, short = under_test.listener, [OSError(errno.EMFILE, "too many")]
     listening = listener.sock
     listener.idle_poller.start()  # no thread accepts: what connects waits in the backlog
-    client = Balancer(entrance.port)
+    client = Balancer(under_test.port)
     client.ask(1)
     tries = []
 
@@ -79,13 +81,13 @@
     listener.close()
     assert tries == [1] and not listener.is_drained()
     listener.close()
-    entrance.finish(*entrance.request())
+    under_test.finish(*under_test.request())
     assert {client.hear().get("id") for _ in range(2)} == {None, 1}
 
 
 @pytest.mark.parametrize("by", ["accept", "close"])
-def test_a_connection_reset_before_its_options_are_set_affects_no_other(entrance, by):
-    listener, listening, bad = entrance.listener, entrance.listener.sock, []
+def test_a_connection_reset_before_its_options_are_set_affects_no_other(under_test, by):
+    listener, listening, bad = under_test.listener, under_test.listener.sock, []
 
     def reset(*given):
         raise OSError(errno.ECONNRESET, "reset")
@@ -98,25 +100,25 @@
         return sock, peer
 
     listener.sock = Wrapped(listening, accept=accept)
-    first, second = Balancer(entrance.port), Balancer(entrance.port)
+    first, second = Balancer(under_test.port), Balancer(under_test.port)
     second.ask(1)
     if by == "accept":
         listener.start()
     else:
         listener.idle_poller.start()
         listener.close()
-    entrance.finish(*entrance.request())
+    under_test.finish(*under_test.request())
     heard = [second.hear() for _ in range(1 if by == "accept" else 2)]
     assert 1 in [message.get("id") for message in heard]
     assert bad and first.hear() is None
     until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
 
 
-def test_the_drained_check_sees_unread_bytes(entrance, monkeypatch):
+def test_the_drained_check_sees_unread_bytes(under_test, monkeypatch):
     """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
-    listener = entrance.listener
-    client = Balancer(entrance.port)
+    listener = under_test.listener
+    client = Balancer(under_test.port)
     client.ask(1)
     listener.close()  # the poller does not run yet: the process was paused
     until(
@@ -125,17 +127,17 @@
     )
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
-    entrance.finish(*entrance.request())
+    under_test.finish(*under_test.request())
     assert {client.hear().get("id") for _ in range(2)} == {None, 1}
     until(listener.is_drained, "the end once it is answered")
 
 
-def test_a_message_started_before_closing_is_waited_for(entrance, monkeypatch):
+def test_a_message_started_before_closing_is_waited_for(under_test, monkeypatch):
     """Half a request was read; the listener closes, the time after `closing` passes; then comes the rest."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
-    listener = entrance.listener
+    listener = under_test.listener
     listener.start()
-    client = Balancer(entrance.port)
+    client = Balancer(under_test.port)
     whole, send = [], client.sock.sendall
     client.raw = whole.append
     client.ask(1)
@@ -150,15 +152,15 @@
     assert client.hear()["method"] == "closing"
     assert not listener.is_drained()
     send(whole[0][60:])
-    entrance.finish(*entrance.request())
+    under_test.finish(*under_test.request())
     assert client.hear()["id"] == 1
     until(listener.is_drained, "the end once it is answered")
 
 
-def test_a_request_that_arrives_as_its_connection_times_out_is_answered(entrance, monkeypatch):
+def test_a_request_that_arrives_as_its_connection_times_out_is_answered(under_test, monkeypatch):
     """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
     monkeypatch.setattr(connection_limits, "FIRST_MESSAGE_TIMEOUT_S", 0.05)
-    listener, checkpoint = entrance.listener, Checkpoint()
+    listener, checkpoint = under_test.listener, Checkpoint()
     read_before_close, over = ClientConnection.read_before_close, threading.Event()
 
     def held(connection):
@@ -168,29 +170,29 @@
 
     monkeypatch.setattr(ClientConnection, "read_before_close", held)
     listener.start()
-    client = Balancer(entrance.port)
+    client = Balancer(under_test.port)
     checkpoint.wait()
     client.ask(1)
     sock = next(iter(listener.connections)).sock
     until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
     checkpoint.open()
-    first = entrance.request()
+    first = under_test.request()
     assert over.wait(PATIENCE)
     client.ask(2)
-    entrance.finish(*entrance.request())
-    entrance.finish(*first)
+    under_test.finish(*under_test.request())
+    under_test.finish(*first)
     assert {client.hear()["id"], client.hear()["id"]} == {1, 2}
 
 
-class Visitor:
-    """In a connection's place in the poller."""
+class PolledConnection:
+    """In the place of a client connection in the poller."""
 
     def __init__(self):
-        self.sock, self.far = socket.socketpair()
-        self.stays, self.back, self.let_go = True, threading.Event(), queue.Queue()
+        self.sock, self.peer = socket.socketpair()
+        self.keeps_open, self.back, self.timed_out = True, threading.Event(), queue.Queue()
 
     def check_timeouts(self, now):
-        return not self.stays
+        return not self.keeps_open
 
     def read(self):
         self.sock.recv(1)
@@ -198,14 +200,16 @@
         self.back.set()
 
     def read_before_close(self):
-        self.let_go.put(self.back.is_set())
+        self.timed_out.put(self.back.is_set())
 
 
 @pytest.mark.parametrize("first", [True, False])
 def test_no_connection_times_out_between_its_entry_and_its_registration_with_epoll(first):
     """Let go there it would be closed, and its number armed anew for whoever has it next."""
-    poller, visitor, checkpoint = IdleConnectionPoller(ThreadPool(Metrics(), 4)), Visitor(), Checkpoint()
-    visitor.resume = poller.resume
+    poller = IdleConnectionPoller(ThreadPool(Metrics(), 4))
+    connection = PolledConnection()
+    checkpoint = Checkpoint()
+    connection.resume = poller.resume
     poller.epoll = Wrapped(
         poller.epoll,
         **{
@@ -215,32 +219,32 @@
     )
     poller.start()
     if first:
-        beside(lambda: (poller.add(visitor), visitor.back.set()))
+        beside(lambda: (poller.add(connection), connection.back.set()))
     else:
-        poller.add(visitor)
-        visitor.far.send(b"!")
+        poller.add(connection)
+        connection.peer.send(b"!")
     checkpoint.wait()
-    visitor.stays = False
+    connection.keeps_open = False
     try:
-        went = visitor.let_go.get(timeout=SHORT)
+        went = connection.timed_out.get(timeout=SHORT)
     except queue.Empty:
         went = None
     checkpoint.open()
     assert went is None or went
-    assert visitor.let_go.get(timeout=PATIENCE) or visitor.back.wait(PATIENCE)
+    assert connection.timed_out.get(timeout=PATIENCE) or connection.back.wait(PATIENCE)
 
 
-def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(entrance):
+def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(under_test):
     """It was read, and the system refuses to watch it on: in the listener's table it would stay for good."""
-    listener = entrance.listener
+    listener = under_test.listener
 
     def refuses(*given):
         raise OSError(errno.ENOMEM, "no memory")
 
     listener.idle_poller.epoll = Wrapped(listener.idle_poller.epoll, modify=refuses)
     listener.start()
-    client = Balancer(entrance.port)
+    client = Balancer(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
     assert client.hear()["id"] == 1 and client.hear() is None
     until(lambda: not listener.connections, "it leaves the table")
-    assert entrance.metrics.by_name["connections_not_watched"] == 1
+    assert under_test.metrics.by_name["connections_not_watched"] == 1
--- a/tests/server/test_platform_config.py
+++ b/tests/server/test_platform_config.py
@@ -32,36 +32,36 @@
     ],
 )
 def test_the_error_names_the_key_that_is_wrong(key, value):
-    told = json.loads(json.dumps(GOOD))
-    inner, *path = told, *key.split(".")
+    document = json.loads(json.dumps(GOOD))
+    inner, *path = document, *key.split(".")
     for step in path[:-1]:
         inner = inner[step]
     inner[path[-1]] = value
     with pytest.raises(MalformedInputError, match="settings" if key.startswith("settings") else key):
-        platform_config.decode(told)
+        platform_config.decode(document)
 
 
 def test_the_environment_overrides_the_configuration_file(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD))
-    told = platform_config.load(
+    configuration = platform_config.load(
         {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
     )
-    assert (told.name, told.listen) == ("n9", ("127.0.0.1", 9))
-    assert told.summary()["stages"][1]["limit_ms"] == 60_000.0
+    assert (configuration.name, configuration.listen) == ("n9", ("127.0.0.1", 9))
+    assert configuration.summary()["stages"][1]["limit_ms"] == 60_000.0
 
 
 def test_the_records_address_is_optional_without_a_dependency():
-    told = json.loads(json.dumps(GOOD))
+    document = json.loads(json.dumps(GOOD))
     for records in (None, ""):
-        told["records"] = records
+        document["records"] = records
         with pytest.raises(MalformedInputError, match="'records'"):
-            platform_config.decode(told)  # its runs may call
-    told["settings"]["familyInfo"]["below"] = "silent"
-    platform_config.decode(told)
-    del told["records"]
-    configuration = platform_config.decode(told)
+            platform_config.decode(document)  # its runs may call
+    document["settings"]["familyInfo"]["below"] = "silent"
+    platform_config.decode(document)
+    del document["records"]
+    configuration = platform_config.decode(document)
     assert configuration.records is None and configuration.summary()["records"] is None
-    told["records"] = "nowhere"
+    document["records"] = "nowhere"
     with pytest.raises(MalformedInputError, match="'records'"):
-        platform_config.decode(told)
+        platform_config.decode(document)
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -16,8 +16,8 @@
 
 def test_a_connection_cancelled_as_its_call_ends_is_not_reused():
     """cancel_call holds the connection; its reply arrives and the call ends; then cancel_call shuts it."""
-    service, module = RecordsPeer(), Heard()
-    records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
+    service, admission = RecordsPeer(), Heard()
+    records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     until_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, until_ms, b"ask", False)
     peer_socket = service.take("OP")[3]
@@ -28,7 +28,7 @@
     giving_up, _ = beside(lambda: records.cancel_call("a", 1))
     checkpoint.wait()
     peer_socket.sendall(b"a DONE 2\r\nok\r\n")
-    assert module.take("call_ended")[0] == 1  # its end is on its way to the tables
+    assert admission.take("call_ended")[0] == 1  # its end is on its way to the tables
     ended.wait(SHORT)  # where nothing holds it, it is among the free by now
     calling, _ = beside(lambda: records.start_call("b", 2, until_ms, b"ask", False))
     calling.join(SHORT)
@@ -38,13 +38,13 @@
     _, name, _, other = service.take("OP")
     assert name == "b"
     other.sendall(b"b DONE 2\r\nok\r\n")
-    assert module.take("call_ended") == (2, "completed", b"ok")
+    assert admission.take("call_ended") == (2, "completed", b"ok")
 
 
 def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
     """A call's end takes the next of the waiting; cancel_call of just that one comes behind it."""
-    service, module = RecordsPeer(), Heard()
-    records = RecordsClient(host_and_port(service.address), 2, module, Metrics())  # one out at a time
+    service, admission = RecordsPeer(), Heard()
+    records = RecordsClient(host_and_port(service.address), 2, admission, Metrics())  # one out at a time
     until_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, until_ms, b"ask", True)
     peer_socket = service.take("OP")[3]
@@ -64,15 +64,15 @@
 
 def test_a_reused_connection_remembers_a_bounded_number_of_request_ids():
     """One call after the other, each before its connection has been idle for long: all could share it."""
-    service, module = RecordsPeer(), Heard()
-    records = RecordsClient(host_and_port(service.address), 8, module, Metrics())
+    service, admission = RecordsPeer(), Heard()
+    records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     until_ms, connections, most = time.time() * 1000.0 + 60_000.0, set(), 0
     for number in range(1, 601):
         records.start_call(f"t{number}", number, until_ms, b"ask", False)
         connection = records.in_flight[number]
         connections.add(connection)
         service.take("OP")[3].sendall(b"t%d DONE 2\r\nok\r\n" % number)
-        assert module.take("call_ended") == (number, "completed", b"ok")
+        assert admission.take("call_ended") == (number, "completed", b"ok")
         until(lambda number=number: number not in records.in_flight, "its end is in the tables")
         most = max(most, len(connection.called_names))
     assert most <= 256 and len(connections) < 100  # bounded, and still shared by many
--- a/tests/server/test_reload_races.py
+++ b/tests/server/test_reload_races.py
@@ -6,20 +6,20 @@
 
 def test_a_failed_reload_does_not_block_later_reloads():
     """The second wish comes while the first is served, and that one ends in an error."""
-    gate, served = Checkpoint(), []
+    checkpoint, served = Checkpoint(), []
 
-    def renew(told):
-        served.append(told)
-        gate.come()
+    def reload(configuration):
+        served.append(configuration)
+        checkpoint.come()
         if len(served) == 1:
             raise OSError("the disk")
         return {"stop_ms": len(served)}
 
-    reloader = ConfigurationReloader({"stop_ms": 0}, renew, lambda act: beside(act))
+    reloader = ConfigurationReloader({"stop_ms": 0}, reload, lambda act: beside(act))
     reloader.request()
-    gate.wait()
+    checkpoint.wait()
     reloader.request()
-    gate.open()
+    checkpoint.open()
     until(lambda: not reloader.reloading, "both are served")
     assert served == [{"stop_ms": 0}] * 2 and reloader.configuration == {"stop_ms": 2}
     reloader.request()
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -10,12 +10,12 @@
 
 
 def test_a_client_that_does_not_read_delays_no_other_client(server):
-    mute = server.balancer()
-    mute.sock.settimeout(0.2)  # s: for each write; how many fit does not matter
+    unread = server.balancer()
+    unread.sock.settimeout(0.2)  # s: for each write; how many fit does not matter
     check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
     with contextlib.suppress(OSError):
         for _ in range(400):
-            mute.raw((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
+            unread.raw((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
     client = server.balancer()
     job = client.ask(1)
     server.pool.take("spawn")
@@ -46,8 +46,8 @@
 
 
 def test_idle_connections_are_asked_to_close_and_those_with_open_requests_are_not(tmp_path):
-    told = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # clients that hardly come back
-    with Running(tmp_path, familyInfo=told) as server:
+    info = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # clients that hardly come back
+    with Running(tmp_path, familyInfo=info) as server:
         idle, busy = server.balancer(), server.balancer()
         job = busy.ask(1)
         server.pool.take("spawn")
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -15,7 +15,7 @@
     assert content(client.hear()) == b"while nobody listened"
     client.ask(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
     assert content(client.hear()) == b"while nobody listened"
-    server.pool.say({**server.pool.notices[0], "data": "d3Jvbmc="})  # told again under its old number
+    server.pool.say({**server.pool.notices[0], "data": "d3Jvbmc="})  # replayed under its old number
     server.pool.cut()
     assert server.pool.take("bind")[1]["n"] == 1
     server.pool.finish(runs)
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -45,7 +45,7 @@
 
 def test_sighup_before_the_configuration_is_read_does_not_end_the_process(tmp_path):
     with Running(tmp_path) as model:  # stand-ins, and a configuration that suits them
-        told = model.config.read_text()
+        text = model.config.read_text()
         pipe = tmp_path / "pipe.json"
         os.mkfifo(pipe)
         process = subprocess.Popen(
@@ -58,11 +58,11 @@
         try:
             with opened_for_reading(pipe) as end:  # it is in the middle of its start
                 process.send_signal(signal.SIGHUP)
-                end.write(told)
+                end.write(text)
             # Opened while the first reader is there still, the pipe would give it both texts.
             assert any("event=serving" in line for line in process.stdout)
             with opened_for_reading(pipe) as end:  # it serves, and reads anew as it was asked to
-                end.write(told)
+                end.write(text)
             assert any("event=configuration_renewed" in line for line in process.stdout)
             process.terminate()
             assert process.wait(PATIENCE) == 0, process.stdout.read()
@@ -103,16 +103,16 @@
 
 def test_sigterm_before_the_worker_pool_is_bound_answers_a_started_message_and_never_reports_ready(tmp_path):
     with Running(tmp_path, up=False) as server:
-        caller = server.balancer()
-        whole, send = [], caller.sock.sendall
-        caller.raw = whole.append
-        caller.ask(7)
+        client = server.balancer()
+        whole, send = [], client.sock.sendall
+        client.raw = whole.append
+        client.ask(7)
         send(whole[0][:60])
         server.process.terminate()
         until_out(server)
         server.pool.up.set()  # the pool comes up in the middle of it
         send(whole[0][60:])
-        heard = {message.get("id"): message for message in (caller.hear(), caller.hear())}
+        heard = {message.get("id"): message for message in (client.hear(), client.hear())}
         assert heard[7]["error"]["code"] == -32050 and None in heard  # and `closing`
         assert server.process.wait(PATIENCE) == 0
         server.members.setblocking(False)
@@ -129,31 +129,31 @@
 
 
 def test_a_reload_and_a_second_sigterm_during_shutdown_change_only_addresses(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
-    assert caller.hear()["method"] == "closing"
+    assert client.hear()["method"] == "closing"
     old = server.move()  # SIGHUP
     assert server.pool.take("bind")[1]["n"] == 0
     assert server.heard_report() == ["HB", "n1", "OUT"]
     server.process.terminate()
     server.pool.finish(job, b"paid")
-    assert content(caller.hear()) == b"paid"
+    assert content(client.hear()) == b"paid"
     assert server.process.wait(PATIENCE) == 0
     assert old[0].nothing_more("spawn") and server.pool.nothing_more("spawn")
 
 
 def test_a_shutdown_without_worker_pool_link_and_registry_answers_all_requests(server):
-    caller = server.balancer()
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    client = server.balancer()
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.members.close()  # nobody takes reports any more
     server.process.terminate()
-    assert caller.hear()["method"] == "closing"
+    assert client.hear()["method"] == "closing"
     server.pool.cut()
     server.pool.finish(job, b"told on the next link")
-    assert content(caller.hear()) == b"told on the next link"
+    assert content(client.hear()) == b"told on the next link"
     assert server.process.wait(PATIENCE) == 0
 
 
@@ -195,13 +195,13 @@
         )
         try:
             assert model.heard_report() == ["HB", "n1", "UP"]
-            caller = model.balancer()
-            job = caller.ask(1)
+            client = model.balancer()
+            job = client.ask(1)
             model.pool.take("spawn")
             process.terminate()
-            assert caller.hear()["method"] == "closing"
+            assert client.hear()["method"] == "closing"
             model.pool.finish(job, b"done")
-            assert content(caller.hear()) == b"done"
+            assert content(client.hear()) == b"done"
             assert process.wait(PATIENCE) == 0
             assert os.read(read, 1 << 20).strip(b"x") == b""  # it was stuck from before its first line
         finally:
@@ -213,14 +213,14 @@
 
 def narrow(server):
     """A balancer whose machine takes little in for it before it reads."""
-    caller = server.balancer()
-    caller.sock.close()
-    caller.sock = socket.socket()
-    caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    caller.sock.settimeout(PATIENCE)
-    caller.sock.connect(("127.0.0.1", server.port))
-    caller.file = caller.sock.makefile("rb")
-    return caller
+    client = server.balancer()
+    client.sock.close()
+    client.sock = socket.socket()
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client.sock.settimeout(PATIENCE)
+    client.sock.connect(("127.0.0.1", server.port))
+    client.file = client.sock.makefile("rb")
+    return client
 
 
 def in_the_system(port):
@@ -233,13 +233,13 @@
     return total
 
 
-def half_written(server, caller, count=100, size=40_000):
+def half_written(server, client, count=100, size=40_000):
     """Answers that nobody reads, until the server has more for the connection than its system takes.
 
     Returns another balancer, whose answer came behind them.
     """
     for number in range(1, count + 1):
-        job = caller.ask(number)
+        job = client.ask(number)
         assert server.pool.take("spawn")[1]["job"] == job
         server.pool.finish(job, os.urandom(size))
     other = server.balancer()  # its turn comes behind all of them
@@ -252,11 +252,11 @@
 
 
 def test_partly_written_answers_are_completed_during_shutdown(server):
-    caller = narrow(server)
-    other = half_written(server, caller)
+    client = narrow(server)
+    other = half_written(server, client)
     server.process.terminate()
     assert other.hear()["method"] == "closing" and other.hear() is None  # past all that is waited for else
-    heard = [caller.hear() for _ in range(101)]
+    heard = [client.hear() for _ in range(101)]
     assert sorted(message["id"] for message in heard if "id" in message) == list(range(1, 101))
     assert [message["method"] for message in heard if "id" not in message] == ["closing"]
     assert server.process.wait(PATIENCE) == 0
@@ -264,8 +264,8 @@
 
 def test_a_client_that_never_reads_does_not_prevent_the_end_of_a_shutdown(tmp_path):
     with Running(tmp_path, stop_ms=1500) as server:
-        caller = narrow(server)
-        half_written(server, caller)
+        client = narrow(server)
+        half_written(server, client)
         server.process.terminate()
         assert server.process.wait(PATIENCE) == 0
         server.drainer.join(PATIENCE)
@@ -276,7 +276,7 @@
 
 
 def test_a_reload_with_other_settings_applies_only_addresses(server):
-    caller = server.balancer()
+    client = server.balancer()
     server.told = {
         "requestClasses": [{**TOLD["requestClasses"][1], "effect": "read_like", "name": "read"}],
         "customers": [{"name": "other", "quotaPerS": 1.0}],
@@ -284,10 +284,10 @@
     server.move()
     server.pool.take("bind")
     assert server.heard_report() == ["HB", "n1", "UP"]
-    job = caller.ask(1, "pay", unique=IDEMPOTENCY_KEY)  # stage and tenant of the start
+    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)  # stage and tenant of the start
     server.pool.take("spawn")
     server.pool.finish(job, b"paid")
-    assert content(caller.hear()) == b"paid"
-    caller.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
-    assert content(caller.hear()) == b"paid"  # still fingerprinted
+    assert content(client.hear()) == b"paid"
+    client.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
+    assert content(client.hear()) == b"paid"  # still fingerprinted
     assert "not_changed=" in server.stop()
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -76,12 +76,12 @@
 
 def test_silent_connections_time_out_sooner_in_a_fuller_table():
     # Hundreds connect at once: balancers that wait behind them would wait past their time limits.
-    doors = Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
+    listener = Listener(("127.0.0.1", 0), 10, {}, {}, Recorder(), Metrics())
     ours, theirs = socket.socketpair()
-    connection = ClientConnection(ours, doors, Metrics())
-    for held, stays in ((2, 0.9), (6, 0.18), (9, 0.08)):
-        doors.connections.open = set(range(held))
-        assert not connection.check_timeouts(connection.state.last_active_at_s + stays)
-        assert connection.check_timeouts(connection.state.last_active_at_s + stays + 0.15)
-    for part in (ours, theirs, doors.sock):
+    connection = ClientConnection(ours, listener, Metrics())
+    for held, idle_s in ((2, 0.9), (6, 0.18), (9, 0.08)):
+        listener.connections.open = set(range(held))
+        assert not connection.check_timeouts(connection.state.last_active_at_s + idle_s)
+        assert connection.check_timeouts(connection.state.last_active_at_s + idle_s + 0.15)
+    for part in (ours, theirs, listener.sock):
         part.close()
