--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -110,7 +110,8 @@
 def next_body(buffer: ReceiveBuffer) -> memoryview | None:
     """Return the body of the next message, valid until more is received; None while it is not whole.
 
-    Raises UnreadableStreamError if the header doesn't say where the message ends.
+    Raises:
+        UnreadableStreamError: The header doesn't say where the message ends.
     """
     header_end = buffer.find(HEADER_END, MAX_HEADER_BYTES)
     if header_end < 0:
@@ -143,7 +144,11 @@
 
 
 def decode(body: memoryview | bytes) -> Call:
-    """Decode the body of a message; raise BadMessageError if it is no JSON-RPC call or notification."""
+    """Return the call or notification that the body of a message holds.
+
+    Raises:
+        BadMessageError: It holds neither.
+    """
     try:
         text = str(body, "utf-8")
         if text.count("[") + text.count("{") > MAX_BRACKETS:
--- a/vetchford/protocol/receive_buffer.py
+++ b/vetchford/protocol/receive_buffer.py
@@ -26,7 +26,8 @@
     def free_space(self) -> memoryview:
         """Return where the next bytes are to be received, never empty; `add_received` says how many came.
 
-        Raises UnreadableStreamError if the buffer is full, which means that a message is too long.
+        Raises:
+            UnreadableStreamError: The buffer is full, which means that a message is too long.
         """
         if self.start == self.end:
             self.start = self.end = 0
@@ -57,7 +58,8 @@
     def find(self, delimiter: bytes, max_length: int) -> int:
         """Return the index of the first `delimiter`, or -1 while it has not been received.
 
-        Raises UnreadableStreamError if none is there within `max_length` bytes.
+        Raises:
+            UnreadableStreamError: None is there within `max_length` bytes.
         """
         search_end = self.start + max_length + len(delimiter)
         index = self.bytes.find(delimiter, self.start, min(self.end, search_end))
--- a/vetchford/protocol/records_lines.py
+++ b/vetchford/protocol/records_lines.py
@@ -37,7 +37,8 @@
 def next_reply(buffer: ReceiveBuffer) -> Reply | None:
     """Return the next reply; None while it is not whole.
 
-    Raises UnreadableStreamError if it has no form that the page knows.
+    Raises:
+        UnreadableStreamError: It has no form that the page knows.
     """
     line_end = buffer.find(LINE_END, MAX_LINE_BYTES)
     if line_end < 0:
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -100,14 +100,19 @@
 def next_line(buffer: ReceiveBuffer) -> memoryview | None:
     """Return the next line, valid until more is received; None while it is not whole.
 
-    Raises UnreadableStreamError if it is too long.
+    Raises:
+        UnreadableStreamError: It is too long.
     """
     line_end = buffer.find(b"\n", MAX_LINE_BYTES)
     return None if line_end < 0 else buffer.take(line_end, 1)
 
 
 def decode(line: memoryview | bytes) -> Message:
-    """Decode a line; raise BadLineError if it is no object with a type."""
+    """Return the message that a line holds.
+
+    Raises:
+        BadLineError: It is no object with a type.
+    """
     try:
         text = str(line, "utf-8")
         if text.count("[") + text.count("{") > MAX_BRACKETS:
@@ -135,14 +140,22 @@
 
 
 def decode_notice(notice_type: str, fields: dict[str, Any]) -> RunEnded | RunBlocked | None:
-    """Check the fields of a notice; None for one that says nothing. Raises BadLineError."""
+    """Return what a notice says; None for one that says nothing.
+
+    Raises:
+        BadLineError: A field is missing or wrong.
+    """
     if notice_type == CHATTER:
         return None
     return decode_run_ended(fields) if notice_type == FINISHED else decode_run_blocked(fields)
 
 
 def decode_run_ended(fields: dict[str, Any]) -> RunEnded:
-    """Check the fields of a `finished` notice; raise BadLineError."""
+    """Return the end of a run that a `finished` notice reports.
+
+    Raises:
+        BadLineError: A field is missing or wrong.
+    """
     state = _field(fields, "state", str)
     if state not in RUN_OUTCOMES:
         raise BadLineError("field 'state' is no end of a run")
@@ -153,7 +166,11 @@
 
 
 def decode_run_blocked(fields: dict[str, Any]) -> RunBlocked:
-    """Check the fields of a `blocked` notice; raise BadLineError."""
+    """Return the call that a `blocked` notice asks for.
+
+    Raises:
+        BadLineError: A field is missing or wrong.
+    """
     try:
         body = base64.b64decode(fields.get("data") or "", validate=True)
     except (ValueError, TypeError, binascii.Error):
@@ -180,7 +197,11 @@
 
 
 def decode_poll_answer(fields: dict[str, Any]) -> PollAnswer:
-    """Check the fields of a `polled` message; raise BadLineError."""
+    """Return the answer to a poll.
+
+    Raises:
+        BadLineError: A field is missing or wrong.
+    """
     gauges = _field(fields, "gauges", list)
     if not all(isinstance(value, int | float) and math.isfinite(value) for value in gauges):
         raise BadLineError("field 'gauges' holds something that is no number")
@@ -188,7 +209,11 @@
 
 
 def decode_pool_bound(fields: dict[str, Any]) -> PoolBound:
-    """Check the fields of a `bound` message; raise BadLineError."""
+    """Return that a link is open.
+
+    Raises:
+        BadLineError: A field is missing or wrong.
+    """
     return PoolBound(_field(fields, "state", str) == "chilly", _duration(fields))
 
 
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -180,7 +180,11 @@
         self.run_or_post(self._set_reading_done)
 
     def reply(self, parts: list[bytes]) -> None:
-        """Send a reply that belongs to no open request; raise OSError if the client reads none."""
+        """Send a reply that belongs to no open request; called by the reader.
+
+        Raises:
+            OSError: The client does not read its replies.
+        """
         if not self.reply_slots.acquire(blocking=False):
             raise ConnectionError("replies are not read")
         self.run_or_post(self._write_reply, parts)
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -55,8 +55,9 @@
     def handle(self, client: Client, body: memoryview) -> None:
         """Handle the body of one message; a bad one is replied to with an error.
 
-        Raises UnreadableStreamError after too many bad messages, and OSError if the client doesn't read
-        its replies.
+        Raises:
+            UnreadableStreamError: It was one bad message too many.
+            OSError: The client does not read its replies.
         """
         try:
             method, rpc_id, params = json_rpc.decode(body)
--- a/vetchford/server/idle_poller.py
+++ b/vetchford/server/idle_poller.py
@@ -48,11 +48,19 @@
         threading.Thread(target=self.run, name="idle-poller", daemon=True).start()
 
     def add(self, connection: PollableConnection) -> None:
-        """Wait for the first bytes of a new connection; raise OSError if the system can't watch it."""
+        """Wait for the first bytes of a new connection; may be called from any thread.
+
+        Raises:
+            OSError: The system can't watch it.
+        """
         self._wait_for(connection, self.epoll.register)
 
     def resume(self, connection: PollableConnection) -> None:
-        """Wait again for a connection that was added before; raise OSError if the system can't watch it."""
+        """Wait again for a connection that was added before; called by its reader.
+
+        Raises:
+            OSError: The system can't watch it.
+        """
         self._wait_for(connection, self.epoll.modify)
 
     def _wait_for(self, connection: PollableConnection, register: Callable[[int, int], None]) -> None:
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -31,9 +31,12 @@
         admission: ClientEvents,
         metrics: Metrics,
     ) -> None:
-        """Bind to `address`, or raise OSError; `start` begins to accept.
+        """Bind to `address`; `start` begins to accept.
 
         `request_classes` and `tenants` give the index of each name; requests go to `admission`.
+
+        Raises:
+            OSError: The address is taken, or is none of this machine.
         """
         self.request_classes = request_classes
         self.tenants = tenants
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -35,6 +35,8 @@
 
 log = structlog.get_logger()
 
+EXIT_DONE = 0
+EXIT_FAILED = 1  # at run time
 STACK_SIZE = 256 * 1024  # bytes a thread; no call here nests deeply, and untouched pages cost nothing
 OTHER_DESCRIPTORS = 8  # listener, poller, the worker pool's link, registry reports and the standard three
 FLEET_DESCRIPTORS = 4  # datagrams, a listener that accepts nobody, a connection to it, one spare
@@ -176,7 +178,7 @@
         server = Server(configuration, metrics)
     except CannotListenError as problem:
         log.error("listen_failed", address=problem.address, problem=problem.reason)
-        return 1
+        return EXIT_FAILED
     gc.collect()
     gc.freeze()
     server.start()
@@ -190,6 +192,17 @@
     number = signals.wait_for_termination(reloader.request)
     signalled_at_unix_ms = unix_time_ms()
     log.info("signal_received", number=number)
+    return _shut_down(server, signalled_at_unix_ms, reloader, log_ends_by, metrics)
+
+
+def _shut_down(
+    server: Server,
+    signalled_at_unix_ms: float,
+    reloader: ConfigurationReloader,
+    log_ends_by: Callable[[float], None],
+    metrics: Metrics,
+) -> int:
+    """Shut down gracefully; return the exit status at the latest when the process is about to be killed."""
     stop_ms = reloader.configuration.stop_ms
     kill_at_unix_s = (signalled_at_unix_ms + stop_ms) / MS_PER_S
     log_ends_by(kill_at_unix_s - PROCESS_EXIT_TIME_S)
@@ -198,9 +211,9 @@
     if not server.stopped.wait(max(0.0, kill_at_unix_s - time.time())):
         # The thread of the admission actor is stuck; a kill is next.
         log.error("shutdown_timed_out", stop_ms=stop_ms)
-        return 1
+        return EXIT_FAILED
     log.info("stopped")
-    return 0
+    return EXIT_DONE
 
 
 def handle_further_signals(reloader: ConfigurationReloader, metrics: Metrics) -> None:
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -166,7 +166,10 @@
     def _request_again(self, number: int) -> None:
         """Break the link, as the pool tells the notice again on the next one; do so once for each notice.
 
-        Raises UnreadableStreamError the first time; a notice that stays missing or unreadable is skipped.
+        A notice that stays missing or unreadable is skipped.
+
+        Raises:
+            UnreadableStreamError: It is the first time.
         """
         if number > self.last_requested_again:
             self.last_requested_again = number
@@ -177,8 +180,9 @@
     def handle_message(self, message_type: str, fields: dict[str, Any]) -> None:
         """Post a message to the admission actor.
 
-        Raises BadLineError if the message can't be understood, and UnreadableStreamError if the link is to
-        be opened again.
+        Raises:
+            BadLineError: The message can't be understood.
+            UnreadableStreamError: The link is to be opened again.
         """
         admission = self.admission
         if message_type in worker_pool_lines.NOTICES:
