--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -106,7 +106,7 @@
     net = Net(5, 2)
     net.run(2_000.0)
     net.dead.add("a004")
-    net.run(60_000.0 + failure_detector.UNREACHABLE_RETENTION)
+    net.run(60_000.0 + failure_detector.UNREACHABLE_RETENTION_MS)
     for name, agent in net.agents.items():
         if name != "a004":
             assert (
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -88,7 +88,7 @@
             seed,
             incarnation * REFUTATIONS_PER_INCARNATION,
             fixed_members=True,
-            now=now,
+            now_ms=now,
         )
         self.load_gossip = LoadGossip(self, self.name, incarnation, METRICS, seed)
         self.signal_policy = FleetSignalPolicy(self, self.name, seed, self.load_gossip)
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -42,11 +42,11 @@
 from vetchford.fleet.quorum import StoreIdentities, is_majority
 from vetchford.fleet.replication import ReplicationProgress
 
-HEARTBEAT_INTERVAL = 500.0  # ms between two messages of the leader to each member
-ELECTION_TIMEOUT = 3000.0  # ms without one until an election: six, so that one stall deposes no leader
-ELECTION_JITTER = 2000.0  # ms by which chance spreads the candidates
-VOTE_TIMEOUT = 1500.0  # ms for the answers to a pre-vote or a vote request
-PRE_VOTE_SILENCE = ELECTION_TIMEOUT * 0.8  # ms without a leader from which on a pre-vote is granted
+HEARTBEAT_INTERVAL_MS = 500.0  # ms between two messages of the leader to each member
+ELECTION_TIMEOUT_MS = 3000.0  # ms without one until an election: six, so that one stall deposes no leader
+ELECTION_JITTER_MS = 2000.0  # ms by which chance spreads the candidates
+VOTE_TIMEOUT_MS = 1500.0  # ms for the answers to a pre-vote or a vote request
+PRE_VOTE_SILENCE_MS = ELECTION_TIMEOUT_MS * 0.8  # ms without a leader from which on a pre-vote is granted
 TERMS_PER_ROUND = 64  # term = round * this + index of the agent: no two agents ever have one term
 MAX_VOTERS = 7  # three may be away; more would only make each write dearer
 
@@ -74,16 +74,16 @@
     def save_record(self, stored: dict[str, Any]) -> None:
         """Durable before it returns; OSError where the store fails, and then nothing was voted for."""
 
-    def on_elected(self, now: float) -> None:
+    def on_elected(self, now_ms: float) -> None:
         """This agent leads from now on, and the record is committed under its term."""
 
-    def on_committed(self, now: float) -> None:
+    def on_committed(self, now_ms: float) -> None:
         """What was proposed is committed."""
 
-    def on_deposed(self, now: float, why: str) -> None:
+    def on_deposed(self, now_ms: float, why: str) -> None:
         """This agent no longer leads."""
 
-    def on_appended(self, now: float) -> None:
+    def on_appended(self, now_ms: float) -> None:
         """A leader was heard, or a newer record arrived; it may not be committed yet."""
 
     def note(self, event: str, **fields: Any) -> None:
@@ -100,7 +100,7 @@
         seed: int,
         store: str,
         founding: RecordBody,
-        now: float = 0.0,
+        now_ms: float = 0.0,
     ) -> None:
         """Starts as a follower with the founding body, which is the same on all agents.
 
@@ -111,20 +111,20 @@
         self.promised_term, self.version, self.body = 0, (0, 0), founding  # as on the disk
         self.committed: RecordVersion = (0, 0)  # the newest that this agent knows to be committed
         self.highest_seen_term = 0
-        self.role, self.role_since, self.leader = Role.FOLLOWER, now, ""
-        self.leader_heard_at = now
-        self.election_timeout = self.draw_election_timeout()
+        self.role, self.role_since_ms, self.leader = Role.FOLLOWER, now_ms, ""
+        self.leader_heard_at_ms = now_ms
+        self.election_timeout_ms = self.draw_election_timeout()
         self.campaign_term = 0  # of this agent's last candidacy; while it leads, its term
         self.votes: set[str] = set()  # of the current pre-vote or vote; replaced as the next begins
         self.newest_version, self.newest_body = self.version, self.body  # among the votes and our own
         self.progress = ReplicationProgress(name, self.identities)
-        self.next_heartbeat_at = 0.0
+        self.next_heartbeat_at_ms = 0.0
 
     def draw_election_timeout(self) -> float:
         """In ms; by seed, name and the number of draws alone, so that a simulation can be repeated."""
         self.draws += 1
         drawn = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % 10_000
-        return ELECTION_TIMEOUT + drawn / 10_000.0 * ELECTION_JITTER
+        return ELECTION_TIMEOUT_MS + drawn / 10_000.0 * ELECTION_JITTER_MS
 
     # -- the copy on the disk
 
@@ -144,9 +144,9 @@
         self.promised_term, self.version, self.body = promised_term, version, body
         return True
 
-    def replace_store(self, now: float, store: str) -> None:
+    def replace_store(self, now_ms: float, store: str) -> None:
         """The store was emptied or restored, so its votes may be lost: `store` is its new identity."""
-        self.step_down(now, "the store is not what it was")
+        self.step_down(now_ms, "the store is not what it was")
         self.identities.replace_own(store)
 
     @property
@@ -185,78 +185,78 @@
 
     # -- time
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Called about ten times a second."""
         if self.role in LEADING:
-            self.tick_leader(now)
+            self.tick_leader(now_ms)
         elif self.role in CAMPAIGNING:
-            if now - self.role_since >= VOTE_TIMEOUT:
-                self.become_follower(now, "")
-        elif now - self.leader_heard_at >= self.election_timeout:
-            self.start_pre_vote(now)
+            if now_ms - self.role_since_ms >= VOTE_TIMEOUT_MS:
+                self.become_follower(now_ms, "")
+        elif now_ms - self.leader_heard_at_ms >= self.election_timeout_ms:
+            self.start_pre_vote(now_ms)
 
-    def tick_leader(self, now: float) -> None:
+    def tick_leader(self, now_ms: float) -> None:
         """Heartbeats, and the end of a leadership that no majority answers."""
-        if now >= self.next_heartbeat_at:
-            self.replicate(now)
-        if now - self.role_since <= ELECTION_TIMEOUT:
+        if now_ms >= self.next_heartbeat_at_ms:
+            self.replicate(now_ms)
+        if now_ms - self.role_since_ms <= ELECTION_TIMEOUT_MS:
             return
-        answering = self.progress.answering(now, ELECTION_TIMEOUT)
+        answering = self.progress.answering(now_ms, ELECTION_TIMEOUT_MS)
         if not self.identities.is_quorum(answering, self.voters()):
-            self.step_down(now, "no majority of the voters answers")
+            self.step_down(now_ms, "no majority of the voters answers")
 
-    def on_process_stopped(self, now: float, gap: float) -> None:
+    def on_process_stopped(self, now_ms: float, gap_ms: float) -> None:
         """This process did not run for `gap` ms: no leader was late, and what we were writing is old."""
-        self.leader_heard_at += gap
+        self.leader_heard_at_ms += gap_ms
         if self.role != Role.FOLLOWER:
-            self.step_down(now, "was stopped meanwhile")
+            self.step_down(now_ms, "was stopped meanwhile")
 
     # -- elections
 
-    def become_follower(self, now: float, leader: str) -> None:
+    def become_follower(self, now_ms: float, leader: str) -> None:
         """Follows `leader`, or nobody yet where that is empty."""
-        self.role, self.role_since, self.leader = Role.FOLLOWER, now, leader
-        self.restart_election_timer(now)
+        self.role, self.role_since_ms, self.leader = Role.FOLLOWER, now_ms, leader
+        self.restart_election_timer(now_ms)
 
-    def restart_election_timer(self, now: float) -> None:
+    def restart_election_timer(self, now_ms: float) -> None:
         """The next election is a freshly drawn timeout away."""
-        self.leader_heard_at = now
-        self.election_timeout = self.draw_election_timeout()
+        self.leader_heard_at_ms = now_ms
+        self.election_timeout_ms = self.draw_election_timeout()
 
-    def step_down(self, now: float, why: str) -> None:
+    def step_down(self, now_ms: float, why: str) -> None:
         """Ends a candidacy or a leadership."""
         was_leading = self.role in LEADING
-        self.become_follower(now, "")
+        self.become_follower(now_ms, "")
         if was_leading:
             self.actions.note("leader_stepped_down", term=self.campaign_term, why=why)
-            self.actions.on_deposed(now, why)
+            self.actions.on_deposed(now_ms, why)
 
-    def start_pre_vote(self, now: float) -> None:
+    def start_pre_vote(self, now_ms: float) -> None:
         """Asks first, which changes no term: an agent that hears nobody must not raise the terms."""
-        self.restart_election_timer(now)
+        self.restart_election_timer(now_ms)
         if not self.is_counted(self.name):
             return
-        self.role, self.role_since, self.leader = Role.PRE_CANDIDATE, now, ""
+        self.role, self.role_since_ms, self.leader = Role.PRE_CANDIDATE, now_ms, ""
         self.votes = {self.name}
         self.send_to_other_voters(PreVoteRequest(self.version))
-        self.count_pre_votes(now)
+        self.count_pre_votes(now_ms)
 
-    def count_pre_votes(self, now: float) -> None:
+    def count_pre_votes(self, now_ms: float) -> None:
         """Becomes a candidate once a majority would vote for this agent."""
         if is_majority(self.votes, self.voters()):
-            self.start_election(now)
+            self.start_election(now_ms)
 
-    def start_election(self, now: float) -> None:
+    def start_election(self, now_ms: float) -> None:
         """Votes for itself in a new term, on the disk first, and asks for the votes of the others."""
         term = self.next_own_term()
         if not self.save(term, self.version, self.body):
-            self.become_follower(now, "")
+            self.become_follower(now_ms, "")
             return
-        self.role, self.role_since, self.campaign_term = Role.CANDIDATE, now, term
+        self.role, self.role_since_ms, self.campaign_term = Role.CANDIDATE, now_ms, term
         self.votes = {self.name}
         self.newest_version, self.newest_body = self.version, self.body
         self.send_to_other_voters(VoteRequest(term))
-        self.count_votes(now)
+        self.count_votes(now_ms)
 
     def next_own_term(self) -> int:
         """The lowest term above all that were seen that only this agent may use."""
@@ -264,7 +264,7 @@
         index = self.members().index(self.name) % TERMS_PER_ROUND
         return (completed_rounds + 1) * TERMS_PER_ROUND + index
 
-    def count_votes(self, now: float) -> None:
+    def count_votes(self, now_ms: float) -> None:
         """With a majority, writes the newest record among the votes anew, under our term."""
         electorates = self.voters(), self.newest_body["voters"]
         if not all(self.identities.is_quorum(self.votes, voters) for voters in electorates):
@@ -272,16 +272,16 @@
         self.progress = ReplicationProgress(self.name, self.identities)
         self.progress.require(*electorates)
         if not self.save(self.campaign_term, (self.campaign_term, 1), self.newest_body):
-            self.become_follower(now, "")
+            self.become_follower(now_ms, "")
             return
-        self.role, self.role_since, self.leader = Role.ELECTED, now, self.name
-        self.actions.on_appended(now)
-        self.replicate(now)
-        self.commit_if_replicated(now)
+        self.role, self.role_since_ms, self.leader = Role.ELECTED, now_ms, self.name
+        self.actions.on_appended(now_ms)
+        self.replicate(now_ms)
+        self.commit_if_replicated(now_ms)
 
     # -- leading
 
-    def propose(self, now: float, body: RecordBody) -> bool:
+    def propose(self, now_ms: float, body: RecordBody) -> bool:
         """Writes the next record; `on_committed` tells when a majority has it.
 
         False where this agent does not lead, its last proposal is not committed yet, or its store failed.
@@ -293,39 +293,39 @@
         if sum(before.get(name) != after.get(name) for name in before.keys() | after.keys()) > 1:
             raise ValueError("voters change one at a time")
         if not self.save(self.campaign_term, (self.campaign_term, self.version[1] + 1), body):
-            self.step_down(now, "the store failed")  # another agent's may work
+            self.step_down(now_ms, "the store failed")  # another agent's may work
             return False
         self.progress.require(before, after)
-        self.replicate(now)
-        self.commit_if_replicated(now)
+        self.replicate(now_ms)
+        self.commit_if_replicated(now_ms)
         return True
 
-    def replicate(self, now: float) -> None:
+    def replicate(self, now_ms: float) -> None:
         """A heartbeat to every other member, with the record for those that have not acknowledged it."""
-        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL
+        self.next_heartbeat_at_ms = now_ms + HEARTBEAT_INTERVAL_MS
         heartbeat = Heartbeat(self.campaign_term, self.version, self.committed)
         append = AppendRecord(self.campaign_term, self.version, self.committed, self.body)
         for name in self.body["members"]:
             if name != self.name:
                 self.send(name, heartbeat if self.progress.has(name, self.version) else append)
 
-    def commit_if_replicated(self, now: float) -> None:
+    def commit_if_replicated(self, now_ms: float) -> None:
         """Whether the record that was written last is committed now; once, the first in a term elects us."""
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
         self.actions.note("record_committed", term=self.version[0], revision=self.version[1])
         if self.role != Role.ELECTED:
-            self.actions.on_committed(now)
+            self.actions.on_committed(now_ms)
             return
-        self.role, self.role_since = Role.LEADER, now
+        self.role, self.role_since_ms = Role.LEADER, now_ms
         self.actions.note(
             "leader_elected",
             term=self.campaign_term,
             took_over=list(self.newest_version),
             voters=len(self.voters()),
         )
-        self.actions.on_elected(now)
+        self.actions.on_elected(now_ms)
 
     def find_voter_update(self, voters: Mapping[str, str], members: Iterable[str]) -> tuple[str, str] | None:
         """One voter whose store is not the one listed in `voters`, or one member that may become a voter.
@@ -346,7 +346,7 @@
 
     # -- messages
 
-    def receive(self, now: float, sender: str, encoded: EncodedMessage) -> None:
+    def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
         """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
         self.identities.stated[sender] = sender_store(encoded)
         try:
@@ -356,39 +356,39 @@
             return
         match message:
             case PreVoteRequest():
-                self.on_pre_vote_request(now, sender)
+                self.on_pre_vote_request(now_ms, sender)
             case PreVoteResponse():
-                self.on_pre_vote_response(now, sender, message)
+                self.on_pre_vote_response(now_ms, sender, message)
             case VoteRequest():
-                self.on_vote_request(now, sender, message)
+                self.on_vote_request(now_ms, sender, message)
             case VoteGranted():
-                self.on_vote_granted(now, sender, message)
+                self.on_vote_granted(now_ms, sender, message)
             case Rejected():
-                self.on_rejected(now, sender, message)
+                self.on_rejected(now_ms, sender, message)
             case Heartbeat() | AppendRecord():
-                self.on_append(now, sender, message)
+                self.on_append(now_ms, sender, message)
             case Acknowledge():
-                self.on_acknowledge(now, sender, message)
+                self.on_acknowledge(now_ms, sender, message)
             case InstallSnapshot():
-                self.on_install_snapshot(now, sender, message)
+                self.on_install_snapshot(now_ms, sender, message)
 
-    def on_pre_vote_request(self, now: float, sender: str) -> None:
+    def on_pre_vote_request(self, now_ms: float, sender: str) -> None:
         """Granted where no leader was heard for a while; whoever is no member learns so from the record."""
         if not self.is_member(sender):
             self.send(sender, InstallSnapshot(self.version, self.body))
             return
-        granted = self.role != Role.LEADER and now - self.leader_heard_at >= PRE_VOTE_SILENCE
+        granted = self.role != Role.LEADER and now_ms - self.leader_heard_at_ms >= PRE_VOTE_SILENCE_MS
         self.send(sender, PreVoteResponse(granted, self.promised_term))
 
-    def on_pre_vote_response(self, now: float, sender: str, message: PreVoteResponse) -> None:
+    def on_pre_vote_response(self, now_ms: float, sender: str, message: PreVoteResponse) -> None:
         """Counts a pre-vote, and remembers the voter's term so that ours will be higher."""
         if self.role != Role.PRE_CANDIDATE or not message.granted or not self.is_counted(sender):
             return
         self.votes.add(sender)
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
-        self.count_pre_votes(now)
+        self.count_pre_votes(now_ms)
 
-    def on_vote_request(self, now: float, sender: str, message: VoteRequest) -> None:
+    def on_vote_request(self, now_ms: float, sender: str, message: VoteRequest) -> None:
         """Votes in a higher term; a request that came twice is answered twice."""
         if message.term < self.promised_term:
             self.send(sender, Rejected(message.term, self.promised_term))
@@ -397,26 +397,26 @@
             if not self.save(message.term, self.version, self.body):
                 return
             if self.role != Role.FOLLOWER:
-                self.step_down(now, f"{sender} stands for a higher term")
-            self.become_follower(now, "")
+                self.step_down(now_ms, f"{sender} stands for a higher term")
+            self.become_follower(now_ms, "")
         self.send(sender, VoteGranted(message.term, self.version, self.body))
 
-    def on_vote_granted(self, now: float, sender: str, message: VoteGranted) -> None:
+    def on_vote_granted(self, now_ms: float, sender: str, message: VoteGranted) -> None:
         """Counts a vote, and keeps the newest record among the votes."""
         if self.role != Role.CANDIDATE or message.term != self.campaign_term:
             return
         if message.version > self.newest_version:
             self.newest_version, self.newest_body = message.version, message.body
         self.votes.add(sender)
-        self.count_votes(now)
+        self.count_votes(now_ms)
 
-    def on_rejected(self, now: float, sender: str, message: Rejected) -> None:
+    def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
         """A voter has voted in a higher term than ours."""
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         if self.role != Role.FOLLOWER and message.term == self.campaign_term:
-            self.step_down(now, f"{sender} has promised a higher term")
+            self.step_down(now_ms, f"{sender} has promised a higher term")
 
-    def on_append(self, now: float, sender: str, message: Heartbeat | AppendRecord) -> None:
+    def on_append(self, now_ms: float, sender: str, message: Heartbeat | AppendRecord) -> None:
         """Follows the leader of a term that is not lower than our vote, and acknowledges its record."""
         if message.term < self.promised_term:
             self.send(sender, Rejected(message.term, self.promised_term))
@@ -424,12 +424,12 @@
         if not self.save_appended(message):
             return
         if self.role != Role.FOLLOWER:
-            self.step_down(now, f"{sender} drives under a higher term")
+            self.step_down(now_ms, f"{sender} drives under a higher term")
         if self.leader != sender:
             self.actions.note("leader_followed", driver=sender, term=message.term)
-        self.become_follower(now, sender)
+        self.become_follower(now_ms, sender)
         self.committed = message.committed
-        self.actions.on_appended(now)
+        self.actions.on_appended(now_ms)
         self.send(sender, Acknowledge(message.term, self.version))
 
     def save_appended(self, message: Heartbeat | AppendRecord) -> bool:
@@ -440,17 +440,17 @@
             return self.save(message.term, self.version, self.body)
         return True
 
-    def on_acknowledge(self, now: float, sender: str, message: Acknowledge) -> None:
+    def on_acknowledge(self, now_ms: float, sender: str, message: Acknowledge) -> None:
         """A member has a record of our term on its disk."""
         if self.role in LEADING and message.term == self.campaign_term:
-            self.progress.record_answer(now, sender, message.version)
-            self.commit_if_replicated(now)
+            self.progress.record_answer(now_ms, sender, message.version)
+            self.commit_if_replicated(now_ms)
 
-    def on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
+    def on_install_snapshot(self, now_ms: float, sender: str, message: InstallSnapshot) -> None:
         """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
         if message.version > self.version and self.save(self.promised_term, message.version, message.body):
             self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
-            self.actions.on_appended(now)
+            self.actions.on_appended(now_ms)
 
     # -- for tools
 
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -34,9 +34,9 @@
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
 from vetchford.fleet.tool_requests import Answer, ToolRequests
 
-MAX_ORDER_AGE = 3000.0  # ms since the report that an order rests on: six rounds of a busy site
+MAX_ORDER_AGE_MS = 3000.0  # ms since the report that an order rests on: six rounds of a busy site
 MAX_KNOWN_REPORTS = 16  # numbers of our reports; older ones are over MAX_ORDER_AGE
-STOPPED_AFTER = 1500.0  # ms between two ticks after which this process was stopped, not busy
+STOPPED_AFTER_MS = 1500.0  # ms between two ticks after which this process was stopped, not busy
 
 RECORD_NAME = "newest"  # under which the store has the record
 CONTROLS_KIND = "orders"  # of the store's records of controls
@@ -71,20 +71,20 @@
         seed: int,
         store: str,
         founding: EncodedRecord,
-        now: float,
+        now_ms: float,
         incarnation: int,
     ) -> None:
         """`store`: the identity of the agent's store; `incarnation`: counts its starts."""
         self.actions, self.name, self.incarnation = actions, name, incarnation
-        self.record = ReplicatedRecord(self, name, seed, store, founding, now)
+        self.record = ReplicatedRecord(self, name, seed, store, founding, now_ms)
         self.controls = RolloutControls(name)
         self.controller: FleetRolloutController | None = None  # while this agent leads
         self.tool_requests = ToolRequests(self)
-        self.reports_sent_at: dict[int, float] = {}  # by number; the oldest go
-        self.polls_sent_at: dict[int, float] = {}  # by number; removed as they are answered or grow old
+        self.reports_sent_at_ms: dict[int, float] = {}  # by number; the oldest go
+        self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed as they are answered or grow old
         self.wait_reasons: dict[str, str] = {}  # of rollouts, as the leader told last
         self.unfinished: set[str] = set()  # rollouts of the record that have not ended
-        self.last_tick_at = now
+        self.last_tick_at_ms = now_ms
 
     def restore(self, kind: str, name: str, body: Any) -> None:
         """One stored record, at the start of the agent."""
@@ -96,18 +96,20 @@
 
     # -- time
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Called about ten times a second."""
-        gap, self.last_tick_at = now - self.last_tick_at, now
-        if gap > STOPPED_AFTER:
-            self.actions.note("process_stalled", ms=round(gap))
-            self.record.on_process_stopped(now, gap)
-        self.record.tick(now)
+        gap_ms, self.last_tick_at_ms = now_ms - self.last_tick_at_ms, now_ms
+        if gap_ms > STOPPED_AFTER_MS:
+            self.actions.note("process_stalled", ms=round(gap_ms))
+            self.record.on_process_stopped(now_ms, gap_ms)
+        self.record.tick(now_ms)
         if self.controller is not None:
-            self.controller.tick(now)
-        for number in [number for number, at in self.polls_sent_at.items() if now - at > MAX_ORDER_AGE]:
-            del self.polls_sent_at[number]
-        self.tool_requests.tick(now)
+            self.controller.tick(now_ms)
+        for number in [
+            number for number, at in self.polls_sent_at_ms.items() if now_ms - at > MAX_ORDER_AGE_MS
+        ]:
+            del self.polls_sent_at_ms[number]
+        self.tool_requests.tick(now_ms)
 
     # -- actions of the replicated record
 
@@ -119,23 +121,23 @@
         """Stores the record; OSError where the store fails."""
         self.actions.keep(RECORD_KIND, RECORD_NAME, stored)
 
-    def on_elected(self, now: float) -> None:
+    def on_elected(self, now_ms: float) -> None:
         """This agent leads from now on."""
         self.controller = FleetRolloutController(self, self.name, self.record.body, self.controls)
-        self.controller.tick(now)
+        self.controller.tick(now_ms)
 
-    def on_committed(self, now: float) -> None:
+    def on_committed(self, now_ms: float) -> None:
         """Learns first: a pause that stands in the record is a control from now on."""
         self.learn_from_record()
         if self.controller is not None:
-            self.controller.on_committed(now, self.record.body)
+            self.controller.on_committed(now_ms, self.record.body)
 
-    def on_deposed(self, now: float, why: str) -> None:
+    def on_deposed(self, now_ms: float, why: str) -> None:
         """This agent no longer leads."""
         self.controller = None
-        self.polls_sent_at.clear()
+        self.polls_sent_at_ms.clear()
 
-    def on_appended(self, now: float) -> None:
+    def on_appended(self, now_ms: float) -> None:
         """The record may be a newer one."""
         self.learn_from_record()
 
@@ -162,7 +164,7 @@
         """Asks a member, perhaps this agent, for a report."""
         if self.controller is None:
             return  # deposed by what an earlier answer of this round led to
-        self.polls_sent_at[number] = self.last_tick_at
+        self.polls_sent_at_ms[number] = self.last_tick_at_ms
         request = ReportRequest(
             number,
             self.record.campaign_term,
@@ -170,7 +172,7 @@
             self.controller.wait_reasons,
         )
         if agent == self.name:
-            self.on_report_request(self.last_tick_at, self.name, request)
+            self.on_report_request(self.last_tick_at_ms, self.name, request)
         else:
             self.send(agent, request)
 
@@ -180,13 +182,13 @@
             return
         order = StepOrder(number, self.record.campaign_term, self.record.committed[1], step)
         if agent == self.name:
-            self.on_step_order(self.last_tick_at, self.name, order)
+            self.on_step_order(self.last_tick_at_ms, self.name, order)
         else:
             self.send(agent, order)
 
-    def propose(self, now: float, body: EncodedRecord) -> bool:
+    def propose(self, now_ms: float, body: EncodedRecord) -> bool:
         """Proposes the next record."""
-        return self.record.propose(now, body)
+        return self.record.propose(now_ms, body)
 
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
         """A voter to list in a record, and its store's identity."""
@@ -198,10 +200,10 @@
         """Sends a message to the coordinator of another agent; it may be lost."""
         self.actions.post(to, message.KIND, encode_message(message))
 
-    def receive(self, now: float, sender: str, kind: str, body: Any) -> None:
+    def receive(self, now_ms: float, sender: str, kind: str, body: Any) -> None:
         """A message of another agent; MalformedMessageError and its like where it can't be read."""
         if kind == RECORD_KIND:
-            self.record.receive(now, sender, body)
+            self.record.receive(now_ms, sender, body)
             return
         try:
             message = decode_message(sender, kind, body)
@@ -210,15 +212,15 @@
             return
         match message:
             case ReportRequest():
-                self.on_report_request(now, sender, message)
+                self.on_report_request(now_ms, sender, message)
             case ReportResponse():
-                self.on_report_response(now, sender, message)
+                self.on_report_response(now_ms, sender, message)
             case StepOrder():
-                self.on_step_order(now, sender, message)
+                self.on_step_order(now_ms, sender, message)
             case ControlsUpdate():
                 self.merge_controls(message.controls)
             case ForwardedRequest():
-                self.tool_requests.on_forwarded_request(now, sender, message)
+                self.tool_requests.on_forwarded_request(now_ms, sender, message)
             case ForwardedAnswer():
                 self.tool_requests.on_forwarded_answer(sender, message)
 
@@ -226,35 +228,35 @@
         """Whether it leads in the highest term that this agent has voted in."""
         return term == self.record.promised_term and sender in (self.name, self.record.leader)
 
-    def on_report_request(self, now: float, sender: str, message: ReportRequest) -> None:
+    def on_report_request(self, now_ms: float, sender: str, message: ReportRequest) -> None:
         """Reports to the leader; one that was deposed learns so from the record's messages."""
         if not self.is_current_leader(sender, message.term):
             return
         self.wait_reasons = dict(message.wait_reasons)
         self.merge_controls(message.controls)
-        self.reports_sent_at[message.number] = now
-        while len(self.reports_sent_at) > MAX_KNOWN_REPORTS:
-            del self.reports_sent_at[next(iter(self.reports_sent_at))]
+        self.reports_sent_at_ms[message.number] = now_ms
+        while len(self.reports_sent_at_ms) > MAX_KNOWN_REPORTS:
+            del self.reports_sent_at_ms[next(iter(self.reports_sent_at_ms))]
         report: Any = self.actions.report(self.unfinished)
         response = ReportResponse(message.number, message.term, report, self.controls.encoded())
         if sender == self.name:
-            self.on_report_response(now, self.name, response)
+            self.on_report_response(now_ms, self.name, response)
         else:
             self.send(sender, response)
 
-    def on_report_response(self, now: float, sender: str, message: ReportResponse) -> None:
+    def on_report_response(self, now_ms: float, sender: str, message: ReportResponse) -> None:
         """A report that was asked for in this term."""
-        requested_at = self.polls_sent_at.pop(message.number, None)
+        requested_at = self.polls_sent_at_ms.pop(message.number, None)
         if self.controller is None or requested_at is None or message.term != self.record.campaign_term:
             return
         self.merge_controls(message.controls)
         report: Any = message.report
-        self.controller.receive_report(now, sender, message.number, requested_at, report)
+        self.controller.receive_report(now_ms, sender, message.number, requested_at, report)
 
-    def on_step_order(self, now: float, sender: str, order: StepOrder) -> None:
+    def on_step_order(self, now_ms: float, sender: str, order: StepOrder) -> None:
         """Carries out a step, or logs why not."""
         step = order.step
-        refusal = self.find_refusal(now, sender, order) or self.actions.begin_step(step)
+        refusal = self.find_refusal(now_ms, sender, order) or self.actions.begin_step(step)
         if refusal:
             self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
@@ -269,12 +271,12 @@
             driver=sender,
         )
 
-    def find_refusal(self, now: float, sender: str, order: StepOrder) -> str:
+    def find_refusal(self, now_ms: float, sender: str, order: StepOrder) -> str:
         """Why an order must not be carried out; empty where it may."""
         if not self.is_current_leader(sender, order.term):
             return f"term {order.term} of {sender}, promised {self.record.promised_term}"
-        report_sent_at = self.reports_sent_at.get(order.number)
-        if report_sent_at is None or now - report_sent_at > MAX_ORDER_AGE:
+        report_sent_at_ms = self.reports_sent_at_ms.get(order.number)
+        if report_sent_at_ms is None or now_ms - report_sent_at_ms > MAX_ORDER_AGE_MS:
             return "it rests on a report that is old"
         control = self.controls.active(order.step.rollout_id)
         return f"{control.kind}: {control.reason}" if control.kind else ""
@@ -303,9 +305,9 @@
 
     # -- tools
 
-    def request(self, now: float, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
+    def request(self, now_ms: float, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
         """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT`.
 
         RefusedError for one that is refused at once.
         """
-        self.tool_requests.request(now, request, reply)
+        self.tool_requests.request(now_ms, request, reply)
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -35,7 +35,7 @@
 log = structlog.get_logger()
 
 REFUTATIONS_PER_INCARNATION = 1 << 20  # numbers for suspicions that are denied: one a second lasts 12 days
-DISPUTE_WINDOW = 60_000.0  # ms
+DISPUTE_WINDOW_MS = 60_000.0  # ms
 MAX_INCARNATIONS_RAISED = 5  # in that window, as others knew a later one: then two machines have this name
 
 # What other agents can provoke is logged ever more rarely.
@@ -69,9 +69,9 @@
         self.incarnation, self.store_identity = next_incarnation(stored)
         self.nonce = draw_nonce()
         self.save_self()
-        self.incarnation_raised_at: list[float] = []  # within DISPUTE_WINDOW
+        self.incarnation_raised_at_ms: list[float] = []  # within DISPUTE_WINDOW
         agents: dict[str, str] = settings["agents"]
-        seed, now = zlib.crc32(settings["fleet"].encode()), self.now()
+        seed, now_ms = zlib.crc32(settings["fleet"].encode()), self.now()
         self.transport = Transport(
             actor,
             self,
@@ -88,7 +88,7 @@
             seed + self.incarnation,
             self.detector_incarnation(),
             fixed_members=True,
-            now=now,
+            now_ms=now_ms,
         )
         self.coordinator = FleetCoordinator(
             self,
@@ -96,7 +96,7 @@
             seed,
             self.store_identity,
             founding_record(list(agents)),
-            now,
+            now_ms,
             self.incarnation,
         )
         self.restore(stored)
@@ -120,10 +120,10 @@
 
     def tick(self) -> None:
         """Called about ten times a second."""
-        now = self.now()
+        now_ms = self.now()
         self.transport.tick()
-        self.failure_detector.tick(now)
-        self.coordinator.tick(now)
+        self.failure_detector.tick(now_ms)
+        self.coordinator.tick(now_ms)
 
     def save_self(self) -> None:
         """Stores this agent's incarnation; OSError where the store fails."""
@@ -170,21 +170,21 @@
 
         Our store is an old copy or empty, or two machines use the name.
         """
-        now = self.now()
-        recent = [at for at in self.incarnation_raised_at if now - at < DISPUTE_WINDOW]
-        self.incarnation_raised_at = recent
+        now_ms = self.now()
+        recent = [at for at in self.incarnation_raised_at_ms if now_ms - at < DISPUTE_WINDOW_MS]
+        self.incarnation_raised_at_ms = recent
         if len(recent) >= MAX_INCARNATIONS_RAISED:
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
-        recent.append(now)
-        self.raise_incarnation(now, life)
+        recent.append(now_ms)
+        self.raise_incarnation(now_ms, life)
 
-    def raise_incarnation(self, now: float, known: int) -> None:
+    def raise_incarnation(self, now_ms: float, known: int) -> None:
         """Begins an incarnation above `known`, with a new identity of the store."""
         before = self.incarnation, self.store_identity
         self.incarnation, self.nonce = max(known, self.incarnation) + 1, draw_nonce()
         # The store's votes may be lost: votes of this agent count once the record lists its new identity.
-        self.coordinator.record.replace_store(now, uuid.uuid4().hex)
+        self.coordinator.record.replace_store(now_ms, uuid.uuid4().hex)
         self.store_identity = self.coordinator.record.store
         try:
             self.save_self()
--- a/vetchford/fleet/coordinator_messages.py
+++ b/vetchford/fleet/coordinator_messages.py
@@ -46,7 +46,7 @@
     rollout_id: Any = msgspec.field(name="span")
     kind: str
     name: str  # of the instance
-    soak: Any  # ms
+    minimum_ready_ms: Any = msgspec.field(name="soak")
     version: Any
 
 
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -15,14 +15,16 @@
 from vetchford.fleet.membership import Member, Membership, MembershipActions, MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 
-PROBE_INTERVAL = 1000.0  # ms: each agent is probed about once in it by somebody
-PROBE_TIMEOUT = 300.0  # ms: on one site's network a few are usual, a busy agent takes some tens
+PROBE_INTERVAL_MS = 1000.0  # ms: each agent is probed about once in it by somebody
+PROBE_TIMEOUT_MS = 300.0  # ms: on one site's network a few are usual, a busy agent takes some tens
 INDIRECT_PROBES = 3  # agents asked to probe in our place: at 5 % loss all of four ways fail in 1 of 10,000
 SUSPICION_PERIODS = 3.0  # probe intervals, times `group_scale`, until a suspect is unreachable
 MAX_HEALTH_PENALTY = 4  # an agent that hears nobody is likely the trouble itself: waits up to 5 times as long
-UNREACHABLE_RETENTION = 120_000.0  # ms that they are kept, and probed now and then in case a split has healed
+UNREACHABLE_RETENTION_MS = (
+    120_000.0  # ms that they are kept, and probed now and then in case a split has healed
+)
 UNREACHABLE_PROBE_PERIODS = 5  # probe intervals between two such probes
-STOPPED_AFTER = 1500.0  # ms between two calls of `tick`: fifteen were missed, this process was stopped
+STOPPED_AFTER_MS = 1500.0  # ms between two calls of `tick`: fifteen were missed, this process was stopped
 
 PING, ACK, PING_REQUEST = "ping", "ack", "ask"  # kinds of messages, as they are sent
 
@@ -39,8 +41,8 @@
     """A ping that waits for its ack."""
 
     target: str
-    indirect_at: float  # then others are asked to probe
-    expires_at: float  # then the target is suspected
+    indirect_at_ms: float  # then others are asked to probe
+    expires_at_ms: float  # then the target is suspected
     is_indirect: bool = False
     requester: str = ""  # the agent in whose place we probe
     requester_number: int = 0  # of the requester's own probe
@@ -57,7 +59,7 @@
         seed: int,
         incarnation: int = 0,
         fixed_members: bool = False,
-        now: float = 0.0,
+        now_ms: float = 0.0,
     ) -> None:
         """`incarnation`: higher at each start of this agent, or what was said of it before would hold.
 
@@ -65,12 +67,12 @@
         of it.
         """
         self.actions, self.name, self.seed, self.draws = actions, name, seed, 0
-        self.membership = Membership(actions, name, others, incarnation, fixed_members, now)
-        self.last_tick_at = now
+        self.membership = Membership(actions, name, others, incarnation, fixed_members, now_ms)
+        self.last_tick_at_ms = now_ms
         self.health_penalty = 0  # one more for each failed probe, one less for each that succeeds
         self.probes: dict[int, Probe] = {}  # by number; removed as they are answered or expire
         self.probe_order: list[str] = []  # the last one is next; filled anew when it is empty
-        self.last_number, self.next_probe_at, self.periods = 0, 0.0, 0
+        self.last_number, self.next_probe_at_ms, self.periods = 0, 0.0, 0
 
     def draw(self, count: int) -> int:
         """Below `count`; by seed, name and number of draws alone, so that a simulation can be repeated."""
@@ -79,43 +81,45 @@
 
     # -- time
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Called ten times a second or more often."""
-        gap, self.last_tick_at = now - self.last_tick_at, now
-        if gap > STOPPED_AFTER:
-            self.shift_deadlines(gap)
+        gap_ms, self.last_tick_at_ms = now_ms - self.last_tick_at_ms, now_ms
+        if gap_ms > STOPPED_AFTER_MS:
+            self.shift_deadlines(gap_ms)
         for number, probe in list(self.probes.items()):
-            self.check_probe(now, number, probe)
+            self.check_probe(now_ms, number, probe)
         for name, member in list(self.membership.members.items()):
-            self.check_member(now, name, member)
-        if now >= self.next_probe_at:
-            self.next_probe_at = max(self.next_probe_at + PROBE_INTERVAL, now + 0.5 * PROBE_INTERVAL)
-            self.start_probes(now)
-
-    def shift_deadlines(self, gap: float) -> None:
+            self.check_member(now_ms, name, member)
+        if now_ms >= self.next_probe_at_ms:
+            self.next_probe_at_ms = max(
+                self.next_probe_at_ms + PROBE_INTERVAL_MS, now_ms + 0.5 * PROBE_INTERVAL_MS
+            )
+            self.start_probes(now_ms)
+
+    def shift_deadlines(self, gap_ms: float) -> None:
         """This process was stopped for `gap`: nobody else is late because of it."""
         for member in self.membership.members.values():
-            member.since += gap
+            member.since_ms += gap_ms
         for probe in self.probes.values():
-            probe.indirect_at += gap
-            probe.expires_at += gap
+            probe.indirect_at_ms += gap_ms
+            probe.expires_at_ms += gap_ms
 
-    def check_probe(self, now: float, number: int, probe: Probe) -> None:
+    def check_probe(self, now_ms: float, number: int, probe: Probe) -> None:
         """Asks others to probe, and then suspects the target, as time passes without an ack."""
-        if now >= probe.expires_at:
+        if now_ms >= probe.expires_at_ms:
             del self.probes[number]
             if not probe.requester:
-                self.fail_probe(now, probe)
-        elif now >= probe.indirect_at and not probe.is_indirect and not probe.requester:
+                self.fail_probe(now_ms, probe)
+        elif now_ms >= probe.indirect_at_ms and not probe.is_indirect and not probe.requester:
             probe.is_indirect = True
             self.request_indirect_probes(number, probe.target)
 
-    def fail_probe(self, now: float, probe: Probe) -> None:
+    def fail_probe(self, now_ms: float, probe: Probe) -> None:
         """Nobody has reached the target."""
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         member = self.membership.members.get(probe.target)
         if member is not None and member.state == MemberState.ALIVE:
-            self.membership.apply_update(now, (probe.target, MemberState.SUSPECT, member.incarnation))
+            self.membership.apply_update(now_ms, (probe.target, MemberState.SUSPECT, member.incarnation))
 
     def request_indirect_probes(self, number: int, target: str) -> None:
         """Asks a few agents, drawn by chance, to probe in our place."""
@@ -124,23 +128,23 @@
             helper = others.pop(self.draw(len(others)))
             self.send(helper, PING_REQUEST, number, target)
 
-    def check_member(self, now: float, name: str, member: Member) -> None:
+    def check_member(self, now_ms: float, name: str, member: Member) -> None:
         """Ends a suspicion that nobody refuted, and forgets who was unreachable for long."""
-        age = now - member.since
+        age_ms = now_ms - member.since_ms
         if member.state == MemberState.SUSPECT:
             periods = SUSPICION_PERIODS * self.membership.group_scale() * (1 + 0.5 * self.health_penalty)
-            if age >= PROBE_INTERVAL * periods:
-                self.membership.apply_update(now, (name, MemberState.UNREACHABLE, member.incarnation))
+            if age_ms >= PROBE_INTERVAL_MS * periods:
+                self.membership.apply_update(now_ms, (name, MemberState.UNREACHABLE, member.incarnation))
         elif (
             member.state == MemberState.UNREACHABLE
-            and age >= UNREACHABLE_RETENTION
+            and age_ms >= UNREACHABLE_RETENTION_MS
             and not self.membership.fixed
         ):
             self.membership.forget(name)
 
     # -- probes
 
-    def start_probes(self, now: float) -> None:
+    def start_probes(self, now_ms: float) -> None:
         """The probe of this interval, and now and then one of an unreachable agent."""
         self.periods += 1
         if self.periods % UNREACHABLE_PROBE_PERIODS == 0:
@@ -148,9 +152,9 @@
         target = self.next_target()
         if target:
             self.last_number += 1
-            timeout = PROBE_TIMEOUT * (1 + self.health_penalty)
-            expires_at = now + max(PROBE_INTERVAL, 2.5 * timeout)
-            self.probes[self.last_number] = Probe(target, now + timeout, expires_at)
+            timeout_ms = PROBE_TIMEOUT_MS * (1 + self.health_penalty)
+            expires_at_ms = now_ms + max(PROBE_INTERVAL_MS, 2.5 * timeout_ms)
+            self.probes[self.last_number] = Probe(target, now_ms + timeout_ms, expires_at_ms)
             self.send(target, PING, self.last_number)
 
     def ping_unreachable(self) -> None:
@@ -173,28 +177,28 @@
     # -- messages
 
     def receive(
-        self, now: float, sender: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]
+        self, now_ms: float, sender: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]
     ) -> None:
         """A datagram; `about` names the target of a PING_REQUEST.
 
         KeyError or ValueError for a state that is none.
         """
         for update in updates:
-            self.membership.apply_update(now, update)
+            self.membership.apply_update(now_ms, update)
         if sender not in self.membership.members and not self.membership.fixed:
-            self.membership.apply_update(now, (sender, MemberState.ALIVE, 0))
+            self.membership.apply_update(now_ms, (sender, MemberState.ALIVE, 0))
         if kind == PING:
             self.send(sender, ACK, number)
         elif kind == PING_REQUEST and about in self.membership.members:
-            self.probe_for(now, sender, number, about)
+            self.probe_for(now_ms, sender, number, about)
         elif kind == ACK:
             self.on_ack(number)
 
-    def probe_for(self, now: float, requester: str, number: int, target: str) -> None:
+    def probe_for(self, now_ms: float, requester: str, number: int, target: str) -> None:
         """Probes in the place of another agent."""
         self.last_number += 1
-        expires_at = now + PROBE_INTERVAL
-        self.probes[self.last_number] = Probe(target, math.inf, expires_at, False, requester, number)
+        expires_at_ms = now_ms + PROBE_INTERVAL_MS
+        self.probes[self.last_number] = Probe(target, math.inf, expires_at_ms, False, requester, number)
         self.send(target, PING, self.last_number)
 
     def on_ack(self, number: int) -> None:
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -65,8 +65,8 @@
         "version": "version",
         "batch": "batch",
         "floor": "minimum_available",
-        "spacing": "start_interval",
-        "soak": "soak",
+        "spacing": "start_spacing_ms",
+        "soak": "minimum_ready_ms",
         "on_failure": "on_failure",
         "state": "state",
         "why": "reason",
@@ -85,8 +85,8 @@
     version: str
     batch: int  # most steps that are in progress at once
     minimum_available: int  # instances of `groups` that must serve at any time
-    start_interval: float  # between the starts of two steps
-    soak: float  # an instance must serve for this long before its step is done
+    start_spacing_ms: float  # between the starts of two steps
+    minimum_ready_ms: float  # an instance must serve for this long before its step is done
     on_failure: str
     groups: list[str]
     steps: dict[str, StepState]
--- a/vetchford/fleet/local_steps.py
+++ b/vetchford/fleet/local_steps.py
@@ -8,7 +8,7 @@
 from vetchford.fleet.rollout_controller import RolloutController
 
 
-def begin_step(local: RolloutController, now: float, step: Step) -> str:
+def begin_step(local: RolloutController, now_ms: float, step: Step) -> str:
     """Starts a step, or resumes one that a failed store has paused; empty, or why it was refused.
 
     The same step again changes nothing, as its id is that of the local rollout.
@@ -18,12 +18,12 @@
         step.kind,
         [step.name],
         version=str(step.version),
-        minimum_ready_ms=float(step.soak),
+        minimum_ready_ms=float(step.minimum_ready_ms),
         on_failure="go_on",
     )
     try:
-        if local.submit(now, rollout).state == RolloutState.PAUSED:
-            local.resume(now, rollout.id)
+        if local.submit(now_ms, rollout).state == RolloutState.PAUSED:
+            local.resume(now_ms, rollout.id)
     except (RefusedError, OSError) as problem:
         return str(problem)
     return ""
--- a/vetchford/fleet/membership.py
+++ b/vetchford/fleet/membership.py
@@ -41,7 +41,7 @@
 
     state: MemberState
     incarnation: int
-    since: float
+    since_ms: float
 
 
 NO_MEMBER = Member(MemberState.ALIVE, -1, 0.0)  # before the first update of an agent that is not known yet
@@ -57,11 +57,11 @@
         others: Iterable[str],
         incarnation: int,
         fixed: bool,
-        now: float,
+        now_ms: float,
     ) -> None:
         """`fixed`: only `others` are ever known, none is forgotten, and none is alive before a message."""
         self.actions, self.name, self.incarnation, self.fixed = actions, name, incarnation, fixed
-        first = Member(MemberState.SUSPECT, -1, now) if fixed else Member(MemberState.ALIVE, 0, 0.0)
+        first = Member(MemberState.SUSPECT, -1, now_ms) if fixed else Member(MemberState.ALIVE, 0, 0.0)
         self.members = {other: replace(first) for other in sorted(others) if other != name}
         self.updates = UpdateQueue()
         self.updates.add(name)
@@ -91,7 +91,7 @@
 
     # -- updates
 
-    def apply_update(self, now: float, update: MembershipUpdate) -> None:
+    def apply_update(self, now_ms: float, update: MembershipUpdate) -> None:
         """The higher incarnation wins, and within one the worse state.
 
         KeyError or ValueError for a state that is none.
@@ -108,8 +108,8 @@
         if incarnation == member.incarnation and not is_worse(state, member.state):
             return
         is_changed = name not in self.members or state != member.state
-        since = now if is_changed else member.since
-        self.members[name] = Member(MemberState(state), incarnation, since)
+        since_ms = now_ms if is_changed else member.since_ms
+        self.members[name] = Member(MemberState(state), incarnation, since_ms)
         self.updates.add(name)
         if is_changed:
             self.actions.on_state_changed(name, self.members[name].state)
--- a/vetchford/fleet/replication.py
+++ b/vetchford/fleet/replication.py
@@ -13,7 +13,7 @@
         """Start with no acknowledgement; `identities` are the stores that the members have reported."""
         self.own_name, self.identities = own_name, identities
         self.acknowledged: dict[str, RecordVersion] = {}  # newest version on the disk of each member
-        self.last_answer_at: dict[str, float] = {}
+        self.last_answer_at_ms: dict[str, float] = {}
         self.required_electorates: Sequence[Mapping[str, str]] = ()  # each must have a majority of its own
 
     def require(self, *electorates: Mapping[str, str]) -> None:
@@ -23,9 +23,9 @@
         """
         self.required_electorates = electorates
 
-    def record_answer(self, now: float, name: str, version: RecordVersion) -> None:
+    def record_answer(self, now_ms: float, name: str, version: RecordVersion) -> None:
         """A member answered under this leader's term and has `version`."""
-        self.last_answer_at[name] = now
+        self.last_answer_at_ms[name] = now_ms
         self.acknowledged[name] = version
 
     def has(self, name: str, version: RecordVersion) -> bool:
@@ -42,6 +42,6 @@
         listed = list(names)
         return all(self.identities.is_quorum(listed, voters) for voters in self.required_electorates)
 
-    def answering(self, now: float, within: float) -> set[str]:
+    def answering(self, now_ms: float, within: float) -> set[str]:
         """This agent and the members that answered less than `within` ms ago."""
-        return {name for name, at in self.last_answer_at.items() if now - at < within} | {self.own_name}
+        return {name for name, at in self.last_answer_at_ms.items() if now_ms - at < within} | {self.own_name}
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -71,45 +71,45 @@
                 reason = f"no longer in the settings: {', '.join(missing)}"
                 self.table.transition(rollout, RolloutState.FAILED, reason)
 
-    def on_process_found(self, now: float, name: str, version: str | None) -> None:
+    def on_process_found(self, now_ms: float, name: str, version: str | None) -> None:
         """Take in, once for each instance, the version that the process table shows, or None."""
-        self.manager.on_process_found(now, name, version)
+        self.manager.on_process_found(now_ms, name, version)
 
     # -- events
 
-    def on_health_check(self, now: float, name: str, healthy: bool) -> None:
+    def on_health_check(self, now_ms: float, name: str, healthy: bool) -> None:
         """Take in the result of one health check."""
-        self.manager.on_health_check(now, name, healthy)
-        self.reconcile(now)
+        self.manager.on_health_check(now_ms, name, healthy)
+        self.reconcile(now_ms)
 
-    def on_process_exit(self, now: float, name: str, status: int | None) -> None:
+    def on_process_exit(self, now_ms: float, name: str, status: int | None) -> None:
         """Take in the end of an instance's process; `status` is None if it is not known."""
-        self.manager.on_process_exit(now, name, status)
-        self.reconcile(now)
+        self.manager.on_process_exit(now_ms, name, status)
+        self.reconcile(now_ms)
 
-    def on_spawn_failed(self, now: float, name: str, reason: str) -> None:
+    def on_spawn_failed(self, now_ms: float, name: str, reason: str) -> None:
         """Take in that no process could be started for an instance."""
-        self.manager.on_spawn_failed(now, name, reason)
-        self.reconcile(now)
+        self.manager.on_spawn_failed(now_ms, name, reason)
+        self.reconcile(now_ms)
 
-    def on_tick(self, now: float) -> None:
+    def on_tick(self, now_ms: float) -> None:
         """Act on what is due; called several times a second."""
-        self.manager.on_tick(now)
-        self.reconcile(now)
+        self.manager.on_tick(now_ms)
+        self.reconcile(now_ms)
 
-    def reconcile(self, now: float) -> None:
+    def reconcile(self, now_ms: float) -> None:
         """Advance each active rollout; one whose records cannot be written is paused."""
         for rollout in list(self.rollouts.values()):
             if not rollout.active:
                 continue
             try:
-                self.executor.advance(now, rollout)
+                self.executor.advance(now_ms, rollout)
             except OSError as problem:
                 self.table.pause_without_record(rollout, f"the store failed: {problem}")
 
     # -- requests
 
-    def submit(self, now: float, rollout: Rollout) -> Rollout:
+    def submit(self, now_ms: float, rollout: Rollout) -> Rollout:
         """Begin a rollout; the same request with the same id again returns the one that it began.
 
         Raises RefusedError if it must not begin, OSError if it cannot be recorded.
@@ -120,7 +120,7 @@
         validate(rollout, self.manager, self.table)
         self._prepare(rollout)
         self.table.add(rollout)
-        self.reconcile(now)
+        self.reconcile(now_ms)
         self.table.prune()
         return rollout
 
@@ -147,7 +147,7 @@
             self.table.transition(rollout, RolloutState.PAUSED, reason)
         return rollout
 
-    def resume(self, now: float, id: str) -> Rollout:
+    def resume(self, now_ms: float, id: str) -> Rollout:
         """Go on in the direction it had; instances that failed are tried again.
 
         Raises RefusedError, OSError.
@@ -157,7 +157,7 @@
             self._retry_failed_steps(rollout)
             direction = RolloutState.ROLLING_BACK if rollout.rolling_back else RolloutState.RUNNING
             self.table.transition(rollout, direction, "asked to")
-            self.reconcile(now)
+            self.reconcile(now_ms)
         return rollout
 
     def _retry_failed_steps(self, rollout: Rollout) -> None:
@@ -169,7 +169,7 @@
                 rollout.steps[name] = StepState.PENDING
                 instance.restarts = 0
 
-    def abort(self, now: float, id: str) -> Rollout:
+    def abort(self, now_ms: float, id: str) -> Rollout:
         """End a rollout: what is out of service is started again as it is, and nothing more is taken out.
 
         Raises RefusedError, OSError; then it has not been aborted.
@@ -181,15 +181,15 @@
         self.table.transition(rollout, RolloutState.ABORTED, "asked to")
         if rollout.kind != RolloutKind.STOP:
             for name in out_of_service:
-                self._start_after_abort(now, self.instances[name])
+                self._start_after_abort(now_ms, self.instances[name])
         return rollout
 
-    def _start_after_abort(self, now: float, instance: Instance) -> None:
+    def _start_after_abort(self, now_ms: float, instance: Instance) -> None:
         instance.wanted = True
         if not instance.has_process:
-            self.manager.attempt_start(now, instance, "its change was aborted")
+            self.manager.attempt_start(now_ms, instance, "its change was aborted")
             return
         if instance.being_stopped:
-            instance.restart_at = now + RESTART_SOON_MS  # and its process has ended
+            instance.restart_at = now_ms + RESTART_SOON_MS  # and its process has ended
         with contextlib.suppress(OSError):  # the next of them must be started all the same
             self.manager.save(instance)
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -30,14 +30,14 @@
         self.manager = manager
         self.table = table
 
-    def advance(self, now: float, rollout: Rollout) -> None:
+    def advance(self, now_ms: float, rollout: Rollout) -> None:
         """Do whatever can be done now for an active rollout."""
         for name in rollout.targets:
             if rollout.steps[name] in STEPS_IN_PROGRESS:
-                self._follow(now, rollout, self.manager.instances[name])
+                self._follow(now_ms, rollout, self.manager.instances[name])
         if rollout.state == RolloutState.PAUSED:
             return
-        while self._take_out_next(now, rollout):
+        while self._take_out_next(now_ms, rollout):
             pass
         if all(step in STEPS_ENDED for step in rollout.steps.values()):
             self._finish(rollout)
@@ -53,13 +53,13 @@
 
     # -- taking one out of service
 
-    def _take_out_next(self, now: float, rollout: Rollout) -> bool:
+    def _take_out_next(self, now_ms: float, rollout: Rollout) -> bool:
         """Take one more instance out of service, if the limits of the rollout allow it; whether it did."""
-        instance = self._next_instance(now, rollout)
+        instance = self._next_instance(now_ms, rollout)
         if instance is None:
             return False
         if rollout.kind != RolloutKind.STOP:
-            self.table.next_start_at[rollout.id] = now + rollout.start_spacing_ms
+            self.table.next_start_at_ms[rollout.id] = now_ms + rollout.start_spacing_ms
         self.table.set_step(rollout, instance.name, StepState.OUT)
         instance.restarts = 0
         instance.restart_at = 0.0
@@ -71,16 +71,16 @@
         instance.wanted = rollout.kind != RolloutKind.STOP and not stays_down
         self.manager.save(instance)
         if rollout.kind != RolloutKind.START or stays_down:
-            self.manager.stop(now, instance, f"change {rollout.id}")
-        self._follow(now, rollout, instance)
+            self.manager.stop(now_ms, instance, f"change {rollout.id}")
+        self._follow(now_ms, rollout, instance)
         return True
 
-    def _next_instance(self, now: float, rollout: Rollout) -> Instance | None:
+    def _next_instance(self, now_ms: float, rollout: Rollout) -> Instance | None:
         """Return the instance to take out next; None if batch, spacing or minimum do not allow one now."""
         pending = rollout.names_in(StepState.PENDING)
         in_progress = rollout.names_in(*STEPS_IN_PROGRESS)
-        next_start_at = self.table.next_start_at.get(rollout.id, 0.0)
-        if not pending or len(in_progress) >= rollout.batch or now < next_start_at:
+        next_start_at_ms = self.table.next_start_at_ms.get(rollout.id, 0.0)
+        if not pending or len(in_progress) >= rollout.batch or now_ms < next_start_at_ms:
             return None
         counted = self.manager.in_groups_of(rollout.targets)
         if any(self.manager.instances[name].awaiting_first_check for name in counted):
@@ -100,17 +100,17 @@
 
     # -- watching those in progress
 
-    def _follow(self, now: float, rollout: Rollout, instance: Instance) -> None:
+    def _follow(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
         """Carry one instance in progress as far as it can go now."""
         if rollout.steps[instance.name] == StepState.OUT and not instance.being_stopped:
-            self._follow_out(now, rollout, instance)
+            self._follow_out(now_ms, rollout, instance)
         step = rollout.steps[instance.name]
         if step == StepState.STARTING:
-            self._follow_starting(now, rollout, instance)
+            self._follow_starting(now_ms, rollout, instance)
         elif step == StepState.SOAKING:
-            self._follow_soaking(now, rollout, instance)
+            self._follow_soaking(now_ms, rollout, instance)
 
-    def _follow_out(self, now: float, rollout: Rollout, instance: Instance) -> None:
+    def _follow_out(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
         starts_in_place = rollout.kind == RolloutKind.START and instance.wanted
         if instance.has_process and not starts_in_place:
             # The agent died between the record and SIGTERM, or just after it. The minimum has to be checked
@@ -120,19 +120,19 @@
             self.table.set_step(rollout, instance.name, StepState.DONE)
         else:
             self.table.set_step(rollout, instance.name, StepState.STARTING)
-            self.manager.start(now, instance, f"change {rollout.id}")
+            self.manager.start(now_ms, instance, f"change {rollout.id}")
 
-    def _follow_starting(self, now: float, rollout: Rollout, instance: Instance) -> None:
+    def _follow_starting(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
         if instance.state == InstanceState.SERVING:
             self.table.set_step(rollout, instance.name, StepState.SOAKING)
         elif instance.state in (InstanceState.FAILED, InstanceState.STOPPED):
             self._fail_step(rollout, instance)
         elif instance.state == InstanceState.ABSENT:  # the agent died between the record and the spawn
-            self.manager.start(now, instance, f"change {rollout.id}")
+            self.manager.start(now_ms, instance, f"change {rollout.id}")
 
-    def _follow_soaking(self, now: float, rollout: Rollout, instance: Instance) -> None:
+    def _follow_soaking(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
         if instance.state == InstanceState.SERVING:
-            if now - instance.state_since >= rollout.minimum_ready_ms:
+            if now_ms - instance.state_since >= rollout.minimum_ready_ms:
                 self.table.set_step(rollout, instance.name, StepState.DONE)
         elif instance.state != InstanceState.STARTING:
             self._fail_step(rollout, instance)
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -16,7 +16,7 @@
         """`actions`: writes the records."""
         self.actions = actions
         self.rollouts: dict[str, Rollout] = {}  # emptied by `prune`
-        self.next_start_at: dict[str, float] = {}  # ms; by id, removed as the rollout ends
+        self.next_start_at_ms: dict[str, float] = {}  # ms; by id, removed as the rollout ends
 
     def restore(self, id: str, record: dict[str, Any]) -> None:
         """Take over a stored record."""
@@ -65,7 +65,7 @@
             raise
         self._log_transition(rollout, previous[0])
         if rollout.ended:
-            self.next_start_at.pop(rollout.id, None)
+            self.next_start_at_ms.pop(rollout.id, None)
 
     def pause_without_record(self, rollout: Rollout, reason: str) -> None:
         """Pause a rollout although the store cannot write."""
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -128,7 +128,7 @@
         rollout = record.body["spans"].get(id)
         if rollout is None:
             raise RefusedError(f"no change {id} is known here")
-        leader_silence = now - record.leader_heard_at if record.role != Role.LEADER else 0.0
+        leader_silence = now - record.leader_heard_at_ms if record.role != Role.LEADER else 0.0
         active = coordinator.controls.active(id)
         is_paused = active.kind == PAUSE and rollout["state"] == RolloutState.RUNNING
         return {
@@ -240,7 +240,7 @@
         """Requests for which the agents must have reported."""
         ask, members = request["ask"], self.coordinator.record.members()
         unseen = [agent for agent in members if not controller.view.is_fresh(now, agent)]
-        if unseen and now - controller.started_at < FIRST_REPORTS_TIMEOUT:
+        if unseen and now - controller.started_at_ms < FIRST_REPORTS_TIMEOUT:
             return None
         if ask == "all":
             return {
