--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -29,7 +29,7 @@
 
     def unfenced(act: Callable, less: int) -> Callable:
         def on_message(self, now, sender, message):
-            self.promised_term = min(self.promised_term, message.term - less)
+            self.copy.promised_term = min(self.copy.promised_term, message.term - less)
             act(self, now, sender, message)
 
         return on_message
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -1,24 +1,29 @@
-"""The record that the agents of a fleet replicate, and the election of the one that may write it. No I/O.
+"""The replicated record's state machine: who leads the fleet, and what is committed. No I/O; times in ms.
 
 One register, replaced whole: (term, revision, body). An agent leads under a term in which a majority of the
 voters has voted for it, and what it writes is committed once a majority has it on disk. A term is a fencing
 number: whoever has voted in a higher one accepts nothing of a lower. So the next leader finds in some vote
 whatever was committed before (Lamport, The part-time parliament, 1998; the leader's steady state and the
-pre-vote as in Ongaro's thesis on Raft, 2014, 9.6). Safety rests on no clock: times, in ms, only say when to
-act.
+pre-vote as in Ongaro's thesis on Raft, 2014, 9.6). Safety rests on no clock: times only say when to act.
 
-The body names its voters with the identity of each one's store (`quorum.py`). Voters change one at a time,
-and such a record needs a majority of the old list and of the new one.
+    follower -> pre-candidate -> candidate -> elected -> leader
+       ^              |              |           |          |
+       +--------------+--------------+-----------+----------+
+              higher term, timeout, no majority, failed store
 
-`ReplicatedRecord` is one state machine over five roles, hence longer than most modules: its transitions are
-read together. The agent's thread alone calls it.
+The body names its voters with the identity of each one's store (`quorum.py`). Modules of their own have the
+copy on the disk (`record_copy.py`), timeout, terms and votes (`election.py`), acknowledgements
+(`replication.py`) and changes of the voters (`voter_changes.py`).
+
+`ReplicatedRecord` is longer than most modules because its transitions are one thing, read together. They
+stand by role: all, follower, pre-candidate and candidate, leader. The agent's thread alone calls it.
 """
 
-import zlib
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
 from typing import Any, Protocol
 
+from vetchford.fleet import voter_changes
 from vetchford.fleet.consensus_messages import (
     Acknowledge,
     AppendRecord,
@@ -26,7 +31,6 @@
     Heartbeat,
     InstallSnapshot,
     Message,
-    PersistentState,
     PreVoteRequest,
     PreVoteResponse,
     RecordBody,
@@ -39,16 +43,14 @@
     encode_message,
     sender_store,
 )
+from vetchford.fleet.election import ELECTION_TIMEOUT_MS, Ballot, ElectionTimer, next_own_term
 from vetchford.fleet.quorum import StoreIdentities, is_majority
+from vetchford.fleet.record_copy import RecordCopy, RecordStore
 from vetchford.fleet.replication import ReplicationProgress
 
-HEARTBEAT_INTERVAL_MS = 500.0  # ms between two messages of the leader to each member
-ELECTION_TIMEOUT_MS = 3000.0  # ms without one until an election: six, so that one stall deposes no leader
-ELECTION_JITTER_MS = 2000.0  # ms by which chance spreads the candidates
-VOTE_TIMEOUT_MS = 1500.0  # ms for the answers to a pre-vote or a vote request
-PRE_VOTE_SILENCE_MS = ELECTION_TIMEOUT_MS * 0.8  # ms without a leader from which on a pre-vote is granted
-TERMS_PER_ROUND = 64  # term = round * this + index of the agent: no two agents ever have one term
-MAX_VOTERS = 7  # three may be away; more would only make each write dearer
+HEARTBEAT_INTERVAL_MS = 500.0  # between two messages of the leader to each member
+VOTE_TIMEOUT_MS = 1500.0  # for the answers to a pre-vote or a vote request
+PRE_VOTE_SILENCE_MS = ELECTION_TIMEOUT_MS * 0.8  # without a leader, from which on a pre-vote is granted
 
 
 class Role(StrEnum):
@@ -65,15 +67,12 @@
 CAMPAIGNING = frozenset((Role.PRE_CANDIDATE, Role.CANDIDATE))
 
 
-class RecordActions(Protocol):
-    """What the state machine acts through."""
+class RecordActions(RecordStore, Protocol):
+    """What the state machine acts through; `RecordStore` is the part that the copy on the disk uses."""
 
     def send_to_record(self, to: str, message: EncodedMessage) -> None:
         """Sends a message to the `ReplicatedRecord` of another agent; it may be lost."""
 
-    def save_record(self, stored: dict[str, Any]) -> None:
-        """Durable before it returns; OSError where the store fails, and then nothing was voted for."""
-
     def on_elected(self, now_ms: float) -> None:
         """This agent leads from now on, and the record is committed under its term."""
 
@@ -86,12 +85,9 @@
     def on_appended(self, now_ms: float) -> None:
         """A leader was heard, or a newer record arrived; it may not be committed yet."""
 
-    def note(self, event: str, **fields: Any) -> None:
-        """A log event."""
-
 
 class ReplicatedRecord:
-    """One agent's copy of the record, and its part in the elections."""
+    """One agent's part in the elections and in the replication of the record."""
 
     def __init__(
         self,
@@ -104,86 +100,76 @@
     ) -> None:
         """Starts as a follower with the founding body, which is the same on all agents.
 
-        `store` is the identity of what `save_record` writes to.
+        `store` is the identity of what `save_record` writes to; `seed` fixes the drawn timeouts.
         """
-        self.actions, self.name, self.seed, self.draws = actions, name, seed, 0
+        self.actions = actions
+        self.name = name
         self.identities = StoreIdentities(name, store)
-        self.promised_term, self.version, self.body = 0, (0, 0), founding  # as on the disk
+        self.copy = RecordCopy(actions, founding)
         self.committed: RecordVersion = (0, 0)  # the newest that this agent knows to be committed
+        self.role = Role.FOLLOWER
+        self.role_since_ms = now_ms
+        self.leader = ""  # whom a follower follows, or this agent; empty for nobody
+        self.timer = ElectionTimer(seed, name, now_ms)
         self.highest_seen_term = 0
-        self.role, self.role_since_ms, self.leader = Role.FOLLOWER, now_ms, ""
-        self.leader_heard_at_ms = now_ms
-        self.election_timeout_ms = self.draw_election_timeout()
         self.campaign_term = 0  # of this agent's last candidacy; while it leads, its term
-        self.votes: set[str] = set()  # of the current pre-vote or vote; replaced as the next begins
-        self.newest_version, self.newest_body = self.version, self.body  # among the votes and our own
-        self.progress = ReplicationProgress(name, self.identities)
+        self.ballot = Ballot(name, self.copy.version, self.copy.body)  # of the last pre-vote or vote
+        self.progress = ReplicationProgress(name, self.identities)  # of the last term in which it was elected
         self.next_heartbeat_at_ms = 0.0
 
-    def draw_election_timeout(self) -> float:
-        """In ms; by seed, name and the number of draws alone, so that a simulation can be repeated."""
-        self.draws += 1
-        drawn = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % 10_000
-        return ELECTION_TIMEOUT_MS + drawn / 10_000.0 * ELECTION_JITTER_MS
-
-    # -- the copy on the disk
-
     def restore(self, stored: dict[str, Any]) -> None:
-        """What `save_record` was given last, at the start of the agent."""
-        state = PersistentState.from_stored(stored)
-        self.promised_term, self.version, self.body = state.promised_term, state.version, state.body
-
-    def save(self, promised_term: int, version: RecordVersion, body: RecordBody) -> bool:
-        """Writes to the disk, then to memory; False where the disk failed, and nothing has changed."""
-        state = PersistentState(promised_term, version, body)
-        try:
-            self.actions.save_record(state.to_stored())
-        except OSError as problem:
-            self.actions.note("record_not_stored", problem=str(problem))
-            return False
-        self.promised_term, self.version, self.body = promised_term, version, body
-        return True
+        """What `save_record` was given last, at the start of the agent; KeyError where it is not that."""
+        self.copy.restore(stored)
 
     def replace_store(self, now_ms: float, store: str) -> None:
         """The store was emptied or restored, so its votes may be lost: `store` is its new identity."""
         self.step_down(now_ms, "the store is not what it was")
         self.identities.replace_own(store)
 
+    # -- what is asked of it
+
+    @property
+    def promised_term(self) -> int:
+        """The highest term that this agent has voted in: a lower one is obeyed no more."""
+        return self.copy.promised_term
+
+    @property
+    def version(self) -> RecordVersion:
+        """The version of the copy on the disk."""
+        return self.copy.version
+
+    @property
+    def body(self) -> RecordBody:
+        """The copy on the disk, committed or not."""
+        return self.copy.body
+
     @property
     def store(self) -> str:
         """The identity of this agent's store."""
         return self.identities.own_store
 
-    # -- members and voters
+    @property
+    def leader_heard_at_ms(self) -> float:
+        """When a leader was heard last, or an election began; by the clock of `tick`."""
+        return self.timer.restarted_at_ms
 
     def voters(self) -> dict[str, str]:
         """The voters, and the store identity that the record lists for each."""
-        voters: dict[str, str] = self.body["voters"]
-        return voters
+        return self.copy.voters()
 
     def members(self) -> list[str]:
         """The members' names, sorted."""
-        return sorted(self.body["members"])
+        return self.copy.members()
 
     def is_member(self, name: str) -> bool:
         """Whether the record lists an agent as a member."""
-        return name in self.body["members"]
+        return self.copy.is_member(name)
 
     def is_counted(self, name: str) -> bool:
         """Whether a vote of this agent counts, going by its store."""
         return self.identities.is_counted(name, self.voters())
 
-    def send(self, to: str, message: Message) -> None:
-        """Sends one message, with the identity of our store."""
-        self.actions.send_to_record(to, encode_message(message, self.store))
-
-    def send_to_other_voters(self, message: Message) -> None:
-        """Sends one message to every voter but this agent."""
-        for name in self.voters():
-            if name != self.name:
-                self.send(name, message)
-
-    # -- time
+    # -- all roles: time, messages, stepping down
 
     def tick(self, now_ms: float) -> None:
         """Called about ten times a second."""
@@ -192,107 +178,238 @@
         elif self.role in CAMPAIGNING:
             if now_ms - self.role_since_ms >= VOTE_TIMEOUT_MS:
                 self.become_follower(now_ms, "")
-        elif now_ms - self.leader_heard_at_ms >= self.election_timeout_ms:
+        elif self.timer.is_expired(now_ms):
             self.start_pre_vote(now_ms)
 
-    def tick_leader(self, now_ms: float) -> None:
-        """Heartbeats, and the end of a leadership that no majority answers."""
-        if now_ms >= self.next_heartbeat_at_ms:
-            self.replicate(now_ms)
-        if now_ms - self.role_since_ms <= ELECTION_TIMEOUT_MS:
-            return
-        answering = self.progress.answering(now_ms, ELECTION_TIMEOUT_MS)
-        if not self.identities.is_quorum(answering, self.voters()):
-            self.step_down(now_ms, "no majority of the voters answers")
-
     def on_process_stopped(self, now_ms: float, gap_ms: float) -> None:
-        """This process did not run for `gap` ms: no leader was late, and what we were writing is old."""
-        self.leader_heard_at_ms += gap_ms
+        """This process did not run for `gap_ms`: no leader was late, and what we were writing is old."""
+        self.timer.postpone(gap_ms)
         if self.role != Role.FOLLOWER:
             self.step_down(now_ms, "was stopped meanwhile")
 
-    # -- elections
+    def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
+        """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
+        self.identities.stated[sender] = sender_store(encoded)
+        try:
+            message = decode_message(sender, encoded)
+        except UnknownMessageError:
+            self.actions.note("record_message_unknown", sender=sender)
+            return
+        match message:
+            case PreVoteRequest():
+                self.on_pre_vote_request(now_ms, sender)
+            case PreVoteResponse():
+                self.on_pre_vote_response(now_ms, sender, message)
+            case VoteRequest():
+                self.on_vote_request(now_ms, sender, message)
+            case VoteGranted():
+                self.on_vote_granted(now_ms, sender, message)
+            case Rejected():
+                self.on_rejected(now_ms, sender, message)
+            case Heartbeat() | AppendRecord():
+                self.on_append(now_ms, sender, message)
+            case Acknowledge():
+                self.on_acknowledge(now_ms, sender, message)
+            case InstallSnapshot():
+                self.on_install_snapshot(now_ms, sender, message)
 
-    def become_follower(self, now_ms: float, leader: str) -> None:
-        """Follows `leader`, or nobody yet where that is empty."""
-        self.role, self.role_since_ms, self.leader = Role.FOLLOWER, now_ms, leader
-        self.restart_election_timer(now_ms)
+    def send(self, to: str, message: Message) -> None:
+        """Sends one message, with the identity of our store."""
+        self.actions.send_to_record(to, encode_message(message, self.store))
 
-    def restart_election_timer(self, now_ms: float) -> None:
-        """The next election is a freshly drawn timeout away."""
-        self.leader_heard_at_ms = now_ms
-        self.election_timeout_ms = self.draw_election_timeout()
+    def send_to_other_voters(self, message: Message) -> None:
+        """Sends one message to every voter but this agent."""
+        for name in self.voters():
+            if name != self.name:
+                self.send(name, message)
+
+    def set_role(self, now_ms: float, role: Role, leader: str) -> None:
+        """Takes a role; `leader` is empty while nobody is known to lead."""
+        self.role = role
+        self.role_since_ms = now_ms
+        self.leader = leader
 
     def step_down(self, now_ms: float, why: str) -> None:
-        """Ends a candidacy or a leadership."""
+        """Ends a candidacy or a leadership; as a follower of nobody, only restarts the election timer."""
         was_leading = self.role in LEADING
         self.become_follower(now_ms, "")
         if was_leading:
             self.actions.note("leader_stepped_down", term=self.campaign_term, why=why)
             self.actions.on_deposed(now_ms, why)
 
+    def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
+        """A voter has voted in a higher term than ours (Raft, 5.1: who is stale steps down)."""
+        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
+        if self.role != Role.FOLLOWER and message.term == self.campaign_term:
+            self.step_down(now_ms, f"{sender} has promised a higher term")
+
+    # -- follower: votes, and keeps what the leader writes
+
+    def become_follower(self, now_ms: float, leader: str) -> None:
+        """Follows `leader`, or nobody yet where that is empty."""
+        self.set_role(now_ms, Role.FOLLOWER, leader)
+        self.timer.restart(now_ms)
+
+    def on_pre_vote_request(self, now_ms: float, sender: str) -> None:
+        """Granted where no leader was heard for `PRE_VOTE_SILENCE_MS` (Ongaro's thesis, 9.6).
+
+        An agent that is no member here learns so from the record: it was dismissed while it was away.
+        """
+        if not self.is_member(sender):
+            self.send(sender, InstallSnapshot(self.version, self.body))
+            return
+        granted = self.role != Role.LEADER and self.timer.silence_ms(now_ms) >= PRE_VOTE_SILENCE_MS
+        self.send(sender, PreVoteResponse(granted, self.promised_term))
+
+    def on_vote_request(self, now_ms: float, sender: str, message: VoteRequest) -> None:
+        """Votes in a higher term; a request that came twice is answered twice.
+
+        Invariant: one vote a term (Raft, 5.2). A term belongs to one agent (`next_own_term`), so the same
+        term again is the same candidate. The vote is on the disk before it is sent.
+        """
+        if message.term < self.promised_term:
+            self.send(sender, Rejected(message.term, self.promised_term))
+            return
+        if message.term > self.promised_term:
+            if not self.copy.save_term(message.term):
+                return
+            if self.role != Role.FOLLOWER:
+                self.step_down(now_ms, f"{sender} stands for a higher term")
+            self.become_follower(now_ms, "")
+        self.send(sender, VoteGranted(message.term, self.version, self.body))
+
+    def on_append(self, now_ms: float, sender: str, message: Heartbeat | AppendRecord) -> None:
+        """Follows the leader of a term that is not lower than our vote, and acknowledges its record.
+
+        Invariant: nothing of a term lower than our vote is written (Raft, 5.1), and the record is on the disk
+        before it is acknowledged.
+        """
+        if message.term < self.promised_term:
+            self.send(sender, Rejected(message.term, self.promised_term))
+            return
+        if not self.save_appended(message):
+            return
+        if self.role != Role.FOLLOWER:
+            self.step_down(now_ms, f"{sender} drives under a higher term")
+        if self.leader != sender:
+            self.actions.note("leader_followed", driver=sender, term=message.term)
+        self.become_follower(now_ms, sender)
+        self.committed = message.committed
+        self.actions.on_appended(now_ms)
+        self.send(sender, Acknowledge(message.term, self.version))
+
+    def save_appended(self, message: Heartbeat | AppendRecord) -> bool:
+        """Writes what is new in a leader's message; False where the disk failed."""
+        if isinstance(message, AppendRecord) and message.version > self.version:
+            return self.copy.save(message.term, message.version, message.body or self.body)
+        if message.term > self.promised_term:
+            return self.copy.save_term(message.term)
+        return True
+
+    def on_install_snapshot(self, now_ms: float, sender: str, message: InstallSnapshot) -> None:
+        """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
+        if message.version <= self.version:
+            return
+        if self.copy.save(self.promised_term, message.version, message.body):
+            self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
+            self.actions.on_appended(now_ms)
+
+    # -- pre-candidate and candidate: asks for votes
+
     def start_pre_vote(self, now_ms: float) -> None:
-        """Asks first, which changes no term: an agent that hears nobody must not raise the terms."""
-        self.restart_election_timer(now_ms)
+        """Asks first, which changes no term: an agent that hears nobody must not raise the terms.
+
+        An agent whose own vote does not count waits for a leader: it could not be elected.
+        """
+        self.timer.restart(now_ms)
         if not self.is_counted(self.name):
             return
-        self.role, self.role_since_ms, self.leader = Role.PRE_CANDIDATE, now_ms, ""
-        self.votes = {self.name}
+        self.set_role(now_ms, Role.PRE_CANDIDATE, "")
+        self.ballot = Ballot(self.name, self.version, self.body)
         self.send_to_other_voters(PreVoteRequest(self.version))
         self.count_pre_votes(now_ms)
 
+    def on_pre_vote_response(self, now_ms: float, sender: str, message: PreVoteResponse) -> None:
+        """Counts a pre-vote, and remembers the voter's term so that ours will be higher."""
+        if self.role != Role.PRE_CANDIDATE or not message.granted or not self.is_counted(sender):
+            return
+        self.ballot.add(sender)
+        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
+        self.count_pre_votes(now_ms)
+
     def count_pre_votes(self, now_ms: float) -> None:
         """Becomes a candidate once a majority would vote for this agent."""
-        if is_majority(self.votes, self.voters()):
+        if is_majority(self.ballot.names, self.voters()):
             self.start_election(now_ms)
 
     def start_election(self, now_ms: float) -> None:
         """Votes for itself in a new term, on the disk first, and asks for the votes of the others."""
-        term = self.next_own_term()
-        if not self.save(term, self.version, self.body):
+        highest_seen_term = max(self.promised_term, self.highest_seen_term)
+        term = next_own_term(self.name, self.members(), highest_seen_term)
+        if not self.copy.save_term(term):
             self.become_follower(now_ms, "")
             return
-        self.role, self.role_since_ms, self.campaign_term = Role.CANDIDATE, now_ms, term
-        self.votes = {self.name}
-        self.newest_version, self.newest_body = self.version, self.body
+        self.set_role(now_ms, Role.CANDIDATE, "")
+        self.campaign_term = term
+        self.ballot = Ballot(self.name, self.version, self.body)
         self.send_to_other_voters(VoteRequest(term))
         self.count_votes(now_ms)
 
-    def next_own_term(self) -> int:
-        """The lowest term above all that were seen that only this agent may use."""
-        completed_rounds = max(self.promised_term, self.highest_seen_term) // TERMS_PER_ROUND
-        index = self.members().index(self.name) % TERMS_PER_ROUND
-        return (completed_rounds + 1) * TERMS_PER_ROUND + index
+    def on_vote_granted(self, now_ms: float, sender: str, message: VoteGranted) -> None:
+        """Counts a vote, and keeps the newest record among the votes."""
+        if self.role != Role.CANDIDATE or message.term != self.campaign_term:
+            return
+        self.ballot.add_record(message.version, message.body)
+        self.ballot.add(sender)
+        self.count_votes(now_ms)
 
     def count_votes(self, now_ms: float) -> None:
-        """With a majority, writes the newest record among the votes anew, under our term."""
-        electorates = self.voters(), self.newest_body["voters"]
-        if not all(self.identities.is_quorum(self.votes, voters) for voters in electorates):
+        """With a majority, writes the newest record among the votes anew, under our term.
+
+        Where that record changes the voters, a majority of both lists is needed. It counts as committed only
+        under the new term: a majority that holds it under an older one proves nothing (Raft, 5.4.2).
+        """
+        electorates = self.voters(), self.ballot.newest_body["voters"]
+        if not all(self.identities.is_quorum(self.ballot.names, voters) for voters in electorates):
             return
         self.progress = ReplicationProgress(self.name, self.identities)
         self.progress.require(*electorates)
-        if not self.save(self.campaign_term, (self.campaign_term, 1), self.newest_body):
+        if not self.copy.save(self.campaign_term, (self.campaign_term, 1), self.ballot.newest_body):
             self.become_follower(now_ms, "")
             return
-        self.role, self.role_since_ms, self.leader = Role.ELECTED, now_ms, self.name
+        self.set_role(now_ms, Role.ELECTED, self.name)
         self.actions.on_appended(now_ms)
         self.replicate(now_ms)
         self.commit_if_replicated(now_ms)
 
-    # -- leading
+    # -- leader: writes the record, and commits what a majority has
+
+    def tick_leader(self, now_ms: float) -> None:
+        """Heartbeats, and the end of a leadership that no majority answers (Ongaro's thesis, 6.2)."""
+        if now_ms >= self.next_heartbeat_at_ms:
+            self.replicate(now_ms)
+        if now_ms - self.role_since_ms <= ELECTION_TIMEOUT_MS:
+            return
+        answering = self.progress.answering(now_ms, ELECTION_TIMEOUT_MS)
+        if not self.identities.is_quorum(answering, self.voters()):
+            self.step_down(now_ms, "no majority of the voters answers")
 
     def propose(self, now_ms: float, body: RecordBody) -> bool:
         """Writes the next record; `on_committed` tells when a majority has it.
 
         False where this agent does not lead, its last proposal is not committed yet, or its store failed.
         ValueError where `body` changes more than one voter.
+
+        Invariant: at most one record is not committed, so the newest copy among a majority is all that the
+        next leader has to take over.
         """
         if self.role != Role.LEADER or self.committed != self.version:
             return False
-        before, after = self.voters(), body["voters"]
-        if sum(before.get(name) != after.get(name) for name in before.keys() | after.keys()) > 1:
-            raise ValueError("voters change one at a time")
-        if not self.save(self.campaign_term, (self.campaign_term, self.version[1] + 1), body):
+        before = self.voters()
+        after = body["voters"]
+        voter_changes.check_single_change(before, after)
+        next_version = (self.campaign_term, self.version[1] + 1)
+        if not self.copy.save(self.campaign_term, next_version, body):
             self.step_down(now_ms, "the store failed")  # another agent's may work
             return False
         self.progress.require(before, after)
@@ -309,8 +426,14 @@
             if name != self.name:
                 self.send(name, heartbeat if self.progress.has(name, self.version) else append)
 
+    def on_acknowledge(self, now_ms: float, sender: str, message: Acknowledge) -> None:
+        """A member has a record of our term on its disk."""
+        if self.role in LEADING and message.term == self.campaign_term:
+            self.progress.record_answer(now_ms, sender, message.version)
+            self.commit_if_replicated(now_ms)
+
     def commit_if_replicated(self, now_ms: float) -> None:
-        """Whether the record that was written last is committed now; once, the first in a term elects us."""
+        """Commits the record that was written last once a majority has it; the first in a term elects us."""
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
@@ -318,139 +441,18 @@
         if self.role != Role.ELECTED:
             self.actions.on_committed(now_ms)
             return
-        self.role, self.role_since_ms = Role.LEADER, now_ms
+        self.set_role(now_ms, Role.LEADER, self.name)
         self.actions.note(
             "leader_elected",
             term=self.campaign_term,
-            took_over=list(self.newest_version),
+            took_over=list(self.ballot.newest_version),
             voters=len(self.voters()),
         )
         self.actions.on_elected(now_ms)
 
     def find_voter_update(self, voters: Mapping[str, str], members: Iterable[str]) -> tuple[str, str] | None:
-        """One voter whose store is not the one listed in `voters`, or one member that may become a voter.
-
-        Returns its name and the identity of its store; only agents that have the newest record are taken.
-        """
-        for name in sorted(voters):
-            store = self.identities.of(name)
-            up_to_date = name == self.name or self.progress.has(name, self.version)
-            if store and store != voters[name] and up_to_date:
-                return name, store
-        if len(voters) >= MAX_VOTERS:
-            return None
-        for name in sorted(members):
-            if name not in voters and self.progress.has(name, self.version):
-                return name, self.identities.stated.get(name, "")
-        return None
-
-    # -- messages
-
-    def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
-        """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
-        self.identities.stated[sender] = sender_store(encoded)
-        try:
-            message = decode_message(sender, encoded)
-        except UnknownMessageError:
-            self.actions.note("record_message_unknown", sender=sender)
-            return
-        match message:
-            case PreVoteRequest():
-                self.on_pre_vote_request(now_ms, sender)
-            case PreVoteResponse():
-                self.on_pre_vote_response(now_ms, sender, message)
-            case VoteRequest():
-                self.on_vote_request(now_ms, sender, message)
-            case VoteGranted():
-                self.on_vote_granted(now_ms, sender, message)
-            case Rejected():
-                self.on_rejected(now_ms, sender, message)
-            case Heartbeat() | AppendRecord():
-                self.on_append(now_ms, sender, message)
-            case Acknowledge():
-                self.on_acknowledge(now_ms, sender, message)
-            case InstallSnapshot():
-                self.on_install_snapshot(now_ms, sender, message)
-
-    def on_pre_vote_request(self, now_ms: float, sender: str) -> None:
-        """Granted where no leader was heard for a while; whoever is no member learns so from the record."""
-        if not self.is_member(sender):
-            self.send(sender, InstallSnapshot(self.version, self.body))
-            return
-        granted = self.role != Role.LEADER and now_ms - self.leader_heard_at_ms >= PRE_VOTE_SILENCE_MS
-        self.send(sender, PreVoteResponse(granted, self.promised_term))
-
-    def on_pre_vote_response(self, now_ms: float, sender: str, message: PreVoteResponse) -> None:
-        """Counts a pre-vote, and remembers the voter's term so that ours will be higher."""
-        if self.role != Role.PRE_CANDIDATE or not message.granted or not self.is_counted(sender):
-            return
-        self.votes.add(sender)
-        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
-        self.count_pre_votes(now_ms)
-
-    def on_vote_request(self, now_ms: float, sender: str, message: VoteRequest) -> None:
-        """Votes in a higher term; a request that came twice is answered twice."""
-        if message.term < self.promised_term:
-            self.send(sender, Rejected(message.term, self.promised_term))
-            return
-        if message.term > self.promised_term:
-            if not self.save(message.term, self.version, self.body):
-                return
-            if self.role != Role.FOLLOWER:
-                self.step_down(now_ms, f"{sender} stands for a higher term")
-            self.become_follower(now_ms, "")
-        self.send(sender, VoteGranted(message.term, self.version, self.body))
-
-    def on_vote_granted(self, now_ms: float, sender: str, message: VoteGranted) -> None:
-        """Counts a vote, and keeps the newest record among the votes."""
-        if self.role != Role.CANDIDATE or message.term != self.campaign_term:
-            return
-        if message.version > self.newest_version:
-            self.newest_version, self.newest_body = message.version, message.body
-        self.votes.add(sender)
-        self.count_votes(now_ms)
-
-    def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
-        """A voter has voted in a higher term than ours."""
-        self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
-        if self.role != Role.FOLLOWER and message.term == self.campaign_term:
-            self.step_down(now_ms, f"{sender} has promised a higher term")
-
-    def on_append(self, now_ms: float, sender: str, message: Heartbeat | AppendRecord) -> None:
-        """Follows the leader of a term that is not lower than our vote, and acknowledges its record."""
-        if message.term < self.promised_term:
-            self.send(sender, Rejected(message.term, self.promised_term))
-            return
-        if not self.save_appended(message):
-            return
-        if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, f"{sender} drives under a higher term")
-        if self.leader != sender:
-            self.actions.note("leader_followed", driver=sender, term=message.term)
-        self.become_follower(now_ms, sender)
-        self.committed = message.committed
-        self.actions.on_appended(now_ms)
-        self.send(sender, Acknowledge(message.term, self.version))
-
-    def save_appended(self, message: Heartbeat | AppendRecord) -> bool:
-        """Writes what is new in a leader's message; False where the disk failed."""
-        if isinstance(message, AppendRecord) and message.version > self.version:
-            return self.save(message.term, message.version, message.body or self.body)
-        if message.term > self.promised_term:
-            return self.save(message.term, self.version, self.body)
-        return True
-
-    def on_acknowledge(self, now_ms: float, sender: str, message: Acknowledge) -> None:
-        """A member has a record of our term on its disk."""
-        if self.role in LEADING and message.term == self.campaign_term:
-            self.progress.record_answer(now_ms, sender, message.version)
-            self.commit_if_replicated(now_ms)
-
-    def on_install_snapshot(self, now_ms: float, sender: str, message: InstallSnapshot) -> None:
-        """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
-        if message.version > self.version and self.save(self.promised_term, message.version, message.body):
-            self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
-            self.actions.on_appended(now_ms)
+        """The voter that the next record is to list anew (`voter_changes.find_voter_update`)."""
+        return voter_changes.find_voter_update(voters, members, self.version, self.identities, self.progress)
 
     # -- for tools
 
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from typing import Any, ClassVar
 
-from vetchford.fleet.consensus import MAX_VOTERS
+from vetchford.fleet.voter_changes import MAX_VOTERS
 
 EncodedRecord = dict[str, Any]
 
