--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -1,12 +1,11 @@
 """One agent's part in its fleet: it has the record, obeys committed orders, and leads where it is elected.
 
-Connects `consensus`, `fleet_rollout`, `rollout_controls` and `tool_requests`. No I/O; times in ms, monotonic.
-The agent's thread alone calls it. Messages of other agents are taken as they come: late, doubled, or from one
-that no longer leads. An order is carried out only
+Connects `consensus`, `fleet_rollout`, `rollout_controls`, `order_guard` and `tool_requests`. No I/O; times in
+ms, monotonic. The agent's thread alone calls it. Messages of other agents are taken as they come: late,
+doubled, or from one that no longer leads; `order_guard` decides which orders are carried out.
 
-- under the highest term that this agent has voted in,
-- resting on a report that this agent itself sent MAX_ORDER_AGE ago at most, by its own clock, and
-- where no pause or abort that is known here stands against it.
+It is longer than most modules because it only connects: it implements the actions of the record and of the
+controller, and hands each message and each tick to the part that decides.
 """
 
 import contextlib
@@ -31,11 +30,10 @@
 from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord
 from vetchford.fleet.fleet_rollout import FleetRolloutController
 from vetchford.fleet.fleet_view import AgentReport
+from vetchford.fleet.order_guard import MAX_ORDER_AGE_MS, OrderGuard
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
 from vetchford.fleet.tool_requests import Answer, ToolRequests
 
-MAX_ORDER_AGE_MS = 3000.0  # ms since the report that an order rests on: six rounds of a busy site
-MAX_KNOWN_REPORTS = 16  # numbers of our reports; older ones are over MAX_ORDER_AGE
 STOPPED_AFTER_MS = 1500.0  # ms between two ticks after which this process was stopped, not busy
 
 RECORD_NAME = "newest"  # under which the store has the record
@@ -75,12 +73,14 @@
         incarnation: int,
     ) -> None:
         """`store`: the identity of the agent's store; `incarnation`: counts its starts."""
-        self.actions, self.name, self.incarnation = actions, name, incarnation
+        self.actions = actions
+        self.name = name
+        self.incarnation = incarnation
         self.record = ReplicatedRecord(self, name, seed, store, founding, now_ms)
         self.controls = RolloutControls(name)
         self.controller: FleetRolloutController | None = None  # while this agent leads
         self.tool_requests = ToolRequests(self)
-        self.reports_sent_at_ms: dict[int, float] = {}  # by number; the oldest go
+        self.order_guard = OrderGuard(name, self.record, self.controls)
         self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed as they are answered or grow old
         self.wait_reasons: dict[str, str] = {}  # of rollouts, as the leader told last
         self.unfinished: set[str] = set()  # rollouts of the record that have not ended
@@ -98,19 +98,27 @@
 
     def tick(self, now_ms: float) -> None:
         """Called about ten times a second."""
-        gap_ms, self.last_tick_at_ms = now_ms - self.last_tick_at_ms, now_ms
+        gap_ms = now_ms - self.last_tick_at_ms
+        self.last_tick_at_ms = now_ms
         if gap_ms > STOPPED_AFTER_MS:
             self.actions.note("process_stalled", ms=round(gap_ms))
             self.record.on_process_stopped(now_ms, gap_ms)
         self.record.tick(now_ms)
         if self.controller is not None:
             self.controller.tick(now_ms)
-        for number in [
-            number for number, at in self.polls_sent_at_ms.items() if now_ms - at > MAX_ORDER_AGE_MS
-        ]:
-            del self.polls_sent_at_ms[number]
+        self.forget_old_polls(now_ms)
         self.tool_requests.tick(now_ms)
 
+    def forget_old_polls(self, now_ms: float) -> None:
+        """Drops the polls whose report would be too old for an order to rest on it."""
+        old = [
+            number
+            for number, sent_at_ms in self.polls_sent_at_ms.items()
+            if now_ms - sent_at_ms > MAX_ORDER_AGE_MS
+        ]
+        for number in old:
+            del self.polls_sent_at_ms[number]
+
     # -- actions of the replicated record
 
     def send_to_record(self, to: str, message: EncodedMessage) -> None:
@@ -234,9 +242,7 @@
             return
         self.wait_reasons = dict(message.wait_reasons)
         self.merge_controls(message.controls)
-        self.reports_sent_at_ms[message.number] = now_ms
-        while len(self.reports_sent_at_ms) > MAX_KNOWN_REPORTS:
-            del self.reports_sent_at_ms[next(iter(self.reports_sent_at_ms))]
+        self.order_guard.note_report_sent(now_ms, message.number)
         report: Any = self.actions.report(self.unfinished)
         response = ReportResponse(message.number, message.term, report, self.controls.encoded())
         if sender == self.name:
@@ -256,7 +262,9 @@
     def on_step_order(self, now_ms: float, sender: str, order: StepOrder) -> None:
         """Carries out a step, or logs why not."""
         step = order.step
-        refusal = self.find_refusal(now_ms, sender, order) or self.actions.begin_step(step)
+        is_current_leader = self.is_current_leader(sender, order.term)
+        refusal = self.order_guard.find_refusal(now_ms, sender, order, is_current_leader=is_current_leader)
+        refusal = refusal or self.actions.begin_step(step)
         if refusal:
             self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
@@ -271,16 +279,6 @@
             driver=sender,
         )
 
-    def find_refusal(self, now_ms: float, sender: str, order: StepOrder) -> str:
-        """Why an order must not be carried out; empty where it may."""
-        if not self.is_current_leader(sender, order.term):
-            return f"term {order.term} of {sender}, promised {self.record.promised_term}"
-        report_sent_at_ms = self.reports_sent_at_ms.get(order.number)
-        if report_sent_at_ms is None or now_ms - report_sent_at_ms > MAX_ORDER_AGE_MS:
-            return "it rests on a report that is old"
-        control = self.controls.active(order.step.rollout_id)
-        return f"{control.kind}: {control.reason}" if control.kind else ""
-
     # -- controls
 
     def merge_controls(self, theirs: dict[str, EncodedControls]) -> None:
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -1,50 +1,44 @@
 """The controller of fleet rollouts, which runs on the agent that leads. No I/O; times in ms.
 
 It compares what the record says with what the agents report, proposes the next record, and orders what is
-committed (`rollout_progress.py` has the rules). The minimum of available instances and the batch hold however
-late an order arrives, and no clock is trusted for them. A rollout goes on as long as its minimum is proven by
-reports, and otherwise waits and says why.
+committed. The rules are in `rollout_progress.py` (steps), `availability.py` (the minimum),
+`member_changes.py` (members) and `step_dispatcher.py` (orders).
+
+The minimum of available instances and the batch hold however late an order arrives, and no clock is trusted
+for them. A rollout goes on as long as its minimum is proven by reports, and otherwise waits and says why.
 """
 
 from dataclasses import dataclass
 from typing import Any, Protocol
 
 from vetchford.fleet.availability import Availability
-from vetchford.fleet.coordinator_messages import Step
-from vetchford.fleet.fleet_record import (
-    UNFINISHED_STEPS,
-    EncodedRecord,
-    FleetRecord,
-    FleetRollout,
-    RolloutState,
-    StepState,
-    agent_of,
-    split_instance_key,
+from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord, FleetRollout, RolloutState
+from vetchford.fleet.fleet_view import AgentReport, AgentView, FleetView
+from vetchford.fleet.member_changes import (
+    MemberAct,
+    MemberChange,
+    apply_member_change,
+    check_admission,
+    check_dismissal,
+    list_voter,
 )
-from vetchford.fleet.fleet_view import NEVER, AgentReport, AgentView, AttemptState, FleetView
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 from vetchford.fleet.rollout_progress import RolloutProgress
 from vetchford.fleet.rollout_request import RequestValidator, RolloutRequest
+from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
-POLL_INTERVAL_MS = 250.0  # ms between two reports of one agent while a rollout runs
-IDLE_POLL_INTERVAL_MS = 1000.0  # ms between them otherwise: tools select instances from them
-ORDER_RETRY_INTERVAL_MS = 500.0  # ms until an order that shows no effect is given once more
-DISMISSAL_SILENCE_MS = 5000.0  # ms unseen until an agent with steps in progress may be dismissed; longer than
-# `coordinator.MAX_ORDER_AGE`, so that it carries out nothing after that
+POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout runs
+IDLE_POLL_INTERVAL_MS = 1000.0  # between them otherwise: tools select instances from them
 MAX_ENDED_ROLLOUTS = 20  # in the record; the stores' histories have the older ones
-MAX_LOG_ENTRIES = 50  # changes of the members in the record
 
 
-class ControllerActions(Protocol):
+class ControllerActions(OrderActions, Protocol):
     """What the controller acts through."""
 
     def poll(self, agent: str, number: int) -> None:
         """Asks for a report; `receive_report` brings it, or nothing does."""
 
-    def order(self, agent: str, number: int, step: Step) -> None:
-        """Has an agent carry out a committed step; `number`: the report that the order rests on."""
-
     def propose(self, now_ms: float, body: EncodedRecord) -> bool:
         """Proposes the next record; `on_committed` tells when it is committed."""
 
@@ -62,15 +56,6 @@
     rollout: FleetRollout
 
 
-@dataclass(frozen=True, slots=True)
-class MemberChange:
-    """A member that waits to be admitted or dismissed, and by whom."""
-
-    act: str  # "admit" or "dismiss"
-    name: str
-    by: str
-
-
 class FleetRolloutController:
     """Made anew each time that this agent is elected; has no state that the record and reports have not."""
 
@@ -78,8 +63,12 @@
         self, actions: ControllerActions, name: str, body: EncodedRecord, controls: RolloutControls
     ) -> None:
         """`body`: the committed record; `controls`: kept up to date by the owner."""
-        self.actions, self.name, self.controls = actions, name, controls
-        self.body, self.record = body, FleetRecord.decode(body)  # committed
+        self.actions = actions
+        self.name = name
+        self.controls = controls
+        self.body = body  # committed
+        self.record = FleetRecord.decode(body)
+        self.dispatcher = StepDispatcher(actions)
         self.view = FleetView(self.record.members)
         self.wait_reasons: dict[str, str] = {}  # why a rollout does not go on; removed as it ends
         self.next_start_at_ms: dict[str, float] = {}  # by rollout; removed as it ends
@@ -104,12 +93,14 @@
         self.reconcile(now_ms)
 
     def receive_report(
-        self, now_ms: float, agent: str, number: int, requested_at: float, report: AgentReport
+        self, now_ms: float, agent: str, number: int, requested_at_ms: float, report: AgentReport
     ) -> None:
-        """A report; `requested_at`: when it was asked for, by our own clock."""
+        """A report; `requested_at_ms`: when it was asked for, by our own clock."""
         view = self.view.agents.get(agent)
         if view is not None and number > view.number:
-            view.number, view.requested_at, view.report = number, requested_at, report
+            view.number = number
+            view.requested_at = requested_at_ms
+            view.report = report
             self.reconcile(now_ms)
 
     # -- requests
@@ -149,34 +140,22 @@
 
     def admit(self, name: str, by: str) -> None:
         """Queues a new member; RefusedError where it is one."""
-        if name in self.record.members:
-            raise RefusedError(f"{name} is a member already")
-        self.queue.append(MemberChange("admit", name, by))
+        check_admission(self.record, name)
+        self.queue.append(MemberChange(MemberAct.ADMIT, name, by))
 
     def dismiss(self, now_ms: float, name: str, by: str) -> None:
         """Queues the end of a membership; RefusedError where it must not end now."""
-        if name not in self.record.members:
-            raise RefusedError(f"{name} is no member")
-        if name == self.name:
-            raise RefusedError(f"{name} drives: ask once another does (stop its agent first)")
         seen_at_ms = max(self.view.agents.get(name, AgentView()).requested_at, self.started_at_ms)
-        if self.has_steps_in_progress(name) and now_ms - seen_at_ms < DISMISSAL_SILENCE_MS:
-            raise RefusedError(f"{name} is seen and has instances out: let them come back, or stop its agent")
-        self.queue.append(MemberChange("dismiss", name, by))
-
-    def has_steps_in_progress(self, agent: str) -> bool:
-        """Whether instances of an agent may be out of service."""
-        return any(
-            step == StepState.IN_PROGRESS and agent_of(key) == agent
-            for rollout in self.record.unfinished()
-            for key, step in rollout.steps.items()
-        )
+        check_dismissal(self.record, name, self.name, silence_ms=now_ms - seen_at_ms)
+        self.queue.append(MemberChange(MemberAct.DISMISS, name, by))
 
     # -- the next record
 
     def on_committed(self, now_ms: float, body: EncodedRecord) -> None:
         """A proposal is committed."""
-        self.body, self.record, self.is_proposing = body, FleetRecord.decode(body), False
+        self.body = body
+        self.record = FleetRecord.decode(body)
+        self.is_proposing = False
         self.reconcile(now_ms)
 
     def reconcile(self, now_ms: float) -> None:
@@ -196,13 +175,13 @@
                 del self.queue[:taken]
             return
         del self.queue[:taken]
-        self.give_orders(now_ms)
+        self.dispatcher.give_orders(self.committed_availability(now_ms))
 
     def take_queued(self, proposal: FleetRecord) -> int:
         """Puts in what is queued, up to one change of the members; the number of entries."""
         for index, entry in enumerate(self.queue):
             if isinstance(entry, MemberChange):
-                change_members(proposal, entry)
+                apply_member_change(proposal, entry)
                 return index + 1
             rollout = entry.rollout
             proposal.rollouts[rollout.id] = rollout.copy()
@@ -233,59 +212,7 @@
         update = self.actions.find_voter_update(proposal)
         if update is not None:
             name, store = update
-            proposal.voters = {**proposal.voters, name: store}
-            add_log_entry(proposal, "voter", name, "its store holds the newest record")
-
-    # -- orders
-
-    def give_orders(self, now_ms: float) -> None:
-        """Orders the committed steps, also those of an earlier leader."""
-        for rollout in self.record.unfinished():
-            for key, step in rollout.steps.items():
-                if step == StepState.IN_PROGRESS and self.view.is_fresh(now_ms, agent_of(key)):
-                    self.order_step(now_ms, rollout, key)
-
-    def order_step(self, now_ms: float, rollout: FleetRollout, key: str) -> None:
-        """Orders one step, unless its agent has begun it or was told a moment ago."""
-        name, agent = split_instance_key(key)
-        view, attempt_id = self.view.agents[agent], rollout.attempt_id(key)
-        result = view.result(attempt_id)
-        if result is None and self.committed_availability(now_ms).shortfall(rollout, key):
-            return  # other instances have gone since the step was committed
-        if result is not None and result.state != AttemptState.PAUSED:
-            return
-        if now_ms - view.ordered_at.get(attempt_id, NEVER) < ORDER_RETRY_INTERVAL_MS:
-            return
-        view.ordered_at[attempt_id] = now_ms
-        step = Step(
-            id=attempt_id,
-            rollout_id=rollout.id,
-            kind=rollout.step_kind(key),
-            name=name,
-            minimum_ready_ms=rollout.minimum_ready_ms,
-            version=rollout.step_version(key),
-        )
-        self.actions.order(agent, view.number, step)
-
-
-def change_members(proposal: FleetRecord, change: MemberChange) -> None:
-    """Admits or dismisses one agent; unfinished steps of one that is dismissed have failed."""
-    name = change.name
-    if change.act == "admit":
-        proposal.members = {**proposal.members, name: len(proposal.log) + 1}
-    else:
-        proposal.members = {key: place for key, place in proposal.members.items() if key != name}
-        proposal.voters = {key: store for key, store in proposal.voters.items() if key != name}
-        for rollout in proposal.unfinished():
-            for key, step in rollout.steps.items():
-                if agent_of(key) == name and step in UNFINISHED_STEPS:
-                    rollout.steps[key] = StepState.FAILED
-    add_log_entry(proposal, change.act, name, change.by)
-
-
-def add_log_entry(proposal: FleetRecord, act: str, name: str, by: str) -> None:
-    """Notes a change of members or voters; the oldest entries go."""
-    proposal.log = [*proposal.log, [act, name, by]][-MAX_LOG_ENTRIES:]
+            list_voter(proposal, name, store)
 
 
 def drop_old_rollouts(proposal: FleetRecord) -> None:
