--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -5,24 +5,30 @@
 record ("book") and the controls of rollouts ("orders").
 """
 
-import random
 import uuid
 import zlib
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+import msgspec
 import structlog
 
+from vetchford.fleet import detector_datagrams
+from vetchford.fleet.agent_report import make_report
 from vetchford.fleet.agent_settings import AgentSettings
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
+from vetchford.fleet.detector_datagrams import DetectorDatagram
 from vetchford.fleet.failure_detector import FailureDetector
 from vetchford.fleet.fleet_record import founding_record
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.history_store import Store, StoredRecord
-from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.local_steps import begin_step
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
+from vetchford.fleet.own_incarnation import OwnIncarnation
+from vetchford.fleet.peer_records import STORED_PEER, PeerSettings, StoredPeer
+from vetchford.fleet.peer_status import SHOWN_MEMBER_STATES, AgentStatus, PeerStatus, encode_status
 from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.fleet.tool_requests import Answer
 from vetchford.runtime.actor import Actor
@@ -35,19 +41,10 @@
 log = structlog.get_logger()
 
 REFUTATIONS_PER_INCARNATION = 1 << 20  # numbers for suspicions that are denied: one a second lasts 12 days
-DISPUTE_WINDOW_MS = 60_000.0  # ms
-MAX_INCARNATIONS_RAISED = 5  # in that window, as others knew a later one: then two machines have this name
-
 # What other agents can provoke is logged ever more rarely.
 SAMPLED_EVENTS = frozenset(
     ("order_refused", "record_message_unknown", "peer_message_unknown", "record_not_stored")
 )
-STATE_SHOWN = {
-    MemberState.ALIVE: "there",
-    MemberState.SUSPECT: "may be there",
-    MemberState.UNREACHABLE: "not seen",
-}
-STORED_SELF, STORED_PEER = "self", "peer"
 
 
 class Owner(Protocol):
@@ -63,21 +60,22 @@
 
     def __init__(self, actor: Actor, owner: Owner, settings: dict[str, Any], metrics: Metrics) -> None:
         """`settings`: the record `peers`. OSError where its address can't be had or the store fails."""
-        self.owner, self.settings, self.metrics = owner, settings, metrics
-        self.name: str = settings["name"]
+        self.owner = owner
+        self.settings = PeerSettings.from_record(settings)
+        self.metrics = metrics
+        self.name = self.settings.name
         stored = owner.store.records()
-        self.incarnation, self.store_identity = next_incarnation(stored)
-        self.nonce = draw_nonce()
-        self.save_self()
-        self.incarnation_raised_at_ms: list[float] = []  # within DISPUTE_WINDOW
-        agents: dict[str, str] = settings["agents"]
-        seed, now_ms = zlib.crc32(settings["fleet"].encode()), self.now()
+        self.own = OwnIncarnation(owner.store, stored)
+        self.own.save()
+        agents = self.settings.agents
+        seed = zlib.crc32(self.settings.fleet.encode())
+        now_ms = self.now()
         self.transport = Transport(
             actor,
             self,
             metrics,
-            Identity(settings["fleet"], self.name, self.incarnation, self.nonce),
-            settings["listen"],
+            Identity(self.settings.fleet, self.name, self.own.number, self.own.nonce),
+            self.settings.listen,
             agents,
             seed,
         )
@@ -85,7 +83,7 @@
             self,
             self.name,
             agents,
-            seed + self.incarnation,
+            seed + self.own.number,
             self.detector_incarnation(),
             fixed_members=True,
             now_ms=now_ms,
@@ -94,19 +92,26 @@
             self,
             self.name,
             seed,
-            self.store_identity,
+            self.own.store_identity,
             founding_record(list(agents)),
             now_ms,
-            self.incarnation,
+            self.own.number,
         )
         self.restore(stored)
 
+    @property
+    def incarnation(self) -> int:
+        """Counts the starts of this agent, and the times that others knew a later one."""
+        return self.own.number
+
     def restore(self, stored: Iterable[StoredRecord]) -> None:
         """Takes in what the store has of earlier incarnations."""
         peers = self.transport.sessions.peers
         for kind, name, body in stored:
             if kind == STORED_PEER and name in peers:
-                peers[name].incarnation, peers[name].nonce = body["life"], body["nonce"]
+                known = msgspec.convert(body, StoredPeer)
+                peers[name].incarnation = known.incarnation
+                peers[name].nonce = known.nonce
             elif kind in (RECORD_KIND, CONTROLS_KIND):
                 self.coordinator.restore(kind, name, body)
 
@@ -125,14 +130,9 @@
         self.failure_detector.tick(now_ms)
         self.coordinator.tick(now_ms)
 
-    def save_self(self) -> None:
-        """Stores this agent's incarnation; OSError where the store fails."""
-        body = {"life": self.incarnation, "store": self.store_identity}
-        self.owner.store.put(STORED_SELF, "life", body)
-
     def detector_incarnation(self) -> int:
         """The failure detector's first incarnation in this one of the agent: above all earlier ones."""
-        return self.incarnation * REFUTATIONS_PER_INCARNATION
+        return self.own.number * REFUTATIONS_PER_INCARNATION
 
     # -- what the transport brings
 
@@ -147,9 +147,10 @@
     def on_datagram(self, peer: str, body: Any) -> None:
         """A message of another agent's failure detector."""
         try:
-            kind, number, about, encoded = body
-            updates = [(str(name), str(state), int(at)) for name, state, at in encoded]
-            self.failure_detector.receive(self.now(), peer, str(kind), int(number), str(about), updates)
+            message = detector_datagrams.decode(body)
+            self.failure_detector.receive(
+                self.now(), peer, message.kind, message.number, message.about, message.updates
+            )
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
@@ -161,7 +162,7 @@
     def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None:
         """Another agent has a new incarnation."""
         try:
-            self.owner.store.put(STORED_PEER, peer, {"life": life, "nonce": nonce})
+            self.owner.store.put(STORED_PEER, peer, msgspec.to_builtins(StoredPeer(life, nonce)))
         except OSError as problem:  # it is known until our own end
             self.metrics.log_sampled("peer_not_stored", problem=str(problem))
 
@@ -171,40 +172,35 @@
         Our store is an old copy or empty, or two machines use the name.
         """
         now_ms = self.now()
-        recent = [at for at in self.incarnation_raised_at_ms if now_ms - at < DISPUTE_WINDOW_MS]
-        self.incarnation_raised_at_ms = recent
-        if len(recent) >= MAX_INCARNATIONS_RAISED:
+        if self.own.is_disputed(now_ms):
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
-        recent.append(now_ms)
         self.raise_incarnation(now_ms, life)
 
     def raise_incarnation(self, now_ms: float, known: int) -> None:
         """Begins an incarnation above `known`, with a new identity of the store."""
-        before = self.incarnation, self.store_identity
-        self.incarnation, self.nonce = max(known, self.incarnation) + 1, draw_nonce()
+        record = self.coordinator.record
         # The store's votes may be lost: votes of this agent count once the record lists its new identity.
-        self.coordinator.record.replace_store(now_ms, uuid.uuid4().hex)
-        self.store_identity = self.coordinator.record.store
+        record.replace_store(now_ms, uuid.uuid4().hex)
         try:
-            self.save_self()
+            self.own.raise_above(now_ms, known, record.store)
         except OSError as problem:  # others go on refusing this one, and say so on each new connection
-            self.incarnation, self.store_identity = before
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
-        log.warning("life_raised", life=self.incarnation, known=known)
+        log.warning("life_raised", life=self.own.number, known=known)
         self.failure_detector.membership.restart(self.detector_incarnation())
-        self.transport.begin_incarnation(self.incarnation, self.nonce)
+        self.transport.begin_incarnation(self.own.number, self.own.nonce)
 
     # -- actions of the failure detector
 
     def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
         """One datagram; it may be lost."""
-        self.transport.send_datagram(to, [kind, number, about, updates])
+        datagram = DetectorDatagram(kind, number, about, updates)
+        self.transport.send_datagram(to, detector_datagrams.encode(datagram))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Another agent is seen otherwise than before."""
-        log.info("peer_state_changed", peer=name, state=STATE_SHOWN[state])
+        log.info("peer_state_changed", peer=name, state=SHOWN_MEMBER_STATES[state])
 
     # -- actions of the coordinator
 
@@ -218,27 +214,7 @@
 
     def report(self, rollouts: set[str]) -> AgentReport:
         """What the leader is told of this agent."""
-        local, definitions = self.owner.controller, self.owner.settings.instances
-        instances: Any = {
-            one.name: {
-                "state": one.state,
-                "unseen": one.awaiting_first_check,
-                "group": one.settings.group,
-                "why": one.reason,
-                "version": one.running_version or one.version,
-                "declared": definitions[one.name].version,
-                "wanted": one.wanted,
-                "labels": definitions[one.name].labels,
-                "killed": one.kill_count,
-                "change": owner.id if (owner := local.rollout_of(one.name)) else "",
-            }
-            for one in local.instances.values()
-        }
-        return {
-            "instances": instances,
-            "locals": step_results(local, rollouts),
-            "versions": sorted(self.owner.settings.versions),
-        }
+        return make_report(self.owner.controller, self.owner.settings, rollouts)
 
     def begin_step(self, step: Step) -> str:
         """Starts a step on this agent; empty, or why it was refused."""
@@ -263,32 +239,30 @@
     def describe_peers(self) -> Answer:
         """Connections, states of the members and the record, as this agent sees them."""
         record = self.coordinator.record
-        rows = self.transport.sessions.status()
-        for row in rows:
-            member = self.failure_detector.membership.members.get(row["name"])
-            row["view"] = STATE_SHOWN[member.state if member else MemberState.UNREACHABLE]
-            row["member"] = record.is_member(row["name"])
-            row["voter"] = row["name"] in record.voters()
-        return {
-            "name": self.name,
-            "fleet": self.settings["fleet"],
-            "life": self.incarnation,
-            "peers": rows,
-            "book": record.status(),
-            "log": record.body["log"],
-            "bytes_sent": self.transport.bytes_sent,
-            "datagrams_sent": self.transport.datagrams_sent,
-        }
-
-
-def next_incarnation(stored: Iterable[StoredRecord]) -> tuple[int, str]:
-    """The incarnation after the one that is stored, and the identity of the store, which may be new."""
-    for kind, _, body in stored:
-        if kind == STORED_SELF:
-            return body["life"] + 1, body["store"]
-    return 1, uuid.uuid4().hex
-
-
-def draw_nonce() -> int:
-    """Tells apart two programs that claim one incarnation of one name."""
-    return random.SystemRandom().getrandbits(62)
+        status = AgentStatus(
+            name=self.name,
+            fleet=self.settings.fleet,
+            incarnation=self.own.number,
+            peers=[self.describe_peer(row) for row in self.transport.sessions.status()],
+            record=record.status(),
+            log=record.body["log"],
+            bytes_sent=self.transport.bytes_sent,
+            datagrams_sent=self.transport.datagrams_sent,
+        )
+        return encode_status(status)
+
+    def describe_peer(self, session: dict[str, Any]) -> PeerStatus:
+        """One other agent; `session` is the transport's row of it."""
+        record = self.coordinator.record
+        name = session["name"]
+        member = self.failure_detector.membership.members.get(name)
+        member_state = member.state if member else MemberState.UNREACHABLE
+        return PeerStatus(
+            name=name,
+            link_state=str(session["link"]),
+            incarnation=session["life"],
+            last_failure=session["why"],
+            member_state=SHOWN_MEMBER_STATES[member_state],
+            is_member=record.is_member(name),
+            is_voter=name in record.voters(),
+        )
