--- a/vetchford/fleet/consensus_messages.py
+++ b/vetchford/fleet/consensus_messages.py
@@ -22,7 +22,8 @@
 
 EncodedMessage: TypeAlias = dict[str, Any]
 
-KIND_KEY, STORE_KEY = "do", "store"
+KIND_KEY = "do"
+STORE_KEY = "store"
 
 
 class MalformedMessageError(MalformedInputError, ValueError):
@@ -31,7 +32,8 @@
     def __init__(self, sender: str, problem: str) -> None:
         """`problem` says which field is wrong."""
         super().__init__(f"message of {sender}: {problem}")
-        self.sender, self.problem = sender, problem
+        self.sender = sender
+        self.problem = problem
 
 
 class UnknownMessageError(MalformedInputError):
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -10,23 +10,31 @@
 import zlib
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
 from vetchford.fleet.membership import Member, Membership, MembershipActions, MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 
-PROBE_INTERVAL_MS = 1000.0  # ms: each agent is probed about once in it by somebody
-PROBE_TIMEOUT_MS = 300.0  # ms: on one site's network a few are usual, a busy agent takes some tens
+PROBE_INTERVAL_MS = 1000.0  # each agent is probed about once in it by somebody
+MIN_PROBE_GAP_MS = 0.5 * PROBE_INTERVAL_MS  # between two probes, also after a late tick
+PROBE_TIMEOUT_MS = 300.0  # until others are asked to probe: a busy agent takes some tens
+PROBE_EXPIRY_TIMEOUTS = 2.5  # probe timeouts until a probe has failed: the indirect way fits into them, too
 INDIRECT_PROBES = 3  # agents asked to probe in our place: at 5 % loss all of four ways fail in 1 of 10,000
 SUSPICION_PERIODS = 3.0  # probe intervals, times `group_scale`, until a suspect is unreachable
-MAX_HEALTH_PENALTY = 4  # an agent that hears nobody is likely the trouble itself: waits up to 5 times as long
-UNREACHABLE_RETENTION_MS = (
-    120_000.0  # ms that they are kept, and probed now and then in case a split has healed
-)
+MAX_HEALTH_PENALTY = 4  # failed probes that count: an agent that hears nobody is likely the trouble itself
+SUSPICION_SHARE_PER_PENALTY = 0.5  # of the suspicion's length, for each failed probe of our own
+UNREACHABLE_RETENTION_MS = 120_000.0  # that they are kept, and probed in case a split has healed
 UNREACHABLE_PROBE_PERIODS = 5  # probe intervals between two such probes
-STOPPED_AFTER_MS = 1500.0  # ms between two calls of `tick`: fifteen were missed, this process was stopped
+STOPPED_AFTER_MS = 1500.0  # between two calls of `tick`: fifteen were missed, this process was stopped
 
-PING, ACK, PING_REQUEST = "ping", "ack", "ask"  # kinds of messages, as they are sent
+
+class MessageKind(StrEnum):
+    """The kinds of messages; the values are the encoded words."""
+
+    PING = "ping"
+    ACK = "ack"
+    PING_REQUEST = "ask"  # of an indirect probe
 
 
 class DetectorActions(MembershipActions, Protocol):
@@ -66,13 +74,18 @@
         `fixed_members`: only `others` are ever known, none is forgotten, and none is alive before a message
         of it.
         """
-        self.actions, self.name, self.seed, self.draws = actions, name, seed, 0
+        self.actions = actions
+        self.name = name
+        self.seed = seed
+        self.draws = 0
         self.membership = Membership(actions, name, others, incarnation, fixed_members, now_ms)
         self.last_tick_at_ms = now_ms
         self.health_penalty = 0  # one more for each failed probe, one less for each that succeeds
         self.probes: dict[int, Probe] = {}  # by number; removed as they are answered or expire
         self.probe_order: list[str] = []  # the last one is next; filled anew when it is empty
-        self.last_number, self.next_probe_at_ms, self.periods = 0, 0.0, 0
+        self.last_number = 0  # of the probes sent so far
+        self.next_probe_at_ms = 0.0
+        self.periods = 0  # probe intervals so far
 
     def draw(self, count: int) -> int:
         """Below `count`; by seed, name and number of draws alone, so that a simulation can be repeated."""
@@ -83,7 +96,8 @@
 
     def tick(self, now_ms: float) -> None:
         """Called ten times a second or more often."""
-        gap_ms, self.last_tick_at_ms = now_ms - self.last_tick_at_ms, now_ms
+        gap_ms = now_ms - self.last_tick_at_ms
+        self.last_tick_at_ms = now_ms
         if gap_ms > STOPPED_AFTER_MS:
             self.shift_deadlines(gap_ms)
         for number, probe in list(self.probes.items()):
@@ -91,9 +105,8 @@
         for name, member in list(self.membership.members.items()):
             self.check_member(now_ms, name, member)
         if now_ms >= self.next_probe_at_ms:
-            self.next_probe_at_ms = max(
-                self.next_probe_at_ms + PROBE_INTERVAL_MS, now_ms + 0.5 * PROBE_INTERVAL_MS
-            )
+            next_in_order_ms = self.next_probe_at_ms + PROBE_INTERVAL_MS
+            self.next_probe_at_ms = max(next_in_order_ms, now_ms + MIN_PROBE_GAP_MS)
             self.start_probes(now_ms)
 
     def shift_deadlines(self, gap_ms: float) -> None:
@@ -126,14 +139,13 @@
         others = [name for name in self.membership.reachable() if name != target]
         for _ in range(min(INDIRECT_PROBES, len(others))):
             helper = others.pop(self.draw(len(others)))
-            self.send(helper, PING_REQUEST, number, target)
+            self.send(helper, MessageKind.PING_REQUEST, number, target)
 
     def check_member(self, now_ms: float, name: str, member: Member) -> None:
         """Ends a suspicion that nobody refuted, and forgets who was unreachable for long."""
         age_ms = now_ms - member.since_ms
         if member.state == MemberState.SUSPECT:
-            periods = SUSPICION_PERIODS * self.membership.group_scale() * (1 + 0.5 * self.health_penalty)
-            if age_ms >= PROBE_INTERVAL_MS * periods:
+            if age_ms >= self.suspicion_ms():
                 self.membership.apply_update(now_ms, (name, MemberState.UNREACHABLE, member.incarnation))
         elif (
             member.state == MemberState.UNREACHABLE
@@ -142,6 +154,16 @@
         ):
             self.membership.forget(name)
 
+    def suspicion_ms(self) -> float:
+        """How long a suspect has to refute before it counts as unreachable.
+
+        It grows with the size of the group, as the news of it and its refutation take longer (SWIM, 4.2), and
+        with the failures of our own probes, which may be our own trouble (Lifeguard).
+        """
+        penalty = 1 + SUSPICION_SHARE_PER_PENALTY * self.health_penalty
+        periods = SUSPICION_PERIODS * self.membership.group_scale() * penalty
+        return PROBE_INTERVAL_MS * periods
+
     # -- probes
 
     def start_probes(self, now_ms: float) -> None:
@@ -153,16 +175,16 @@
         if target:
             self.last_number += 1
             timeout_ms = PROBE_TIMEOUT_MS * (1 + self.health_penalty)
-            expires_at_ms = now_ms + max(PROBE_INTERVAL_MS, 2.5 * timeout_ms)
-            self.probes[self.last_number] = Probe(target, now_ms + timeout_ms, expires_at_ms)
-            self.send(target, PING, self.last_number)
+            expires_after_ms = max(PROBE_INTERVAL_MS, PROBE_EXPIRY_TIMEOUTS * timeout_ms)
+            self.probes[self.last_number] = Probe(target, now_ms + timeout_ms, now_ms + expires_after_ms)
+            self.send(target, MessageKind.PING, self.last_number)
 
     def ping_unreachable(self) -> None:
         """The ping tells one of them what is said of it, so that it can refute it; no ack is waited for."""
         unreachable = self.membership.in_states(MemberState.UNREACHABLE)
         if unreachable:
             self.last_number += 1
-            self.send(unreachable[self.draw(len(unreachable))], PING, self.last_number)
+            self.send(unreachable[self.draw(len(unreachable))], MessageKind.PING, self.last_number)
 
     def next_target(self) -> str:
         """Each agent once, in an order drawn anew, so that nobody waits for long; empty for none."""
@@ -179,7 +201,7 @@
     def receive(
         self, now_ms: float, sender: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]
     ) -> None:
-        """A datagram; `about` names the target of a PING_REQUEST.
+        """A datagram; `about` names the target of a `PING_REQUEST`.
 
         KeyError or ValueError for a state that is none.
         """
@@ -187,11 +209,11 @@
             self.membership.apply_update(now_ms, update)
         if sender not in self.membership.members and not self.membership.fixed:
             self.membership.apply_update(now_ms, (sender, MemberState.ALIVE, 0))
-        if kind == PING:
-            self.send(sender, ACK, number)
-        elif kind == PING_REQUEST and about in self.membership.members:
+        if kind == MessageKind.PING:
+            self.send(sender, MessageKind.ACK, number)
+        elif kind == MessageKind.PING_REQUEST and about in self.membership.members:
             self.probe_for(now_ms, sender, number, about)
-        elif kind == ACK:
+        elif kind == MessageKind.ACK:
             self.on_ack(number)
 
     def probe_for(self, now_ms: float, requester: str, number: int, target: str) -> None:
@@ -199,7 +221,7 @@
         self.last_number += 1
         expires_at_ms = now_ms + PROBE_INTERVAL_MS
         self.probes[self.last_number] = Probe(target, math.inf, expires_at_ms, False, requester, number)
-        self.send(target, PING, self.last_number)
+        self.send(target, MessageKind.PING, self.last_number)
 
     def on_ack(self, number: int) -> None:
         """A probe was answered: ours, or one in the place of another agent, which is told."""
@@ -207,7 +229,7 @@
         if probe is None:
             return
         if probe.requester:
-            self.send(probe.requester, ACK, probe.requester_number)
+            self.send(probe.requester, MessageKind.ACK, probe.requester_number)
         else:
             self.health_penalty = max(0, self.health_penalty - 1)
 
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -17,7 +17,8 @@
 
 EncodedRecord = dict[str, Any]
 
-PAUSE_ON_FAILURE, CONTINUE_ON_FAILURE = "pause", "go_on"  # of `on_failure`; the third word is "back"
+PAUSE_ON_FAILURE = "pause"  # of `on_failure`, whose third word is "back"
+CONTINUE_ON_FAILURE = "go_on"
 
 
 class StepState(StrEnum):
@@ -104,7 +105,8 @@
     def decode(cls, encoded: Mapping[str, Any]) -> FleetRollout:
         """Reads the encoded form; KeyError where it lacks a key. Shares nothing that a rollout changes."""
         rollout = cls(**{name: encoded[key] for key, name in cls.ENCODED_KEYS.items()}, encoded=encoded)
-        rollout.steps, rollout.attempts = dict(rollout.steps), dict(rollout.attempts)
+        rollout.steps = dict(rollout.steps)
+        rollout.attempts = dict(rollout.attempts)
         return rollout
 
     def encode(self) -> dict[str, Any]:
--- a/vetchford/fleet/local_steps.py
+++ b/vetchford/fleet/local_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from vetchford.fleet.coordinator_messages import Step
-from vetchford.fleet.rollout import RefusedError, Rollout, RolloutState
+from vetchford.fleet.rollout import FailurePolicy, RefusedError, Rollout, RolloutState
 from vetchford.fleet.rollout_controller import RolloutController
 
 
@@ -19,7 +19,7 @@
         [step.name],
         version=str(step.version),
         minimum_ready_ms=float(step.minimum_ready_ms),
-        on_failure="go_on",
+        on_failure=FailurePolicy.CONTINUE,
     )
     try:
         if local.submit(now_ms, rollout).state == RolloutState.PAUSED:
--- a/vetchford/fleet/membership.py
+++ b/vetchford/fleet/membership.py
@@ -41,14 +41,21 @@
 
     state: MemberState
     incarnation: int
-    since_ms: float
+    since_ms: float  # when it came into `state`, by our own clock
 
 
-NO_MEMBER = Member(MemberState.ALIVE, -1, 0.0)  # before the first update of an agent that is not known yet
+UNKNOWN_INCARNATION = -1  # below every one that is sent
+NO_MEMBER = Member(
+    MemberState.ALIVE, UNKNOWN_INCARNATION, 0.0
+)  # before the first update of an agent that is not known yet
 
 
 class Membership:
-    """One agent's view of all others."""
+    """One agent's view of all others.
+
+    Invariant: of an agent neither the incarnation nor, within one, the severity ever falls, so updates may
+    come in any order and any number of times. Only the agent itself begins an incarnation, to refute.
+    """
 
     def __init__(
         self,
@@ -60,8 +67,13 @@
         now_ms: float,
     ) -> None:
         """`fixed`: only `others` are ever known, none is forgotten, and none is alive before a message."""
-        self.actions, self.name, self.incarnation, self.fixed = actions, name, incarnation, fixed
-        first = Member(MemberState.SUSPECT, -1, now_ms) if fixed else Member(MemberState.ALIVE, 0, 0.0)
+        self.actions = actions
+        self.name = name
+        self.incarnation = incarnation
+        self.fixed = fixed
+        first = Member(MemberState.ALIVE, 0, 0.0)
+        if fixed:
+            first = Member(MemberState.SUSPECT, UNKNOWN_INCARNATION, now_ms)
         self.members = {other: replace(first) for other in sorted(others) if other != name}
         self.updates = UpdateQueue()
         self.updates.add(name)
@@ -121,17 +133,18 @@
 
     def piggyback(self, to: str) -> list[MembershipUpdate]:
         """The updates for one message: what concerns its receiver, then those that were sent least often."""
-        out: list[MembershipUpdate] = []
+        updates: list[MembershipUpdate] = []
         receiver = self.members.get(to)
         if receiver is not None and receiver.state != MemberState.ALIVE:
-            out.append((to, receiver.state, receiver.incarnation))
-        for name in self.updates.take(MAX_UPDATES, math.ceil(SENDS_PER_UPDATE * self.group_scale())):
+            updates.append((to, receiver.state, receiver.incarnation))
+        max_sends = math.ceil(SENDS_PER_UPDATE * self.group_scale())
+        for name in self.updates.take(MAX_UPDATES, max_sends):
             if name == self.name:
-                out.append((name, MemberState.ALIVE, self.incarnation))
+                updates.append((name, MemberState.ALIVE, self.incarnation))
             elif name in self.members and name != to:
                 member = self.members[name]
-                out.append((name, member.state, member.incarnation))
-        return out
+                updates.append((name, member.state, member.incarnation))
+        return updates
 
     def forget(self, name: str) -> None:
         """Drops an agent that was unreachable for long; it may come back as a new one."""
--- a/vetchford/fleet/quorum.py
+++ b/vetchford/fleet/quorum.py
@@ -20,7 +20,8 @@
 
     def __init__(self, own_name: str, own_store: str) -> None:
         """`own_store`: the identity of the store of this agent, `own_name`."""
-        self.own_name, self.own_store = own_name, own_store
+        self.own_name = own_name
+        self.own_store = own_store
         self.stated: dict[str, str] = {}  # by agent; bounded by the agents that the settings list
 
     def of(self, name: str) -> str:
@@ -37,10 +38,12 @@
         The founding record lists agents without an identity: any counts then but one of a replaced store,
         which may have forgotten a vote.
         """
-        listed, store = voters.get(name), self.of(name)
+        listed = voters.get(name)
         if listed is None:
             return False
-        return listed == store or (listed == "" and not store.startswith(REPLACED_STORE_PREFIX))
+        store = self.of(name)
+        is_founder = listed == "" and not store.startswith(REPLACED_STORE_PREFIX)
+        return listed == store or is_founder
 
     def is_quorum(self, names: Iterable[str], voters: Mapping[str, str]) -> bool:
         """Whether the counted ones among `names` are a majority of `voters`."""
--- a/vetchford/fleet/replication.py
+++ b/vetchford/fleet/replication.py
@@ -11,7 +11,8 @@
 
     def __init__(self, own_name: str, identities: StoreIdentities) -> None:
         """Start with no acknowledgement; `identities` are the stores that the members have reported."""
-        self.own_name, self.identities = own_name, identities
+        self.own_name = own_name
+        self.identities = identities
         self.acknowledged: dict[str, RecordVersion] = {}  # newest version on the disk of each member
         self.last_answer_at_ms: dict[str, float] = {}
         self.required_electorates: Sequence[Mapping[str, str]] = ()  # each must have a majority of its own
@@ -42,6 +43,11 @@
         listed = list(names)
         return all(self.identities.is_quorum(listed, voters) for voters in self.required_electorates)
 
-    def answering(self, now_ms: float, within: float) -> set[str]:
-        """This agent and the members that answered less than `within` ms ago."""
-        return {name for name, at in self.last_answer_at_ms.items() if now_ms - at < within} | {self.own_name}
+    def answering(self, now_ms: float, within_ms: float) -> set[str]:
+        """This agent and the members that answered less than `within_ms` ago."""
+        recent = {
+            name
+            for name, answered_at_ms in self.last_answer_at_ms.items()
+            if now_ms - answered_at_ms < within_ms
+        }
+        return recent | {self.own_name}
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -134,6 +134,7 @@
         return rollout
 
     def _prepare(self, rollout: Rollout) -> None:
+        """Take down what each target is now, which a rollback returns to."""
         for name in rollout.targets:
             instance = self.instances[name]
             rollout.steps[name] = StepState.PENDING
@@ -161,6 +162,7 @@
         return rollout
 
     def _retry_failed_steps(self, rollout: Rollout) -> None:
+        """Make failed steps pending again, also those whose failure a paused rollout has not noticed."""
         for name, step in rollout.steps.items():
             instance = self.instances[name]
             is_down = instance.state in (InstanceState.FAILED, InstanceState.STOPPED)
@@ -185,6 +187,7 @@
         return rollout
 
     def _start_after_abort(self, now_ms: float, instance: Instance) -> None:
+        """Start an instance that an aborted rollout had out of service, at once or when it has stopped."""
         instance.wanted = True
         if not instance.has_process:
             self.manager.attempt_start(now_ms, instance, "its change was aborted")
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -43,6 +43,7 @@
             self._finish(rollout)
 
     def _finish(self, rollout: Rollout) -> None:
+        """End a rollout of which every step has ended."""
         failed = rollout.names_in(StepState.FAILED)
         if failed:
             self.table.transition(rollout, RolloutState.FAILED, f"lost: {', '.join(failed)}")
@@ -61,6 +62,17 @@
         if rollout.kind != RolloutKind.STOP:
             self.table.next_start_at_ms[rollout.id] = now_ms + rollout.start_spacing_ms
         self.table.set_step(rollout, instance.name, StepState.OUT)
+        self._set_goal(rollout, instance)
+        if rollout.kind != RolloutKind.START or not instance.wanted:
+            self.manager.stop(now_ms, instance, f"change {rollout.id}")
+        self._follow(now_ms, rollout, instance)
+        return True
+
+    def _set_goal(self, rollout: Rollout, instance: Instance) -> None:
+        """Record which version the instance is to run, and whether it is to run at all.
+
+        While the rollout rolls back this is what it was before.
+        """
         instance.restarts = 0
         instance.restart_at = 0.0
         rolling_back = rollout.state == RolloutState.ROLLING_BACK
@@ -70,29 +82,34 @@
             instance.version = previous if rolling_back else rollout.version
         instance.wanted = rollout.kind != RolloutKind.STOP and not stays_down
         self.manager.save(instance)
-        if rollout.kind != RolloutKind.START or stays_down:
-            self.manager.stop(now_ms, instance, f"change {rollout.id}")
-        self._follow(now_ms, rollout, instance)
-        return True
 
     def _next_instance(self, now_ms: float, rollout: Rollout) -> Instance | None:
         """Return the instance to take out next; None if batch, spacing or minimum do not allow one now."""
         pending = rollout.names_in(StepState.PENDING)
-        in_progress = rollout.names_in(*STEPS_IN_PROGRESS)
-        next_start_at_ms = self.table.next_start_at_ms.get(rollout.id, 0.0)
-        if not pending or len(in_progress) >= rollout.batch or now_ms < next_start_at_ms:
+        if not pending or not self._batch_allows_another(now_ms, rollout):
             return None
         counted = self.manager.in_groups_of(rollout.targets)
         if any(self.manager.instances[name].awaiting_first_check for name in counted):
             return None  # the agent was restarted, and it is not known yet which instances serve
         instance = self._most_urgent(rollout, pending)
-        if instance.being_stopped:
-            return None
-        takes_capacity = instance.state == InstanceState.SERVING and rollout.kind != RolloutKind.START
-        if takes_capacity and self.manager.count_serving(counted) - 1 < rollout.minimum_available:
+        if instance.being_stopped or not self._minimum_allows(rollout, instance, counted):
             return None
         return instance
 
+    def _batch_allows_another(self, now_ms: float, rollout: Rollout) -> bool:
+        """Whether fewer than `batch` are in progress, and the last start is `start_spacing_ms` ago."""
+        in_progress = rollout.names_in(*STEPS_IN_PROGRESS)
+        next_start_at_ms = self.table.next_start_at_ms.get(rollout.id, 0.0)
+        return len(in_progress) < rollout.batch and now_ms >= next_start_at_ms
+
+    def _minimum_allows(self, rollout: Rollout, instance: Instance, counted: set[str]) -> bool:
+        """Whether enough of the `counted` instances still serve without this one.
+
+        One that does not serve costs nothing, and a start takes nothing away.
+        """
+        takes_capacity = instance.state == InstanceState.SERVING and rollout.kind != RolloutKind.START
+        return not takes_capacity or self.manager.count_serving(counted) - 1 >= rollout.minimum_available
+
     def _most_urgent(self, rollout: Rollout, pending: list[str]) -> Instance:
         """Return an instance that does not serve, as it costs no capacity, else the first in order."""
         instances = [self.manager.instances[name] for name in rollout.targets if name in pending]
@@ -111,6 +128,7 @@
             self._follow_soaking(now_ms, rollout, instance)
 
     def _follow_out(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
+        """Start the instance once its process has ended, or end the step if it is to stay down."""
         starts_in_place = rollout.kind == RolloutKind.START and instance.wanted
         if instance.has_process and not starts_in_place:
             # The agent died between the record and SIGTERM, or just after it. The minimum has to be checked
@@ -123,6 +141,7 @@
             self.manager.start(now_ms, instance, f"change {rollout.id}")
 
     def _follow_starting(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
+        """The step soaks once the instance serves, and has failed if it never will."""
         if instance.state == InstanceState.SERVING:
             self.table.set_step(rollout, instance.name, StepState.SOAKING)
         elif instance.state in (InstanceState.FAILED, InstanceState.STOPPED):
@@ -131,6 +150,10 @@
             self.manager.start(now_ms, instance, f"change {rollout.id}")
 
     def _follow_soaking(self, now_ms: float, rollout: Rollout, instance: Instance) -> None:
+        """The step is done once the instance has served for `minimum_ready_ms`.
+
+        A few failed checks (`STARTING`) begin that time anew; any other state has failed it.
+        """
         if instance.state == InstanceState.SERVING:
             if now_ms - instance.state_since >= rollout.minimum_ready_ms:
                 self.table.set_step(rollout, instance.name, StepState.DONE)
@@ -140,6 +163,7 @@
     # -- failures
 
     def _fail_step(self, rollout: Rollout, instance: Instance) -> None:
+        """A step has failed: continue, pause or roll back, as the rollout's `on_failure` says."""
         self.table.set_step(rollout, instance.name, StepState.FAILED)
         self.table.actions.note(
             "rollout_instance_failed", change=rollout.id, instance=instance.name, why=instance.reason
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -52,25 +52,31 @@
 
         What is not on record has not been decided, except a pause: it holds, and is logged, all the same.
         """
-        previous = rollout.state, rollout.reason, rollout.rolling_back
-        rollout.state, rollout.reason = state, reason
-        rollout.rolling_back = rollout.rolling_back or state == RolloutState.ROLLING_BACK
+        previous_state = rollout.state
+        previous_reason = rollout.reason
+        was_rolling_back = rollout.rolling_back
+        rollout.state = state
+        rollout.reason = reason
+        rollout.rolling_back = was_rolling_back or state == RolloutState.ROLLING_BACK
         try:
             self.save(rollout)
         except OSError:
             if state == RolloutState.PAUSED:
-                self._log_transition(rollout, previous[0])
+                self._log_transition(rollout, previous_state)
             else:
-                rollout.state, rollout.reason, rollout.rolling_back = previous
+                rollout.state = previous_state
+                rollout.reason = previous_reason
+                rollout.rolling_back = was_rolling_back
             raise
-        self._log_transition(rollout, previous[0])
+        self._log_transition(rollout, previous_state)
         if rollout.ended:
             self.next_start_at_ms.pop(rollout.id, None)
 
     def pause_without_record(self, rollout: Rollout, reason: str) -> None:
         """Pause a rollout although the store cannot write."""
         previous = rollout.state
-        rollout.state, rollout.reason = RolloutState.PAUSED, reason
+        rollout.state = RolloutState.PAUSED
+        rollout.reason = reason
         self._log_transition(rollout, previous)
 
     def _log_transition(self, rollout: Rollout, previous: RolloutState) -> None:
