--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -51,7 +51,7 @@
     return {} if answer["unknown"] else answer["instances"]
 
 
-def test_a_driver_that_is_killed_in_its_roll_is_replaced_and_the_tool_follows_by_another(rig):
+def test_killed_leader_is_replaced_during_roll_and_tool_fails_over(rig):
     driver = rig.driver()
     other = next(name for name in rig.names if name != driver)
     began = rig.change(other, "r1", "roll", version="v2", batch=1, floor=3, soak=400.0)
@@ -85,7 +85,7 @@
     assert len({entry["term"] for entry in rig.events() if entry["event"] == "leader_elected"}) == 2
 
 
-def test_a_driver_cut_off_stops_says_so_and_all_goes_on_after_healing(rig):
+def test_partitioned_leader_steps_down_and_rollout_resumes_after_healing(rig):
     driver = rig.driver()
     others = [name for name in rig.names if name != driver]
     rig.change(driver, "r1", "roll", version="v2", batch=1, floor=4, soak=300.0)
@@ -107,7 +107,7 @@
     assert rig.links.met()["cut"] > 0
 
 
-def test_an_agent_frozen_in_the_middle_of_its_batch_wakes_and_goes_on(rig):
+def test_agent_frozen_with_step_in_progress_continues_once_thawed(rig):
     driver = rig.driver()
     frozen = next(name for name in rig.names if name != driver)
     rig.change(driver, "r1", "roll", version="v2", batch=2, floor=3, soak=300.0)
@@ -129,7 +129,7 @@
     assert any(entry["event"] == "process_stalled" for entry in rig.events())
 
 
-def test_an_agent_with_an_old_copy_of_its_store_begins_a_new_life_and_is_counted_again(rig):
+def test_agent_with_restored_store_raises_incarnation_and_its_vote_counts_again(rig):
     old = next(name for name in rig.names if name != rig.driver())
     rig.kill(old)
     rig.copy_store(old)
@@ -157,7 +157,7 @@
     rolled(rig)
 
 
-def test_a_machine_that_loses_disk_and_processes_comes_back_empty_and_is_counted_again(rig):
+def test_machine_with_lost_disk_rejoins_empty_and_its_vote_counts_again(rig):
     driver = rig.driver()
     lost = next(name for name in rig.names if name != driver)
     rig.change(driver, "r1", "roll", version="v2", batch=1, floor=3, on_failure="go_on")
@@ -180,7 +180,7 @@
     rolled(rig, "r3", "v3")
 
 
-def test_clocks_a_day_apart_and_a_tenth_too_fast_or_slow_break_nothing(tmp_path):
+def test_rollout_completes_under_clock_skew_and_drift(tmp_path):
     with ProcessCluster(tmp_path, agents=3, instances=2) as rig:
         rig.clocks = {"a0": "-86400 0.9", "a1": "86400 1.1", "a2": "3 1"}
         rig.begin()
@@ -198,7 +198,7 @@
         assert first > time.time() + 80_000.0  # its day is a day ahead, and nobody minded
 
 
-def test_a_torn_stalled_and_slow_link_delays_and_breaks_nothing(rig):
+def test_rollout_completes_over_faulty_link(rig):
     driver = rig.driver()
     rig.change(driver, "r1", "roll", version="v2", batch=2, floor=3)
     other = next(name for name in rig.names if name != driver)
@@ -211,7 +211,7 @@
     assert sum(rig.links.met().values()) > 3
 
 
-def test_a_schedule_of_faults_is_one_script_by_its_seed_and_breaks_nothing(rig):
+def test_rollout_completes_under_seeded_fault_schedule(rig):
     one, same = (Script(rig.names, 5, 8.0, 7) for _ in range(2))
     assert one.steps == same.steps
     rig.change(rig.driver(), "r1", "roll", version="v2", batch=1, floor=3, on_failure="go_on")
@@ -219,7 +219,7 @@
     rolled(rig)
 
 
-def test_what_is_no_peer_is_refused_in_a_counted_line_and_holds_up_nobody(rig):
+def test_malformed_connections_are_refused_and_logged_without_delaying_rollout(rig):
     name = rig.driver()
     listen = rig.links.links[next(other for other in rig.names if other != name), name].to
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"vf\x09" + b"\0" * 40, b"vf\x01\0\xff\xff\xff\xff" + b"\0" * 8):
@@ -244,7 +244,7 @@
         sock.close()
 
 
-def test_the_tool_over_a_fleet_says_what_it_did_and_refuses_in_one_line(rig):
+def test_fleet_tool_output_and_refusals(rig):
     shown = tool(
         rig, "--across", "roll", "--to", "v2", "--floor", "3", "--batch", "2", "--soak", "200", "group=pay"
     )
@@ -301,7 +301,7 @@
     assert {row["view"] for row in peers["peers"]} == {"there"} and peers["book"]["counted"]
 
 
-def test_a_second_machine_by_the_same_name_is_told_so_and_breaks_nothing(rig, tmp_path):
+def test_duplicate_agent_name_raises_incarnation_without_breaking_rollout(rig, tmp_path):
     driver = rig.driver()
     name = next(other for other in rig.names if other != driver)
     home, port = tmp_path / "twin", free_ports(60)[-1]
--- a/tests/fleet/test_consensus_messages.py
+++ b/tests/fleet/test_consensus_messages.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("message", "encoded"), ENCODED)
-def test_each_message_has_the_bytes_of_the_untyped_one_and_is_read_back(message, encoded):
+def test_messages_encode_as_before_and_round_trip(message, encoded):
     data = msgspec.msgpack.encode(messages.encode_message(message, "store-1"))
     assert data == msgspec.msgpack.encode({**encoded, "store": "store-1"})
     received = msgspec.msgpack.decode(data)
@@ -41,12 +41,12 @@
     assert messages.sender_store(received) == "store-1"
 
 
-def test_every_kind_of_message_is_in_the_table_above():
+def test_encoding_table_covers_every_message_type():
     assert {encoded["do"] for _, encoded in ENCODED} == set(messages.MESSAGE_TYPES)
 
 
 @pytest.mark.parametrize(("message", "encoded"), ENCODED)
-def test_a_field_of_a_later_version_is_ignored_and_a_missing_one_is_malformed(message, encoded):
+def test_unknown_fields_are_ignored_and_missing_fields_are_malformed(message, encoded):
     assert messages.decode_message("a", {**encoded, "later": 1}) == message
     for key in encoded:
         with pytest.raises(messages.MalformedMessageError) as refused:
@@ -54,7 +54,7 @@
         assert refused.value.sender == "a"
 
 
-def test_wrong_types_are_refused_as_the_agent_s_thread_expects_and_unknown_kinds_are_told_apart():
+def test_wrong_types_and_unknown_kinds_raise_distinct_errors():
     assert issubclass(messages.MalformedMessageError, MALFORMED)
     assert issubclass(messages.MalformedMessageError, VetchfordError)
     for encoded in (
@@ -72,7 +72,7 @@
     assert unknown.value.kind == "of a later version"
 
 
-def test_the_stored_state_is_read_back_and_has_the_keys_of_earlier_versions():
+def test_persistent_state_round_trips_with_stored_keys():
     state = messages.PersistentState(66, (64, 2), BODY)
     assert state.to_stored() == {"promised": 66, "at": [64, 2], "body": BODY}
     assert messages.PersistentState.from_stored(state.to_stored()) == state
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -16,7 +16,7 @@
 
 # 1167: steps in force, not begun; their machine is lost and back, another lost meanwhile, and a new leader.
 @pytest.mark.parametrize("seed", [*range(25), 1167])
-def test_rolls_among_faults_end_and_break_nothing(seed):
+def test_rollouts_complete_without_violations_under_faults(seed):
     world = play(seed)
     assert not world.violations()
     assert world.ended("r1"), (
@@ -34,12 +34,12 @@
         )  # emptied as the change ended
 
 
-def test_one_seed_is_one_history():
+def test_same_seed_gives_same_history():
     assert play(3, count=4).history == play(3, count=4).history
 
 
 @pytest.mark.parametrize("mistake", sorted(MISTAKES))
-def test_a_planted_mistake_is_found_and_the_same_schedules_are_clean_without_it(mistake):
+def test_each_mutation_is_detected_and_its_schedules_pass_without_it(mistake):
     assert caught(mistake)
     assert not caught(mistake, planted=False, seeds=range(3))
 
@@ -65,7 +65,7 @@
     return pairs
 
 
-def test_the_side_that_cannot_prove_the_floor_stops_says_so_and_goes_on_after_healing():
+def test_partition_stops_rollout_at_unproven_minimum_with_reason_until_it_heals():
     world = quiet()
     leader = leaders(world)[0]
     side = {leader, *[name for name in world.names if name != leader][:2]}
@@ -93,7 +93,7 @@
     assert world.span("r1")["state"] == "finished" and not world.violations()
 
 
-def test_two_halves_that_want_to_roll_and_one_id_asked_for_on_both_sides():
+def test_minority_partition_starts_no_rollout_and_refuses_id_of_another_rollout():
     world = quiet()
     side = set(world.names[:3])
     split(world, side)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("moment", [300.0, 700.0, 1100.0, 2500.0])
-def test_the_leader_killed_or_frozen_in_the_middle_is_replaced_and_what_is_out_counts_as_out(moment):
+def test_new_leader_continues_rollout_and_counts_steps_in_progress_as_unavailable(moment):
     for fault in ("kill", "freeze"):
         world = quiet(seed=int(moment))
         leader = leaders(world)[0]
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("who", ["leader", "other"])
-def test_an_agent_killed_between_each_two_of_its_acts_loses_nothing(who):
+def test_rollout_completes_after_agent_crash_at_each_action(who):
     for at in range(1, 400):
         world = World(11, agents=3, instances=2, floor=3)
         world.up()
@@ -156,7 +156,7 @@
     assert at > (60 if who == "leader" else 20)
 
 
-def test_three_of_five_agents_gone_stop_all_changes_and_their_return_goes_on():
+def test_rollout_stops_without_quorum_and_continues_once_quorum_returns():
     world = quiet()
     leader = leaders(world)[0]
     world.change(leader, "r1", "roll", version="v2", batch=2, floor=FLOOR)
@@ -175,7 +175,7 @@
     assert world.span("r1")["state"] == "finished" and not world.violations()
 
 
-def test_one_that_hears_nobody_deposes_nobody():
+def test_pre_vote_keeps_isolated_follower_from_raising_term():
     world = quiet()
     leader = leaders(world)[0]
     deaf = next(name for name in world.names if name != leader)
@@ -187,7 +187,7 @@
     assert leaders(world) == [leader] and world.machines[leader].coordinator.record.promised_term == before
 
 
-def test_a_pause_holds_at_once_on_its_side_and_wins_over_a_resume_that_did_not_know_of_it():
+def test_pause_in_partition_takes_effect_at_once_and_survives_concurrent_resume():
     world = quiet()
     leader = leaders(world)[0]
     away = next(name for name in world.names if name != leader)
@@ -214,7 +214,7 @@
     assert "change r1 is finished" in world.request(away, "pause", id="r1")[0]["refused"]
 
 
-def test_an_abort_from_a_side_that_is_cut_off_stands():
+def test_abort_in_partition_survives_healing():
     world = quiet()
     leader = leaders(world)[0]
     away = next(name for name in world.names if name != leader)
@@ -228,7 +228,7 @@
     assert world.span("r1")["state"] == "aborted" and "left" in world.span("r1")["steps"].values()
 
 
-def test_orders_come_out_the_same_in_any_order_and_any_number_of_times():
+def test_merging_rollout_controls_is_commutative_and_idempotent():
     chance = random.Random(5)
     sides = [rollout_controls.RolloutControls(name) for name in "abc"]
     for n in range(200):
@@ -250,7 +250,7 @@
     assert sides[0].forget_all_but(set()) == ["c"] and not sides[0].by_rollout
 
 
-def test_a_machine_leaves_and_another_joins_by_changes_of_their_own():
+def test_member_is_dismissed_and_admitted_by_request_only():
     world = quiet()
     leader = leaders(world)[0]
     gone = next(name for name in world.names if name != leader)
@@ -279,7 +279,7 @@
     )
 
 
-def test_a_majority_that_lost_its_stores_never_drives_by_itself():
+def test_majority_with_lost_stores_elects_no_leader():
     world = quiet()
     for name in world.names[:3]:
         world.machines[name].end()
@@ -288,7 +288,7 @@
     assert not leaders(world)
 
 
-def test_a_failed_version_pauses_the_fleet_and_goes_back_from_whoever_drives():
+def test_failed_version_pauses_rollout_across_leaders_or_reverts_it():
     world = quiet()
     leader = leaders(world)[0]
     world.change(leader, "r1", "roll", version="bad", batch=2, floor=16, on_failure="pause")
--- a/tests/fleet/test_coordinator_messages.py
+++ b/tests/fleet/test_coordinator_messages.py
@@ -66,14 +66,14 @@
 
 
 @pytest.mark.parametrize(("message", "encoded"), ENCODED)
-def test_each_message_has_the_bytes_of_the_untyped_one_and_is_read_back(message, encoded):
+def test_messages_encode_as_before_and_round_trip(message, encoded):
     data = msgspec.msgpack.encode(messages.encode_message(message))
     assert data == msgspec.msgpack.encode(encoded)
     assert messages.decode_message("a", message.KIND, msgspec.msgpack.decode(data)) == message
 
 
 @pytest.mark.parametrize(("message", "encoded"), ENCODED)
-def test_a_field_of_a_later_version_is_ignored_and_a_missing_one_is_malformed(message, encoded):
+def test_unknown_fields_are_ignored_and_missing_fields_are_malformed(message, encoded):
     assert messages.decode_message("a", message.KIND, {**encoded, "later": 1}) == message
     for key in encoded:
         short = {other: value for other, value in encoded.items() if other != key}
@@ -84,14 +84,14 @@
             messages.decode_message("a", message.KIND, body)
 
 
-def test_the_kinds_are_those_of_earlier_versions_and_another_is_told_apart():
+def test_message_kinds_are_unchanged_and_unknown_kind_raises():
     assert [message.KIND for message, _ in ENCODED] == KINDS == list(messages.MESSAGE_TYPES)
     with pytest.raises(UnknownMessageError):
         messages.decode_message("a", "of a later version", {})
 
 
 @pytest.mark.parametrize("sort_keys", [False, True])  # sorted, as the store writes it
-def test_the_record_is_read_and_written_back_byte_for_byte(sort_keys):
+def test_fleet_record_round_trips_byte_for_byte(sort_keys):
     text = json.dumps(RECORD, sort_keys=sort_keys)
     record = FleetRecord.decode(json.loads(text))
     assert json.dumps(record.encode()) == text
@@ -104,7 +104,7 @@
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(record.encode())) == changed
 
 
-def test_keys_of_a_later_version_are_carried_on_and_a_decoded_record_changes_apart():
+def test_fleet_record_keeps_unknown_keys_and_copies_are_independent():
     later = {**RECORD, "later": 1, "spans": {"r1": {**ROLLOUT, "later": 2}}}
     record = FleetRecord.decode(later)
     record.rollouts["r1"].steps["n0@a"] = StepState.DONE
@@ -115,7 +115,7 @@
     assert later["spans"]["r1"]["tries"]["n0@a"] == 0
 
 
-def test_a_new_rollout_and_the_founding_record_have_the_form_of_earlier_versions():
+def test_new_rollout_and_founding_record_encode_as_before():
     given = {name: ROLLOUT[key] for key, name in FleetRollout.ENCODED_KEYS.items()}
     assert json.dumps(FleetRollout(**given).encode()) == json.dumps(ROLLOUT)
     names = [f"a{n}" for n in range(9)]
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 8, 40, 200])
-def test_an_agent_that_ended_is_unreachable_for_all_and_nobody_else_is(count):
+def test_stopped_agent_alone_becomes_unreachable_for_all(count):
     net = Net(count, seed=count)
     net.run(5_000.0)
     net.dead.add("a001")
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_at_five_in_a_hundred_lost_and_doubled_messages_nobody_alive_is_unreachable(seed):
+def test_no_live_agent_becomes_unreachable_at_five_percent_loss_and_duplication(seed):
     net = Net(50, seed, loss=0.05, doubled=0.05)
     net.run(120_000.0)
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
@@ -31,14 +31,14 @@
     )  # a probe and its answer a period, and a few in others' places
 
 
-def test_a_slow_agent_is_suspected_perhaps_and_never_unreachable():
+def test_slow_agent_never_becomes_unreachable():
     net = Net(20, 4)
     net.slow["a003"] = 200.0
     net.run(120_000.0)
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
 
 
-def test_one_that_hears_nobody_waits_longer_than_those_that_miss_it():
+def test_isolated_agent_suspects_others_later_than_they_suspect_it():
     net = Net(20, 5)
     net.run(3_000.0)
     net.side["a007"] = 1
@@ -50,7 +50,7 @@
     assert net.views("a007") == {UNREACHABLE}
 
 
-def test_a_link_that_flaps_and_an_agent_that_stops_for_seconds_make_nobody_unreachable():
+def test_flapping_link_and_one_second_stalls_make_nobody_unreachable():
     net = Net(20, 8)
     for turn in range(60):
         net.side["a003"] = turn % 2  # one second each way
@@ -59,7 +59,7 @@
     assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
 
 
-def test_fixed_members_take_in_nobody_else_and_a_process_that_was_stopped_gives_up_nobody():
+def test_fixed_members_stay_fixed_and_own_stall_makes_nobody_unreachable():
     net = Net(5, 9)
     one = failure_detector.FailureDetector(
         net.agents["a000"].actions, "a000", net.agents, 9, fixed_members=True
@@ -73,7 +73,7 @@
     assert {member.state for member in one.membership.members.values()} == {SUSPECT}
 
 
-def test_a_split_and_its_healing_end_with_everybody_seen_again():
+def test_all_agents_are_alive_again_after_partition_heals():
     net = Net(30, 6)
     net.run(3_000.0)
     for n in range(12):
@@ -89,7 +89,7 @@
         assert net.views(name) == {ALIVE}, name
 
 
-def test_a_denied_suspicion_is_gone_and_old_news_changes_nothing():
+def test_refuted_suspicion_ends_and_stale_updates_are_ignored():
     net = Net(3, 1)
     one = net.agents["a000"]
     one.membership.apply_update(0.0, ("a001", SUSPECT, 0))
@@ -102,7 +102,7 @@
     assert one.membership.incarnation == 5 and ("a000", ALIVE, 5) in one.membership.piggyback("a002")
 
 
-def test_unreachable_agents_are_forgotten_and_every_table_is_emptied():
+def test_unreachable_agents_are_forgotten_and_tables_are_emptied():
     net = Net(5, 2)
     net.run(2_000.0)
     net.dead.add("a004")
@@ -116,6 +116,6 @@
             )
 
 
-def test_a_change_over_several_agents_stops_while_part_of_them_is_not_seen():
+def test_unseen_agents_of_a_rollout_are_named():
     assert describe_unseen({"a": ALIVE, "b": ALIVE, "c": UNREACHABLE}, ["a", "b"]) == ""
     assert describe_unseen({"a": ALIVE, "b": SUSPECT}, ["a", "b", "z"]) == "not seen: b, z"
--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_a_roll_ends_with_every_instance_on_the_new_version_and_the_floor_held(seed):
+def test_roll_updates_every_instance_within_minimum_available(seed):
     world, controller, _ = play(seed, crashes=False, length=25_000.0)
     assert controller.rollouts["roll"].state == RolloutState.FINISHED
     assert world.versions() == ["v2"] * 8
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_an_agent_killed_anywhere_goes_on_and_never_starts_a_second_process(seed):
+def test_restarted_agent_continues_rollout_without_duplicate_processes(seed):
     world, controller, deaths = play(seed, crashes=True, length=60_000.0, random_exits=False)
     assert deaths >= 2
     assert controller.rollouts["roll"].state in ENDED_STATES
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_version_that_never_gets_ready_is_rolled_back_and_the_floor_held(seed):
+def test_version_never_ready_is_rolled_back_within_minimum_available(seed):
     world, controller, _ = play(
         seed, False, 40_000.0, on_failure="back", random_exits=False, bad_versions=("v2",)
     )
@@ -229,7 +229,7 @@
     assert world.versions() == ["v1"] * 8
 
 
-def test_a_version_that_never_gets_ready_pauses_the_change_after_its_first_batch_and_resumes():
+def test_version_never_ready_pauses_rollout_after_first_batch_until_resume():
     world, controller, _ = play(
         3, False, 12_000.0, on_failure="pause", random_exits=False, bad_versions=("v2",)
     )
@@ -255,7 +255,7 @@
     return world, controller
 
 
-def test_the_same_command_twice_is_one_change_and_two_on_the_same_instances_are_refused():
+def test_repeated_request_is_one_rollout_and_conflicting_requests_are_refused():
     world, controller = all_serving()
     first = controller.submit(20.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0))
     assert controller.submit(21.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0)) is first
@@ -274,7 +274,7 @@
             controller.submit(23.0, wrong)
 
 
-def test_one_that_hangs_in_its_drain_is_killed_at_its_stop_time_and_reported():
+def test_hung_drain_is_killed_at_stop_timeout_and_reported():
     world, controller = all_serving("a")
     world.processes["a"]["hangs"] = True
     world.now = 100.0
@@ -290,7 +290,7 @@
     assert controller.instances["a"].kill_count == 1
 
 
-def test_a_crash_loop_backs_off_and_ends_and_a_stable_one_starts_afresh():
+def test_crash_loop_backs_off_until_instance_fails():
     world, controller = all_serving("a")
     now, starts = 100.0, []
     for _ in range(400):
@@ -306,7 +306,7 @@
     assert gaps == sorted(gaps) and gaps[-1] >= 8 * gaps[0]
 
 
-def test_a_full_store_begins_nothing_more_and_pauses_the_change():
+def test_full_store_pauses_rollout():
     world, controller = all_serving()
     controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
     world.full = True
@@ -320,7 +320,7 @@
     assert set(world.processes) == {"a", "b", "c"}
 
 
-def test_a_full_store_keeps_no_hung_instance_from_its_kill_and_no_crashed_one_down_for_good():
+def test_full_store_delays_no_kill_and_restart_follows_once_it_writes():
     world, controller = all_serving("ab")
     world.processes["a"]["hangs"], world.now = True, 100.0
     controller.submit(100.0, Rollout("stop", "stop", ["a"]))
@@ -336,7 +336,7 @@
     assert "b" in world.processes
 
 
-def test_an_aborted_change_brings_back_what_is_out_and_takes_no_more():
+def test_abort_restarts_instances_out_of_service_and_takes_no_more():
     world, controller = all_serving()
     controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
     controller.abort(30.0, "r")
