--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -185,7 +185,7 @@
         """This process did not run for `gap_ms`: no leader was late, and what we were writing is old."""
         self.timer.postpone(gap_ms)
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, "was stopped meanwhile")
+            self.step_down(now_ms, "this process was stopped")
 
     def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
         """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
@@ -241,7 +241,7 @@
         """A voter has voted in a higher term than ours (Raft, 5.1: who is stale steps down)."""
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         if self.role != Role.FOLLOWER and message.term == self.campaign_term:
-            self.step_down(now_ms, f"{sender} has promised a higher term")
+            self.step_down(now_ms, f"{sender} has voted in a higher term")
 
     # -- follower: votes, and keeps what the leader writes
 
@@ -274,7 +274,7 @@
             if not self.copy.save_term(message.term):
                 return
             if self.role != Role.FOLLOWER:
-                self.step_down(now_ms, f"{sender} stands for a higher term")
+                self.step_down(now_ms, f"{sender} is a candidate in a higher term")
             self.become_follower(now_ms, "")
         self.send(sender, VoteGranted(message.term, self.version, self.body))
 
@@ -290,7 +290,7 @@
         if not self.save_appended(message):
             return
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, f"{sender} drives under a higher term")
+            self.step_down(now_ms, f"{sender} leads in a higher term")
         if self.leader != sender:
             self.actions.note("leader_followed", driver=sender, term=message.term)
         self.become_follower(now_ms, sender)
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -200,7 +200,7 @@
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Another agent is seen otherwise than before."""
-        log.info("peer_state_changed", peer=name, state=SHOWN_MEMBER_STATES[state])
+        log.info("peer_state_changed", peer=name, state=state.name.lower())
 
     # -- actions of the coordinator
 
--- a/vetchford/fleet/order_guard.py
+++ b/vetchford/fleet/order_guard.py
@@ -36,7 +36,7 @@
         abort that is known here stands against it.
         """
         if not is_current_leader:
-            return f"term {order.term} of {sender}, promised {self.record.promised_term}"
+            return f"term {order.term} of {sender}, voted in term {self.record.promised_term}"
         report_sent_at_ms = self.reports_sent_at_ms.get(order.number)
         if report_sent_at_ms is None or now_ms - report_sent_at_ms > MAX_ORDER_AGE_MS:
             return "it rests on a report that is old"
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -210,9 +210,7 @@
         """
         rollout = self.rollout
         unseen = self.unseen_agents()
-        wait_reason = ""
-        if unseen:
-            wait_reason = f"not seen: {', '.join(unseen)}"
+        wait_reason = f"not seen: {', '.join(unseen)}" if unseen else ""
         in_progress = sum(step == StepState.IN_PROGRESS for step in rollout.steps.values())
         for key, instance in self.startable(unseen):
             if in_progress >= rollout.batch or self.now_ms < not_before_ms:
@@ -266,7 +264,9 @@
         if rollout.state == RolloutState.PAUSED and failed and not aborted:
             return False
         self.set_outcome(aborted, failed)
-        self.note("fleet_rollout_ended", span=rollout.id, state=rollout.state, why=rollout.reason)
+        self.note(
+            "fleet_rollout_ended", span=rollout.id, state=rollout.state.name.lower(), why=rollout.reason
+        )
         return True
 
     def set_outcome(self, aborted: bool, failed: list[str]) -> None:
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -83,8 +83,8 @@
         self.actions.note(
             "rollout_state_changed",
             change=rollout.id,
-            was=str(previous),
-            now=str(rollout.state),
+            was=previous.name.lower(),
+            now=rollout.state.name.lower(),
             why=rollout.reason,
         )
 
