--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -105,10 +105,10 @@
                 request_class=kind,
                 method=CLASSES[kind]["name"],
                 tenant=0,
-                balancer=rpc_id % 3,
-                arrived_at=arrived_at,
-                time_limit=LIMIT,
-                cpu_time=50.0,
+                client_number=rpc_id % 3,
+                arrived_at_unix_ms=arrived_at,
+                client_timeout_ms=LIMIT,
+                work_ms=50.0,
                 memory_kb=20.0,
                 idempotency_key=key,
                 content=base64.b64encode(f"body {key or name}".encode()).decode(),
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_actor_keeps_to_the_plain_model_over_links_that_break(seed, monkeypatch):
+def test_the_actor_matches_a_reference_model_over_broken_links(seed, monkeypatch):
     day = Day(seed, monkeypatch)
     while day.actor.controller is None:
         day.step()
--- a/vetchford/fleet/availability.py
+++ b/vetchford/fleet/availability.py
@@ -21,7 +21,7 @@
     record: FleetRecord
 
     def is_fresh(self, agent: str) -> bool:
-        """Whether the newest report of an agent proves something now (`fleet_view.MAX_REPORT_AGE`)."""
+        """Whether the newest report of an agent proves something now (`fleet_view.MAX_REPORT_AGE_MS`)."""
         return self.view.is_fresh(self.now_ms, agent)
 
     def instances(self) -> dict[str, InstanceReport]:
--- a/vetchford/fleet/commands/command_line.py
+++ b/vetchford/fleet/commands/command_line.py
@@ -39,10 +39,14 @@
   vetchford fleet --socket run/east.sock --across roll --to v2 --batch 3 --floor 14 'n*@east' agent=west
 """
 
+import sys
+
 from docopt import DocoptExit, docopt
 
-from vetchford.fleet.commands.options import Options
-from vetchford.fleet.commands.output import refuse
+from vetchford.fleet.agent_client import MalformedReplyError
+from vetchford.fleet.commands.exit_status import ExitStatus
+from vetchford.fleet.commands.options import Command, Options
+from vetchford.fleet.commands.output import discard_output, print_error, refuse
 
 
 def main(argv: list[str]) -> int:
@@ -53,6 +57,23 @@
         return refuse("wrong usage; `vetchford fleet --help` tells how")
     if not options.sockets:
         return refuse("--socket names no agent")
+    if options.across and options.command == Command.HISTORY:
+        return refuse("history is of single agents; leave --across out")
+    try:
+        status = run(options)
+        sys.stdout.flush()  # here, and not as Python ends: that its reader is gone must be seen
+    except MalformedReplyError as problem:
+        print_error(str(problem))
+        return ExitStatus.FAILED
+    except BrokenPipeError:
+        discard_output()
+        print_error("standard output was closed before all of it was written")
+        return ExitStatus.FAILED
+    return status
+
+
+def run(options: Options) -> ExitStatus:
+    """Carry out one command; return the exit status. Raises MalformedReplyError."""
     if options.of_whole_fleet:
         from vetchford.fleet.commands import whole_fleet
 
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.consensus import ReplicatedRecord
 from vetchford.fleet.consensus_messages import EncodedMessage, UnknownMessageError
 from vetchford.fleet.coordinator_messages import (
@@ -32,7 +33,7 @@
 from vetchford.fleet.fleet_view import AgentReport
 from vetchford.fleet.order_guard import MAX_ORDER_AGE_MS, OrderGuard
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
-from vetchford.fleet.tool_requests import Answer, ToolRequests
+from vetchford.fleet.tool_requests import ToolRequests
 
 STOPPED_AFTER_MS = 1500.0  # ms between two ticks after which this process was stopped, not busy
 
@@ -252,12 +253,12 @@
 
     def on_report_response(self, now_ms: float, sender: str, message: ReportResponse) -> None:
         """A report that was asked for in this term."""
-        requested_at = self.polls_sent_at_ms.pop(message.number, None)
-        if self.controller is None or requested_at is None or message.term != self.record.campaign_term:
+        requested_at_ms = self.polls_sent_at_ms.pop(message.number, None)
+        if self.controller is None or requested_at_ms is None or message.term != self.record.campaign_term:
             return
         self.merge_controls(message.controls)
         report: Any = message.report
-        self.controller.receive_report(now_ms, sender, message.number, requested_at, report)
+        self.controller.receive_report(now_ms, sender, message.number, requested_at_ms, report)
 
     def on_step_order(self, now_ms: float, sender: str, order: StepOrder) -> None:
         """Carries out a step, or logs why not."""
@@ -303,8 +304,8 @@
 
     # -- tools
 
-    def request(self, now_ms: float, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
-        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT`.
+    def request(self, now_ms: float, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
+        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT_MS`.
 
         RefusedError for one that is refused at once.
         """
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -14,8 +14,9 @@
 import structlog
 
 from vetchford.fleet import detector_datagrams
+from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.agent_report import make_report
-from vetchford.fleet.agent_settings import AgentSettings
+from vetchford.fleet.agent_settings import AgentSettings, PeerSettings
 from vetchford.fleet.coordinator import CONTROLS_KIND, FleetCoordinator
 from vetchford.fleet.coordinator_messages import RECORD_KIND, Step
 from vetchford.fleet.detector_datagrams import DetectorDatagram
@@ -27,10 +28,9 @@
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.own_incarnation import OwnIncarnation
-from vetchford.fleet.peer_records import STORED_PEER, PeerSettings, StoredPeer
-from vetchford.fleet.peer_status import SHOWN_MEMBER_STATES, AgentStatus, PeerStatus, encode_status
+from vetchford.fleet.peer_records import STORED_PEER, StoredPeer
+from vetchford.fleet.peer_status import SHOWN_MEMBER_STATES, FullPeersReply, FullPeerStatus, encode_status
 from vetchford.fleet.rollout_controller import RolloutController
-from vetchford.fleet.tool_requests import Answer
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
@@ -58,10 +58,10 @@
 class CoordinatorActor:
     """An agent's membership in its fleet; `start` opens it, the agent's turns call `tick`."""
 
-    def __init__(self, actor: Actor, owner: Owner, settings: dict[str, Any], metrics: Metrics) -> None:
-        """`settings`: the record `peers`. OSError where its address can't be had or the store fails."""
+    def __init__(self, actor: Actor, owner: Owner, settings: PeerSettings, metrics: Metrics) -> None:
+        """OSError where its address can't be had or the store fails."""
         self.owner = owner
-        self.settings = PeerSettings.from_record(settings)
+        self.settings = settings
         self.metrics = metrics
         self.name = self.settings.name
         stored = owner.store.records()
@@ -229,17 +229,17 @@
 
     # -- tools
 
-    def request(self, request: dict[str, Any], reply: Callable[[Answer], None]) -> None:
+    def request(self, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
         """A tool's request; `reply` is called once. RefusedError for what is refused at once."""
         if request.get("ask") == "peers":
             reply(self.describe_peers())
             return
         self.coordinator.request(self.now(), request, reply)
 
-    def describe_peers(self) -> Answer:
+    def describe_peers(self) -> EncodedReply:
         """Connections, states of the members and the record, as this agent sees them."""
         record = self.coordinator.record
-        status = AgentStatus(
+        status = FullPeersReply(
             name=self.name,
             fleet=self.settings.fleet,
             incarnation=self.own.number,
@@ -251,13 +251,13 @@
         )
         return encode_status(status)
 
-    def describe_peer(self, session: dict[str, Any]) -> PeerStatus:
+    def describe_peer(self, session: dict[str, Any]) -> FullPeerStatus:
         """One other agent; `session` is the transport's row of it."""
         record = self.coordinator.record
         name = session["name"]
         member = self.failure_detector.membership.members.get(name)
         member_state = member.state if member else MemberState.UNREACHABLE
-        return PeerStatus(
+        return FullPeerStatus(
             name=name,
             link_state=str(session["link"]),
             incarnation=session["life"],
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -2,7 +2,7 @@
 
 Plain data and its codec; no decisions. The record is exchanged between agents of two versions and stored, so
 its encoded words stay as they are. They appear in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the values
-of the enums, and in `tool_requests.py`, which shows tools the record as it is. Keys of a later version are
+of the enums, and in `fleet_status.py`, which shows tools the record as it is. Keys of a later version are
 carried on unread.
 """
 
@@ -66,7 +66,7 @@
         "version": "version",
         "batch": "batch",
         "floor": "minimum_available",
-        "spacing": "start_spacing_ms",
+        "spacing": "start_interval_ms",
         "soak": "minimum_ready_ms",
         "on_failure": "on_failure",
         "state": "state",
@@ -86,7 +86,7 @@
     version: str
     batch: int  # most steps that are in progress at once
     minimum_available: int  # instances of `groups` that must serve at any time
-    start_spacing_ms: float  # between the starts of two steps
+    start_interval_ms: float  # between the starts of two steps
     minimum_ready_ms: float  # an instance must serve for this long before its step is done
     on_failure: str
     groups: list[str]
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from vetchford.fleet.agent_messages import RolloutRequest
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord, FleetRollout, RolloutState
 from vetchford.fleet.fleet_view import AgentReport, AgentView, FleetView
@@ -25,7 +26,7 @@
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
 from vetchford.fleet.rollout_progress import RolloutProgress
-from vetchford.fleet.rollout_request import RequestValidator, RolloutRequest
+from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
 POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout runs
@@ -85,8 +86,8 @@
         interval_ms = POLL_INTERVAL_MS if self.record.unfinished() else IDLE_POLL_INTERVAL_MS
         for agent in self.record.members:
             view = self.view.agent(agent)
-            if now_ms - view.polled_at >= interval_ms:
-                view.polled_at = now_ms
+            if now_ms - view.polled_at_ms >= interval_ms:
+                view.polled_at_ms = now_ms
                 self.last_poll_number += 1
                 self.actions.poll(agent, self.last_poll_number)
         self.view.forget_all_but(self.record.members)
@@ -99,7 +100,7 @@
         view = self.view.agents.get(agent)
         if view is not None and number > view.number:
             view.number = number
-            view.requested_at = requested_at_ms
+            view.requested_at_ms = requested_at_ms
             view.report = report
             self.reconcile(now_ms)
 
@@ -112,7 +113,7 @@
         """
         known = self.record.rollouts.get(request.id)
         if known is not None:
-            if not request.is_for(known):
+            if not is_same_request(request, known):
                 raise RefusedError(f"id {request.id} is another change's ({known.kind})")
             return True
         if all(rollout.id != request.id for rollout in self.queued_rollouts()):
@@ -145,7 +146,7 @@
 
     def dismiss(self, now_ms: float, name: str, by: str) -> None:
         """Queues the end of a membership; RefusedError where it must not end now."""
-        seen_at_ms = max(self.view.agents.get(name, AgentView()).requested_at, self.started_at_ms)
+        seen_at_ms = max(self.view.agents.get(name, AgentView()).requested_at_ms, self.started_at_ms)
         check_dismissal(self.record, name, self.name, silence_ms=now_ms - seen_at_ms)
         self.queue.append(MemberChange(MemberAct.DISMISS, name, by))
 
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -1,7 +1,7 @@
 """What the leader has seen of the fleet's instances: the newest report of each agent. No I/O; times in ms.
 
 Only reports that were asked for a short while ago prove anything; an instance that is not seen counts as not
-serving.
+serving. The agent's thread alone calls it.
 """
 
 from collections.abc import Container, Iterable
@@ -11,7 +11,7 @@
 
 from vetchford.fleet.fleet_record import split_instance_key
 
-MAX_REPORT_AGE = 2000.0  # ms since it was asked for: eight polls; an older report proves nothing
+MAX_REPORT_AGE_MS = 2000.0  # since it was asked for: eight polls; an older report proves nothing
 NEVER = -1e12  # ms: before any time of the clock
 
 
@@ -65,11 +65,11 @@
 class AgentView:
     """What one agent reported last, and what it was ordered."""
 
-    requested_at: float = NEVER  # when the newest report that came was asked for
+    requested_at_ms: float = NEVER  # when the newest report that came was asked for
     number: int = 0
     report: AgentReport = field(default_factory=empty_report)
-    polled_at: float = NEVER
-    ordered_at: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
+    polled_at_ms: float = NEVER
+    ordered_at_ms: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
 
     def result(self, attempt_id: str) -> AttemptResult | None:
         """What became of an attempt; None where the agent has not begun it."""
@@ -93,20 +93,20 @@
         for agent in [agent for agent in self.agents if agent not in members]:
             del self.agents[agent]
 
-    def is_fresh(self, now: float, agent: str) -> bool:
+    def is_fresh(self, now_ms: float, agent: str) -> bool:
         """Whether the newest report of an agent still proves something."""
-        return agent in self.agents and now - self.agents[agent].requested_at <= MAX_REPORT_AGE
+        return agent in self.agents and now_ms - self.agents[agent].requested_at_ms <= MAX_REPORT_AGE_MS
 
     def instance(self, key: str) -> InstanceReport | None:
         """One instance as it was reported last, however long ago."""
         name, agent = split_instance_key(key)
         return self.agents[agent].report["instances"].get(name) if agent in self.agents else None
 
-    def fresh_instances(self, now: float) -> dict[str, InstanceReport]:
+    def fresh_instances(self, now_ms: float) -> dict[str, InstanceReport]:
         """The instances of all agents with a fresh report, by key."""
         return {
             f"{name}@{agent}": instance
             for agent, view in sorted(self.agents.items())
-            if self.is_fresh(now, agent)
+            if self.is_fresh(now_ms, agent)
             for name, instance in view.report["instances"].items()
         }
--- a/vetchford/fleet/peer_status.py
+++ b/vetchford/fleet/peer_status.py
@@ -16,8 +16,8 @@
 }
 
 
-class PeerStatus(msgspec.Struct, frozen=True):
-    """Another agent, as this one sees it."""
+class FullPeerStatus(msgspec.Struct, frozen=True):
+    """Another agent, as this one sees it; the tool reads a part of it, `fleet_messages.PeerStatus`."""
 
     name: str
     link_state: str = msgspec.field(name="link")
@@ -28,20 +28,20 @@
     is_voter: bool = msgspec.field(name="voter")
 
 
-class AgentStatus(msgspec.Struct, frozen=True):
-    """An agent's connections, its view of the others, and its part in the record."""
+class FullPeersReply(msgspec.Struct, frozen=True):
+    """The reply to a `PeersRequest`; the tool reads a part of it, `fleet_messages.PeersReply`."""
 
     name: str
     fleet: str
     incarnation: int = msgspec.field(name="life")
-    peers: list[PeerStatus]
+    peers: list[FullPeerStatus]
     record: dict[str, Any] = msgspec.field(name="book")  # `ReplicatedRecord.status`
     log: list[Any]  # changes of members and voters
     bytes_sent: int
     datagrams_sent: int
 
 
-def encode_status(status: AgentStatus) -> dict[str, Any]:
+def encode_status(status: FullPeersReply) -> dict[str, Any]:
     """The form that tools read."""
     encoded: dict[str, Any] = msgspec.to_builtins(status)
     return encoded
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -193,6 +193,6 @@
             self.manager.attempt_start(now_ms, instance, "its change was aborted")
             return
         if instance.being_stopped:
-            instance.restart_at = now_ms + RESTART_SOON_MS  # and its process has ended
+            instance.restart_at_ms = now_ms + RESTART_SOON_MS  # and its process has ended
         with contextlib.suppress(OSError):  # the next of them must be started all the same
             self.manager.save(instance)
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -74,7 +74,7 @@
         While the rollout rolls back this is what it was before.
         """
         instance.restarts = 0
-        instance.restart_at = 0.0
+        instance.restart_at_ms = 0.0
         rolling_back = rollout.state == RolloutState.ROLLING_BACK
         stays_down = rolling_back and not rollout.previously_wanted[instance.name]
         if rollout.kind == RolloutKind.ROLL:
@@ -155,7 +155,7 @@
         A few failed checks (`STARTING`) begin that time anew; any other state has failed it.
         """
         if instance.state == InstanceState.SERVING:
-            if now_ms - instance.state_since >= rollout.minimum_ready_ms:
+            if now_ms - instance.state_since_ms >= rollout.minimum_ready_ms:
                 self.table.set_step(rollout, instance.name, StepState.DONE)
         elif instance.state != InstanceState.STARTING:
             self._fail_step(rollout, instance)
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -121,7 +121,7 @@
         attempt_id = rollout.attempt_id(key)
         result = view.result(attempt_id)
         if result is None:
-            was_ordered = attempt_id in view.ordered_at
+            was_ordered = attempt_id in view.ordered_at_ms
             if not was_ordered:
                 self.withdraw_unordered_step(key)
             return
@@ -129,7 +129,7 @@
             return
         if name in result.killed and key not in rollout.killed:
             rollout.killed = [*rollout.killed, key]
-        view.ordered_at.pop(attempt_id, None)
+        view.ordered_at_ms.pop(attempt_id, None)
         self.end_step(key, result)
 
     def withdraw_unordered_step(self, key: str) -> None:
@@ -225,8 +225,8 @@
             rollout.steps[key] = StepState.IN_PROGRESS
             rollout.attempts[key] += 1
             in_progress += 1
-            if rollout.start_spacing_ms:
-                not_before_ms = self.now_ms + rollout.start_spacing_ms
+            if rollout.start_interval_ms:
+                not_before_ms = self.now_ms + rollout.start_interval_ms
         return StartOutcome(wait_reason, not_before_ms)
 
     def unseen_agents(self) -> list[str]:
--- a/vetchford/fleet/step_dispatcher.py
+++ b/vetchford/fleet/step_dispatcher.py
@@ -44,7 +44,7 @@
         attempt_id = rollout.attempt_id(key)
         if not self.needs_order(committed, rollout, key, view):
             return
-        view.ordered_at[attempt_id] = committed.now_ms
+        view.ordered_at_ms[attempt_id] = committed.now_ms
         step = Step(
             id=attempt_id,
             rollout_id=rollout.id,
@@ -68,5 +68,5 @@
             return False
         if result is not None and result.state != AttemptState.PAUSED:
             return False
-        ordered_at_ms = view.ordered_at.get(attempt_id, NEVER)
+        ordered_at_ms = view.ordered_at_ms.get(attempt_id, NEVER)
         return committed.now_ms - ordered_at_ms >= ORDER_RETRY_INTERVAL_MS
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -17,8 +17,12 @@
 MAX_BODY_BYTES = 8192  # the longest content is 2,732 bytes in base64, the other fields are a few hundred
 MAX_CONTENT_BYTES = 2048  # of a request's decoded content, by the page
 MAX_MEMORY_KB = 2000.0  # that a request may book, by the page
-MAX_ARRIVAL_AGE = 120_000.0  # ms: far more than any deadline and any pause of a machine
-MAX_ARRIVAL_LEAD = 1000.0  # ms: both clocks are one machine's; a later time would add to the deadline
+MAX_ARRIVAL_AGE_MS = 120_000.0  # far more than any deadline and any pause of a machine
+MAX_ARRIVAL_LEAD_MS = 1000.0  # both clocks are one machine's; a later time would add to the deadline
+MAX_REQUEST_ID_LENGTH = 64  # characters
+MAX_TENANT_LENGTH = 256  # characters
+MAX_KEY_LENGTH = 128  # characters
+MIN_MEMORY_KB = 1e-6
 MAX_RPC_ID_LENGTH = 64  # characters: clients count from 1, and an error repeats the id
 MAX_BRACKETS = 32  # in a body: messages need two, and the stack of the JSON parser is small
 MAX_LENGTH_DIGITS = 9  # in a header: longer numbers are not converted
@@ -27,9 +31,13 @@
 Value = TypeVar("Value")
 
 HEADER_END = b"\r\n\r\n"
-PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
+PARSE_ERROR = -32700  # this and the next three are JSON-RPC's
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
 REJECTED = -32050  # the request did not run, and may be sent to another server
 FAILED = -32051  # says nothing about whether it ran; the client takes any code but REJECTED that way
+HEALTH_CHECK = "check"  # the method of a health check
 CLOSING = b'{"jsonrpc":"2.0","method":"closing"}'
 
 
@@ -46,6 +54,34 @@
         self.rpc_id = rpc_id
 
 
+class BadFieldError(BadMessageError):
+    """A field of a message is missing or wrong."""
+
+    def __init__(
+        self, field: str, problem: str, rpc_id: int | str | None = None, code: int = INVALID_PARAMS
+    ) -> None:
+        """Name the field as the client wrote it; `problem` goes behind the name in the text."""
+        super().__init__(code, f"field '{field}' {problem}", rpc_id)
+        self.field = field
+        self.problem = problem
+
+
+class RequestIdInUseError(BadFieldError):
+    """A request has the id of another that is known."""
+
+    def __init__(self, rpc_id: int | str | None) -> None:
+        """Name the message by its JSON-RPC id."""
+        super().__init__("txn", "is in use", rpc_id)
+
+
+class UnknownTenantError(BadFieldError):
+    """A request names a tenant that the settings do not have."""
+
+    def __init__(self, rpc_id: int | str | None) -> None:
+        """Name the message by its JSON-RPC id."""
+        super().__init__("team", "names no tenant", rpc_id)
+
+
 class Call(NamedTuple):
     """One message of a client."""
 
@@ -57,12 +93,12 @@
 class RequestParams(NamedTuple):
     """The parameters of a request; the comments give their names on the wire."""
 
-    name: str  # txn: the id of the request in the other services' messages
-    arrived_at: float  # door: when the balancer received it, in Unix ms
-    client_timeout: float | None  # limit: ms from `arrived_at` that the client waits
+    request_id: str  # txn: its id in the other services' messages
+    arrived_at_unix_ms: float  # door: when it reached the machine
+    client_timeout_ms: float | None  # limit: that the client waits, from the arrival on
     client_number: int  # lb: the number of the balancer; 0 if it sends none
     tenant: str | None  # team
-    work: float | None  # cpu: ms of a core
+    work_ms: float | None  # cpu: of a core
     memory_kb: float  # ram
     idempotency_key: str | None  # unique
     content: str  # content: the body, in base64
@@ -120,16 +156,16 @@
     rpc_id = message.get("id")
     if isinstance(rpc_id, bool) or not isinstance(rpc_id, int | str) or len(str(rpc_id)) > MAX_RPC_ID_LENGTH:
         if "id" in message:
-            raise BadMessageError(INVALID_REQUEST, "field 'id' is no number")
+            raise BadFieldError("id", "is no number", code=INVALID_REQUEST)
         rpc_id = None
     if message.get("jsonrpc") != "2.0":
-        raise BadMessageError(INVALID_REQUEST, "field 'jsonrpc' is not \"2.0\"", rpc_id)
+        raise BadFieldError("jsonrpc", 'is not "2.0"', rpc_id, INVALID_REQUEST)
     method = message.get("method")
     if not isinstance(method, str):
-        raise BadMessageError(INVALID_REQUEST, "field 'method' is missing or no string", rpc_id)
+        raise BadFieldError("method", "is missing or no string", rpc_id, INVALID_REQUEST)
     params = message.get("params", {})
     if not isinstance(params, dict):
-        raise BadMessageError(INVALID_PARAMS, "field 'params' is no object", rpc_id)
+        raise BadFieldError("params", "is no object", rpc_id)
     return Call(method, rpc_id, params)
 
 
@@ -138,24 +174,29 @@
     raise ValueError(f"{name} is no JSON")
 
 
-def decode_request(params: dict[str, Any], rpc_id: int | str | None, now: float) -> RequestParams:
-    """Check the parameters of a request that is read at `now` (Unix ms); raise BadMessageError."""
-    name = _required(_word(params, "txn", 64, rpc_id), "txn", rpc_id)
-    if not name.isalnum():  # it is written into the messages to other services as it is
-        raise BadMessageError(INVALID_PARAMS, "field 'txn' is no id", rpc_id)
-    earliest, latest = now - MAX_ARRIVAL_AGE, now + MAX_ARRIVAL_LEAD
-    arrived_at = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
+def decode_request(params: dict[str, Any], rpc_id: int | str | None, now_unix_ms: float) -> RequestParams:
+    """Return the parameters of a request that is read at `now_unix_ms`.
+
+    Raises:
+        BadMessageError: One is missing or wrong; the text names it.
+    """
+    request_id = _required(_word(params, "txn", MAX_REQUEST_ID_LENGTH, rpc_id), "txn", rpc_id)
+    if not request_id.isalnum():  # it is written into the messages to other services as it is
+        raise BadFieldError("txn", "is no id", rpc_id)
+    earliest = now_unix_ms - MAX_ARRIVAL_AGE_MS
+    latest = now_unix_ms + MAX_ARRIVAL_LEAD_MS
+    arrived_at_unix_ms = _required(_number(params, "door", earliest, latest, rpc_id), "door", rpc_id)
     _number(params, "standing", 0.0, 1.0, rpc_id)  # checked, and not used
     content = _content(params, rpc_id)
     return RequestParams(
-        name=name,
-        arrived_at=arrived_at,
-        client_timeout=_number(params, "limit", 0.0, MAX_NUMBER, rpc_id),
+        request_id=request_id,
+        arrived_at_unix_ms=arrived_at_unix_ms,
+        client_timeout_ms=_number(params, "limit", 0.0, MAX_NUMBER, rpc_id),
         client_number=int(_number(params, "lb", 0.0, MAX_NUMBER, rpc_id) or 0),
-        tenant=_word(params, "team", 256, rpc_id),
-        work=_number(params, "cpu", 0.0, MAX_NUMBER, rpc_id),
-        memory_kb=_required(_number(params, "ram", 1e-6, MAX_MEMORY_KB, rpc_id), "ram", rpc_id),
-        idempotency_key=_word(params, "unique", 128, rpc_id),
+        tenant=_word(params, "team", MAX_TENANT_LENGTH, rpc_id),
+        work_ms=_number(params, "cpu", 0.0, MAX_NUMBER, rpc_id),
+        memory_kb=_required(_number(params, "ram", MIN_MEMORY_KB, MAX_MEMORY_KB, rpc_id), "ram", rpc_id),
+        idempotency_key=_word(params, "unique", MAX_KEY_LENGTH, rpc_id),
         content=content,
     )
 
@@ -163,13 +204,13 @@
 def _content(params: dict[str, Any], rpc_id: int | str | None) -> str:
     content = params.get("content")
     if not isinstance(content, str):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is missing or no string", rpc_id)
+        raise BadFieldError("content", "is missing or no string", rpc_id)
     try:
         length = len(base64.b64decode(content, validate=True))
     except (ValueError, binascii.Error):
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is no base64", rpc_id) from None
+        raise BadFieldError("content", "is no base64", rpc_id) from None
     if length > MAX_CONTENT_BYTES:
-        raise BadMessageError(INVALID_PARAMS, "field 'content' is longer than it may be", rpc_id)
+        raise BadFieldError("content", "is longer than it may be", rpc_id)
     return content
 
 
@@ -180,7 +221,7 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is no number that it may be", rpc_id)
+        raise BadFieldError(key, "is no number that it may be", rpc_id)
     return float(value)
 
 
@@ -194,13 +235,13 @@
         or not value.isascii()
         or not value.isprintable()
     ):
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is no word that it may be", rpc_id)
+        raise BadFieldError(key, "is no word that it may be", rpc_id)
     return value
 
 
 def _required(value: Value | None, key: str, rpc_id: int | str | None) -> Value:
     if value is None:
-        raise BadMessageError(INVALID_PARAMS, f"field '{key}' is missing", rpc_id)
+        raise BadFieldError(key, "is missing", rpc_id)
     return value
 
 
@@ -234,15 +275,15 @@
     return _framed(json.dumps(message, separators=(",", ":")).encode())
 
 
-def rejected(rpc_id: int | str | None, terminal: bool, retry_after: float) -> list[bytes]:
+def rejected(rpc_id: int | str | None, terminal: bool, retry_after_ms: float) -> list[bytes]:
     """Encode the answer to a request that was rejected and did not run.
 
-    `terminal` says that it is not to be retried; `retry_after` is the time in ms that the client is asked to
-    wait before it retries, 0.0 for none.
+    `terminal` says that it is not to be retried; `retry_after_ms` is how long the client is asked to stay
+    away, 0.0 for none.
     """
     data: dict[str, Any] = {"giveup": 1} if terminal else {}
-    if retry_after > 0.0:
-        data["later"] = math.ceil(retry_after)
+    if retry_after_ms > 0.0:
+        data["later"] = math.ceil(retry_after_ms)
     return error(rpc_id, REJECTED, "overloaded", **data)
 
 
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -1,17 +1,30 @@
 """Handles the messages of clients: requests go to the admission actor, all others are replied to here."""
 
-import time
 from typing import Any, Protocol
 
 from vetchford.protocol import json_rpc
 from vetchford.protocol.messages import IncomingRequest
 from vetchford.protocol.receive_buffer import UnreadableStreamError
+from vetchford.runtime.actor import Mailbox
 from vetchford.runtime.metrics import Metrics
+from vetchford.runtime.timers import unix_time_ms
 from vetchford.server import connection_limits
 
+MAX_LOGGED_METHOD = 40  # characters
+MAX_LOGGED_PARAMS = 120  # characters
 NO_TENANT = -1  # the index for a request that names none
 
 
+class ClientEvents(Mailbox, Protocol):
+    """What the admission actor is told by client connections; each is posted to its mailbox."""
+
+    def request_arrived(self, client: Any, request: IncomingRequest) -> None:
+        """Take a request that was read from the connection `client`."""
+
+    def client_gone(self, client: Any) -> None:
+        """Take that the connection `client` broke."""
+
+
 class Client(Protocol):
     """The connection that a message comes from."""
 
@@ -28,7 +41,7 @@
     request_classes: dict[str, int]  # index by method name
     tenants: dict[str, int]  # index by name
     ready: bool  # the result of a health check
-    admission: Any  # the AdmissionActor
+    admission: ClientEvents
     metrics: Metrics
 
 
@@ -51,7 +64,7 @@
                 raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, f"id {rpc_id} is in use")
             if rpc_id is None:
                 self._handle_notification(client, method, params)
-            elif method == "check":
+            elif method == json_rpc.HEALTH_CHECK:
                 client.reply(json_rpc.health(rpc_id, self.target.ready))
             else:
                 self._handle_request(client, method, rpc_id, params)
@@ -61,7 +74,9 @@
     def _handle_notification(self, client: Client, method: str, params: dict[str, Any]) -> None:
         # Not counted as bad messages: balancers have been seen to send hundreds at a time, and closing the
         # connection for that would fail its open requests.
-        self.target.metrics.log_sampled("balancer_notification", method=method[:40], params=str(params)[:120])
+        self.target.metrics.log_sampled(
+            "balancer_notification", method=method[:MAX_LOGGED_METHOD], params=str(params)[:MAX_LOGGED_PARAMS]
+        )
         if method in self.target.request_classes:  # a request that could not be answered for want of an id
             client.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
 
@@ -79,28 +94,28 @@
         if request_class is None:
             raise json_rpc.BadMessageError(json_rpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
         if not isinstance(rpc_id, int):
-            raise json_rpc.BadMessageError(json_rpc.INVALID_REQUEST, "field 'id' is no number", rpc_id)
+            raise json_rpc.BadFieldError("id", "is no number", rpc_id, json_rpc.INVALID_REQUEST)
         if len(client.open_requests) >= connection_limits.MAX_OPEN_REQUESTS:
             # Not a bad message: the server isn't told when a client gives a request up, so a client that
             # gave up many may send as many more.
             self.target.metrics.increment("rejected_over_open")
             client.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
-        request = json_rpc.decode_request(params, rpc_id, time.time() * 1000.0)
+        request = json_rpc.decode_request(params, rpc_id, unix_time_ms())
         tenant = NO_TENANT if request.tenant is None else self.target.tenants.get(request.tenant)
         if tenant is None:
-            raise json_rpc.BadMessageError(json_rpc.INVALID_PARAMS, "field 'team' names no tenant", rpc_id)
+            raise json_rpc.UnknownTenantError(rpc_id)
         client.open_requests.add(rpc_id)
         incoming = IncomingRequest(
             rpc_id=rpc_id,
-            request_id=request.name,
+            request_id=request.request_id,
             request_class=request_class,
             method=method,
             tenant=tenant,
-            balancer=request.client_number,
-            arrived_at=request.arrived_at,
-            time_limit=request.client_timeout,
-            cpu_time=request.work,
+            client_number=request.client_number,
+            arrived_at_unix_ms=request.arrived_at_unix_ms,
+            client_timeout_ms=request.client_timeout_ms,
+            work_ms=request.work_ms,
             memory_kb=request.memory_kb,
             idempotency_key=request.idempotency_key,
             content=request.content,
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -4,14 +4,15 @@
 import socket
 import threading
 import time
-from typing import Any
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import shut, time_limit
 from vetchford.runtime.thread_pool import ThreadPool
+from vetchford.runtime.timers import MS_PER_S
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
-from vetchford.server.client_messages import MessageHandler
+from vetchford.server.client_messages import ClientEvents, MessageHandler
+from vetchford.server.connection_limits import CROWDED, NEARLY_FULL, NORMAL, Crowding
 from vetchford.server.idle_poller import IdleConnectionPoller
 
 
@@ -27,7 +28,7 @@
         max_connections: int,
         request_classes: dict[str, int],
         tenants: dict[str, int],
-        admission: Any,
+        admission: ClientEvents,
         metrics: Metrics,
     ) -> None:
         """Bind to `address`, or raise OSError; `start` begins to accept.
@@ -79,16 +80,16 @@
                 self.free_slots.release()
                 if not self.closing:
                     self.metrics.log_sampled("accept_failed", problem=str(error))
-                    time.sleep(connection_limits.ACCEPT_RETRY_DELAY)
+                    time.sleep(connection_limits.ACCEPT_RETRY_DELAY_S)
                 continue
             if not accepted:
                 self.free_slots.release()
-            elif self.is_fuller_than(connection_limits.CROWDED_SHARE):
+            elif self.crowding() is not NORMAL:
                 self._close_longest_idle()
 
     def _reserve_slot(self) -> bool:
         """Wait for a free place in the table; return False if the listener is closing."""
-        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL):
+        while not self.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL_S):
             if self.closing:
                 return False
             self._close_longest_idle()
@@ -110,8 +111,8 @@
         """Put an accepted connection into the table and wait for its bytes; return False if it was lost."""
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT)
-            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT)
+            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT_S)
+            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT_S)
             connection = ClientConnection(sock, self, self.metrics)
             with self.lock:
                 self.connections.add(connection)
@@ -127,9 +128,14 @@
 
     # -- the table
 
-    def is_fuller_than(self, share: float) -> bool:
-        """Return whether more than this share of the table is in use."""
-        return len(self.connections) > share * self.max_connections
+    def crowding(self) -> Crowding:
+        """Return how full the table is; may be called from any thread."""
+        count = len(self.connections)
+        if count > connection_limits.NEARLY_FULL_SHARE * self.max_connections:
+            return NEARLY_FULL
+        if count > connection_limits.CROWDED_SHARE * self.max_connections:
+            return CROWDED
+        return NORMAL
 
     def remove(self, connection: ClientConnection) -> None:
         """Take a closed connection out of the table."""
@@ -140,34 +146,36 @@
 
     def _close_longest_idle(self) -> None:
         """Ask the connections that were idle for longest to close, down to the crowded share."""
-        now = time.monotonic()
-        with self.lock:
-            staying = [connection for connection in self.connections if not connection.close_requested_at]
+        idle_since_s = time.monotonic() - connection_limits.CROWDED_IDLE_TIMEOUT_S
+        staying = self._staying()
         idle = [
             connection
             for connection in staying
-            if connection.has_sent_message
-            and not connection.open_requests
-            and now - connection.last_active_at > connection_limits.CROWDED_IDLE_TIMEOUT
+            if connection.state.has_sent_message and connection.state.is_idle_since(idle_since_s)
         ]
-        idle.sort(key=lambda connection: connection.last_active_at)
+        idle.sort(key=lambda connection: connection.state.last_active_at_s)
         excess = len(staying) - int(connection_limits.CROWDED_SHARE * self.max_connections)
         for connection in idle[: max(0, excess)]:
             self._request_close(connection)
 
-    def close_idle(self, keep_for: float) -> None:
-        """Ask the connections to close that were idle for more than `keep_for` milliseconds."""
-        idle_since = time.monotonic() - keep_for / 1000.0
+    def close_idle(self, idle_timeout_ms: float) -> None:
+        """Ask the connections to close that were idle for longer than that."""
+        idle_since_s = time.monotonic() - idle_timeout_ms / MS_PER_S
         with self.lock:
             idle = [
-                connection
-                for connection in self.connections
-                if not connection.open_requests and connection.last_active_at < idle_since
+                connection for connection in self.connections if connection.state.is_idle_since(idle_since_s)
             ]
         for connection in idle:
-            if not connection.close_requested_at:
+            if connection.state.close_requested_at_s is None:
                 self._request_close(connection)
 
+    def _staying(self) -> list[ClientConnection]:
+        """Return the connections that were not asked to close."""
+        with self.lock:
+            return [
+                connection for connection in self.connections if connection.state.close_requested_at_s is None
+            ]
+
     def _request_close(self, connection: ClientConnection) -> None:
         self.metrics.increment("connections_asked_to_close")
         connection.run_or_post(connection.request_close)
@@ -182,9 +190,7 @@
         self.closing = True
         with self.accept_lock:
             self._accept_backlog()
-        with self.lock:
-            staying = [connection for connection in self.connections if not connection.close_requested_at]
-        for connection in staying:
+        for connection in self._staying():
             connection.run_or_post(connection.request_close)
 
     def _accept_backlog(self) -> None:
@@ -208,20 +214,22 @@
 
     def is_drained(self) -> bool:
         """Return whether every request that came through the listener is answered, or can't be any more."""
-        now = time.monotonic()
+        now_s = time.monotonic()
         with self.lock:
             staying = list(self.connections)
 
-        def all_finished() -> bool:
-            return all(
-                connection.is_finished(now, connection_limits.DRAIN_CLOSE_TIMEOUT) for connection in staying
-            )
-
         # Checked again after the look for unread bytes: the process may have been paused for the whole close
         # timeout, with a request unread or just being read.
         return (
             self.closed
-            and all_finished()
+            and _all_finished(staying, now_s)
             and not any(connection.has_unread_bytes() for connection in staying)
-            and all_finished()
+            and _all_finished(staying, now_s)
         )
+
+
+def _all_finished(connections: list[ClientConnection], now_s: float) -> bool:
+    """Return whether nothing is left to do on any of them, nor crosses the notification to close."""
+    return all(
+        connection.is_finished(now_s, connection_limits.DRAIN_CLOSE_TIMEOUT_S) for connection in connections
+    )
--- a/vetchford/server/records_client.py
+++ b/vetchford/server/records_client.py
@@ -2,11 +2,10 @@
 
 import threading
 from collections import deque
-from typing import Any
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
-from vetchford.server.records_connection import RecordsCall, RecordsConnection
+from vetchford.server.records_connection import CallEvents, RecordsCall, RecordsConnection
 
 CONNECTIONS_PER_IDLE = 4  # one connection in so many may be kept for the next call; the others are for calls
 THREADS_PER_CONNECTION = 2  # for calls in flight, and for cancelled ones whose threads have yet to end
@@ -20,7 +19,7 @@
     """
 
     def __init__(
-        self, address: tuple[str, int] | None, max_connections: int, admission: Any, metrics: Metrics
+        self, address: tuple[str, int] | None, max_connections: int, admission: CallEvents, metrics: Metrics
     ) -> None:
         """Create the client of the service at `address`; without one, every call counts as refused.
 
@@ -44,17 +43,22 @@
     def change_address(self, address: tuple[str, int] | None) -> None:
         """Make new calls at `address`; those in flight end on their connections. Any thread may call it."""
         with self.lock:
-            unused, self.idle = (self.idle, []) if address != self.address else ([], self.idle)
+            unused = []
+            if address != self.address:
+                unused = self.idle
+                self.idle = []
             self.address = address
         for connection in unused:
             connection.post(connection.close)
 
-    def start_call(self, name: str, number: int, deadline: float, body: bytes, not_repeatable: bool) -> None:
-        """Make a call for the request `name`, which ends by `deadline` (Unix ms).
+    def start_call(
+        self, name: str, number: int, deadline_unix_ms: float, body: bytes, not_repeatable: bool
+    ) -> None:
+        """Make a call for the request `name`, which ends by `deadline_unix_ms`.
 
         `not_repeatable`: the call must not be made again unless it provably never ran.
         """
-        call = RecordsCall(name, number, deadline, body, not_repeatable)
+        call = RecordsCall(name, number, deadline_unix_ms, body, not_repeatable)
         with self.lock:
             if len(self.in_flight) >= self.max_in_flight:
                 self.waiting.append(call)
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -3,19 +3,42 @@
 import socket
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
+from vetchford.admission.request import Outcome
 from vetchford.protocol import worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded
-from vetchford.runtime.actor import PooledActor
+from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded, UnknownMessageError
+from vetchford.runtime.actor import Mailbox, PooledActor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.sockets import send_now, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
-RECONNECT_DELAY = 0.02  # s between attempts: runs go on meanwhile, and the pool is on the same machine
-MAX_RECONNECT_DELAY = 0.5  # s: what the delay doubles up to while nobody listens
-CONNECT_TIMEOUT = 2.0  # s: far more than a connection on one machine takes
+RECONNECT_DELAY_S = 0.02  # between attempts: runs go on meanwhile, and the pool is on the same machine
+MAX_RECONNECT_DELAY_S = 0.5  # what the delay doubles up to while nobody listens
+CONNECT_TIMEOUT_S = 2.0  # far more than a connection on one machine takes
+
+
+class WorkerPoolEvents(Mailbox, Protocol):
+    """What the admission actor is told by the worker pool; each is posted to its mailbox."""
+
+    def worker_pool_bound(self, link: int, cold: bool, started_ms_ago: float) -> None:
+        """Take that a link is open."""
+
+    def worker_pool_lost(self) -> None:
+        """Take that the link is lost."""
+
+    def poll_answered(self, reference: str, gauges: list[float]) -> None:
+        """Take the answer to a poll."""
+
+    def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
+        """Take the end of a run; `content` is its result in base64."""
+
+    def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
+        """Take that a run waits for a dependency call with this body."""
+
+    def command_unknown(self, command: str, request_id: str) -> None:
+        """Take that a command was not carried out."""
 
 
 class WorkerPoolClient(PooledActor):
@@ -25,7 +48,7 @@
     command which was meant for a lost link is not sent on the next one.
     """
 
-    def __init__(self, address: tuple[str, int], admission: Any, metrics: Metrics) -> None:
+    def __init__(self, address: tuple[str, int], admission: WorkerPoolEvents, metrics: Metrics) -> None:
         """Create the client of the pool at `address`; `start` opens the first link."""
         super().__init__("worker-pool", metrics, ThreadPool(metrics, 1))
         self.address = address
@@ -54,7 +77,8 @@
     def send(self, link: int, parts: list[bytes]) -> None:
         """Send a command on the link of that number; it is dropped if the link is lost."""
         if link != self.outgoing_link:
-            self.outgoing, self.outgoing_link = [], link
+            self.outgoing = []
+            self.outgoing_link = link
         self.outgoing += parts
 
     def on_idle(self) -> None:
@@ -70,7 +94,8 @@
         return bool(self.outgoing)
 
     def _write(self, send: Callable[[socket.socket, list[bytes]], list[bytes] | None]) -> None:
-        parts, self.outgoing = self.outgoing, []
+        parts = self.outgoing
+        self.outgoing = []
         # Read before the number of the link, which the reader raises first: never the next link's socket.
         sock = self.sock
         if not parts or sock is None or self.outgoing_link != self.link:
@@ -84,24 +109,24 @@
     # -- the link, on the reader thread
 
     def _maintain_link(self) -> None:
-        delay = RECONNECT_DELAY
+        delay_s = RECONNECT_DELAY_S
         while True:
             address = self.address
             try:
-                sock = socket.create_connection(address, CONNECT_TIMEOUT)
+                sock = socket.create_connection(address, CONNECT_TIMEOUT_S)
             except OSError as error:
                 self.metrics.log_sampled("pool_refused", problem=str(error))
-                time.sleep(delay)
-                delay = min(MAX_RECONNECT_DELAY, 2.0 * delay)
+                time.sleep(delay_s)
+                delay_s = min(MAX_RECONNECT_DELAY_S, 2.0 * delay_s)
                 continue
-            delay = RECONNECT_DELAY
+            delay_s = RECONNECT_DELAY_S
             reason = self._use_link(sock, address)
             self.sock = None
             sock.close()
             self.metrics.log_sampled("pool_link_lost", why=reason, last=self.last_notice)
             self.admission.post(self.admission.worker_pool_lost)
             if address == self.address:
-                time.sleep(delay)
+                time.sleep(delay_s)
 
     def _use_link(self, sock: socket.socket, address: tuple[str, int]) -> str:
         """Bind and read until the link is lost; return why it was."""
@@ -109,7 +134,8 @@
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             send_parts(sock, worker_pool_lines.bind(self.last_notice))
-            self.link, self.sock = self.link + 1, sock
+            self.link += 1  # before the socket: see `_write`
+            self.sock = sock
             if address == self.address:  # else it has changed, and nothing would close this link
                 self._read(sock)
         except (OSError, UnreadableStreamError) as error:
@@ -164,14 +190,15 @@
                 admission.worker_pool_bound, self.link, *worker_pool_lines.decode_pool_bound(fields)
             )
         elif message_type == worker_pool_lines.UNKNOWN:
-            command, name = str(fields.get("state"))[:20], str(fields.get("job"))[:64]
-            admission.post_when_room(admission.command_unknown, command, name)
+            admission.post_when_room(
+                admission.command_unknown, *worker_pool_lines.decode_command_unknown(fields)
+            )
         else:
-            self.metrics.log_sampled("pool_bad_line", problem="field 'type' names no message")
+            raise UnknownMessageError(message_type)
 
     def _handle_notice(self, notice_type: str, fields: dict[str, Any]) -> None:
-        number = fields.get("n")
-        if not isinstance(number, int):
+        number = worker_pool_lines.notice_number(fields)
+        if number is None:
             self._post_notice(worker_pool_lines.decode_notice(notice_type, fields))
             return
         if number <= self.last_notice:
@@ -188,7 +215,7 @@
             self.last_notice = number
             if notice_type == worker_pool_lines.FINISHED:
                 # The run is over all the same, and must not hold a core's place.
-                self._post_notice(RunEnded(str(fields.get("job")), "errored", 0.0, ""))
+                self._post_notice(worker_pool_lines.unreadable_end(fields))
             raise
         self.last_notice = number
         self._post_notice(notice)
