--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -101,7 +101,7 @@
             seed,
             self.counter.incarnation * REFUTATIONS_PER_INCARNATION,
             fixed_members=True,
-            now=now_ms,
+            now_ms=now_ms,
         )
 
     def _make_lease_server(self, seed: int, now_ms: float) -> LeaseServer | None:
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -13,11 +13,12 @@
 from enum import StrEnum
 from typing import Any, ClassVar
 
-from vetchford.fleet.consensus import MAX_VOTERS
+from vetchford.fleet.voter_changes import MAX_VOTERS
 
 EncodedRecord = dict[str, Any]
 
-PAUSE_ON_FAILURE, CONTINUE_ON_FAILURE = "pause", "go_on"  # of `on_failure`; the third word is "back"
+PAUSE_ON_FAILURE = "pause"  # of `on_failure`, whose third word is "back"
+CONTINUE_ON_FAILURE = "go_on"
 
 
 class StepState(StrEnum):
@@ -65,8 +66,8 @@
         "version": "version",
         "batch": "batch",
         "floor": "minimum_available",
-        "spacing": "start_interval",
-        "soak": "soak",
+        "spacing": "start_interval_ms",
+        "soak": "minimum_ready_ms",
         "on_failure": "on_failure",
         "state": "state",
         "why": "reason",
@@ -85,8 +86,8 @@
     version: str
     batch: int  # most steps that are in progress at once
     minimum_available: int  # instances of `groups` that must serve at any time
-    start_interval: float  # between the starts of two steps
-    soak: float  # an instance must serve for this long before its step is done
+    start_interval_ms: float  # between the starts of two steps
+    minimum_ready_ms: float  # an instance must serve for this long before its step is done
     on_failure: str
     groups: list[str]
     steps: dict[str, StepState]
@@ -104,7 +105,8 @@
     def decode(cls, encoded: Mapping[str, Any]) -> FleetRollout:
         """Reads the encoded form; KeyError where it lacks a key. Shares nothing that a rollout changes."""
         rollout = cls(**{name: encoded[key] for key, name in cls.ENCODED_KEYS.items()}, encoded=encoded)
-        rollout.steps, rollout.attempts = dict(rollout.steps), dict(rollout.attempts)
+        rollout.steps = dict(rollout.steps)
+        rollout.attempts = dict(rollout.attempts)
         return rollout
 
     def encode(self) -> dict[str, Any]:
--- a/vetchford/fleet/leader_requests.py
+++ b/vetchford/fleet/leader_requests.py
@@ -78,7 +78,7 @@
         """Requests for which the agents must have reported."""
         members = self.coordinator.record.members()
         unseen = [agent for agent in members if not controller.view.is_fresh(now_ms, agent)]
-        if unseen and now_ms - controller.started_at < FIRST_REPORTS_TIMEOUT_MS:
+        if unseen and now_ms - controller.started_at_ms < FIRST_REPORTS_TIMEOUT_MS:
             return None
         if isinstance(request, FleetStatusRequest):
             status = LeaderStatusReply(
