--- a/vetchford/fleet/fleet_status.py
+++ b/vetchford/fleet/fleet_status.py
@@ -43,7 +43,7 @@
         rollout = record.body["spans"].get(id)
         if rollout is None:
             raise UnknownRolloutError(id)
-        leader_silence_ms = now_ms - record.leader_heard_at if record.role != Role.LEADER else 0.0
+        leader_silence_ms = now_ms - record.leader_heard_at_ms if record.role != Role.LEADER else 0.0
         active = coordinator.controls.active(id)
         is_paused = active.kind == PAUSE and rollout["state"] == RolloutState.RUNNING
         progress = RolloutProgress(
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -65,11 +65,11 @@
 class AgentView:
     """What one agent reported last, and what it was ordered."""
 
-    requested_at: float = NEVER  # when the newest report that came was asked for
+    requested_at_ms: float = NEVER  # when the newest report that came was asked for
     number: int = 0
     report: AgentReport = field(default_factory=empty_report)
-    polled_at: float = NEVER
-    ordered_at: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
+    polled_at_ms: float = NEVER
+    ordered_at_ms: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
 
     def result(self, attempt_id: str) -> AttemptResult | None:
         """What became of an attempt; None where the agent has not begun it."""
@@ -95,7 +95,7 @@
 
     def is_fresh(self, now_ms: float, agent: str) -> bool:
         """Whether the newest report of an agent still proves something."""
-        return agent in self.agents and now_ms - self.agents[agent].requested_at <= MAX_REPORT_AGE_MS
+        return agent in self.agents and now_ms - self.agents[agent].requested_at_ms <= MAX_REPORT_AGE_MS
 
     def instance(self, key: str) -> InstanceReport | None:
         """One instance as it was reported last, however long ago."""
