--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 CLASS = re.compile(r"(?:[A-Z][a-z]+){2,}")
 PATH = re.compile(r"[\w/]+\.(?:py|vet|toml)")
 DECISION = re.compile(r"^\| [\w ,-]+ \| `(\w+)\.([\w.]+)`", re.MULTILINE)
-FROM_ELSEWHERE = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}  # of the models, in DEVELOPERS.md
+FROM_ELSEWHERE = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}  # of the models
 FOLDERS = ("", "vetchford", "docs")
 
 
