--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -40,7 +40,7 @@
     return round(value, 6) if isinstance(value, float) else value
 
 
-def digest_of_a_history(seed, crowded):
+def digest_of_a_history(seed, crowded, bulkheads=None):
     """One digest over each act, its arguments and its moment."""
     chance, host, acts = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
     stages = [
@@ -63,6 +63,7 @@
         signal=LoadSignal.CREDIT,
         cold=seed % 2 == 0,
         clients=4,
+        bulkheads=bulkheads,
     )
     count, told = 0, 0
     for step in range(3000):
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -71,8 +71,8 @@
 def test_a_connection_of_ours_reset_before_its_option_is_set_is_attempted_again(side):
     """It stands, and breaks before the actor has taken it over."""
     peers = side.transport.sessions
-    number = peers.peers["b"].link = peers.add_link(0.0, "b", LinkState.CONNECTING)
-    peers.set_state("b", LinkState.CONNECTING)
+    number = peers.peers["b"].link = peers.link_table.add(0.0, "b", LinkState.CONNECTING)
+    peers.link_table.set_state("b", LinkState.CONNECTING)
     mine, _ = socket.socketpair()
 
     def refuses(*given):
--- a/vetchford/transport/session_manager.py
+++ b/vetchford/transport/session_manager.py
@@ -1,37 +1,24 @@
-"""Which peers are connected, heard and given up. No I/O; times in ms, monotonic.
+"""Which peers are heard, over streams. No I/O; times in ms, monotonic.
 
 Each pair of processes has one stream: the one whose name is first in order connects to the other. Every frame
 names an incarnation of its sender and a sequence number, so that a late or duplicated frame, and one of an
-earlier incarnation, are known as such. `LinkState` has the states of a link. A connection in HANDSHAKING is
-dropped after HANDSHAKE_TIMEOUT_MS, one that is SILENT after GIVE_UP_TIMEOUT_MS: such peers are frozen or cut
-off in one direction. Peers that refuse connections are gone; `LinkFailure` tells the two apart.
-
-Links and their handshake are one state machine over one table; datagrams, which have no links, are in
-`datagram_sessions`.
+earlier incarnation, are known as such. `LinkState` has the states of a link, `LinkTable` makes and drops
+links; datagrams, which have no links, are in `DatagramSessions`.
 """
 
-import zlib
 from collections.abc import Mapping
 from dataclasses import replace
 from typing import Any
 
 from vetchford.transport import handshake
-from vetchford.transport.backoff import JITTER_STEPS, backoff_ms
 from vetchford.transport.datagram_sessions import DatagramSessions
-from vetchford.transport.faults import IncarnationFault, LinkFailure, LoggedReason, Refusal, SequenceFault
+from vetchford.transport.faults import IncarnationFault, LinkFailure, Refusal, SequenceFault
 from vetchford.transport.framing import Envelope
+from vetchford.transport.link_table import LinkTable
 from vetchford.transport.peers import Identity, Link, LinkState, Peer, PeerTable
 from vetchford.transport.session_actions import SessionActions
 from vetchford.transport.session_events import count_out_of_sequence, count_refused
-from vetchford.transport.timing import (
-    GIVE_UP_TIMEOUT_MS,
-    HANDSHAKE_TIMEOUT_MS,
-    HEARTBEAT_INTERVAL_MS,
-    MAX_PENDING_PER_PEER,
-    SILENCE_TIMEOUT_MS,
-    STABLE_AFTER_MS,
-    SUSPENDED_AFTER_MS,
-)
+from vetchford.transport.timing import HEARTBEAT_INTERVAL_MS
 
 HEARTBEAT = "beat"
 OWN_KINDS = (handshake.KIND, HEARTBEAT)  # which are not delivered
@@ -59,14 +46,11 @@
         """
         self.actions = actions
         self.identity = identity
-        self.streams = streams
-        self.seed = seed
-        self.draws = 0
         others = {name: address for name, address in addresses.items() if name != identity.name}
         self.table = PeerTable(identity.fleet, others, actions.on_peer_incarnation)
         self.peers: dict[str, Peer] = self.table.by_name
-        self.links: dict[int, Link] = {}  # by number; removed as connections end
-        self.last_link_number = 0
+        self.link_table = LinkTable(actions, self.table, identity.name, seed, streams)
+        self.links: dict[int, Link] = self.link_table.links
         self.datagrams = DatagramSessions(actions, self.table, tells_incarnations=not streams)
         self.last_tick_at_ms = 0.0
 
@@ -74,45 +58,16 @@
 
     def tick(self, now_ms: float) -> None:
         """Handles timers; to be called some ten times a second."""
-        self._compensate_suspension(now_ms)
-        for name, peer in self.peers.items():
-            if self._is_connection_due(now_ms, name, peer):
-                peer.link = self.add_link(now_ms, name, LinkState.CONNECTING)
-                self.set_state(name, LinkState.CONNECTING)
-                self.actions.connect(name, peer.link)
-        for number, link in list(self.links.items()):
-            if link.is_established():
-                self._check_silence(now_ms, number, link)
-            elif link.state is LinkState.HANDSHAKING and now_ms - link.since_ms >= HANDSHAKE_TIMEOUT_MS:
-                self._give_up(now_ms, number, LinkFailure.NO_HANDSHAKE)
-
-    def _is_connection_due(self, now_ms: float, name: str, peer: Peer) -> bool:
-        """Whether we are the side that connects to a peer, it is off and its backoff has passed."""
-        return peer.state is LinkState.OFF and self._connects_to(name) and now_ms >= peer.next_attempt_at_ms
-
-    def _compensate_suspension(self, now_ms: float) -> None:
-        """Moves the times of all links on where this process was suspended: no peer is late because of it."""
-        suspended_ms = now_ms - self.last_tick_at_ms - SUSPENDED_AFTER_MS
+        self.link_table.compensate_suspension(now_ms - self.last_tick_at_ms)
         self.last_tick_at_ms = now_ms
-        if suspended_ms <= 0.0:
-            return
-        for link in self.links.values():
-            link.since_ms += suspended_ms
-            link.last_received_at_ms += suspended_ms
-            link.last_sent_at_ms += suspended_ms
-
-    def _check_silence(self, now_ms: float, number: int, link: Link) -> None:
-        """Sends a heartbeat where it is due, and finds links that are silent or to be given up."""
-        silent_for_ms = now_ms - link.last_received_at_ms
-        if silent_for_ms >= GIVE_UP_TIMEOUT_MS:
-            self._give_up(now_ms, number, LinkFailure.UNRESPONSIVE)
-            return
-        if silent_for_ms >= SILENCE_TIMEOUT_MS and link.state is LinkState.UP:
-            link.state = LinkState.SILENT
-            self.actions.count_event("peer_silent", peer=link.peer)
-            self.set_state(link.peer, LinkState.SILENT)
-        if now_ms - link.last_sent_at_ms >= HEARTBEAT_INTERVAL_MS:
-            self._write(now_ms, number, HEARTBEAT, None)
+        self.link_table.connect_due(now_ms)
+        for number, link in list(self.links.items()):
+            self.link_table.check_timeouts(now_ms, number, link)
+            if number in self.links and self._is_heartbeat_due(now_ms, link):
+                self._write(now_ms, number, HEARTBEAT, None)
+
+    def _is_heartbeat_due(self, now_ms: float, link: Link) -> bool:
+        return link.is_established() and now_ms - link.last_sent_at_ms >= HEARTBEAT_INTERVAL_MS
 
     # -- connections
 
@@ -124,20 +79,16 @@
             return
         link.state = LinkState.HANDSHAKING
         link.since_ms = now_ms
-        self.set_state(link.peer, LinkState.HANDSHAKING)
+        self.link_table.set_state(link.peer, LinkState.HANDSHAKING)
         self._send_handshake(now_ms, number, link.peer)
 
     def on_accepted(self, now_ms: float, address: str) -> int:
         """Somebody connected to us; returns the number of the link, or 0 where it is to be closed at once."""
-        refusal = self._refuse_connection(address)
-        if refusal is not None:
-            self.actions.count_event("peer_refused", why=refusal.log_term, address=address)
-            return 0
-        return self.add_link(now_ms, "", LinkState.HANDSHAKING)
+        return self.link_table.accept(now_ms, address)
 
     def on_closed(self, now_ms: float, number: int, reason: str) -> None:
         """A connection ended, or could not be made."""
-        self._drop(now_ms, number, reason)
+        self.link_table.drop(now_ms, number, reason)
 
     def begin_incarnation(self, now_ms: float, incarnation: int, nonce: int) -> None:
         """Goes on under another incarnation of this process: all links are dropped, to be made anew."""
@@ -146,54 +97,6 @@
         self.identity = replace(self.identity, incarnation=incarnation, nonce=nonce)
         self.datagrams.begin_incarnation()
 
-    def add_link(self, now_ms: float, peer: str, state: LinkState) -> int:
-        """Adds a connection; returns its number."""
-        self.last_link_number += 1
-        self.links[self.last_link_number] = Link(peer, now_ms, state, now_ms, now_ms)
-        return self.last_link_number
-
-    def set_state(self, name: str, state: LinkState) -> None:
-        """Sets the state that a peer's link is seen in, and tells of a change."""
-        peer = self.peers[name]
-        if peer.state is not state:
-            peer.state = state
-            self.actions.on_link_state(name, state)
-
-    def _refuse_connection(self, address: str) -> Refusal | None:
-        """Why a connection from this host is not accepted; None where it is."""
-        if not self.table.has_address(address):
-            return Refusal.UNKNOWN_PEER
-        if not self.streams:  # each connection would hold a descriptor that is needed elsewhere
-            return Refusal.DATAGRAMS_ONLY
-        pending = sum(not link.peer for link in self.links.values())
-        if pending >= MAX_PENDING_PER_PEER * len(self.peers):
-            return Refusal.TOO_MANY_CONNECTIONS
-        return None
-
-    def _give_up(self, now_ms: float, number: int, failure: LinkFailure) -> None:
-        """Closes a link that still stands, and counts that."""
-        self._drop(now_ms, number, failure, counted_as=failure)
-
-    def _drop(self, now_ms: float, number: int, reason: str, counted_as: LoggedReason | None = None) -> None:
-        """Closes a link; its peer is off until the backoff has passed."""
-        link = self.links.pop(number, None)
-        if link is None:
-            return
-        self.actions.close_link(number)
-        if counted_as is not None:
-            self.actions.count_event("peer_dropped", peer=link.peer or "?", why=counted_as.log_term)
-        peer = self.peers.get(link.peer)
-        if peer is None or peer.link != number:
-            return
-        peer.link = 0
-        peer.last_failure = str(reason)
-        if peer.up_since_ms and now_ms - peer.up_since_ms >= STABLE_AFTER_MS:
-            peer.attempts = 0
-        peer.up_since_ms = 0.0
-        peer.next_attempt_at_ms = now_ms + backoff_ms(peer.attempts, self._draw(JITTER_STEPS))
-        peer.attempts += 1
-        self.set_state(link.peer, LinkState.OFF)
-
     # -- messages
 
     def send(self, now_ms: float, peer: str, kind: str, body: Any) -> bool:
@@ -211,7 +114,7 @@
         refusal = self._refuse_frame(link, envelope)
         if refusal is not None:
             count_refused(self.actions, refusal, envelope.sender)
-            self._drop(now_ms, number, refusal)
+            self.link_table.drop(now_ms, number, refusal)
             return
         if not self._take_sequence(link, envelope):
             return
@@ -224,7 +127,7 @@
             self._receive_handshake(now_ms, number, link, envelope)
         elif link.state is LinkState.SILENT:
             link.state = LinkState.UP
-            self.set_state(link.peer, LinkState.UP)
+            self.link_table.set_state(link.peer, LinkState.UP)
         if envelope.kind not in OWN_KINDS and number in self.links:
             self.actions.deliver(envelope.sender, envelope.kind, envelope.body)
 
@@ -257,7 +160,7 @@
         """
         if self.links[number].sent_sequence:
             reason = f"{fault.replace('_', ' ')} of {sender}"
-            self._drop(now_ms, number, reason, counted_as=fault)
+            self.link_table.drop(now_ms, number, reason, counted_as=fault)
         else:
             self.actions.count_event("peer_of_another_life", why=fault.log_term, peer=sender)
             self._send_handshake(now_ms, number, sender)
@@ -276,7 +179,7 @@
         received = handshake.decode(envelope.body) if envelope.kind == handshake.KIND else None
         if received is None or received.recipient != self.identity.name:
             count_refused(self.actions, Refusal.NO_HANDSHAKE, name)
-            self._drop(now_ms, number, Refusal.NO_HANDSHAKE)
+            self.link_table.drop(now_ms, number, Refusal.NO_HANDSHAKE)
             return
         connected_by_us = bool(link.peer)
         if not connected_by_us and not self._assign_link(now_ms, number, link, name):
@@ -286,20 +189,20 @@
         peer.up_since_ms = now_ms
         if not connected_by_us:
             peer.attempts = 0
-        self.set_state(name, LinkState.UP)
+        self.link_table.set_state(name, LinkState.UP)
         if received.known_incarnation is not None:
             self.compare_incarnation(*received.known_incarnation)
 
     def _assign_link(self, now_ms: float, number: int, link: Link, name: str) -> bool:
         """Makes an accepted connection the stream of a peer; a newer connection replaces an older one."""
-        if self._connects_to(name):  # it should have waited for us: a pair has one stream
+        if self.link_table.connects_to(name):  # it should have waited for us: a pair has one stream
             count_refused(self.actions, Refusal.WRONG_SIDE, name)
-            self._drop(now_ms, number, Refusal.WRONG_SIDE)
+            self.link_table.drop(now_ms, number, Refusal.WRONG_SIDE)
             return False
         peer = self.peers[name]
         link.peer = name
         if peer.link:
-            self._give_up(now_ms, peer.link, LinkFailure.REPLACED)
+            self.link_table.give_up(now_ms, peer.link, LinkFailure.REPLACED)
         peer.link = number
         self._send_handshake(now_ms, number, name)
         return True
@@ -334,11 +237,3 @@
             }
             for name, peer in sorted(self.peers.items())
         ]
-
-    def _connects_to(self, peer: str) -> bool:
-        return self.streams and self.identity.name < peer
-
-    def _draw(self, count: int) -> int:
-        """A reproducible pseudo-random number below `count`."""
-        self.draws += 1
-        return zlib.crc32(b"%d:%s:%d" % (self.seed, self.identity.name.encode(), self.draws)) % count
