--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -77,7 +77,7 @@
         ahead = [other for other in self._queued(request) if priority(other) >= own]
         return self._delay_behind(now_ms, request, ahead)
 
-    def retry_after_ms(self, request: Request) -> float:
+    def backlog_ms(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
         return self._delay_behind(
             self.bulkheads.slots.fair_share.updated_at_ms, request, self._queued(request)
