--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -12,6 +12,7 @@
 PATH = re.compile(r"[\w/]+\.(?:py|vet|toml)")
 DECISION = re.compile(r"^\| [\w ,-]+ \| `(\w+)\.([\w.]+)`", re.MULTILINE)
 FROM_ELSEWHERE = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}  # of the models
+CONSTANT = re.compile(r"^\| `([\w.]+)\.(\w+)`", re.MULTILINE)
 FOLDERS = ("", "vetchford", "docs")
 
 
@@ -48,3 +49,15 @@
             assert found, f"{module}.{name}"
             scope = found[0]
         assert isinstance(scope, ast.FunctionDef), f"{module}.{name}"
+
+
+def test_each_constant_of_the_capacity_page_exists():
+    names = CONSTANT.findall((ROOT / "docs/capacity.md").read_text())
+    assert len(names) > 100
+    for module, name in names:
+        tree = ast.parse((ROOT / f"vetchford/{module.replace('.', '/')}.py").read_text())
+        scope = tree.body + [
+            part for node in tree.body if isinstance(node, ast.ClassDef) for part in node.body
+        ]
+        targets = [target for node in scope if isinstance(node, ast.Assign) for target in node.targets]
+        assert name in {getattr(target, "id", None) for target in targets}, f"{module}.{name}"
