--- a/vetchford/admission/admission_checks.py
+++ b/vetchford/admission/admission_checks.py
@@ -81,6 +81,7 @@
         bytes_by_client = self.workload.in_flight.bytes_by_client
 
         def eviction_order(request: Request) -> tuple[float, int, float, int]:
+            """Return what sorts the requests, the one to evict first."""
             return (
                 priority(request),
                 -bytes_by_client[request.client],
