--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -35,7 +35,7 @@
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
 from vetchford.fleet.tool_requests import ToolRequests
 
-STOPPED_AFTER_MS = 1500.0  # ms between two ticks after which this process was stopped, not busy
+STOPPED_AFTER_MS = 1500.0  # between two ticks, after which this process was stopped, not busy
 
 RECORD_NAME = "newest"  # under which the store has the record
 CONTROLS_KIND = "orders"  # of the store's records of controls
--- a/vetchford/fleet/replication.py
+++ b/vetchford/fleet/replication.py
@@ -10,7 +10,7 @@
     """Acknowledgements since this agent was elected; a new one is made for each term that it leads."""
 
     def __init__(self, own_name: str, identities: StoreIdentities) -> None:
-        """Start with no acknowledgement; `identities` are the stores that the members have reported."""
+        """Starts with no acknowledgement; `identities`: of the stores, as the members have stated them."""
         self.own_name = own_name
         self.identities = identities
         self.acknowledged: dict[str, RecordVersion] = {}  # newest version on the disk of each member
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -204,9 +204,8 @@
     def start_steps(self, not_before_ms: float) -> StartOutcome:
         """Starts as many steps as batch, minimum and interval allow, in the order of `startable`.
 
-        `not_before_ms`: no step may start earlier, as the last one started a short while ago. An instance
-        that is busy is passed over for the next one; a minimum that is reached stops the round, as what
-        follows serves, too.
+        `not_before_ms`: no step may start earlier, as the last one started a short while ago. A busy instance
+        is passed over; a minimum that is reached stops the round, as what follows serves, too.
         """
         rollout = self.rollout
         unseen = self.unseen_agents()
@@ -254,8 +253,7 @@
     def finish(self, aborted: bool) -> bool:
         """Ends the rollout once no step is left; whether it ended.
 
-        One that is paused by a failed step does not end: an operator has to say whether the step is tried
-        again.
+        One that a failed step has paused does not: an operator has to say whether that is tried again.
         """
         rollout = self.rollout
         if any(step in UNFINISHED_STEPS for step in rollout.steps.values()):
