--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -58,7 +58,12 @@
 
 
 class FleetRolloutController:
-    """Made anew each time that this agent is elected; has no state that the record and reports have not."""
+    """Drives the fleet's rollouts while this agent leads; made anew each time that it is elected.
+
+    A new leader goes on from the committed record and the reports. What a former one held beside them is
+    lost: rollouts not yet in the record, which the tool's agent submits again, the interval since the last
+    start, and the reasons to wait.
+    """
 
     def __init__(
         self, actions: ControllerActions, name: str, body: EncodedRecord, controls: RolloutControls
