--- a/vetchford/configuration/errors.py
+++ b/vetchford/configuration/errors.py
@@ -56,4 +56,5 @@
     def __init__(self, line: int, column: int) -> None:
         """`line` and `column` say where the limit was passed."""
         super().__init__(f"nested too deep at {line}:{column}")
-        self.line, self.column = line, column
+        self.line = line
+        self.column = column
--- a/vetchford/configuration/parser.py
+++ b/vetchford/configuration/parser.py
@@ -90,7 +90,8 @@
         depth = keys_on_line = line = 0
         for token in tokens:
             if token.line != line:
-                keys_on_line, line = 0, token.line or 0
+                keys_on_line = 0
+                line = token.line or 0
             if token.type in OPENING_BRACKETS:
                 depth += 1
             elif token.type in CLOSING_BRACKETS:
@@ -155,7 +156,8 @@
 def _syntax_problem(error: UnexpectedInput, file: str) -> Problem:
     allowed: set[str] = set()
     if isinstance(error, UnexpectedCharacters):
-        allowed, found = set(error.allowed or ()), repr(error.char)
+        allowed = set(error.allowed or ())
+        found = repr(error.char)
     elif isinstance(error, UnexpectedToken):
         allowed = set(error.accepts or error.expected or ())
         found = "the end of the file" if _is_at_end(error) else str(error.token)[:MAX_SHOWN_TOKEN]
--- a/vetchford/configuration/reader.py
+++ b/vetchford/configuration/reader.py
@@ -92,7 +92,8 @@
 
     def location(self, path: str) -> SourceLocation:
         """Where the key of a path stands, or the nearest above it."""
-        value, location = self.root, SourceLocation(self.last_file, 1, 1)
+        value = self.root
+        location = SourceLocation(self.last_file, 1, 1)
         for label in re.split(r"[.\[]", path):
             if label not in value.children:
                 break
--- a/vetchford/configuration/resolver.py
+++ b/vetchford/configuration/resolver.py
@@ -29,7 +29,8 @@
     @contextmanager
     def captured_problems(self) -> Iterator[list[Problem]]:
         """Problems that are reported meanwhile go to the list that is given, and nowhere else."""
-        outer, self.problems = self.problems, []
+        outer = self.problems
+        self.problems = []
         try:
             yield self.problems
         finally:
@@ -50,7 +51,8 @@
         while pending:
             constraint, via = pending.pop()  # `via`: the targets that led here
             self.count_step()
-            node, scope = constraint.node, constraint.scope
+            node = constraint.node
+            scope = constraint.scope
             if isinstance(node, Conjunction):
                 pending += [
                     (Constraint(part, scope, constraint.definition_uses), via)
@@ -81,7 +83,9 @@
         records = with_node_of(Record, flat)
         value.children = {label: child for label, child in value.children.items() if child.constraints}
         for child in value.children.values():
-            child.constraints, child.locations, child.is_optional = [], [], True
+            child.constraints = []
+            child.locations = []
+            child.is_optional = True
         for constraint in records:
             self._add_fields(value, constraint)
         for constraint in records:
--- a/vetchford/configuration/tree_builder.py
+++ b/vetchford/configuration/tree_builder.py
@@ -72,7 +72,8 @@
         return self._builders[str(tree.data)](tree.children, self._location(tree))
 
     def _field(self, tree: ParseTree) -> Field:
-        label, value = tree.children[0], tree.children[-1]
+        label = tree.children[0]
+        value = tree.children[-1]
         is_optional = len(tree.children) == PARTS_OF_OPTIONAL_FIELD
         if isinstance(value, Tree) and value.data == "field_in":  # a: b: 1 is a: {b: 1}
             inner = self._field(value)
@@ -94,7 +95,8 @@
         return Conjunction(tuple(self._node(part) for part in parts), location)
 
     def _bound(self, parts: Sequence[Part], location: SourceLocation) -> Node:
-        operator, limit = str(parts[0]), self._node(parts[1])
+        operator = str(parts[0])
+        limit = self._node(parts[1])
         return values.Bound(operator, limit, location) if isinstance(limit, values.Literal) else limit
 
     def _literal(self, parts: Sequence[Part], location: SourceLocation) -> Node:
--- a/vetchford/configuration/unifier.py
+++ b/vetchford/configuration/unifier.py
@@ -24,7 +24,9 @@
 )
 from vetchford.configuration.values import Bound, Kind, Literal
 
-RECORD, LIST, SINGLE_VALUE = "a record", "a list", "a single value"
+RECORD = "a record"
+LIST = "a list"
+SINGLE_VALUE = "a single value"
 
 
 class Unifier(ChoiceResolver):
@@ -125,7 +127,8 @@
         for index in range(max(len(one.node.items) for one in constraints)):
             child = ValueNode(f"{value.path}[{index}]", value.depth + 1, parent=value)
             for constraint in constraints:
-                items, rest = constraint.node.items, constraint.node.rest
+                items = constraint.node.items
+                rest = constraint.node.rest
                 node = items[index] if index < len(items) else rest
                 assert node is not None, "a list that is too short has a rest"
                 child.constraints.append(Constraint(node, constraint.scope, constraint.definition_uses))
--- a/vetchford/configuration/values.py
+++ b/vetchford/configuration/values.py
@@ -83,7 +83,8 @@
     match = NUMBER_PATTERN.fullmatch(text) if len(text) <= MAX_NUMBER_LENGTH else None
     if match is None:
         raise ValueError(f"found {text[:MAX_NUMBER_LENGTH]}, which is no number, duration or size")
-    digits, unit = match[1].replace("_", ""), match[2]
+    digits = match[1].replace("_", "")
+    unit = match[2]
     value = float(digits) if re.search("[.eE]", digits) else int(digits)
     if not math.isfinite(value):
         raise ValueError(f"found {text}, which is too large")
