--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -3,10 +3,11 @@
 import random
 
 import pytest
+from helpers import ROOT
 
 from vetchford.transport import framing, handshake
 from vetchford.transport.backoff import MAX_BACKOFF_MS
-from vetchford.transport.faults import FrameFault, LoggedReason
+from vetchford.transport.faults import FrameFault, LinkFailure, LoggedReason
 from vetchford.transport.framing import Envelope, FrameError
 from vetchford.transport.handshake import Handshake
 from vetchford.transport.outbox import Outbox
@@ -19,6 +20,14 @@
     SILENCE_TIMEOUT_MS,
 )
 
+# Why a link was given up was logged by words of its own, not by the value.
+LOGGED_BEFORE = {
+    LinkFailure.NO_HANDSHAKE: "mute",
+    LinkFailure.UNRESPONSIVE: "silent",
+    LinkFailure.REPLACED: "replaced",
+    LinkFailure.INCARNATION_CHANGED: "incarnation_changed",  # was not logged
+}
+
 
 class Side:
     """A process whose actions are recorded; `give` delivers what the other side sends."""
@@ -299,6 +308,13 @@
     assert handshake.decode({"to": "b", "knows": knows}) == Handshake("b", None)
 
 
-def test_each_reason_is_logged_by_a_term_of_its_own():
-    terms = [reason.log_term for kind in LoggedReason.__subclasses__() for reason in kind]
-    assert len(terms) == 22 and all(term == term.lower() and " " not in term for term in terms)
+REASONS = [reason for kind in LoggedReason.__subclasses__() for reason in kind]
+
+
+@pytest.mark.parametrize("reason", REASONS, ids=lambda reason: f"{type(reason).__name__}.{reason.name}")
+def test_each_reason_is_logged_by_a_term_that_the_page_of_log_events_has_beside_the_one_before(reason):
+    page = (ROOT / "docs" / "operate" / "log-events.md").read_text()
+    term = reason.log_term
+    assert term == term.lower() and " " not in term
+    before = LOGGED_BEFORE.get(reason, reason.value)
+    assert before == term or f"| `{before}` | `{term}` |" in page
--- a/vetchford/coordination/admission_signals.py
+++ b/vetchford/coordination/admission_signals.py
@@ -11,6 +11,7 @@
 from vetchford.gossip.metrics import METRICS, Metric
 
 BROADCAST_CHANGE = 0.5  # of the share of lost calls
+LOGGED_DIGITS = 3
 
 
 class AdmissionSignals:
@@ -45,7 +46,7 @@
         for metric in METRICS:
             aggregate = self.load_gossip.aggregate(now_ms, metric.name)
             if aggregate is not None:
-                fields[metric.name] = round(aggregate.value, 3)
+                fields[metric.name] = round(aggregate.value, LOGGED_DIGITS)
                 fields[f"{metric.name}_rows"] = aggregate.report_count
         return fields
 
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -13,7 +13,7 @@
 import structlog
 
 from vetchford.coordination import datagrams
-from vetchford.coordination.admission_signals import AdmissionSignals
+from vetchford.coordination.admission_signals import LOGGED_DIGITS, AdmissionSignals
 from vetchford.coordination.datagrams import LeaseDatagram, LoadReportsDatagram, MembershipDatagram
 from vetchford.coordination.incarnation import IncarnationCounter
 from vetchford.coordination.load_sampler import LoadSampler
@@ -185,7 +185,7 @@
             there=sum(member.state == MemberState.ALIVE for member in members),
             records=self.signal_policy.records.state,
             **self.admission_signals.summary(now_ms),
-            room=round(self.admission_signals.signals.call_capacity, 3),
+            room=round(self.admission_signals.signals.call_capacity, LOGGED_DIGITS),
             bytes_sent=self.transport.bytes_sent,
             datagrams_sent=self.transport.datagrams_sent,
         )
