--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -33,8 +33,10 @@
 from testkit.fakes import worker_pool
 from testkit.fakes.load_generator import Flow, Load
 from testkit.fakes.schedule import Apart
+from testkit.faults.fault_schedule import FaultSchedule
+from testkit.faults.history_checker import violations
 from testkit.faults.mutations import MISTAKES, caught
-from testkit.faults.process_cluster import ProcessCluster, Script, wrong
+from testkit.faults.process_cluster import ProcessCluster
 from testkit.simulation import agents
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
@@ -67,7 +69,9 @@
 
 def planted() -> dict[str, int]:
     with multiprocessing.Pool(len(MISTAKES)) as thread_pool:
-        return dict(zip(sorted(MISTAKES), thread_pool.map(caught, sorted(MISTAKES)), strict=True))
+        return dict(
+            zip(sorted(MISTAKES), thread_pool.map(caught, sorted(MISTAKES)), strict=True)
+        )
 
 
 # -- processes
@@ -92,11 +96,11 @@
             return [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)]
 
         with ProcessCluster(folder, AGENTS, EACH, seed, command, stop="3500ms") as rig:
-            script = Script(rig.names, seed, seconds, faults)
+            script = FaultSchedule(rig.names, seed, seconds, faults)
             rig.clocks = script.clocks
-            rig.begin()
-            rig.driven()
-            rig.up()
+            rig.start()
+            rig.wait_for_leader()
+            rig.start_instances()
             flows = [Flow("session-check", 11.0, 10.0), Flow("charge", 5.0, 30.0, 0, True)]
             loads = {
                 key: Load(
@@ -116,20 +120,27 @@
                 thread.start()
             time.sleep(1.0)
             roll = {"version": "v2", "batch": 3, "floor": FLOOR, "on_failure": "go_on", "soak": 500.0}
-            rig.change(rig.names[seed % AGENTS], "r1", "roll", **roll)
+            rig.request_rollout(rig.names[seed % AGENTS], "r1", "roll", **roll)
             made = script.play(rig)
-            ended = rig.find("r1")
+            ended = rig.find_rollout("r1")
             if not ended["state"]:  # it was asked of an agent that was cut off, or died with it
-                rig.until(lambda: "refused" not in rig.change(rig.driven(), "r1", "roll", **roll), 30.0)
-            ended = rig.ended("r1", 60.0)
+                rig.wait_until(
+                    lambda: "refused" not in rig.request_rollout(rig.wait_for_leader(), "r1", "roll", **roll),
+                    30.0,
+                )
+            ended = rig.wait_for_rollout("r1", 60.0)
             for thread in threads:
                 thread.join()
-            rig.until(lambda: rig.ask(rig.driven(), {"ask": "all"})["unknown"] == [], 30.0, "all seen again")
+            rig.wait_until(
+                lambda: rig.ask(rig.wait_for_leader(), {"ask": "all"})["unknown"] == [],
+                30.0,
+                "all seen again",
+            )
             # An agent that was begun anew just now still checks those that it took over.
             with contextlib.suppress(AssertionError):
-                rig.until(lambda: up(rig) == len(rig.addresses), 20.0)
-            seen = rig.ask(rig.driven(), {"ask": "all"})["instances"]
-            table = rig.table()
+                rig.wait_until(lambda: up(rig) == len(rig.addresses), 20.0)
+            seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
+            table = rig.process_table()
             events = rig.events()
             ran = pools.end()["ran"]
             killed = set(ended["killed"])
@@ -139,7 +150,7 @@
                 "met_on_links": rig.links.met(),
                 "change": ended["state"],
                 "why": ended["why"],
-                "wrong": wrong(events, FLOOR)[:4],
+                "wrong": violations(events, FLOOR)[:4],
                 "drivers": sum(entry["event"] == "leader_elected" for entry in events),
                 "orders": sum(entry["event"] == "order_accepted" for entry in events),
                 "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
@@ -154,7 +165,7 @@
 
 
 def up(rig: ProcessCluster) -> int:
-    seen = rig.ask(rig.driven(), {"ask": "all"})["instances"]
+    seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
     return sum(one["state"] == "serving" for one in seen.values())
 
 
@@ -189,8 +200,8 @@
         ProcessCluster(pathlib.Path(name), count, 1, 3, relays=False) as rig,
     ):
         began = time.monotonic()
-        rig.begin()
-        rig.driven(seconds=60.0)
+        rig.start()
+        rig.wait_for_leader(timeout_s=60.0)
         driven = time.monotonic() - began
 
         def views(of: str, among: list[str]) -> set[str]:
@@ -203,7 +214,7 @@
             return found
 
         sampled = rig.names[:: max(1, count // 8)]
-        rig.until(lambda: all(views(name, sampled) <= {"there"} for name in sampled), 60.0, "all there")
+        rig.wait_until(lambda: all(views(name, sampled) <= {"there"} for name in sampled), 60.0, "all there")
         before = {name: rig.peers(name) for name in sampled}
         at = time.monotonic()
         time.sleep(2.0)
@@ -211,16 +222,16 @@
         passed = time.monotonic() - at
         sent = [after[name]["bytes_sent"] - before[name]["bytes_sent"] for name in sampled]
         messages = [after[name]["datagrams_sent"] - before[name]["datagrams_sent"] for name in sampled]
-        driver = rig.driver()
+        driver = rig.leader()
         gone = next(name for name in reversed(rig.names) if name != driver)
         others = [name for name in sampled if name != gone]
         rig.kill(gone)
         at = time.monotonic()
-        rig.until(lambda: views(gone, others) == {"not seen"}, 90.0, "the death is seen")
+        rig.wait_until(lambda: views(gone, others) == {"not seen"}, 90.0, "the death is seen")
         seen = time.monotonic() - at
-        rig.begin(gone)
+        rig.start(gone)
         at = time.monotonic()
-        rig.until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
+        rig.wait_until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
         return {
             "driven_s": round(driven, 1),
             "death_seen_s": round(seen, 1),
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -26,8 +26,8 @@
 
 from benchmarks.pools import DUE, LIMIT, settings
 from testkit.fakes.load_generator import Flow, Load
-from testkit.faults.process_cluster import Script
-from testkit.faults.server_cluster import ServerCluster, most_at_once
+from testkit.faults.fault_schedule import FaultKind, FaultSchedule
+from testkit.faults.server_cluster import RecordsSpeed, ServerCluster, max_concurrent_leases
 from testkit.simulation import gossip, leases
 
 COUNT, SLOTS, CALL = 8, 16, 40.0  # servers a side; the ledger's slots, ms of a call
@@ -62,31 +62,29 @@
             pathlib.Path(name),
             COUNT,
             told,
-            SLOTS,
-            CALL,
-            speed,
+            RecordsSpeed(SLOTS, CALL, speed),
             together,
             seed=seed,
             pools_file=pools,
             records=True,
         )
         with several:
-            several.begin()
+            several.start()
             loads = {
                 one: Load(port, FLOWS, seconds, DUE, LIMIT, seed=seed * 100 + n, connections=6)
                 for n, (one, port) in enumerate(several.ports.items())
             }
             time.sleep(max(0.0, at - 0.2 - time.time()))
             late = time.time() > at
-            several.ledger.begin(at)
+            several.records_service.begin(at)
             threads = [threading.Thread(target=load.run, args=(at,)) for load in loads.values()]
             for thread in threads:
                 thread.start()
             faults = break_links(several, seed, at, seconds) if together else {}
             for thread in threads:
                 thread.join()
-            ran = several.pools.end()["ran"]
-            below = several.ledger.end()
+            ran = several.worker_pools.end()["ran"]
+            below = several.records_service.end()
             several.stop()
             stages: dict[str, dict[str, float]] = {}
             tries: dict[float, list[bool]] = {}
@@ -110,32 +108,42 @@
                 "faults": faults,
                 "met_on_links": several.links.met(),
                 "ran_twice": sum(count > 1 for count in ran.values()),
-                "wrong": [line for load in loads.values() for line in load.wrong][:4] + several.broken()[:4],
+                "wrong": [line for load in loads.values() for line in load.wrong][:4]
+                + several.internal_errors()[:4],
                 "cut": sum(len(load.cut) for load in loads.values()),
                 "states": [
                     [e["server"], e["state"], e["why"]] for e in several.events("records_state_changed")
                 ],
                 "turns": len(several.events("lease_acquired")),
-                "probed_at_once": most_at_once(several),
+                "probed_at_once": max_concurrent_leases(several),
             }
 
 
+LINK_FAULTS = {
+    FaultKind.CUT,
+    FaultKind.ONE_WAY,
+    FaultKind.LOSE,
+    FaultKind.SLOW,
+    FaultKind.DOUBLE,
+    FaultKind.REORDER,
+}
+
+
 def break_links(several: ServerCluster, seed: int, at: float, seconds: float) -> dict[str, int]:
     """Link faults by a script; two of eight servers at a time at most, so that most still see each other."""
     met: dict[str, int] = {}
     chosen = [
-        step
-        for step in Script(several.names, seed, seconds, 40).steps
-        if step[1] in ("cut", "one_way", "lose", "slow", "double", "reorder")
+        step for step in FaultSchedule(several.names, seed, seconds, 40).steps if step.kind in LINK_FAULTS
     ]
-    for when, kind, name, _, lasts in chosen[:12]:
-        time.sleep(max(0.0, at + when - time.time()))
-        links = several.links.between({name}) if kind == "cut" else several.links.of(name)
+    for step in chosen[:12]:
+        kind = step.kind.value
+        time.sleep(max(0.0, at + step.at_s - time.time()))
+        links = several.links.between({step.agent}) if kind == "cut" else several.links.of(step.agent)
         if kind == "one_way":
-            links = [link for link in links if link.source == name]
+            links = [link for link in links if link.source == step.agent]
         several.links.fault(kind, links)
         met[kind] = met.get(kind, 0) + 1
-        time.sleep(min(lasts, 2.0))
+        time.sleep(min(step.duration_s, 2.0))
         several.links.fault("heal", links)
     return met
 
--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -1,29 +1,39 @@
-"""Forces the order of two sides: one is held at a named point until the test lets it through."""
+"""Forces the order of two sides of a race: one is held at a named point until the test lets it through."""
 
 import queue
 import threading
-import time
 from collections.abc import Callable
 from typing import Any
 
 from testkit.fakes.peers import PATIENCE
 
-SHORT = 0.3  # s that the other side gets where a guard holds it; where none does it needs a ms
+SHORT = 0.3
+"""Seconds that the other side gets where a guard holds it; where none does it needs a ms."""
 
 
 class Checkpoint:
-    """Only the first to come is held, or the first whose thread `holds` says so; the others go through."""
+    """A point at which the first thread that comes is held; the others go through."""
 
     def __init__(self, holds: Callable[[], bool] = lambda: True) -> None:
-        self.holds, self.first = holds, threading.Lock()
-        self.reached, self.through = threading.Event(), threading.Event()
+        """Create a checkpoint nobody has come to.
+
+        Args:
+            holds: tells whether the calling thread is one to hold.
+        """
+        self.holds = holds
+        self.first = threading.Lock()
+        self.reached = threading.Event()
+        self.through = threading.Event()
 
     def come(self) -> None:
+        """Pass the checkpoint, or be held until it is opened."""
         if self.holds() and self.first.acquire(blocking=False):
             self.reached.set()
             assert self.through.wait(PATIENCE), "held for good: the test never let it through"
 
     def before(self, act: Callable[..., Any]) -> Callable[..., Any]:
+        """Return a function that passes the checkpoint and then calls `act`."""
+
         def held(*given: Any) -> Any:
             self.come()
             return act(*given)
@@ -31,68 +41,76 @@
         return held
 
     def wait(self) -> None:
-        """Until one is held: the proof that the order occurred."""
-        assert self.reached.wait(PATIENCE), "nobody came to the gate"
+        """Return once a thread is held: the proof that the order occurred."""
+        assert self.reached.wait(PATIENCE), "nobody came to the checkpoint"
 
     def open(self) -> None:
+        """Let the held thread go on."""
         self.through.set()
 
 
 class Wrapped:
-    """Another object with some of its methods put in place of its own."""
+    """Another object with some of its attributes replaced."""
 
-    def __init__(self, inner: Any, **put: Any) -> None:
-        self.__dict__.update(inner=inner, **put)
+    def __init__(self, inner: Any, **replaced: Any) -> None:
+        """Wrap `inner`."""
+        self.__dict__.update(inner=inner, **replaced)
 
     def __getattr__(self, name: str) -> Any:
+        """Return what is not replaced."""
         return getattr(self.inner, name)
 
 
 class HeldLock:
-    """A lock whose next holder but none comes to the gate just behind its release."""
+    """A lock whose holders come to the checkpoint right after its release."""
 
-    def __init__(self, gate: Checkpoint) -> None:
-        self.inner, self.gate = threading.Lock(), gate
+    def __init__(self, checkpoint: Checkpoint) -> None:
+        """Create a lock with its checkpoint."""
+        self.inner = threading.Lock()
+        self.checkpoint = checkpoint
 
     def __enter__(self) -> None:
+        """Acquire the lock."""
         self.inner.acquire()
 
-    def __exit__(self, *problem: Any) -> None:
+    def __exit__(self, *problem: object) -> None:
+        """Release the lock and come to the checkpoint."""
         self.inner.release()
-        self.gate.come()
+        self.checkpoint.come()
 
 
-def beside(act: Callable[[], Any]) -> tuple[threading.Thread, list[Any]]:
-    """Does it on a thread; what it returned."""
-    out: list[Any] = []
-    thread = threading.Thread(target=lambda: out.append(act()), daemon=True)
+def run_in_thread(act: Callable[[], Any]) -> tuple[threading.Thread, list[Any]]:
+    """Start `act` in a thread; return the thread and the list to which the result is appended."""
+    results: list[Any] = []
+    thread = threading.Thread(target=lambda: results.append(act()), daemon=True)
     thread.start()
-    return thread, out
-
+    return thread, results
 
-def until(holds: Callable[[], Any], what: str) -> None:
-    end = time.monotonic() + PATIENCE
-    while not holds():
-        assert time.monotonic() < end, f"never came: {what}"
-        time.sleep(0.002)
 
-
-class Heard:
-    """In the module's place: queues what it is told."""
+class PostedEvents:
+    """Stands in for the admission actor and queues the events that are posted to it."""
 
     def __init__(self) -> None:
-        self.told: queue.Queue[Any] = queue.Queue()
+        """Create an empty queue."""
+        self.events: queue.Queue[tuple[Any, ...]] = queue.Queue()
 
     def __getattr__(self, name: str) -> str:
+        """Return the name of an event handler in place of the handler."""
         return name
 
     def post(self, act: str, *given: Any) -> None:
-        self.told.put((act, *given))
+        """Queue an event."""
+        self.events.put((act, *given))
 
     post_when_room = post
 
     def take(self, wanted: str) -> tuple[Any, ...]:
+        """Return the arguments of the next event of that name; those before it are dropped.
+
+        Raises:
+            queue.Empty: none came in time.
+        """
         while True:
-            entry = self.told.get(timeout=PATIENCE)
+            entry = self.events.get(timeout=PATIENCE)
             if entry[0] == wanted:
                 return entry[1:]
--- a/testkit/faults/server_cluster.py
+++ b/testkit/faults/server_cluster.py
@@ -1,168 +1,195 @@
-"""Several servers of one fleet in processes of their own, with links between them that break and one ledger
-below.
+"""Several servers of one fleet in processes of their own.
+
+Links between them break; one records service serves them all.
 """
 
+import functools
 import json
-import os
 import pathlib
 import re
 import signal
 import subprocess
 import sys
-import time
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Self
 
 from testkit.fakes import records_service, worker_pool
 from testkit.fakes.schedule import Apart
-from testkit.faults.process_cluster import ROOT, free_ports
+from testkit.faults.cluster import PROJECT_ROOT, Cluster, free_ports
 from testkit.faults.relay import Links
 
+MAX_LEASE_SERVERS = 3
+START_TIMEOUT_S = 30.0
+DRAIN_TIMEOUT_S = 10.0
+STOP_MS = 3200
+WORKER_POOL_CORES = 2.0
+LOG_LINE_CHARACTERS = 400
+INTERNAL_ERRORS = re.compile(r"part_broke|must_hold_broken|Traceback|peer_malformed")
+LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
 
-def most_at_once(several: "ServerCluster") -> int:
-    """How many held a turn at once, by what they logged: one machine, one clock."""
-    steps = [(entry["timestamp"], 1) for entry in several.events("lease_acquired")]
-    steps += [
-        (entry["timestamp"], -1)
-        for event in ("lease_released", "lease_lost")
-        for entry in several.events(event)
-    ]
-    inside = most = 0
-    for _, step in sorted(steps):
-        inside += step
-        most = max(most, inside)
-    return most
 
+@dataclass(frozen=True, slots=True)
+class RecordsSpeed:
+    """Calls that a records service executes at once, their time, and how its speed changes.
 
-class ServerCluster:
-    """`together`: whether they speak to each other; keys of the record `together` beside names and
-    addresses.
+    `factors` are steps (seconds from the start, factor of the full speed).
     """
 
+    slots: int
+    call_ms: float
+    factors: list[tuple[float, float]]
+
+
+class ServerCluster(Cluster):
+    """A fleet of servers, each with its worker pool."""
+
     def __init__(
         self,
         folder: pathlib.Path,
         count: int,
         settings: dict[str, Any],
-        slots: int,
-        call: float,
-        speed: list[tuple[float, float]],
+        records_speed: RecordsSpeed,
         together: bool = True,
-        cores: float = 2.0,
         seed: int = 1,
         pools_file: str = "",
-        **told: Any,
+        **fleet_settings: Any,
     ) -> None:
-        self.folder, self.names, self.told, self.settings = (
-            folder,
-            [f"s{n}" for n in range(count)],
-            told,
-            settings,
-        )
+        """Start the peers and write the configurations; no server is started.
+
+        Args:
+            folder: where configurations and logs are written.
+            count: the number of servers; they are named s0, s1, ...
+            settings: the platform's settings of each server.
+            records_speed: of the records service that all of them call.
+            together: whether the servers speak to each other.
+            seed: determines what lossy links lose.
+            pools_file: configuration of bulkheads, if any.
+            fleet_settings: keys of the record `together` beside names and addresses.
+        """
+        super().__init__(folder, [f"s{n}" for n in range(count)])
+        self.settings = settings
+        self.together = together
         self.pools_file = pools_file
-        self.together, self.keepers = together, [f"s{n}" for n in range(min(3, count))]
+        self.fleet_settings = fleet_settings
+        self.lease_servers = self.names[:MAX_LEASE_SERVERS]
         folder.mkdir(exist_ok=True)
         ports = free_ports(2 * count)
         self.ports = {name: ports.pop() for name in self.names}
-        programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
-        self.links = Links(programs if together else {}, seed)
-        self.programs = programs
-        self.pools = Apart(worker_pool.serve_many, count, cores)
-        self.ledger = Apart(records_service.serve, slots, call, speed)
-        self.running: dict[str, subprocess.Popen] = {}
-        for at, name in enumerate(self.names):
-            self.write(at, name)
-
-    def write(self, at: int, name: str) -> None:
-        config = {
+        self.programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
+        self.links = Links(self.programs if together else {}, seed)
+        self.worker_pools = Apart(worker_pool.serve_many, count, WORKER_POOL_CORES)
+        self.records_service = Apart(
+            records_service.serve, records_speed.slots, records_speed.call_ms, records_speed.factors
+        )
+        for number, name in enumerate(self.names):
+            self._write_configuration(number, name)
+
+    def _write_configuration(self, number: int, name: str) -> None:
+        configuration = {
             "name": name,
             "listen": f"127.0.0.1:{self.ports[name]}",
-            "pool": f"127.0.0.1:{self.pools.ports[at]}",
-            "records": self.ledger.address,
+            "pool": f"127.0.0.1:{self.worker_pools.ports[number]}",
+            "records": self.records_service.address,
             "members": "127.0.0.1:9",
-            "seed": f"{at + 1:x}5e",
-            "stop_ms": 3200,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
+            "seed": f"{number + 1:x}5e",
+            "stop_ms": STOP_MS,
+            "limits": LIMITS,
             "settings": self.settings,
         }
-        (self.folder / f"{name}.json").write_text(json.dumps(config))
-        self.write_together(name)
+        (self.folder / f"{name}.json").write_text(json.dumps(configuration))
+        self.write_fleet_settings(name)
 
-    def write_together(self, name: str, **told: Any) -> None:
-        """The file of `--with`; written anew for SIGHUP."""
+    def write_fleet_settings(self, name: str, **changed: Any) -> None:
+        """Write the file of `--with`; a running server reads it again on SIGHUP."""
         listen = f"127.0.0.1:{self.programs[name][1]}"
-        seen_at = {
+        servers = {
             other: self.links.address(name, other) if self.together and other != name else listen
             for other in self.names
         }
-        record = {"fleet": "pay", "name": name, "listen": listen, "servers": seen_at, "keepers": self.keepers}
-        lines = [f"{key}: {json.dumps(value)}" for key, value in (record | self.told | told).items()]
+        record = {
+            "fleet": "pay",
+            "name": name,
+            "listen": listen,
+            "servers": servers,
+            "keepers": self.lease_servers,
+        }
+        record |= self.fleet_settings
+        record |= changed
+        lines = [f"{key}: {json.dumps(value)}" for key, value in record.items()]
         (self.folder / f"{name}.vet").write_text("version: 1\ntogether: {\n" + "\n".join(lines) + "\n}\n")
 
-    def begin(self, *names: str) -> "ServerCluster":
+    def start(self, *names: str) -> Self:
+        """Start these servers, by default all, and wait until they serve."""
         for name in names or self.names:
-            command = [sys.executable, "-O", "-m", "vetchford", "--log-form", "json", "serve"]
-            command += ["--config", str(self.folder / f"{name}.json")]
-            command += ["--with", str(self.folder / f"{name}.vet")] if self.together else []
-            command += ["--with", self.pools_file] if self.pools_file else []
             with (self.folder / f"{name}.log").open("a") as log:
-                self.running[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
+                self.running[name] = subprocess.Popen(self._command(name), cwd=PROJECT_ROOT, stderr=log)
         for name in names or self.names:
-            self.until(lambda name=name: self.events("serving", name), 30.0, f"{name} does not serve")
+            serves = functools.partial(self.events, "serving", name)
+            self.wait_until(serves, START_TIMEOUT_S, f"{name} does not serve")
         return self
 
-    def until(self, holds: Any, seconds: float, what: str = "") -> None:
-        end = time.monotonic() + seconds
-        while not holds():
-            if time.monotonic() > end:
-                raise AssertionError(f"not within {seconds} s: {what}")
-            time.sleep(0.05)
+    def _command(self, name: str) -> list[str]:
+        command = [sys.executable, "-O", "-m", "vetchford", "--log-form", "json", "serve"]
+        command += ["--config", str(self.folder / f"{name}.json")]
+        if self.together:
+            command += ["--with", str(self.folder / f"{name}.vet")]
+        if self.pools_file:
+            command += ["--with", self.pools_file]
+        return command
 
     def events(self, event: str, *names: str) -> list[dict[str, Any]]:
-        """What was logged under that name, in order of time."""
+        """Return what these servers, by default all, logged under that name, in order of time."""
         found = []
         for name in names or self.names:
-            path = self.folder / f"{name}.log"
-            for line in path.read_text().splitlines() if path.exists() else ():
-                if f'"{event}"' in line:
-                    entry = json.loads(line)
-                    if entry["event"] == event:
-                        found.append({**entry, "server": name})
+            for line in self._log_lines(name):
+                if f'"{event}"' not in line:
+                    continue
+                entry = json.loads(line)
+                if entry["event"] == event:
+                    found.append({**entry, "server": name})
         return sorted(found, key=lambda entry: entry["timestamp"])
 
-    def kill(self, name: str) -> None:
-        self.running[name].kill()
-        self.running.pop(name).wait()
-
-    def freeze(self, name: str) -> None:
-        os.kill(self.running[name].pid, signal.SIGSTOP)
-
-    def thaw(self, name: str) -> None:
-        os.kill(self.running[name].pid, signal.SIGCONT)
+    def _log_lines(self, name: str) -> list[str]:
+        path = self.folder / f"{name}.log"
+        return path.read_text().splitlines() if path.exists() else []
 
     def stop(self, *names: str) -> None:
-        """Drains them; all must end with 0."""
-        for name in names or list(self.running):
+        """Drain these servers, by default all that run; each must exit with 0."""
+        stopping = names or tuple(self.running)
+        for name in stopping:
             self.running[name].send_signal(signal.SIGTERM)
-        for name in names or list(self.running):
-            assert self.running.pop(name).wait(10.0) == 0, name
+        for name in stopping:
+            assert self.running.pop(name).wait(DRAIN_TIMEOUT_S) == 0, name
 
-    def broken(self) -> list[str]:
-        """Lines of the logs that tell of our own mistakes."""
+    def internal_errors(self) -> list[str]:
+        """Return the lines of the logs that tell of mistakes in the servers."""
         return [
-            line[:400]
+            line[:LOG_LINE_CHARACTERS]
             for name in self.names
             for line in (self.folder / f"{name}.log").read_text().splitlines()
-            if re.search(r"part_broke|must_hold_broken|Traceback|peer_malformed", line)
+            if INTERNAL_ERRORS.search(line)
         ]
 
-    def __enter__(self) -> "ServerCluster":
+    def __enter__(self) -> Self:
+        """Return the cluster; no server is started."""
         return self
 
-    def __exit__(self, *problem: Any) -> None:
-        for process in self.running.values():
-            process.kill()
-            process.wait()
+    def __exit__(self, *problem: object) -> None:
+        """Kill what still runs and close the links."""
+        self.kill_all()
         self.links.close()
-        for part in (self.pools, self.ledger):
-            if part.process.is_alive():
-                part.process.terminate()
+        for peer in (self.worker_pools, self.records_service):
+            if peer.process.is_alive():
+                peer.process.terminate()
+
+
+def max_concurrent_leases(cluster: ServerCluster) -> int:
+    """Return how many servers held a lease at once, by what they logged: they share a clock."""
+    steps = [(entry["timestamp"], 1) for entry in cluster.events("lease_acquired")]
+    for event in ("lease_released", "lease_lost"):
+        steps += [(entry["timestamp"], -1) for entry in cluster.events(event)]
+    held = most = 0
+    for _, step in sorted(steps):
+        held += step
+        most = max(most, held)
+    return most
--- /dev/null
+++ b/testkit/faults/waiting.py
@@ -0,0 +1,28 @@
+"""Waits for a condition that another thread or process brings about."""
+
+import time
+from collections.abc import Callable
+from typing import Any
+
+from testkit.fakes.peers import PATIENCE
+
+POLL_INTERVAL_S = 0.002
+"""Suits conditions that only read memory."""
+
+
+def wait_until(
+    condition: Callable[[], Any],
+    what: str = "",
+    timeout_s: float = PATIENCE,
+    poll_interval_s: float = POLL_INTERVAL_S,
+) -> None:
+    """Return once `condition()` is true.
+
+    Raises:
+        AssertionError: it was not within `timeout_s`; the message ends with `what`.
+    """
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() > deadline:
+            raise AssertionError(f"not within {timeout_s} s: {what}")
+        time.sleep(poll_interval_s)
--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import Running
 
-from testkit.faults.checkpoints import until
+from testkit.faults.waiting import wait_until
 
 POOLS = """
 version: 1
@@ -61,7 +61,7 @@
         if n < 4:
             server.pool.take("spawn")
     reloaded = re.compile("configuration_(renewed.*declared|refused.*pools.heavy.share)")
-    until(lambda: reloaded.search("".join(server.log)), "the reload")  # a shutdown does not wait for it
+    wait_until(lambda: reloaded.search("".join(server.log)), "the reload")  # a shutdown does not wait for it
     assert reloaded.search(server.stop())
 
 
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -10,7 +10,7 @@
 
 from benchmarks.pools import settings
 from testkit.fakes.load_generator import Flow, Load
-from testkit.faults.server_cluster import ServerCluster, most_at_once
+from testkit.faults.server_cluster import RecordsSpeed, ServerCluster, max_concurrent_leases
 
 
 @pytest.fixture(scope="module")
@@ -18,12 +18,12 @@
     """One fleet for all tests here but one: each leaves it as a whole."""
     folder = tmp_path_factory.mktemp("fleet")
     told = {"probes": 1, "turns": {"deep": 1}}
-    with ServerCluster(folder, 4, settings(), 8, 40.0, [(0.0, 1.0)], **told) as made:
-        made.begin()
-        made.until(lambda: all(len(there(made, name)) == 3 for name in made.names), 20.0, "all see all")
+    with ServerCluster(folder, 4, settings(), RecordsSpeed(8, 40.0, [(0.0, 1.0)]), **told) as made:
+        made.start()
+        made.wait_until(lambda: all(len(there(made, name)) == 3 for name in made.names), 20.0, "all see all")
         yield made
         made.stop()
-        assert not made.broken()
+        assert not made.internal_errors()
 
 
 def there(several, name):
@@ -41,19 +41,19 @@
 def test_servers_see_each_other_detect_one_that_dies_and_see_it_again_in_a_new_incarnation(several):
     gone = several.names[3]
     several.kill(gone)
-    several.until(lambda: gone not in there(several, several.names[0]), 30.0, "its death is seen")
-    several.begin(gone)
-    several.until(lambda: gone in there(several, several.names[0]), 20.0, "it is seen again")
+    several.wait_until(lambda: gone not in there(several, several.names[0]), 30.0, "its death is seen")
+    several.start(gone)
+    several.wait_until(lambda: gone in there(several, several.names[0]), 20.0, "it is seen again")
 
 
 def test_a_suspended_lease_leader_is_replaced_and_steps_down_when_it_resumes(several):
-    several.until(lambda: leaders(several), 20.0, "nobody leads")
+    several.wait_until(lambda: leaders(several), 20.0, "nobody leads")
     first = leaders(several)[-1]
     left = len(several.events("lease_leader_stepped_down", first))
     several.freeze(first)
-    several.until(lambda: leaders(several)[-1] != first, 30.0, "no other leads")
+    several.wait_until(lambda: leaders(several)[-1] != first, 30.0, "no other leads")
     several.thaw(first)
-    several.until(
+    several.wait_until(
         lambda: len(several.events("lease_leader_stepped_down", first)) > left,
         10.0,
         "it still takes itself for leading",
@@ -66,20 +66,22 @@
     speed = [(0.0, 1.0), (4.0, 0.0), (11.0, 1.0)]
     told = settings()
     told["familyInfo"]["depShare"] = 4.0
-    with ServerCluster(tmp_path / "fleet", 4, told, 8, 40.0, speed, probes=1, records=True) as several:
-        several.begin()
-        several.until(lambda: leaders(several), 20.0, "nobody leads")
+    with ServerCluster(
+        tmp_path / "fleet", 4, told, RecordsSpeed(8, 40.0, speed), probes=1, records=True
+    ) as several:
+        several.start()
+        several.wait_until(lambda: leaders(several), 20.0, "nobody leads")
         flows = [Flow("fee-quote", 10.0, 5.0, 1), Flow("charge", 10.0, 5.0, 1, True)]
         loads = [
             Load(port, flows, 16.0, 1800.0, 4400.0, seed=n, connections=4)
             for n, port in enumerate(several.ports.values())
         ]
         at = time.time() + 0.5
-        several.ledger.begin(at)
+        several.records_service.begin(at)
         threads = [threading.Thread(target=load.run, args=(at,)) for load in loads]
         for thread in threads:
             thread.start()
-        several.until(
+        several.wait_until(
             lambda: (
                 {
                     one["server"]
@@ -91,7 +93,7 @@
             20.0,
             "not all find it unavailable",
         )
-        several.until(
+        several.wait_until(
             lambda: (
                 {
                     one["server"]
@@ -105,20 +107,20 @@
         )
         for thread in threads:
             thread.join()
-        assert several.events("lease_acquired") and most_at_once(several) == 1
+        assert several.events("lease_acquired") and max_concurrent_leases(several) == 1
         assert not [line for load in loads for line in load.wrong] and not any(load.cut for load in loads)
         several.stop()
-        assert max(several.ledger.end()["ran"].values()) == 1
-        assert not several.broken()
+        assert max(several.records_service.end()["ran"].values()) == 1
+        assert not several.internal_errors()
 
 
 def test_servers_survive_links_that_are_cut_and_see_each_other_again_once_they_heal(several):
     one = several.names[0]
     for kind in ("cut", "one_way", "lose"):
         several.links.fault(kind, several.links.of(one))
-    several.until(lambda: not there(several, one), 40.0, "it sees nobody")
+    several.wait_until(lambda: not there(several, one), 40.0, "it sees nobody")
     several.links.heal()
-    several.until(lambda: len(there(several, one)) == 3, 40.0, "it sees all again")
+    several.wait_until(lambda: len(there(several, one)) == 3, 40.0, "it sees all again")
 
 
 def test_datagrams_that_are_no_frames_are_counted_and_change_nothing(several):
@@ -126,18 +128,18 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"", b"GET /", b"vf\x09" + b"\0" * 30, b"vf\x01\0" + b"\xff" * 40, b"\0" * 1400):
             sock.sendto(data, address)
-    several.until(lambda: several.events("peer_refused", several.names[0]), 10.0, "it was not told")
+    several.wait_until(lambda: several.events("peer_refused", several.names[0]), 10.0, "it was not told")
 
 
 def test_acting_on_signals_is_turned_off_and_on_in_a_running_server_by_sighup(several):
     name = several.names[0]
-    several.write_together(name, records=False, full=False)
+    several.write_fleet_settings(name, records=False, full=False)
     several.running[name].send_signal(signal.SIGHUP)
-    several.until(lambda: several.events("fleet_settings_reloaded", name), 20.0, "not renewed")
+    several.wait_until(lambda: several.events("fleet_settings_reloaded", name), 20.0, "not renewed")
     assert several.events("fleet_settings_reloaded", name)[0]["full"] is False
     (several.folder / f"{name}.vet").write_text("version: 1\ntogether: {fleet: 5}\n")
     several.running[name].send_signal(signal.SIGHUP)
-    several.until(lambda: several.events("configuration_refused", name), 20.0, "a wrong file was taken")
+    several.wait_until(lambda: several.events("configuration_refused", name), 20.0, "a wrong file was taken")
 
 
 def test_a_file_with_inconsistent_servers_is_refused_in_one_line_with_its_place(tmp_path):
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -13,7 +13,8 @@
 import pytest
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import Checkpoint, beside, until
+from testkit.faults.checkpoints import Checkpoint, run_in_thread
+from testkit.faults.waiting import wait_until
 from vetchford.fleet import health_checker, supervisor
 from vetchford.fleet.agent import Agent
 from vetchford.fleet.instance import InstanceSettings, InstanceState
@@ -41,7 +42,7 @@
             connections.append(listener.accept()[0])
             connections[0].sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
-        answering, _ = beside(answer)
+        answering, _ = run_in_thread(answer)
         monkeypatch.setattr(socket, "socket", ByteByByte)
         assert health_checker.is_ready(f"127.0.0.1:{listener.getsockname()[1]}") is (word == b"true")
         answering.join(PATIENCE)
@@ -79,14 +80,14 @@
         with contextlib.suppress(SystemExit):
             checker.run()
 
-    thread, _ = beside(checking)
+    thread, _ = run_in_thread(checking)
     assert looked.wait(PATIENCE)
     no_threads.set()
     checker.processes = Processes(n0=1, n1=2, n2=3)
     assert refused.wait(PATIENCE)
     no_threads.clear()
     gate.open()
-    until(lambda: checked == {"n0", "n1", "n2"}, "all are checked")
+    wait_until(lambda: checked == {"n0", "n1", "n2"}, "all are checked")
     over.set()
     thread.join(PATIENCE)
 
--- a/tests/runtime/test_thread_pool.py
+++ b/tests/runtime/test_thread_pool.py
@@ -5,7 +5,7 @@
 import time
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import until
+from testkit.faults.waiting import wait_until
 from vetchford.runtime import thread_pool as thread_pools
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
@@ -14,7 +14,7 @@
 def test_a_job_runs_later_if_no_thread_can_be_started(monkeypatch):
     thread_pool, done = ThreadPool(Metrics(), 4), threading.Event()
     thread_pool.start()
-    until(lambda: thread_pool.free == 1, "its first thread waits")
+    wait_until(lambda: thread_pool.free == 1, "its first thread waits")
     held, busy = threading.Event(), threading.Event()
     thread_pool.run(lambda: (busy.set(), held.wait(PATIENCE)))
     assert busy.wait(PATIENCE)
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -9,7 +9,8 @@
 from helpers import Balancer
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, Wrapped, beside, until
+from testkit.faults.checkpoints import SHORT, Checkpoint, PostedEvents, Wrapped, run_in_thread
+from testkit.faults.waiting import wait_until
 from vetchford.protocol import json_rpc
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
@@ -23,7 +24,7 @@
     """A listener on loopback, with an admission actor that only records."""
 
     def __init__(self, most=16):
-        self.admission, self.metrics = Heard(), Metrics()
+        self.admission, self.metrics = PostedEvents(), Metrics()
         self.listener = Listener(
             ("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.admission, self.metrics
         )
@@ -53,7 +54,7 @@
     client = Balancer(under_test.port)
     client.ask(1)
     checkpoint.wait()
-    closing, done = beside(lambda: (listener.close(), listener.is_drained())[1])
+    closing, done = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
     closing.join(SHORT)
     checkpoint.open()
     closing.join(PATIENCE)
@@ -111,7 +112,7 @@
     heard = [second.hear() for _ in range(1 if by == "accept" else 2)]
     assert 1 in [message.get("id") for message in heard]
     assert bad and first.hear() is None
-    until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
+    wait_until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
 
 
 def test_the_drained_check_sees_unread_bytes(under_test, monkeypatch):
@@ -121,7 +122,7 @@
     client = Balancer(under_test.port)
     client.ask(1)
     listener.close()  # the poller does not run yet: the process was paused
-    until(
+    wait_until(
         lambda: all(connection.state.close_requested_at_s for connection in listener.connections),
         "asked to close",
     )
@@ -129,7 +130,7 @@
     listener.idle_poller.start()
     under_test.finish(*under_test.request())
     assert {client.hear().get("id") for _ in range(2)} == {None, 1}
-    until(listener.is_drained, "the end once it is answered")
+    wait_until(listener.is_drained, "the end once it is answered")
 
 
 def test_a_message_started_before_closing_is_waited_for(under_test, monkeypatch):
@@ -142,7 +143,7 @@
     client.raw = whole.append
     client.ask(1)
     send(whole[0][:60])
-    until(
+    wait_until(
         lambda: any(
             c.state.message_has_started() and listener.idle_poller.is_waiting(c) for c in listener.connections
         ),
@@ -154,7 +155,7 @@
     send(whole[0][60:])
     under_test.finish(*under_test.request())
     assert client.hear()["id"] == 1
-    until(listener.is_drained, "the end once it is answered")
+    wait_until(listener.is_drained, "the end once it is answered")
 
 
 def test_a_request_that_arrives_as_its_connection_times_out_is_answered(under_test, monkeypatch):
@@ -174,7 +175,7 @@
     checkpoint.wait()
     client.ask(1)
     sock = next(iter(listener.connections)).sock
-    until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
+    wait_until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
     checkpoint.open()
     first = under_test.request()
     assert over.wait(PATIENCE)
@@ -219,7 +220,7 @@
     )
     poller.start()
     if first:
-        beside(lambda: (poller.add(connection), connection.back.set()))
+        run_in_thread(lambda: (poller.add(connection), connection.back.set()))
     else:
         poller.add(connection)
         connection.peer.send(b"!")
@@ -246,5 +247,5 @@
     client = Balancer(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
     assert client.hear()["id"] == 1 and client.hear() is None
-    until(lambda: not listener.connections, "it leaves the table")
+    wait_until(lambda: not listener.connections, "it leaves the table")
     assert under_test.metrics.by_name["connections_not_watched"] == 1
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -4,7 +4,8 @@
 import time
 
 from testkit.fakes.peers import PATIENCE, RecordsPeer
-from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, HeldLock, beside, until
+from testkit.faults.checkpoints import SHORT, Checkpoint, HeldLock, PostedEvents, run_in_thread
+from testkit.faults.waiting import wait_until
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.records_client import RecordsClient
 
@@ -16,7 +17,7 @@
 
 def test_a_connection_cancelled_as_its_call_ends_is_not_reused():
     """cancel_call holds the connection; its reply arrives and the call ends; then cancel_call shuts it."""
-    service, admission = RecordsPeer(), Heard()
+    service, admission = RecordsPeer(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     until_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, until_ms, b"ask", False)
@@ -25,12 +26,12 @@
     connection.cancel = checkpoint.before(connection.cancel)
     first_end = records.on_call_ended
     records.on_call_ended = lambda *given: (first_end(*given), ended.set())
-    giving_up, _ = beside(lambda: records.cancel_call("a", 1))
+    giving_up, _ = run_in_thread(lambda: records.cancel_call("a", 1))
     checkpoint.wait()
     peer_socket.sendall(b"a DONE 2\r\nok\r\n")
     assert admission.take("call_ended")[0] == 1  # its end is on its way to the tables
     ended.wait(SHORT)  # where nothing holds it, it is among the free by now
-    calling, _ = beside(lambda: records.start_call("b", 2, until_ms, b"ask", False))
+    calling, _ = run_in_thread(lambda: records.start_call("b", 2, until_ms, b"ask", False))
     calling.join(SHORT)
     checkpoint.open()
     giving_up.join(PATIENCE)
@@ -43,7 +44,7 @@
 
 def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
     """A call's end takes the next of the waiting; cancel_call of just that one comes behind it."""
-    service, admission = RecordsPeer(), Heard()
+    service, admission = RecordsPeer(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 2, admission, Metrics())  # one out at a time
     until_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, until_ms, b"ask", True)
@@ -64,7 +65,7 @@
 
 def test_a_reused_connection_remembers_a_bounded_number_of_request_ids():
     """One call after the other, each before its connection has been idle for long: all could share it."""
-    service, admission = RecordsPeer(), Heard()
+    service, admission = RecordsPeer(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     until_ms, connections, most = time.time() * 1000.0 + 60_000.0, set(), 0
     for number in range(1, 601):
@@ -73,6 +74,6 @@
         connections.add(connection)
         service.take("OP")[3].sendall(b"t%d DONE 2\r\nok\r\n" % number)
         assert admission.take("call_ended") == (number, "completed", b"ok")
-        until(lambda number=number: number not in records.in_flight, "its end is in the tables")
+        wait_until(lambda number=number: number not in records.in_flight, "its end is in the tables")
         most = max(most, len(connection.called_names))
     assert most <= 256 and len(connections) < 100  # bounded, and still shared by many
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -13,7 +13,7 @@
 from rpc_values import IDEMPOTENCY_KEY
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import beside
+from testkit.faults.checkpoints import run_in_thread
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
 
 def opened_for_reading(path):
     """Returns the writing end: somebody is just reading it, and waits for what is written."""
-    opening, ends = beside(lambda: open(path, "w"))  # noqa: SIM115
+    opening, ends = run_in_thread(lambda: open(path, "w"))  # noqa: SIM115
     opening.join(PATIENCE)
     assert ends, "nobody reads the configuration"
     return ends[0]
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -5,7 +5,7 @@
 import pytest
 from rpc_values import IDEMPOTENCY_KEY, content
 
-from testkit.faults.checkpoints import until
+from testkit.faults.waiting import wait_until
 
 
 @pytest.mark.parametrize("way", ["no line", "no field", "missing"])
@@ -16,7 +16,7 @@
         server.pool.take("spawn")
     # Both spawns are confirmed before the link breaks: one that is not is rightly sent again on the next.
     polls = server.pool.polls
-    until(lambda: server.pool.polls >= polls + 3, "three answered polls")
+    wait_until(lambda: server.pool.polls >= polls + 3, "three answered polls")
     say, lost = server.pool.say, {"no line": b'{"type":"fini\xff\n', "no field": None}.get(way, b"")
     server.pool.say = lambda message, raw=None: None
     server.pool.finish(job, b"paid")
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -10,7 +10,8 @@
 import xxhash
 
 from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped, until
+from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped
+from testkit.faults.waiting import wait_until
 from vetchford.coordination.fleet_member import FleetMember
 from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME
 from vetchford.gossip.records_health import RecordsState
@@ -119,7 +120,7 @@
 def test_after_a_malformed_datagram_the_next_one_is_read(side, bad):
     side.start()
     side.send_to_it(bad)
-    until(lambda: any("malformed" in name for name in side.metrics.by_name), "it is refused and counted")
+    wait_until(lambda: any("malformed" in name for name in side.metrics.by_name), "it is refused and counted")
     side.send_to_it(framing.encode_frame(envelope_of(2)))
     assert side.datagrams.get(timeout=PATIENCE) == ("b", "word")
 
