--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -35,7 +35,7 @@
 from testkit.fakes.schedule import Apart
 from testkit.faults.fault_schedule import FaultSchedule
 from testkit.faults.history_checker import violations
-from testkit.faults.mutations import MISTAKES, caught
+from testkit.faults.mutations import MUTATIONS, schedules_until_caught
 from testkit.faults.process_cluster import ProcessCluster
 from testkit.simulation import agents
 from testkit.simulation.network import Net
@@ -68,9 +68,9 @@
 
 
 def planted() -> dict[str, int]:
-    with multiprocessing.Pool(len(MISTAKES)) as thread_pool:
+    with multiprocessing.Pool(len(MUTATIONS)) as thread_pool:
         return dict(
-            zip(sorted(MISTAKES), thread_pool.map(caught, sorted(MISTAKES)), strict=True)
+            zip(sorted(MUTATIONS), thread_pool.map(schedules_until_caught, sorted(MUTATIONS)), strict=True)
         )
 
 
--- a/testkit/faults/mutations.py
+++ b/testkit/faults/mutations.py
@@ -2,6 +2,7 @@
 
 import contextlib
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from typing import Any
 
 from testkit.simulation import agents
@@ -10,10 +11,12 @@
 from vetchford.fleet.consensus import ReplicatedRecord
 from vetchford.fleet.coordinator import FleetCoordinator
 
+UNLIMITED_AGE_MS = 1e12
+
 
 @contextlib.contextmanager
-def put(*places: tuple[Any, str, Any]) -> Iterator[None]:
-    """Each (owner, name, value) while it lasts."""
+def replaced(*places: tuple[Any, str, Any]) -> Iterator[None]:
+    """Set each (owner, attribute, value) within the context."""
     before = [(owner, name, getattr(owner, name)) for owner, name, _ in places]
     for owner, name, value in places:
         setattr(owner, name, value)
@@ -25,16 +28,16 @@
 
 
 def no_fencing() -> contextlib.AbstractContextManager[None]:
-    """Whoever sends is taken for the leader, whatever term was voted in."""
+    """Take whoever sends for the leader, whatever term was voted in."""
 
-    def unfenced(act: Callable, less: int) -> Callable:
-        def on_message(self, now, sender, message):
-            self.copy.promised_term = min(self.copy.promised_term, message.term - less)
+    def unfenced(act: Callable[..., None], below: int) -> Callable[..., None]:
+        def on_message(self: Any, now: float, sender: str, message: Any) -> None:
+            self.copy.promised_term = min(self.copy.promised_term, message.term - below)
             act(self, now, sender, message)
 
         return on_message
 
-    return put(
+    return replaced(
         (ReplicatedRecord, "on_append", unfenced(ReplicatedRecord.on_append, 0)),
         (ReplicatedRecord, "on_vote_request", unfenced(ReplicatedRecord.on_vote_request, 1)),
         (FleetCoordinator, "is_current_leader", lambda self, sender, term: True),
@@ -42,54 +45,66 @@
 
 
 def minimum_by_stale_reports() -> contextlib.AbstractContextManager[None]:
-    """A report proves something for ever."""
-    return put((fleet_view, "MAX_REPORT_AGE_MS", 1e12))
+    """Count instances by reports of any age."""
+    return replaced((fleet_view, "MAX_REPORT_AGE_MS", UNLIMITED_AGE_MS))
 
 
 def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
-    """An instance that was ordered out and still serves is counted."""
+    """Count an instance that was ordered out and still serves."""
 
-    def count(self, rollout):
+    def count(self: Any, rollout: Any) -> int:
         return sum(instance["state"] == "serving" for instance in self.instances().values())
 
-    return put((Availability, "count", count))
+    return replaced((Availability, "count", count))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
-    """A store that lost its votes goes on under its old identity."""
-    begin = agents.Machine.begin
+    """Let a store that lost its votes go on under its old identity."""
+    begin: Callable[[Any], None] = agents.Machine.begin
 
-    def begin_as_before(self):
+    def begin_as_before(self: Any) -> None:
         self.disk["store"] = f"{self.name}.1"
         begin(self)
 
-    return put((agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before))
+    return replaced(
+        (agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before)
+    )
+
 
+@dataclass(frozen=True, slots=True)
+class Mutation:
+    """A mutation, the options of `agents.play` for it and the seeds of schedules that must show it."""
 
-# How each is applied, and the schedules in which it must show.
-MISTAKES: dict[str, tuple[Callable, dict[str, Any], range]] = {
-    "no fencing": (no_fencing, {"faults": ("freeze", "slow", "cut", "one_way", "lossy")}, range(24)),
-    "floor by the old view": (
-        minimum_by_stale_reports,
-        {"faults": ("machine", "cut"), "floor": 16},
-        range(12),
+    apply: Callable[[], contextlib.AbstractContextManager[None]]
+    options: dict[str, Any]
+    seeds: range
+
+
+MUTATIONS = {
+    "no fencing": Mutation(no_fencing, {"faults": ("freeze", "slow", "cut", "one_way", "lossy")}, range(24)),
+    "floor by the old view": Mutation(
+        minimum_by_stale_reports, {"faults": ("machine", "cut"), "floor": 16}, range(12)
     ),
-    "floor without what is out": (minimum_without_steps_in_progress, {"floor": 17}, range(12)),
-    "incarnation forgotten": (
-        incarnation_forgotten,
-        {"faults": ("old_disk", "no_disk", "cut", "cut")},
-        range(30),
+    "floor without what is out": Mutation(minimum_without_steps_in_progress, {"floor": 17}, range(12)),
+    "incarnation forgotten": Mutation(
+        incarnation_forgotten, {"faults": ("old_disk", "no_disk", "cut", "cut")}, range(30)
     ),
 }
 
 
-def caught(mistake: str, planted: bool = True, seeds: range | None = None) -> int:
-    """The number of schedules until it was found: a rule or an assertion of the world broken; 0: never."""
-    plant, given, usual = MISTAKES[mistake]
-    for count, seed in enumerate(seeds or usual, 1):
-        with plant() if planted else contextlib.nullcontext():
+def schedules_until_caught(name: str, applied: bool = True, seeds: range | None = None) -> int:
+    """Return the number of schedules until a mutation broke an invariant or assertion; 0 if none did.
+
+    Args:
+        name: a key of `MUTATIONS`.
+        applied: false runs the same schedules on the code as it is.
+        seeds: of the schedules, if not those of the mutation.
+    """
+    mutation = MUTATIONS[name]
+    for count, seed in enumerate(seeds or mutation.seeds, 1):
+        with mutation.apply() if applied else contextlib.nullcontext():
             try:
-                world = agents.play(seed, **given)
+                world = agents.play(seed, **mutation.options)
             except AssertionError:
                 return count
         if world.violations():
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from testkit.faults.mutations import MISTAKES, caught
+from testkit.faults.mutations import MUTATIONS, schedules_until_caught
 from testkit.simulation.agents import World, play
 from vetchford.fleet import rollout_controls
 from vetchford.fleet.consensus import Role
@@ -38,10 +38,10 @@
     assert play(3, count=4).history == play(3, count=4).history
 
 
-@pytest.mark.parametrize("mistake", sorted(MISTAKES))
+@pytest.mark.parametrize("mistake", sorted(MUTATIONS))
 def test_each_mutation_is_detected_and_its_schedules_pass_without_it(mistake):
-    assert caught(mistake)
-    assert not caught(mistake, planted=False, seeds=range(3))
+    assert schedules_until_caught(mistake)
+    assert not schedules_until_caught(mistake, applied=False, seeds=range(3))
 
 
 # -- single cases
