--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,8 +22,8 @@
 
 from benchmarks.pools import LIMIT, settings
 from testkit.fakes import worker_pool
-from testkit.fakes.load_generator import Flow, Load
-from testkit.fakes.schedule import Apart
+from testkit.fakes.fake_process import FakeProcess
+from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from vetchford.fleet import supervisor
 from vetchford.fleet.agent_client import ask
 from vetchford.fleet.health_checker import is_ready
@@ -121,7 +121,7 @@
     kills, chance = (5 if quick else 30), random.Random(11)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        pools = Apart(worker_pool.serve_many, COUNT, 2.0)
+        pools = FakeProcess(worker_pool.serve_many, COUNT, 2.0)
         ports = free_ports(COUNT)
         written(folder, ports, pools.ports)
         agent = Agent(folder)
@@ -142,7 +142,7 @@
     agent: Agent,
     names: list[str],
     ports: list[int],
-    pools: Apart,
+    pools: FakeProcess,
     kills: int,
     chance: random.Random,
     quick: bool,
@@ -151,9 +151,10 @@
     ask(agent.path, {"ask": "change", **started})
     agent.wait("up", 30.0)
     seconds = 20.0 if quick else 75.0
-    flows = [Flow("session-check", 11.0, 10.0), Flow("charge", 5.0, 30.0, 0, True)]
+    flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
     loads = [
-        Load(port, flows, seconds, 1800.0, LIMIT, seed=at, connections=4) for at, port in enumerate(ports)
+        LoadGenerator(port, flows, seconds, 1800.0, LIMIT, seed=at, connections=4)
+        for at, port in enumerate(ports)
     ]
     begin = time.time() + 0.5
     threads = [threading.Thread(target=load.run, args=(begin,)) for load in loads]
@@ -207,15 +208,15 @@
         name: [process.pid for process, _ in several]
         for name, several in supervisor.find_processes(token).items()
     }
-    wrong = {word for load in loads for word in load.wrong}
+    wrong = {word for load in loads for word in load.violations}
     times = []
     for _ in range(30):
         began = time.monotonic()
         ask(agent.path, {"ask": "status"})
         times.append(time.monotonic() - began)
-    ran = pools.end()["ran"]
+    ran = pools.stop()["ran"]
     allowed = {names.index(name) for name in ended["killed"]}
-    lost = sum(len(load.cut) for at, load in enumerate(loads) if at not in allowed)
+    lost = sum(len(load.lost) for at, load in enumerate(loads) if at not in allowed)
     out = {
         "instances": COUNT,
         "agent_killed": killed,
@@ -228,11 +229,11 @@
         "new_version": sum(one["version"] == "v2" for one in status.values()),
         "least_serving": least[0],
         "floor": FLOOR,
-        "tried": sum(tally.tried - tally.unsent for load in loads for tally in load.tallies.values()),
-        "served": sum(tally.served + tally.late for load in loads for tally in load.tallies.values()),
+        "tried": sum(tally.sent - tally.unsent for load in loads for tally in load.counts.values()),
+        "served": sum(tally.in_time + tally.late for load in loads for tally in load.counts.values()),
         "lost": lost,
-        "lost_with_killed": sum(len(loads[at].cut) for at in allowed),
-        "broken": sum(len(load.wrong) for load in loads),
+        "lost_with_killed": sum(len(loads[at].lost) for at in allowed),
+        "broken": sum(len(load.violations) for load in loads),
         "what": sorted(wrong)[:4],
         "ran_twice": sum(count > 1 for count in ran.values()),
         "status_median_ms": round(sorted(times)[15] * 1000.0, 2),
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -31,8 +31,8 @@
 
 from benchmarks.pools import LIMIT, settings
 from testkit.fakes import worker_pool
-from testkit.fakes.load_generator import Flow, Load
-from testkit.fakes.schedule import Apart
+from testkit.fakes.fake_process import FakeProcess
+from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from testkit.faults.fault_schedule import FaultSchedule
 from testkit.faults.history_checker import violations
 from testkit.faults.mutations import MUTATIONS, schedules_until_caught
@@ -79,7 +79,7 @@
 
 def of_processes(seed: int, seconds: float, faults: int) -> dict[str, Any]:
     """One roll of twenty real servers under load while links, agents and stores break."""
-    pools = Apart(worker_pool.serve_many, AGENTS * EACH, 2.0)
+    pools = FakeProcess(worker_pool.serve_many, AGENTS * EACH, 2.0)
     told = settings()
     told["familyInfo"]["below"] = "silent"
     with tempfile.TemporaryDirectory() as name:
@@ -101,9 +101,9 @@
             rig.start()
             rig.wait_for_leader()
             rig.start_instances()
-            flows = [Flow("session-check", 11.0, 10.0), Flow("charge", 5.0, 30.0, 0, True)]
+            flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
             loads = {
-                key: Load(
+                key: LoadGenerator(
                     int(address.rpartition(":")[2]),
                     flows,
                     seconds + 8.0,
@@ -142,7 +142,7 @@
             seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
             table = rig.process_table()
             events = rig.events()
-            ran = pools.end()["ran"]
+            ran = pools.stop()["ran"]
             killed = set(ended["killed"])
             return {
                 "seed": seed,
@@ -156,11 +156,11 @@
                 "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
                 "new_version": sum(one["version"] == "v2" for one in seen.values()),
                 "serving": sum(one["state"] == "serving" for one in seen.values()),
-                "tried": sum(t.tried - t.unsent for load in loads.values() for t in load.tallies.values()),
-                "lost": sum(len(load.cut) for key, load in loads.items() if key not in killed),
-                "lost_with_killed": sum(len(load.cut) for key, load in loads.items() if key in killed),
+                "tried": sum(t.sent - t.unsent for load in loads.values() for t in load.counts.values()),
+                "lost": sum(len(load.lost) for key, load in loads.items() if key not in killed),
+                "lost_with_killed": sum(len(load.lost) for key, load in loads.items() if key in killed),
                 "ran_twice": sum(count > 1 for count in ran.values()),
-                "broken": sum(len(load.wrong) for load in loads.values()),
+                "broken": sum(len(load.violations) for load in loads.values()),
             }
 
 
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from testkit.fakes import records_service, worker_pool
-from testkit.fakes.load_generator import Flow, Load, Tally
-from testkit.fakes.schedule import Apart
+from testkit.fakes.fake_process import FakeProcess
+from testkit.fakes.load_generator import LoadGenerator, RequestCounts, TrafficClass
 
 DUE, LIMIT = 1800.0, 4400.0  # ms, as the brief has them
 CORES, SLOTS, CALL = 2, 8, 40.0  # cores, the ledger's slots, ms of a call at full speed
@@ -37,16 +37,16 @@
 class Case:
     name: str
     seconds: float
-    flows: list[Flow]
+    flows: list[TrafficClass]
     speed: list[tuple[float, float]] = field(default_factory=lambda: [(0.0, 1.0)])
     taken: list[tuple[float, float]] = field(default_factory=lambda: [(0.0, 0.0)])
     change: float = 0.0  # s: when the mix begins, where it does not at once
 
 
-def mix(times: float, begin: float = 0.0, end: float = 1e9) -> list[Flow]:
+def mix(times: float, begin: float = 0.0, end: float = 1e9) -> list[TrafficClass]:
     """So many times the cores' capacity."""
     return [
-        Flow(stage, times * CORES * part * 1000.0 / work, work, calls, keyed, begin, end)
+        TrafficClass(stage, times * CORES * part * 1000.0 / work, work, calls, keyed, begin, end)
         for stage, part, work, calls, keyed in MIX
     ]
 
@@ -56,7 +56,7 @@
     dead = 2.0 if quick else 5.0
     back = 4.0 + slow + dead
     alone = 7.0 if quick else 20.0
-    first = [Flow("charge", 5.0 * CORES * 1000.0 / 40.0, 40.0, 1, True, 0.0, alone)]
+    first = [TrafficClass("charge", 5.0 * CORES * 1000.0 / 40.0, 40.0, 1, True, 0.0, alone)]
     return [
         # Full speed, a tenth, nothing, and back at once.
         Case("ledger", back + 9.0, mix(5.0), speed=[(0.0, 1.0), (4.0, 0.1), (4.0 + slow, 0.0), (back, 1.0)]),
@@ -107,8 +107,8 @@
 
     def __init__(self, case: Case, pools: bool, folder: pathlib.Path) -> None:
         self.case, self.name = case, f"{case.name}-{'on' if pools else 'off'}"
-        self.pool = Apart(worker_pool.serve, CORES, case.taken)
-        self.ledger = Apart(records_service.serve, SLOTS, CALL, case.speed)
+        self.pool = FakeProcess(worker_pool.serve, CORES, case.taken)
+        self.ledger = FakeProcess(records_service.serve, SLOTS, CALL, case.speed)
         self.members = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.members.bind(("127.0.0.1", 0))
         config = folder / f"{self.name}.json"
@@ -132,7 +132,9 @@
         self.process = subprocess.Popen(
             command + (["--with", "deploy/pools.vet"] if pools else []), cwd=ROOT, stderr=self.log
         )
-        self.load = Load(self.port(folder), case.flows, case.seconds, DUE, LIMIT, seed=7, repeats=0.02)
+        self.load = LoadGenerator(
+            self.port(folder), case.flows, case.seconds, DUE, LIMIT, seed=7, repeat_fraction=0.02
+        )
 
     def port(self, folder: pathlib.Path) -> int:
         for _ in range(400):
@@ -143,45 +145,46 @@
         raise RuntimeError("the server did not start")
 
     def run(self, begin: float) -> None:
-        self.pool.begin(begin)
-        self.ledger.begin(begin)
+        self.pool.start_schedules(begin)
+        self.ledger.start_schedules(begin)
         self.tallies = self.load.run(begin)
         self.process.terminate()
         if self.process.wait(10.0) != 0:
-            self.load.wrong.append("the server did not end well")
-        self.ran, self.calls = self.pool.end(), self.ledger.end()
+            self.load.violations.append("the server did not end well")
+        self.ran, self.calls = self.pool.stop(), self.ledger.stop()
         text = pathlib.Path(self.log.name).read_text()
-        self.load.wrong += [
+        self.load.violations += [
             line for line in text.splitlines() if "must_hold_broken" in line or "part_broke" in line
         ]
-        keyed = {sent.key for sent in self.load.plan if sent.flow.keyed}
+        keyed = {sent.key for sent in self.load.plan if sent.traffic.keyed}
         twice = sum(count > 1 for key, count in self.ran["ran"].items() if key in keyed)
         if twice:
-            self.load.wrong.append(f"{twice} keyed tasks ran twice")
+            self.load.violations.append(f"{twice} keyed tasks ran twice")
         self.summary = [line for line in text.splitlines() if "event=summary" in line][-1]
 
 
-def share(tally: Tally, begin: float = 0.0, end: float = 1e9) -> float:
+def share(tally: RequestCounts, begin: float = 0.0, end: float = 1e9) -> float:
     """Served in time of the first tries that were due to leave within these seconds."""
-    tries = [good for at, good in tally.tried_at if begin <= at < end]
+    tries = [good for at, good in tally.outcomes if begin <= at < end]
     return sum(tries) / max(1, len(tries))
 
 
-def rate(tally: Tally, begin: float, end: float) -> float:
+def rate(tally: RequestCounts, begin: float, end: float) -> float:
     """Served in time a second."""
-    return sum(begin <= at < end for at in tally.served_at) / (end - begin)
+    return sum(begin <= at < end for at in tally.succeeded_at_s) / (end - begin)
 
 
 def figures(side: Side) -> dict[str, Any]:
     case, tallies = side.case, side.tallies
-    out: dict[str, Any] = {"rules_broken": len(side.load.wrong), "what": sorted(set(side.load.wrong))[:5]}
+    violations = side.load.violations
+    out: dict[str, Any] = {"rules_broken": len(violations), "what": sorted(set(violations))[:5]}
     for stage, tally in tallies.items():
         out[stage] = {
-            "tried": tally.tried,
+            "tried": tally.sent,
             "share": round(share(tally), 4),
-            "p50_ms": round(tally.times.get_value_at_percentile(50) / 1000.0, 1),
-            "p99_ms": round(tally.times.get_value_at_percentile(99) / 1000.0, 1),
-            "told_later": round(tally.told_later / max(1, tally.rejected), 3),
+            "p50_ms": round(tally.response_times_us.get_value_at_percentile(50) / 1000.0, 1),
+            "p99_ms": round(tally.response_times_us.get_value_at_percentile(99) / 1000.0, 1),
+            "told_later": round(tally.with_retry_after / max(1, tally.rejected), 3),
         }
     if case.name == "ledger":
         slow, dead, back = (at for at, _ in case.speed[1:])
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -25,16 +25,16 @@
 from typing import Any
 
 from benchmarks.pools import DUE, LIMIT, settings
-from testkit.fakes.load_generator import Flow, Load
+from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from testkit.faults.fault_schedule import FaultKind, FaultSchedule
 from testkit.faults.server_cluster import RecordsSpeed, ServerCluster, max_concurrent_leases
 from testkit.simulation import gossip, leases
 
 COUNT, SLOTS, CALL = 8, 16, 40.0  # servers a side; the ledger's slots, ms of a call
 FLOWS = [
-    Flow("session-check", 15.0, 4.0),
-    Flow("fee-quote", 15.0, 30.0, 1),
-    Flow("charge", 15.0, 40.0, 1, True),
+    TrafficClass("session-check", 15.0, 4.0),
+    TrafficClass("fee-quote", 15.0, 30.0, 1),
+    TrafficClass("charge", 15.0, 40.0, 1, True),
 ]  # 240 calls a second of 400 that the ledger makes
 
 
@@ -71,26 +71,26 @@
         with several:
             several.start()
             loads = {
-                one: Load(port, FLOWS, seconds, DUE, LIMIT, seed=seed * 100 + n, connections=6)
+                one: LoadGenerator(port, FLOWS, seconds, DUE, LIMIT, seed=seed * 100 + n, connections=6)
                 for n, (one, port) in enumerate(several.ports.items())
             }
             time.sleep(max(0.0, at - 0.2 - time.time()))
             late = time.time() > at
-            several.records_service.begin(at)
+            several.records_service.start_schedules(at)
             threads = [threading.Thread(target=load.run, args=(at,)) for load in loads.values()]
             for thread in threads:
                 thread.start()
             faults = break_links(several, seed, at, seconds) if together else {}
             for thread in threads:
                 thread.join()
-            ran = several.worker_pools.end()["ran"]
-            below = several.records_service.end()
+            ran = several.worker_pools.stop()["ran"]
+            below = several.records_service.stop()
             several.stop()
             stages: dict[str, dict[str, float]] = {}
             tries: dict[float, list[bool]] = {}
             for flow in FLOWS:
-                tried = [one for load in loads.values() for one in load.tallies[flow.stage].tried_at]
-                stages[flow.stage] = {
+                tried = [one for load in loads.values() for one in load.counts[flow.request_class].outcomes]
+                stages[flow.request_class] = {
                     phase: round(part([good for when, good in tried if begin <= when < end]), 4)
                     for phase, (begin, end) in when.items()
                 }
@@ -108,9 +108,9 @@
                 "faults": faults,
                 "met_on_links": several.links.met(),
                 "ran_twice": sum(count > 1 for count in ran.values()),
-                "wrong": [line for load in loads.values() for line in load.wrong][:4]
+                "wrong": [line for load in loads.values() for line in load.violations][:4]
                 + several.internal_errors()[:4],
-                "cut": sum(len(load.cut) for load in loads.values()),
+                "cut": sum(len(load.lost) for load in loads.values()),
                 "states": [
                     [e["server"], e["state"], e["why"]] for e in several.events("records_state_changed")
                 ],
@@ -163,7 +163,10 @@
 def served(one: dict[str, Any], phase: str) -> float:
     """By utility: 1, 2, 3."""
     return (
-        sum(worth * one["served"][flow.stage][phase] for worth, flow in zip((1, 2, 3), FLOWS, strict=True))
+        sum(
+            worth * one["served"][flow.request_class][phase]
+            for worth, flow in zip((1, 2, 3), FLOWS, strict=True)
+        )
         / 6.0
     )
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -7,20 +7,20 @@
 import tempfile
 from pathlib import Path
 
-from testkit.fakes.server_process import Running
+from testkit.fakes.server_process import ServerProcess
 
 
 def main() -> None:
     """Prints the request, the work that the fake worker pool got, the answer, and the server's log."""
-    with tempfile.TemporaryDirectory() as folder, Running(Path(folder)) as server:
+    with tempfile.TemporaryDirectory() as folder, ServerProcess(Path(folder)) as server:
         print(f"server listens on 127.0.0.1:{server.port}, process {server.process.pid}")
         client = server.balancer()
-        request_id = client.ask(1, method="read")
+        request_id = client.request(1, method="read")
         print(f"client sent request {request_id} of class 'read'")
         _, spawn = server.pool.take("spawn")
         print(f"worker pool was asked to run: {json.dumps(spawn)}")
         server.pool.finish(spawn["job"], b"hello")
-        print(f"client received: {json.dumps(client.hear())}")
+        print(f"client received: {json.dumps(client.receive())}")
         print("server is told to stop (SIGTERM); its log:")
         print(server.stop().rstrip())
 
--- a/testkit/fakes/instance.py
+++ b/testkit/fakes/instance.py
@@ -13,31 +13,41 @@
 import threading
 import time
 
+CRASH_STATUS = 3
+EARLY_EXIT_S = 1.0
+DRAIN_S = 0.1
+FOREVER_S = 1e6
+MAX_REQUEST_BYTES = 4096
+
 
 def main(address: str, behaviour: str) -> int:
+    """Serve health checks until SIGTERM and return the exit status."""
     if behaviour == "crash":
-        return 3
-    leaving = threading.Event()
-    signal.signal(signal.SIGTERM, lambda *given: leaving.set())
+        return CRASH_STATUS
+    draining = threading.Event()
+    signal.signal(signal.SIGTERM, lambda *given: draining.set())
     host, port = address.split(":")
     listener = socket.create_server((host, int(port)), reuse_port=False)
 
+    def is_ready() -> bool:
+        return not draining.is_set() and behaviour != "deaf"
+
     def serve() -> None:
         while True:
             sock, _ = listener.accept()
             with contextlib.suppress(OSError), sock:
-                sock.recv(4096)
-                good = b"false" if leaving.is_set() or behaviour == "deaf" else b"true"
-                body = b'{"jsonrpc":"2.0","id":1,"result":{"serving":%b}}' % good
+                sock.recv(MAX_REQUEST_BYTES)
+                serving = b"true" if is_ready() else b"false"
+                body = b'{"jsonrpc":"2.0","id":1,"result":{"serving":%b}}' % serving
                 sock.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     threading.Thread(target=serve, daemon=True).start()
     print(f"serving pid={os.getpid()} version={os.environ.get('VETCHFORD_VERSION')}", flush=True)
     if behaviour == "early":
-        time.sleep(1.0)
+        time.sleep(EARLY_EXIT_S)
         return 0
-    leaving.wait()
-    time.sleep(1e6 if behaviour == "hang" else 0.1)
+    draining.wait()
+    time.sleep(FOREVER_S if behaviour == "hang" else DRAIN_S)
     return 0
 
 
--- a/testkit/fakes/load_generator.py
+++ b/testkit/fakes/load_generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load: tasks leave by their schedule, whatever became of others, and their time counts from it."""
+"""Open-loop load: requests are sent by their schedule, whatever became of others, and timed from it."""
 
 import base64
 import json
@@ -9,232 +9,345 @@
 import time
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-MOST_OPEN = 32  # requests on a connection, by the protocol
+MAX_IN_FLIGHT = 32
+"""Requests on a connection, by the protocol."""
+SHARE_FROM = 2
+"""A connection with so many in flight gets no more while a new one may be opened."""
+REJECTED_CODE = -32050
+REPEAT_AFTER_S = 0.3
+WORK_DEVIATION = 0.15
+"""Standard deviation of the work of a request, as a part of its mean."""
+IDLE_CLOSE_RACE_S = 0.06
+"""A request sent so shortly before the close of a connection crossed the close."""
+TIMEOUT_MARGIN_MS = 150.0
+REQUEST_MEMORY_KB = 24.0
+REQUEST_STANDING = 0.5
+CONNECT_TIMEOUT_S = 2.0
+READ_INTERVAL_S = 0.05
+LAST_ANSWER_MARGIN_S = 1.0
+MAX_READ_BYTES = 65_536
+MAX_RESPONSE_TIME_US = 60_000_000
+HEADER_END = b"\r\n\r\n"
+MS_PER_S = 1000.0
+US_PER_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Flow:
-    """One stage's traffic: tasks a second from `begin` to `end`, in seconds."""
+class TrafficClass:
+    """Requests of one class: how many a second, when, and what each takes.
 
-    stage: str
-    rate: float
-    work: float  # ms on a core, mean
+    `work_ms` is the mean on a core, `calls` the number of dependency calls; `keyed` requests carry an
+    idempotency key. They are sent from `start_s` to `end_s`.
+    """
+
+    request_class: str
+    rate_per_s: float
+    work_ms: float
     calls: int = 0
     keyed: bool = False
-    begin: float = 0.0
-    end: float = 1e9
+    start_s: float = 0.0
+    end_s: float = 1e9
+
+
+class Outcome(NamedTuple):
+    """When a request was to be sent, in seconds from the start, and whether it succeeded in time."""
+
+    scheduled_at_s: float
+    in_time: bool
 
 
 @dataclass(slots=True)
-class Tally:
-    tried: int = 0
-    served: int = 0  # by the due time
+class RequestCounts:
+    """What became of the requests of a class."""
+
+    sent: int = 0
+    in_time: int = 0
     late: int = 0
     rejected: int = 0
     failed: int = 0
     unsent: int = 0
-    told_later: int = 0  # of the rejected: heard when to come back
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))  # us, of the served
-    served_at: list[float] = field(default_factory=list)  # seconds from the start, by answer
-    tried_at: list[tuple[float, bool]] = field(
-        default_factory=list
-    )  # by schedule, and whether served in time
+    """Of those sent: no connection took them."""
+    with_retry_after: int = 0
+    """Of the rejected."""
+    response_times_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RESPONSE_TIME_US, 3))
+    """Of those that succeeded."""
+    succeeded_at_s: list[float] = field(default_factory=list)
+    """When those in time were answered, from the start."""
+    outcomes: list[Outcome] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Sent:
-    flow: Flow
-    at: float
+class ScheduledRequest:
+    """A request of the schedule, `at_s` from the start; a repeat has the key of an earlier one."""
+
+    traffic: TrafficClass
+    at_s: float
     key: str
-    repeat: bool
+    is_repeat: bool
+    work_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class Connection:
+    """A connection of one balancer."""
+
     number: int
     sock: socket.socket
-    open: dict[int, Sent] = field(default_factory=dict)
+    in_flight: dict[int, ScheduledRequest] = field(default_factory=dict)
     buffer: bytearray = field(default_factory=bytearray)
-    going: bool = False  # takes nothing new
+    closing: bool = False
+    """Takes no new request."""
+
 
+class LostRequest(NamedTuple):
+    """A request that was open on a connection as it ended."""
+
+    at_s: float
+    key: str
 
-class Load:
-    """Sends the flows from `connections` connections of as many balancers; `run` returns tallies by stage."""
+
+def draw_schedule(
+    traffic: Sequence[TrafficClass], seconds: float, seed: int, repeat_fraction: float = 0.0
+) -> list[ScheduledRequest]:
+    """Return a schedule with exponential gaps between requests, in order of time; the seed determines it.
+
+    Args:
+        traffic: the classes.
+        seconds: the time until the last request.
+        seed: of the schedule.
+        repeat_fraction: the part of keyed requests that come again after `REPEAT_AFTER_S`.
+    """
+    chance = random.Random(seed)
+    schedule: list[ScheduledRequest] = []
+    for one in traffic:
+        at_s = one.start_s + chance.expovariate(one.rate_per_s)
+        while at_s < min(one.end_s, seconds):
+            key = f"{chance.getrandbits(128):032x}"
+            schedule.append(ScheduledRequest(one, at_s, key, is_repeat=False))
+            if one.keyed and chance.random() < repeat_fraction:
+                schedule.append(ScheduledRequest(one, at_s + REPEAT_AFTER_S, key, is_repeat=True))
+            at_s += chance.expovariate(one.rate_per_s)
+    schedule.sort(key=lambda request: request.at_s)
+    for request in schedule:
+        request.work_ms = max(1.0, chance.gauss(1.0, WORK_DEVIATION) * request.traffic.work_ms)
+    return schedule
+
+
+class LoadGenerator:
+    """Sends requests to a server from the connections of several balancers."""
 
     def __init__(
         self,
         port: int,
-        flows: Sequence[Flow],
+        traffic: Sequence[TrafficClass],
         seconds: float,
-        due: float,
-        limit: float,
+        objective_ms: float,
+        timeout_ms: float,
         seed: int,
         connections: int = 24,
-        repeats: float = 0.0,
+        repeat_fraction: float = 0.0,
     ) -> None:
-        """`due` and `limit` in ms; `repeats`: the part of keyed tasks that come again 0.3 s later."""
-        self.port, self.due, self.limit, self.seconds = port, due, limit, seconds
-        self.cut: list[tuple[float, str]] = []  # when a connection ended, and the key of a task open on it
-        self.crossed = 0  # tasks that crossed the close of an idle connection
-        chance = random.Random(seed)
-        self.plan: list[Sent] = []
-        for flow in flows:
-            at = flow.begin
-            while (at := at + chance.expovariate(flow.rate)) < min(flow.end, seconds):
-                key = f"{chance.getrandbits(128):032x}"
-                self.plan.append(Sent(flow, at, key, False))
-                if flow.keyed and chance.random() < repeats:
-                    self.plan.append(Sent(flow, at + 0.3, key, True))
-        self.plan.sort(key=lambda sent: sent.at)
-        self.works = [max(1.0, chance.gauss(1.0, 0.15) * sent.flow.work) for sent in self.plan]
-        self.by_key: dict[str, bytes] = {}
-        self.most, self.lines, self.selector = connections, [], selectors.DefaultSelector()
+        """Draw the schedule.
+
+        Args:
+            port: of the server on loopback.
+            traffic: the classes of requests.
+            seconds: the time until the last request.
+            objective_ms: the response time up to which a result is in time.
+            timeout_ms: the age at which balancers give a request up.
+            seed: determines the schedule.
+            connections: how many at most, each of a balancer of its own.
+            repeat_fraction: the part of keyed requests that are sent once more.
+        """
+        self.port = port
+        self.seconds = seconds
+        self.objective_ms = objective_ms
+        self.timeout_ms = timeout_ms
+        self.max_connections = connections
+        self.plan = draw_schedule(traffic, seconds, seed, repeat_fraction)
+        self.counts = {one.request_class: RequestCounts() for one in traffic}
+        self.repeat_counts = RequestCounts()
+        self.lost: list[LostRequest] = []
+        self.crossed_close = 0
+        """Requests that were sent just as their idle connection was closed."""
+        self.violations: list[str] = []
+        """What breaks a rule of the protocol."""
+        self.body_by_key: dict[str, bytes] = {}
+        self.connections: list[Connection] = []
+        self.selector = selectors.DefaultSelector()
         self.lock = threading.Lock()
-        self.tallies = {flow.stage: Tally() for flow in flows}
-        self.again = Tally()  # the repeats
-        self.wrong: list[str] = []  # what breaks a rule
-        self.done = False
-
-    def run(self, begin: float) -> dict[str, Tally]:
-        self.began = begin
-        reader = threading.Thread(target=self.read)
+        self.started_at_s = 0.0
+        self.all_sent = False
+
+    def run(self, start_at_s: float) -> dict[str, RequestCounts]:
+        """Send the schedule from this Unix time on and return what became of it, by request class."""
+        self.started_at_s = start_at_s
+        reader = threading.Thread(target=self._read)
         reader.start()
-        for number, sent in enumerate(self.plan):
-            wait = begin + sent.at - time.time()
-            if wait > 0.0:
-                time.sleep(wait)
-            self.send(number + 1, sent)
-        self.done = True
+        for number, request in enumerate(self.plan, 1):
+            wait_s = start_at_s + request.at_s - time.time()
+            if wait_s > 0.0:
+                time.sleep(wait_s)
+            self._send(number, request)
+        self.all_sent = True
         reader.join()
-        for line in self.lines:
-            self.wrong += [f"no answer to a {sent.flow.stage}" for sent in line.open.values()]
-            line.sock.close()
-        return self.tallies
-
-    def tally(self, sent: Sent) -> Tally:
-        return self.again if sent.repeat else self.tallies[sent.flow.stage]
-
-    def send(self, number: int, sent: Sent) -> None:
-        tally = self.tally(sent)
-        tally.tried += 1
-        line = self.line()
-        if line is None:
-            tally.unsent += 1
-            tally.tried_at.append((sent.at, False))
+        for connection in self.connections:
+            self.violations += [
+                f"no answer to a {request.traffic.request_class}" for request in connection.in_flight.values()
+            ]
+            connection.sock.close()
+        return self.counts
+
+    def _counts_of(self, request: ScheduledRequest) -> RequestCounts:
+        return self.repeat_counts if request.is_repeat else self.counts[request.traffic.request_class]
+
+    # -- sending
+
+    def _send(self, number: int, request: ScheduledRequest) -> None:
+        counts = self._counts_of(request)
+        counts.sent += 1
+        connection = self._choose_connection()
+        if connection is None:
+            counts.unsent += 1
+            counts.outcomes.append(Outcome(request.at_s, in_time=False))
             return
-        work = self.works[number - 1]
-        content = self.by_key.setdefault(sent.key, f"{sent.key} {work:.3f} {sent.flow.calls}".encode())
-        if not sent.flow.keyed:
-            del self.by_key[sent.key]
+        body = self._message(number, request, connection)
+        with self.lock:
+            connection.in_flight[number] = request
+        try:
+            connection.sock.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+        except OSError:  # closed while it was idle: the request never arrived
+            with self.lock:
+                connection.closing = True
+                end_was_seen = connection.in_flight.pop(number, None) is None
+            if not end_was_seen:
+                counts.sent -= 1
+                self._send(number, request)
+
+    def _message(self, number: int, request: ScheduledRequest, connection: Connection) -> bytes:
+        traffic = request.traffic
+        content = f"{request.key} {request.work_ms:.3f} {traffic.calls}".encode()
+        if traffic.keyed:
+            content = self.body_by_key.setdefault(request.key, content)
         params: dict[str, Any] = {
             "txn": f"{number:016x}",
-            "door": round(time.time() * 1000.0),
-            "lb": line.number,
-            "limit": int(self.limit),
-            "cpu": round(work, 2),
-            "ram": 24.0,
-            "standing": 0.5,
+            "door": round(time.time() * MS_PER_S),
+            "lb": connection.number,
+            "limit": int(self.timeout_ms),
+            "cpu": round(request.work_ms, 2),
+            "ram": REQUEST_MEMORY_KB,
+            "standing": REQUEST_STANDING,
             "content": base64.b64encode(content).decode(),
         }
-        if sent.flow.keyed:
-            params["unique"] = sent.key
-        body = json.dumps(
-            {"jsonrpc": "2.0", "id": number, "method": sent.flow.stage, "params": params}
-        ).encode()
+        if traffic.keyed:
+            params["unique"] = request.key
+        message = {"jsonrpc": "2.0", "id": number, "method": traffic.request_class, "params": params}
+        return json.dumps(message).encode()
+
+    def _choose_connection(self) -> Connection | None:
+        """Return the one with the fewest in flight, or a new one; `None` if there is none to use."""
         with self.lock:
-            line.open[number] = sent
+            usable = [connection for connection in self.connections if not connection.closing]
+            chosen = min(usable, key=lambda connection: len(connection.in_flight), default=None)
+            is_shared = chosen is not None and len(chosen.in_flight) >= SHARE_FROM
+            if chosen is None or (is_shared and len(usable) < self.max_connections):
+                chosen = self._connect({connection.number for connection in usable})
+            if chosen is None or len(chosen.in_flight) >= MAX_IN_FLIGHT:
+                return None
+            return chosen
+
+    def _connect(self, used_numbers: set[int]) -> Connection | None:
+        number = next(n for n in range(1, self.max_connections + 1) if n not in used_numbers)
         try:
-            line.sock.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
-        except OSError:  # closed while it was idle: the task never arrived
-            with self.lock:
-                line.going = True
-                arrived = line.open.pop(number, None) is None  # its end was seen already
-            if not arrived:
-                tally.tried -= 1
-                self.send(number, sent)
-
-    def line(self) -> "Line | None":
-        """The connection with the least open, a new one where all have some; None where all are full."""
-        with self.lock:
-            usable = [line for line in self.lines if not line.going]
-            line = min(usable, key=lambda line: len(line.open), default=None)
-            if line is None or (len(line.open) >= 2 and len(usable) < self.most):
-                used = {line.number for line in usable}
-                number = next(n for n in range(1, self.most + 1) if n not in used)
-                try:
-                    line = Line(number, socket.create_connection(("127.0.0.1", self.port), 2.0))
-                except OSError:
-                    return None  # nobody there: the task never left
-                self.lines.append(line)
-                self.selector.register(line.sock, selectors.EVENT_READ, line)
-            return line if len(line.open) < MOST_OPEN else None
-
-    def read(self) -> None:
-        until = self.began + self.seconds + self.limit / 1000.0 + 1.0
-        while time.time() < until and not (self.done and not any(line.open for line in self.lines)):
-            for key, _ in self.selector.select(0.05):
-                line = key.data
-                try:
-                    data = line.sock.recv(65536)
-                except OSError:
-                    data = b""
-                if not data:
-                    self.selector.unregister(line.sock)
-                    self.ended(line)
-                    continue
-                line.buffer += data
-                self.take(line)
-
-    def ended(self, line: "Line") -> None:
-        """Its open tasks are lost, but for those that were sent just as an idle connection was closed."""
-        now = time.time() - self.began
+            sock = socket.create_connection(("127.0.0.1", self.port), CONNECT_TIMEOUT_S)
+        except OSError:
+            return None
+        connection = Connection(number, sock)
+        self.connections.append(connection)
+        self.selector.register(sock, selectors.EVENT_READ, connection)
+        return connection
+
+    # -- receiving
+
+    def _read(self) -> None:
+        last_answer_s = self.seconds + self.timeout_ms / MS_PER_S + LAST_ANSWER_MARGIN_S
+        deadline_s = self.started_at_s + last_answer_s
+        while time.time() < deadline_s and not self._is_complete():
+            for key, _ in self.selector.select(READ_INTERVAL_S):
+                self._read_connection(key.data)
+
+    def _is_complete(self) -> bool:
+        return self.all_sent and not any(connection.in_flight for connection in self.connections)
+
+    def _read_connection(self, connection: Connection) -> None:
+        try:
+            data = connection.sock.recv(MAX_READ_BYTES)
+        except OSError:
+            data = b""
+        if not data:
+            self.selector.unregister(connection.sock)
+            self._connection_ended(connection)
+            return
+        connection.buffer += data
+        self._take_messages(connection)
+
+    def _connection_ended(self, connection: Connection) -> None:
+        """What is in flight is lost, but for what was sent just as an idle connection was closed."""
+        now_s = time.time() - self.started_at_s
         with self.lock:
-            line.going, left, line.open = True, list(line.open.values()), {}
-        crossing = all(now - sent.at < 0.06 for sent in left)
-        for sent in left:
-            self.crossed += crossing
-            if not crossing:
-                self.cut.append((now, sent.key))
-
-    def take(self, line: "Line") -> None:
-        buffer = line.buffer
-        while (head := buffer.find(b"\r\n\r\n")) >= 0:
-            length = int(buffer[:head].split(b":")[1])
-            if len(buffer) < head + 4 + length:
+            connection.closing = True
+            unanswered = list(connection.in_flight.values())
+            connection.in_flight = {}
+        if all(now_s - request.at_s < IDLE_CLOSE_RACE_S for request in unanswered):
+            self.crossed_close += len(unanswered)
+        else:
+            self.lost += [LostRequest(now_s, request.key) for request in unanswered]
+
+    def _take_messages(self, connection: Connection) -> None:
+        buffer = connection.buffer
+        while (header_end := buffer.find(HEADER_END)) >= 0:
+            start = header_end + len(HEADER_END)
+            end = start + int(buffer[:header_end].split(b":")[1])
+            if len(buffer) < end:
                 return
-            message = json.loads(buffer[head + 4 : head + 4 + length])
-            del buffer[: head + 4 + length]
+            message = json.loads(buffer[start:end])
+            del buffer[:end]
             if "id" in message:
-                self.answered(line, message)
+                self._answered(connection, message)
             else:
-                line.going = True  # it said `closing`
+                connection.closing = True  # the notification that it is closing
 
-    def answered(self, line: "Line", message: dict[str, Any]) -> None:
+    def _answered(self, connection: Connection, message: dict[str, Any]) -> None:
         with self.lock:
-            sent = line.open.pop(message["id"], None)
-        if sent is None:
-            self.wrong.append("a second answer")
+            request = connection.in_flight.pop(message["id"], None)
+        if request is None:
+            self.violations.append("a second answer")
             return
-        tally, now = self.tally(sent), time.time() - self.began
-        took = (now - sent.at) * 1000.0
-        in_time = "result" in message and took <= self.due
-        tally.tried_at.append((sent.at, in_time))
-        if took > self.limit + 150.0:
-            self.wrong.append(f"an answer to a {sent.flow.stage} after {took:.0f} ms")
+        now_s = time.time() - self.started_at_s
+        response_time_ms = (now_s - request.at_s) * MS_PER_S
+        in_time = "result" in message and response_time_ms <= self.objective_ms
+        counts = self._counts_of(request)
+        counts.outcomes.append(Outcome(request.at_s, in_time))
+        if response_time_ms > self.timeout_ms + TIMEOUT_MARGIN_MS:
+            request_class = request.traffic.request_class
+            self.violations.append(f"an answer to a {request_class} after {response_time_ms:.0f} ms")
         if "result" in message:
-            if base64.b64decode(message["result"]["content"]) != b"done " + sent.key.encode():
-                self.wrong.append("a result that no run of the task made")
-            tally.times.record_value(max(1, int(took * 1000.0)))
-            tally.served += in_time
-            tally.late += not in_time
+            self._check_result(request, message["result"])
+            counts.response_times_us.record_value(max(1, int(response_time_ms * US_PER_MS)))
+            counts.in_time += in_time
+            counts.late += not in_time
             if in_time:
-                tally.served_at.append(now)
-        elif message["error"]["code"] == -32050:
-            tally.rejected += 1
-            tally.told_later += message["error"].get("data", {}).get("later", 0) > 0
+                counts.succeeded_at_s.append(now_s)
+        elif message["error"]["code"] == REJECTED_CODE:
+            counts.rejected += 1
+            counts.with_retry_after += message["error"].get("data", {}).get("later", 0) > 0
         else:
-            tally.failed += 1
+            counts.failed += 1
+
+    def _check_result(self, request: ScheduledRequest, result: dict[str, Any]) -> None:
+        if base64.b64decode(result["content"]) != b"done " + request.key.encode():
+            self.violations.append("a result that no run of the request made")
--- a/testkit/fakes/peers.py
+++ b/testkit/fakes/peers.py
@@ -7,10 +7,13 @@
 import socket
 import threading
 import time
+from collections.abc import Iterator
+from typing import Any, BinaryIO
 
-PATIENCE = 20.0  # s: no verdict hangs on it but that of a server that does nothing
+WAIT_TIMEOUT_S = 20.0
+"""No verdict hangs on it but that of a server that does nothing."""
 
-TOLD = {
+SETTINGS: dict[str, Any] = {
     "familyInfo": {
         "cores": 2,
         "ramKb": 90_000.0,
@@ -48,124 +51,163 @@
     "caps": {"retryAfter": True, "maxRetryAfter": 1_000_000_000},
 }
 
+WARM_FOR_MS = 5000
+RUN_TIME_MS = 40
+MS_PER_S = 1000.0
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"
+"""`SO_LINGER` with which a close resets the connection."""
 
-def received(lines):
-    with contextlib.suppress(OSError):  # reset: as good as an end
+
+def lines_until_end(lines: BinaryIO) -> Iterator[bytes]:
+    """Yield the lines of a connection; a reset is as good as its end."""
+    with contextlib.suppress(OSError):
         yield from lines
 
 
 class Peer:
-    """A listening stand-in; what it reads is queued."""
+    """A listening peer of the server; what it reads is queued, the kind first."""
 
-    def __init__(self, up=True):
+    def __init__(self, up: bool = True) -> None:
+        """Bind a port of loopback; connections are refused until `listen` if it is not `up`."""
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.heard = queue.Queue()
-        if up:  # until then connections are refused
-            self.come_up()
+        self.received: queue.Queue[tuple[Any, ...]] = queue.Queue()
+        if up:
+            self.listen()
 
-    def come_up(self):
+    def listen(self) -> None:
+        """Take connections from now on."""
         self.listener.listen()
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self._accept, daemon=True).start()
 
-    def accept(self):
+    def _accept(self) -> None:
         with contextlib.suppress(OSError):
             while True:
                 self.serve(self.listener.accept()[0])
 
-    def serve(self, sock):
+    def serve(self, sock: socket.socket) -> None:
+        """Read a new connection in a thread of its own."""
         threading.Thread(target=self.read, args=(sock, sock.makefile("rb")), daemon=True).start()
 
-    def take(self, *wanted):
-        """The next that matches; what comes before is passed over."""
+    def read(self, sock: socket.socket, lines: BinaryIO) -> None:
+        """Queue what comes on a connection, until its end."""
+        raise NotImplementedError
+
+    def take(self, *wanted: str) -> tuple[Any, ...]:
+        """Return the next of these kinds; what comes before is passed over.
+
+        Raises:
+            queue.Empty: none came in time.
+        """
         while True:
-            entry = self.heard.get(timeout=PATIENCE)
+            entry = self.received.get(timeout=WAIT_TIMEOUT_S)
             if entry[0] in wanted:
                 return entry
 
-    def nothing_more(self, *unwanted):
-        seen = [self.heard.get() for _ in range(self.heard.qsize())]
-        return not [entry for entry in seen if entry[0] in unwanted]
+    def received_none_of(self, *unwanted: str) -> bool:
+        """Return whether nothing of these kinds has come; empties the queue."""
+        entries = [self.received.get() for _ in range(self.received.qsize())]
+        return not [entry for entry in entries if entry[0] in unwanted]
 
 
-class PoolPeer(Peer):
+class WorkerPoolPeer(Peer):
     """Answers `bind` and `poll` by itself; keeps its notices for the next link."""
 
-    def __init__(self, cold=False, up=True):
-        self.cold, self.notices, self.sock, self.number = cold, [], None, 0
-        self.polls = 0  # answered
+    def __init__(self, cold: bool = False, up: bool = True) -> None:
+        """Listen; `bind` is answered once `up` is set."""
+        self.cold = cold
+        self.notices: list[dict[str, Any]] = []
+        self.last_number = 0
+        self.sock: socket.socket | None = None
+        self.answered_polls = 0
         self.up = threading.Event()
         if up:
             self.up.set()
         super().__init__()
 
-    def read(self, sock, lines):
-        for line in received(lines):
+    def read(self, sock: socket.socket, lines: BinaryIO) -> None:
+        """Queue messages as (type, message) but for `poll`."""
+        for line in lines_until_end(lines):
             message = json.loads(line)
-            if message["type"] == "bind":
-                self.up.wait()
-                self.sock = sock
-                self.say({"type": "bound", "state": "chilly" if self.cold else "hot", "took": 5000})
-                for notice in self.notices:
-                    if notice["n"] > message["n"]:
-                        self.say(notice)
-            elif message["type"] == "poll":
-                self.say({"type": "polled", "ref": message["ref"], "gauges": [0.2, 0]})
-                self.polls += 1
+            if message["type"] == "poll":
+                self.send({"type": "polled", "ref": message["ref"], "gauges": [0.2, 0]})
+                self.answered_polls += 1
                 continue
-            self.heard.put((message["type"], message))
-
-    def say(self, message, raw=None):
-        with contextlib.suppress(OSError):  # a cut link: it is in the notices
+            if message["type"] == "bind":
+                self._bind(sock, message["n"])
+            self.received.put((message["type"], message))
+
+    def _bind(self, sock: socket.socket, last_read: int) -> None:
+        self.up.wait()
+        self.sock = sock
+        self.send({"type": "bound", "state": "chilly" if self.cold else "hot", "took": WARM_FOR_MS})
+        for notice in self.notices:
+            if notice["n"] > last_read:
+                self.send(notice)
+
+    def send(self, message: dict[str, Any] | None, raw: bytes | None = None) -> None:
+        """Send a message, or bytes as they are; a notice that a cut link loses comes on the next."""
+        assert self.sock is not None, "no server is bound"
+        with contextlib.suppress(OSError):
             self.sock.sendall(raw or json.dumps(message).encode() + b"\n")
 
-    def notice(self, kind, job, **fields):
-        self.number += 1
-        self.notices.append({"type": kind, "n": self.number, "job": job, **fields})
-        self.say(self.notices[-1])
+    def notify(self, kind: str, job: str, **fields: Any) -> None:
+        """Send the next notice."""
+        self.last_number += 1
+        self.notices.append({"type": kind, "n": self.last_number, "job": job, **fields})
+        self.send(self.notices[-1])
 
-    def finish(self, job, data=b"done", state="complete"):
-        self.notice("finished", job, state=state, took=40, data=base64.b64encode(data).decode())
+    def finish(self, job: str, data: bytes = b"done", state: str = "complete") -> None:
+        """Report a run's result."""
+        self.notify("finished", job, state=state, took=RUN_TIME_MS, data=base64.b64encode(data).decode())
 
-    def block(self, job, data=b"ask"):
-        self.notice("blocked", job, data=base64.b64encode(data).decode())
+    def block(self, job: str, data: bytes = b"ask") -> None:
+        """Report that a run waits for a dependency call."""
+        self.notify("blocked", job, data=base64.b64encode(data).decode())
 
-    def cut(self):
+    def disconnect(self) -> None:
+        """End the link to the server."""
+        assert self.sock is not None, "no server is bound"
         self.sock.shutdown(socket.SHUT_RDWR)
 
 
 class RecordsPeer(Peer):
     """Queues calls as ("OP", id, body, connection) and ("UNOP", id, connection)."""
 
-    def read(self, sock, lines):
-        for line in received(lines):
+    def read(self, sock: socket.socket, lines: BinaryIO) -> None:
+        """Queue calls and their cancellation."""
+        for line in lines_until_end(lines):
             words = line.decode().split()
             if words[0] == "OP":
                 body = lines.read(int(words[3]) + 2)[:-2]
-                self.heard.put(("OP", words[1], body, sock))
+                self.received.put(("OP", words[1], body, sock))
             else:
-                self.heard.put(("UNOP", words[1], sock))
+                self.received.put(("UNOP", words[1], sock))
 
 
 class Balancer:
-    """One connection to a server."""
+    """One connection of a balancer to a server."""
 
-    def __init__(self, port):
-        self.sock = socket.create_connection(("127.0.0.1", port), PATIENCE)
+    def __init__(self, port: int) -> None:
+        """Connect to a server on loopback."""
+        self.sock = socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT_S)
         self.file = self.sock.makefile("rb")
 
-    def raw(self, data):
+    def send_bytes(self, data: bytes) -> None:
+        """Send bytes as they are."""
         self.sock.sendall(data)
 
-    def send(self, message):
+    def send(self, message: Any) -> None:
+        """Send a message, or the bytes of one, with its header."""
         body = message if isinstance(message, bytes) else json.dumps(message).encode()
-        self.raw(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+        self.send_bytes(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def ask(self, rpc_id, method="read", **fields):
+    def request(self, rpc_id: int, method: str = "read", **fields: Any) -> Any:
+        """Send a request and return its `txn`; a field given as `None` is left out."""
         params = {
             "txn": f"{rpc_id:016x}",
-            "door": time.time() * 1000.0,
+            "door": time.time() * MS_PER_S,
             "lb": 1,
             "team": "acme",
             "limit": 50_000,
@@ -174,33 +216,28 @@
             "cpu": 20.0,
             **fields,
         }
-        self.send(
-            {
-                "jsonrpc": "2.0",
-                "id": rpc_id,
-                "method": method,
-                "params": {key: value for key, value in params.items() if value is not None},
-            }
-        )
+        given = {key: value for key, value in params.items() if value is not None}
+        self.send({"jsonrpc": "2.0", "id": rpc_id, "method": method, "params": given})
         return params["txn"]
 
-    def hear(self):
-        """The next message; None at the end of the connection."""
-        head = self.file.readline()
-        if not head:
+    def receive(self) -> Any:
+        """Return the next message; `None` at the end of the connection."""
+        header = self.file.readline()
+        if not header:
             return None
         assert self.file.readline() == b"\r\n"
-        return json.loads(self.file.read(int(head.split(b":")[1])))
+        return json.loads(self.file.read(int(header.split(b":")[1])))
 
-    def gone(self):
-        """Reset, with nothing more read."""
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+    def reset(self) -> None:
+        """Reset the connection; nothing more is read."""
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.file.close()
         self.sock.close()
 
 
-def reports_here():
+def registry_socket() -> socket.socket:
+    """Return a datagram socket to which a server sends its reports."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
-    sock.settimeout(PATIENCE)
+    sock.settimeout(WAIT_TIMEOUT_S)
     return sock
--- a/testkit/fakes/records_service.py
+++ b/testkit/fakes/records_service.py
@@ -1,82 +1,122 @@
-"""A ledger with a fixed number of slots that slows by script: to a tenth, to nothing, and back."""
+"""A records service with a fixed number of slots that slows by schedule: to a tenth, to nothing, and back."""
 
+import contextlib
 import socket
 import threading
-from typing import Any
+from collections.abc import Sequence
+from multiprocessing.connection import Connection
+from typing import Any, BinaryIO, NamedTuple
 
-from testkit.fakes.schedule import Script
-from testkit.fakes.shared_capacity import Shared
+from testkit.fakes.processor_sharing import ProcessorSharing
+from testkit.fakes.schedule import StepSchedule
 
+MAX_WAITING_CALLS = 200
+LISTEN_BACKLOG = 64
+LINE_END = b"\r\n"
 
-class Ledger:
-    def __init__(self, slots: int, takes: float, speed: Script, most_waiting: int = 200) -> None:
-        """`takes`: ms of a call at full speed; past `most_waiting` in line calls are turned away."""
-        self.takes, self.most_waiting = takes, most_waiting
-        self.shared = Shared(lambda count, seconds: speed.at(seconds), speed.until_next, self.finished, slots)
-        self.done: list[float] = []  # when calls were answered, in seconds from the start
-        self.ran: dict[str, int] = {}  # calls that had their effect, by body
-        self.given_up = self.turned_away = 0
-        self.open: set[Any] = set()  # emptied as calls are answered or given up
-        self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-        threading.Thread(target=self.accept, daemon=True).start()
 
-    def accept(self) -> None:
+class Call(NamedTuple):
+    """A call by its id on the connection it came on."""
+
+    id: bytes
+    sock: socket.socket
+    body: bytes
+
+
+class FakeRecordsService:
+    """Answers each call after its time, and rejects calls while too many wait."""
+
+    def __init__(
+        self, slots: int, call_ms: float, speed: StepSchedule, max_waiting: int = MAX_WAITING_CALLS
+    ) -> None:
+        """Listen on a port of loopback.
+
+        Args:
+            slots: calls that are executed at once.
+            call_ms: time of a call at full speed.
+            speed: factor of the full speed.
+            max_waiting: calls without a slot beyond which further ones are rejected.
+        """
+        self.call_ms = call_ms
+        self.speed = speed
+        self.max_waiting = max_waiting
+        self.capacity = ProcessorSharing(self._rate, speed.seconds_to_next_step, self._finished, slots)
+        self.answered_at_s: list[float] = []
+        """When calls were answered, in seconds from the start."""
+        self.executed: dict[str, int] = {}
+        """How often calls had their effect, by body."""
+        self.cancelled = 0
+        self.rejected = 0
+        self.in_flight: set[Call] = set()
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _rate(self, count: int, elapsed_s: float) -> float:
+        return self.speed.value_at(elapsed_s)
+
+    def _accept(self) -> None:
         while True:
             sock, _ = self.listener.accept()
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            threading.Thread(target=self.read, args=(sock,), daemon=True).start()
+            threading.Thread(target=self._read, args=(sock,), daemon=True).start()
 
-    def read(self, sock: socket.socket) -> None:
-        lines, calls = sock.makefile("rb"), set()
-        try:
-            for line in lines:
-                words = line.split()
-                entry = (words[1], sock)
-                if words[0] == b"OP":
-                    entry = (*entry, lines.read(int(words[3]) + 2)[:-2])
-                    if len(self.shared.line) >= self.most_waiting:
-                        self.turned_away += 1
-                        sock.sendall(words[1] + b" WAIT\r\n")
-                    else:
-                        calls.add(entry)
-                        self.open.add(entry)
-                        self.shared.add(entry, self.takes)
-                else:
-                    for entry in [entry for entry in calls if entry[0] == words[1]]:
-                        self.give_up(entry, calls)
-        except OSError:
-            pass
-        for entry in list(calls):
-            self.give_up(entry, calls)
-
-    def give_up(self, entry: Any, calls: set[Any]) -> None:
-        calls.discard(entry)
-        if entry in self.open:
-            self.open.discard(entry)
-            self.given_up += 1
-        self.shared.drop(entry)
-
-    def finished(self, entry: Any) -> None:
-        name, sock, body = entry
-        self.open.discard(entry)
-        self.done.append(self.shared.at - self.shared.began)
-        self.ran[body.decode()] = self.ran.get(body.decode(), 0) + 1
+    def _read(self, sock: socket.socket) -> None:
+        calls: set[Call] = set()
+        with contextlib.suppress(OSError):
+            self._read_calls(sock, sock.makefile("rb"), calls)
+        for call in list(calls):
+            self._cancel(call, calls)
+
+    def _read_calls(self, sock: socket.socket, lines: BinaryIO, calls: set[Call]) -> None:
+        for line in lines:
+            words = line.split()
+            if words[0] == b"OP":
+                body = lines.read(int(words[3]) + len(LINE_END))[: -len(LINE_END)]
+                self._start(Call(words[1], sock, body), calls)
+                continue
+            for call in [call for call in calls if call.id == words[1]]:
+                self._cancel(call, calls)
+
+    def _start(self, call: Call, calls: set[Call]) -> None:
+        if self.capacity.waiting_count() >= self.max_waiting:
+            self.rejected += 1
+            call.sock.sendall(call.id + b" WAIT" + LINE_END)
+            return
+        calls.add(call)
+        self.in_flight.add(call)
+        self.capacity.add(call, self.call_ms)
+
+    def _cancel(self, call: Call, calls: set[Call]) -> None:
+        calls.discard(call)
+        if call in self.in_flight:
+            self.in_flight.discard(call)
+            self.cancelled += 1
+        self.capacity.drop(call)
+
+    def _finished(self, call: Call) -> None:
+        self.in_flight.discard(call)
+        self.answered_at_s.append(self.capacity.elapsed_s())
+        body = call.body.decode()
+        self.executed[body] = self.executed.get(body, 0) + 1
         try:
-            sock.sendall(b"%b DONE 2\r\nok\r\n" % name)
+            call.sock.sendall(b"%b DONE 2\r\nok\r\n" % call.id)
         except OSError:
-            self.given_up += 1
+            self.cancelled += 1
 
 
-def serve(pipe: Any, slots: int, takes: float, speed: list[tuple[float, float]]) -> None:
-    ledger = Ledger(slots, takes, Script(speed))
-    pipe.send(ledger.listener.getsockname()[1])
-    while (told := pipe.recv()) is not None:
-        ledger.shared.began = told
+def serve(
+    pipe: "Connection[Any, Any]", slots: int, call_ms: float, speed: Sequence[tuple[float, float]]
+) -> None:
+    """Run a records service as a `FakeProcess`; its counts are those of the class."""
+    service = FakeRecordsService(slots, call_ms, StepSchedule(speed))
+    pipe.send(service.listener.getsockname()[1])
+    while (started_at_s := pipe.recv()) is not None:
+        service.capacity.started_at_s = started_at_s
     pipe.send(
         {
-            "done": ledger.done,
-            "ran": ledger.ran,
-            "turned_away": ledger.turned_away,
-            "given_up": ledger.given_up,
+            "done": service.answered_at_s,
+            "ran": service.executed,
+            "turned_away": service.rejected,
+            "given_up": service.cancelled,
         }
     )
--- a/testkit/fakes/schedule.py
+++ b/testkit/fakes/schedule.py
@@ -1,48 +1,29 @@
-"""Figures that change by script, and processes that start together."""
+"""Values that change by a schedule."""
 
 import bisect
-import multiprocessing
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Sequence
 
+MAX_WAIT_S = 1.0
 
-class Script:
-    """A figure by time: `steps` are (seconds from the start, value), the first at 0."""
+
+class StepSchedule:
+    """A value that changes in steps over time."""
 
     def __init__(self, steps: Sequence[tuple[float, float]]) -> None:
-        self.times = [at for at, _ in steps]
+        """Take steps of (seconds from the start, value) in order of time, the first at 0."""
+        self.times_s = [at_s for at_s, _ in steps]
         self.values = [value for _, value in steps]
 
-    def at(self, seconds: float) -> float:
-        return self.values[max(0, bisect.bisect_right(self.times, seconds) - 1)]
-
-    def until_next(self, seconds: float) -> float:
-        """Seconds to the next change; a second where there is none soon."""
-        at = bisect.bisect_right(self.times, seconds)
-        return min(1.0, self.times[at] - seconds) if at < len(self.times) else 1.0
-
-
-class Apart:
-    """A stand-in in a process of its own: `serve(pipe, *given)` sends its port, at the end its counts."""
-
-    def __init__(self, serve: Callable[..., None], *given: Any) -> None:
-        context = multiprocessing.get_context("spawn")
-        self.pipe, theirs = context.Pipe()
-        self.process = context.Process(target=serve, args=(theirs, *given), daemon=True)
-        self.process.start()
-        if not self.pipe.poll(20.0):
-            raise RuntimeError("a stand-in did not start")
-        told = self.pipe.recv()
-        self.ports = told if isinstance(told, list) else [told]
-        self.address = f"127.0.0.1:{self.ports[0]}"
-
-    def begin(self, at: float) -> None:
-        """The scripts count from `at`, in Unix seconds."""
-        self.pipe.send(at)
-
-    def end(self) -> Any:
-        self.pipe.send(None)
-        counted = self.pipe.recv() if self.pipe.poll(10.0) else None
-        self.process.terminate()
-        self.process.join(5.0)
-        return counted
+    def value_at(self, elapsed_s: float) -> float:
+        """Return the value at this time from the start."""
+        return self.values[max(0, bisect.bisect_right(self.times_s, elapsed_s) - 1)]
+
+    def seconds_to_next_step(self, elapsed_s: float) -> float:
+        """Return the time to the next change, at most `MAX_WAIT_S`."""
+        following = bisect.bisect_right(self.times_s, elapsed_s)
+        if following == len(self.times_s):
+            return MAX_WAIT_S
+        return min(MAX_WAIT_S, self.times_s[following] - elapsed_s)
+
+
+CONSTANT_ZERO = StepSchedule([(0.0, 0.0)])
--- a/testkit/fakes/server_process.py
+++ b/testkit/fakes/server_process.py
@@ -5,107 +5,161 @@
 import re
 import shlex
 import signal
+import socket
 import subprocess
 import sys
 import threading
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, Self
 
-from testkit.fakes.peers import PATIENCE, TOLD, Balancer, PoolPeer, RecordsPeer, reports_here
+from testkit.fakes.peers import (
+    SETTINGS,
+    WAIT_TIMEOUT_S,
+    Balancer,
+    RecordsPeer,
+    WorkerPoolPeer,
+    registry_socket,
+)
 
+LIMITS = {"cores": 1.0, "memory_mb": 192}
+MAX_REPORT_BYTES = 64
 
-class Running:
-    """The whole server in a process of its own, in front of the stand-ins."""
 
-    COMMAND = (sys.executable, "-m", "vetchford", "serve")
+@dataclass(frozen=True, slots=True)
+class ServerOptions:
+    """How a server under test is started.
+
+    `up` and `records_up` say whether its worker pool and records service answer from the beginning, `cold`
+    whether the pool's cores are cold. `sockets` is the limit that the server is told of, `max_files` the one
+    that the system sets, if any. `arguments` are those of `vetchford serve`. Without `has_records` the
+    platform names no records service.
+    """
+
+    up: bool = True
+    cold: bool = False
+    records_up: bool = True
+    has_records: bool = True
+    stop_ms: int = 8000
+    sockets: int = 128
+    max_files: int | None = None
+    listen: str = "127.0.0.1:0"
+    arguments: tuple[str, ...] = ()
+
+
+DEFAULT_OPTIONS = ServerOptions()
+
+
+class ServerProcess:
+    """The whole server in a process of its own, in front of the fakes."""
+
+    COMMAND: tuple[str, ...] = (sys.executable, "-m", "vetchford", "serve")
     if os.environ.get("VETCHFORD_RUN"):  # how the operators start it
         COMMAND = ("/bin/sh", "-c", os.environ["VETCHFORD_RUN"])
 
-    def __init__(
-        self,
-        folder,
-        up=True,
-        cold=False,
-        records_up=True,
-        stop_ms=8000,
-        sockets=128,
-        files=None,
-        listen="127.0.0.1:0",
-        given=(),
-        no_records=False,
-        **told,
-    ):
-        self.pool, self.records = PoolPeer(cold, up), RecordsPeer(records_up)
-        self.members = reports_here()
-        self.no_records = no_records  # the platform names none where nothing is below
-        self.config, self.stop_ms, self.sockets, self.told = folder / "config.json", stop_ms, sockets, told
-        self.write_config(listen)
-        command = (*self.COMMAND[:-1], " ".join((self.COMMAND[-1], *map(shlex.quote, given))))
-        if self.COMMAND[0] == sys.executable:
-            command = (*self.COMMAND, *given)
-        if files:  # fewer descriptors than it is told of
-            command = ("/bin/sh", "-c", f"ulimit -n {files}; exec {shlex.join(command)}")
-        self.process = subprocess.Popen(
-            command,
+    def __init__(self, folder: Path, options: ServerOptions = DEFAULT_OPTIONS, **settings: Any) -> None:
+        """Start the server and wait until it listens, and until it has reported if its pool is `up`.
+
+        Args:
+            folder: for its configuration.
+            options: how it is started.
+            settings: in place of the platform's settings of that name.
+        """
+        self.options = options
+        self.pool = WorkerPoolPeer(options.cold, options.up)
+        self.records = RecordsPeer(options.records_up)
+        self.members = registry_socket()
+        self.config = folder / "config.json"
+        self.settings = settings
+        self.write_config(options.listen)
+        self.log: list[str] = []
+        self.process = self._start()
+        self.port = self._wait_for_port()
+        self.log_reader = threading.Thread(target=self._read_log, daemon=True)
+        self.log_reader.start()
+        if options.up:
+            self.pool.take("bind")
+            assert self.receive_report() == ["HB", "n1", "UP"]
+
+    def _start(self) -> subprocess.Popen[str]:
+        return subprocess.Popen(
+            self._command(),
             stderr=subprocess.STDOUT,
             stdout=subprocess.PIPE,
             text=True,
             env={**os.environ, "ROUTER_CONFIG": str(self.config)},
         )
-        self.log = []
+
+    def _command(self) -> tuple[str, ...]:
+        arguments = self.options.arguments
+        if self.COMMAND[0] == sys.executable:
+            command = (*self.COMMAND, *arguments)
+        else:
+            command = (*self.COMMAND[:-1], " ".join((self.COMMAND[-1], *map(shlex.quote, arguments))))
+        if self.options.max_files:
+            return ("/bin/sh", "-c", f"ulimit -n {self.options.max_files}; exec {shlex.join(command)}")
+        return command
+
+    def _wait_for_port(self) -> int:
+        assert self.process.stdout is not None
         for line in self.process.stdout:
             self.log.append(line)
             if found := re.search(r"listen=\S+?:(\d+)", line):
-                self.port = int(found[1])
-                break
-        assert hasattr(self, "port"), self.log
-        self.drainer = threading.Thread(target=self.log.extend, args=(self.process.stdout,), daemon=True)
-        self.drainer.start()
-        if up:
-            self.pool.take("bind")
-            assert self.heard_report() == ["HB", "n1", "UP"]
-
-    def write_config(self, listen="127.0.0.1:0"):
-        self.config.write_text(
-            json.dumps(
-                {
-                    "name": "n1",
-                    "listen": listen,
-                    "pool": self.pool.address,
-                    "records": None if self.no_records else self.records.address,
-                    "members": f"127.0.0.1:{self.members.getsockname()[1]}",
-                    "seed": "8c1f30d27a5be964",
-                    "stop_ms": self.stop_ms,
-                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-                    "settings": {**TOLD, **self.told},
-                }
-            )
-        )
+                return int(found[1])
+        raise AssertionError(self.log)
+
+    def _read_log(self) -> None:
+        assert self.process.stdout is not None
+        self.log.extend(self.process.stdout)
+
+    def write_config(self, listen: str = "127.0.0.1:0") -> None:
+        """Write the configuration; a running server reads it again on SIGHUP."""
+        configuration = {
+            "name": "n1",
+            "listen": listen,
+            "pool": self.pool.address,
+            "records": self.records.address if self.options.has_records else None,
+            "members": f"127.0.0.1:{self.members.getsockname()[1]}",
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": self.options.stop_ms,
+            "limits": {**LIMITS, "sockets": self.options.sockets},
+            "settings": {**SETTINGS, **self.settings},
+        }
+        self.config.write_text(json.dumps(configuration))
 
-    def move(self):
-        """New stand-ins for all three peers, in which the pool's runs go on; told by SIGHUP. The old ones."""
+    def move_peers(self) -> tuple[WorkerPoolPeer, RecordsPeer, socket.socket]:
+        """Reload with new peers at other addresses and return the old ones; the pool's runs go on."""
         old = self.pool, self.records, self.members
-        self.pool, self.records, self.members = PoolPeer(), RecordsPeer(), reports_here()
-        self.pool.notices, self.pool.number = old[0].notices, old[0].number
+        self.pool = WorkerPoolPeer()
+        self.records = RecordsPeer()
+        self.members = registry_socket()
+        self.pool.notices = old[0].notices
+        self.pool.last_number = old[0].last_number
         self.write_config()
         self.process.send_signal(signal.SIGHUP)
         return old
 
-    def balancer(self):
+    def balancer(self) -> Balancer:
+        """Return a new connection of a balancer."""
         return Balancer(self.port)
 
-    def heard_report(self):
-        return self.members.recv(64).decode().split()
+    def receive_report(self) -> list[str]:
+        """Return the words of the next report to the registry."""
+        return self.members.recv(MAX_REPORT_BYTES).decode().split()
 
-    def stop(self):
-        """Drains it; what it logged."""
+    def stop(self) -> str:
+        """Drain the server, which must exit with 0, and return what it logged."""
         self.process.send_signal(signal.SIGTERM)
-        assert self.process.wait(PATIENCE) == 0, "".join(self.log)
-        self.drainer.join(PATIENCE)
+        assert self.process.wait(WAIT_TIMEOUT_S) == 0, "".join(self.log)
+        self.log_reader.join(WAIT_TIMEOUT_S)
         return "".join(self.log)
 
-    def __enter__(self):
+    def __enter__(self) -> Self:
+        """Return the running server."""
         return self
 
-    def __exit__(self, *problem):
+    def __exit__(self, *problem: object) -> None:
+        """Kill the server; fail if a part of it broke."""
         self.process.kill()
         self.process.wait()
         assert "part_broke" not in "".join(self.log), "".join(self.log)
--- a/testkit/fakes/worker_pool.py
+++ b/testkit/fakes/worker_pool.py
@@ -1,6 +1,6 @@
-"""A worker pool whose runs share its cores, with a neighbour that takes a part of them by script.
+"""A worker pool whose runs share its cores, with a neighbour that takes a part of them by schedule.
 
-A task's body tells what it takes: `KEY WORK CALLS`, ms on a core and calls below, which come half way.
+A request's body tells what it takes: `KEY WORK CALLS`, ms on a core and dependency calls, made half way.
 """
 
 import base64
@@ -9,113 +9,147 @@
 import socket
 import threading
 from collections import deque
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from multiprocessing.connection import Connection
 from typing import Any
 
-from testkit.fakes.schedule import Script
-from testkit.fakes.shared_capacity import Shared
+from testkit.fakes.processor_sharing import ProcessorSharing
+from testkit.fakes.schedule import CONSTANT_ZERO, StepSchedule
 
-KEPT_NOTICES = 4000  # by the protocol: the last that a new link may ask for
+MAX_KEPT_NOTICES = 4000
+"""By the protocol: the last that a new link may ask for."""
+WARM_FOR_MS = 60_000
+CALL_POINT = 0.5
+"""The part of its work that a run has done when it makes its calls."""
+
+
+@dataclass(slots=True)
+class Run:
+    """A request that is executed: what is left of its calls, and its work between them."""
+
+    key: str
+    calls_left: int
+    work_ms: float
+    work_between_calls_ms: float
 
 
 class FakeWorkerPool:
-    def __init__(self, cores: float, taken: Script) -> None:
-        """`taken`: the neighbour's part of the cores."""
-        self.cores, self.taken = cores, taken
-        self.shared = Shared(self.rate, taken.until_next, self.reached)
+    """Keeps the protocol's rules for links, commands and numbers of notices."""
+
+    def __init__(self, cores: float, neighbour: StepSchedule) -> None:
+        """Listen on a port of loopback; `neighbour` is the part of the cores that it takes."""
+        self.cores = cores
+        self.neighbour = neighbour
+        self.capacity = ProcessorSharing(self._rate, neighbour.seconds_to_next_step, self._reached)
         self.lock = threading.Lock()
-        self.runs: dict[str, dict[str, Any]] = {}  # emptied as runs end
-        self.ran: dict[str, int] = {}  # runs by the key of the body
-        self.number, self.work, self.sock = 0, 0.0, None
-        self.notices: deque[dict[str, Any]] = deque(maxlen=KEPT_NOTICES)
+        self.runs: dict[str, Run] = {}
+        self.ran: dict[str, int] = {}
+        """How often requests ran, by the key of their body."""
+        self.work_ms = 0.0
+        self.last_number = 0
+        self.sock: socket.socket | None = None
+        self.notices: deque[dict[str, Any]] = deque(maxlen=MAX_KEPT_NOTICES)
         self.listener = socket.create_server(("127.0.0.1", 0))
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _free_cores(self, elapsed_s: float) -> float:
+        return self.cores * (1.0 - self.neighbour.value_at(elapsed_s))
 
-    def rate(self, count: int, seconds: float) -> float:
-        return min(1.0, self.cores * (1.0 - self.taken.at(seconds)) / max(1, count))
+    def _rate(self, count: int, elapsed_s: float) -> float:
+        return min(1.0, self._free_cores(elapsed_s) / max(1, count))
 
-    def accept(self) -> None:
+    def _accept(self) -> None:
         while True:
-            self.sock, _ = self.listener.accept()
-            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            threading.Thread(target=self.read, args=(self.sock.makefile("rb"),), daemon=True).start()
+            sock, _ = self.listener.accept()
+            self.sock = sock
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            threading.Thread(target=self._read, args=(sock.makefile("rb"),), daemon=True).start()
 
-    def read(self, lines: Any) -> None:
+    def _read(self, lines: Iterable[bytes]) -> None:
         for line in lines:
             message = json.loads(line)
             kind = message["type"]
             if kind == "bind":
-                self.bind(message["n"])
+                self._bind(message["n"])
             elif kind == "poll":
-                count = self.shared.inside()
-                left = self.cores * (1.0 - self.taken.at(self.shared.at - self.shared.began))
-                self.say({"type": "polled", "ref": message["ref"], "gauges": [min(1.0, count / left), count]})
+                self._poll(message["ref"])
             elif kind == "spawn":
-                self.spawn(message["job"], base64.b64decode(message["data"]))
+                self._spawn(message["job"], base64.b64decode(message["data"]))
             elif kind in ("supply", "pass"):
-                run = self.runs[message["job"]]
-                self.shared.add(message["job"], run["half"])
+                self.capacity.add(message["job"], self.runs[message["job"]].work_between_calls_ms)
 
-    def bind(self, last_read: int) -> None:
-        """Answers a new link with the notices after `last_read`.
+    def _bind(self, last_read: int) -> None:
+        """Answer a new link with the notices after `last_read`.
 
-        One that has read none although some were told is a server that started anew: its notices are numbered
+        One that has read none although some were sent is a server that started anew: its notices are numbered
         from 1, and the runs of the server before it are over. Numbers that went on would make the new server
         miss notices that it can never get, and send its commands again. (A server whose link breaks before it
         has read its first notice would be taken for a new one; no link to a pool is broken here.)
         """
         with self.lock:
-            if last_read == 0 and self.number:
-                self.number = 0
-                self.notices.clear()
-                for job in list(self.runs):
-                    del self.runs[job]
-                    self.shared.drop(job)
-            self.send({"type": "bound", "state": "hot", "took": 60_000})
+            if last_read == 0 and self.last_number:
+                self._forget_runs()
+            self._send({"type": "bound", "state": "hot", "took": WARM_FOR_MS})
             for notice in self.notices:
                 if notice["n"] > last_read:
-                    self.send(notice)
+                    self._send(notice)
+
+    def _forget_runs(self) -> None:
+        self.last_number = 0
+        self.notices.clear()
+        for job in list(self.runs):
+            del self.runs[job]
+            self.capacity.drop(job)
+
+    def _poll(self, reference: str) -> None:
+        count = self.capacity.running_count()
+        utilization = min(1.0, count / self._free_cores(self.capacity.elapsed_s()))
+        with self.lock:
+            self._send({"type": "polled", "ref": reference, "gauges": [utilization, count]})
 
-    def spawn(self, job: str, body: bytes) -> None:
+    def _spawn(self, job: str, body: bytes) -> None:
         if job in self.runs:
             return  # by the protocol nothing happens
         key, work, calls = body.decode().split()[:3]
+        work_ms = float(work)
+        first_part_ms = CALL_POINT * work_ms if int(calls) else work_ms
         self.ran[key] = self.ran.get(key, 0) + 1
-        self.work += float(work)
-        half = 0.5 * float(work) if int(calls) else float(work)
-        self.runs[job] = {"key": key, "calls": int(calls), "half": half, "work": float(work)}
-        self.shared.add(job, half)
+        self.work_ms += work_ms
+        self.runs[job] = Run(key, int(calls), work_ms, first_part_ms)
+        self.capacity.add(job, first_part_ms)
 
-    def reached(self, job: str) -> None:
+    def _reached(self, job: str) -> None:
+        """A run is at its next call, or done."""
         run = self.runs.get(job)
         if run is None:
             return  # ended with its server just as it was done
-        if run["calls"]:
-            run["calls"] -= 1
-            self.notice("blocked", job, data=base64.b64encode(run["key"].encode()).decode())
+        if run.calls_left:
+            run.calls_left -= 1
+            self._notify("blocked", job, data=base64.b64encode(run.key.encode()).decode())
             return
         self.runs.pop(job, None)
-        made = base64.b64encode(b"done " + run["key"].encode()).decode()
-        self.notice("finished", job, state="complete", took=run["work"], data=made)
-
-    def notice(self, kind: str, job: str, **fields: Any) -> None:
-        with self.lock:
-            self.number += 1
-            self.notices.append({"type": kind, "n": self.number, "job": job, **fields})
-            self.send(self.notices[-1])
+        result = base64.b64encode(b"done " + run.key.encode()).decode()
+        self._notify("finished", job, state="complete", took=run.work_ms, data=result)
 
-    def say(self, message: dict[str, Any]) -> None:
+    def _notify(self, kind: str, job: str, **fields: Any) -> None:
         with self.lock:
-            self.send(message)
-
-    def send(self, message: dict[str, Any]) -> None:
-        """Under the lock. What a broken link takes with it is told on the next one."""
+            self.last_number += 1
+            notice = {"type": kind, "n": self.last_number, "job": job, **fields}
+            self.notices.append(notice)
+            self._send(notice)
+
+    def _send(self, message: dict[str, Any]) -> None:
+        """Under the lock. What a broken link loses is sent on the next one."""
+        if self.sock is None:
+            return
         with contextlib.suppress(OSError):
             self.sock.sendall(json.dumps(message).encode() + b"\n")
 
 
-def serve_many(pipe: Any, count: int, cores: float) -> None:
-    """As `serve`, of several pools: sends their ports, and what they counted together."""
-    pools = [FakeWorkerPool(cores, Script([(0.0, 0.0)])) for _ in range(count)]
+def serve_many(pipe: "Connection[Any, Any]", count: int, cores: float) -> None:
+    """Run several worker pools as one `FakeProcess`, which counts their runs together."""
+    pools = [FakeWorkerPool(cores, CONSTANT_ZERO) for _ in range(count)]
     pipe.send([pool.listener.getsockname()[1] for pool in pools])
     while pipe.recv() is not None:
         pass
@@ -126,9 +160,10 @@
     pipe.send({"ran": ran})
 
 
-def serve(pipe: Any, cores: float, taken: list[tuple[float, float]]) -> None:
-    workers = FakeWorkerPool(cores, Script(taken))
-    pipe.send(workers.listener.getsockname()[1])
-    while (told := pipe.recv()) is not None:
-        workers.shared.began = told
-    pipe.send({"ran": workers.ran, "work": workers.work, "left": len(workers.runs)})
+def serve(pipe: "Connection[Any, Any]", cores: float, neighbour: Sequence[tuple[float, float]]) -> None:
+    """Run a worker pool as a `FakeProcess`; its counts are those of the class."""
+    pool = FakeWorkerPool(cores, StepSchedule(neighbour))
+    pipe.send(pool.listener.getsockname()[1])
+    while (started_at_s := pipe.recv()) is not None:
+        pool.capacity.started_at_s = started_at_s
+    pipe.send({"ran": pool.ran, "work": pool.work_ms, "left": len(pool.runs)})
--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 
 SHORT = 0.3
 """Seconds that the other side gets where a guard holds it; where none does it needs a ms."""
@@ -29,7 +29,7 @@
         """Pass the checkpoint, or be held until it is opened."""
         if self.holds() and self.first.acquire(blocking=False):
             self.reached.set()
-            assert self.through.wait(PATIENCE), "held for good: the test never let it through"
+            assert self.through.wait(WAIT_TIMEOUT_S), "held for good: the test never let it through"
 
     def before(self, act: Callable[..., Any]) -> Callable[..., Any]:
         """Return a function that passes the checkpoint and then calls `act`."""
@@ -42,7 +42,7 @@
 
     def wait(self) -> None:
         """Return once a thread is held: the proof that the order occurred."""
-        assert self.reached.wait(PATIENCE), "nobody came to the checkpoint"
+        assert self.reached.wait(WAIT_TIMEOUT_S), "nobody came to the checkpoint"
 
     def open(self) -> None:
         """Let the held thread go on."""
@@ -111,6 +111,6 @@
             queue.Empty: none came in time.
         """
         while True:
-            entry = self.events.get(timeout=PATIENCE)
+            entry = self.events.get(timeout=WAIT_TIMEOUT_S)
             if entry[0] == wanted:
                 return entry[1:]
--- a/testkit/faults/server_cluster.py
+++ b/testkit/faults/server_cluster.py
@@ -14,7 +14,7 @@
 from typing import Any, Self
 
 from testkit.fakes import records_service, worker_pool
-from testkit.fakes.schedule import Apart
+from testkit.fakes.fake_process import FakeProcess
 from testkit.faults.cluster import PROJECT_ROOT, Cluster, free_ports
 from testkit.faults.relay import Links
 
@@ -77,8 +77,8 @@
         self.ports = {name: ports.pop() for name in self.names}
         self.programs = {name: ("127.0.0.1", ports.pop()) for name in self.names}
         self.links = Links(self.programs if together else {}, seed)
-        self.worker_pools = Apart(worker_pool.serve_many, count, WORKER_POOL_CORES)
-        self.records_service = Apart(
+        self.worker_pools = FakeProcess(worker_pool.serve_many, count, WORKER_POOL_CORES)
+        self.records_service = FakeProcess(
             records_service.serve, records_speed.slots, records_speed.call_ms, records_speed.factors
         )
         for number, name in enumerate(self.names):
--- a/testkit/faults/waiting.py
+++ b/testkit/faults/waiting.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.002
 """Suits conditions that only read memory."""
@@ -13,7 +13,7 @@
 def wait_until(
     condition: Callable[[], Any],
     what: str = "",
-    timeout_s: float = PATIENCE,
+    timeout_s: float = WAIT_TIMEOUT_S,
     poll_interval_s: float = POLL_INTERVAL_S,
 ) -> None:
     """Return once `condition()` is true.
--- a/tests/admission/test_factory.py
+++ b/tests/admission/test_factory.py
@@ -1,6 +1,6 @@
 """Controllers built from settings, beside each other."""
 
-from helpers import TOLD, Recorder
+from helpers import SETTINGS, Recorder
 
 from vetchford.admission import factory
 from vetchford.admission.request import RequestArrival, RequestState
@@ -9,9 +9,12 @@
 
 def test_two_controllers_with_different_settings_do_not_affect_each_other():
     short = {"promise": 900_000_000, "deadline": 1_500_000_000}
-    told = {**TOLD, "requestClasses": [{**entry, **short} for entry in TOLD["requestClasses"]]}
+    told = {
+        **SETTINGS,
+        "requestClasses": [{**entry, **short} for entry in SETTINGS["requestClasses"]],
+    }
     other = {
-        **TOLD,
+        **SETTINGS,
         "requestClasses": [
             {
                 "name": "pay",
--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from helpers import Running
+from helpers import ServerOptions, ServerProcess
 
 from testkit.faults.waiting import wait_until
 
@@ -23,23 +23,23 @@
 def server(tmp_path):
     file = tmp_path / "pools.vet"
     file.write_text(POOLS)
-    with Running(tmp_path, given=("--with", str(file))) as running:
+    with ServerProcess(tmp_path, ServerOptions(arguments=("--with", str(file)))) as running:
         running.file = file
         yield running
 
 
 def test_a_light_request_starts_on_its_reserve_and_the_log_counts_it(server):
     caller = server.balancer()
-    pays = [caller.ask(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
+    pays = [caller.request(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
     server.pool.take("spawn")
     server.pool.take("spawn")
-    read = caller.ask(10, "read")
+    read = caller.request(10, "read")
     assert server.pool.take("spawn")[1]["job"] == read
     server.pool.finish(read)
-    assert caller.hear()["id"] == 10
+    assert caller.receive()["id"] == 10
     for n in range(6):
         server.pool.finish(pays[n])
-        assert caller.hear()["id"] == n + 1
+        assert caller.receive()["id"] == n + 1
         if n < 4:
             server.pool.take("spawn")
     log = server.stop()
@@ -48,7 +48,7 @@
 
 def test_sighup_with_full_bulkheads_keeps_them_and_logs_that_changes_wait_for_the_next_start(server):
     caller = server.balancer()
-    jobs = [caller.ask(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
+    jobs = [caller.request(n, "pay", unique=f"{n:032x}") for n in range(1, 7)]
     server.pool.take("spawn")
     server.pool.take("spawn")
     server.file.write_text(POOLS.replace("20%", "50%").replace("80%", "50%"))
@@ -57,7 +57,7 @@
     server.process.send_signal(signal.SIGHUP)
     for n, job in enumerate(jobs):
         server.pool.finish(job)
-        assert caller.hear()["id"] == n + 1
+        assert caller.receive()["id"] == n + 1
         if n < 4:
             server.pool.take("spawn")
     reloaded = re.compile("configuration_(renewed.*declared|refused.*pools.heavy.share)")
@@ -68,16 +68,16 @@
 def test_draining_with_full_bulkheads_answers_everything(server):
     caller = server.balancer()
     for n in range(1, 9):
-        caller.ask(n, "pay", unique=f"{n:032x}", limit=3000)
+        caller.request(n, "pay", unique=f"{n:032x}", limit=3000)
     for _ in range(2):
         server.pool.finish(server.pool.take("spawn")[1]["job"])
     server.process.send_signal(signal.SIGTERM)
     while server.process.poll() is None:
         try:
-            server.pool.finish(server.pool.heard.get(timeout=0.2)[1]["job"])
+            server.pool.finish(server.pool.received.get(timeout=0.2)[1]["job"])
         except Exception:
             continue
-    heard = {caller.hear()["id"] for _ in range(8)}
+    heard = {caller.receive()["id"] for _ in range(8)}
     assert heard == set(range(1, 9)) and server.process.returncode == 0
 
 
--- a/tests/configuration/test_command.py
+++ b/tests/configuration/test_command.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import TOLD
+from helpers import SETTINGS
 
 from vetchford.errors import MalformedInputError
 from vetchford.server import platform_config
@@ -22,7 +22,7 @@
     "seed": "8c",
     "stop_ms": 3200,
     "limits": {"sockets": 128},
-    "settings": TOLD,
+    "settings": SETTINGS,
 }
 
 
--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.pools import settings
-from testkit.fakes.load_generator import Flow, Load
+from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from testkit.faults.server_cluster import RecordsSpeed, ServerCluster, max_concurrent_leases
 
 
@@ -71,13 +71,13 @@
     ) as several:
         several.start()
         several.wait_until(lambda: leaders(several), 20.0, "nobody leads")
-        flows = [Flow("fee-quote", 10.0, 5.0, 1), Flow("charge", 10.0, 5.0, 1, True)]
+        flows = [TrafficClass("fee-quote", 10.0, 5.0, 1), TrafficClass("charge", 10.0, 5.0, 1, True)]
         loads = [
-            Load(port, flows, 16.0, 1800.0, 4400.0, seed=n, connections=4)
+            LoadGenerator(port, flows, 16.0, 1800.0, 4400.0, seed=n, connections=4)
             for n, port in enumerate(several.ports.values())
         ]
         at = time.time() + 0.5
-        several.records_service.begin(at)
+        several.records_service.start_schedules(at)
         threads = [threading.Thread(target=load.run, args=(at,)) for load in loads]
         for thread in threads:
             thread.start()
@@ -108,9 +108,10 @@
         for thread in threads:
             thread.join()
         assert several.events("lease_acquired") and max_concurrent_leases(several) == 1
-        assert not [line for load in loads for line in load.wrong] and not any(load.cut for load in loads)
+        assert not [line for load in loads for line in load.violations]
+        assert not any(load.lost for load in loads)
         several.stop()
-        assert max(several.records_service.end()["ran"].values()) == 1
+        assert max(several.records_service.stop()["ran"].values()) == 1
         assert not several.internal_errors()
 
 
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.checkpoints import Checkpoint, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.fleet import health_checker, supervisor
@@ -45,7 +45,7 @@
         answering, _ = run_in_thread(answer)
         monkeypatch.setattr(socket, "socket", ByteByByte)
         assert health_checker.is_ready(f"127.0.0.1:{listener.getsockname()[1]}") is (word == b"true")
-        answering.join(PATIENCE)
+        answering.join(WAIT_TIMEOUT_S)
         connections[0].close()
 
 
@@ -81,15 +81,15 @@
             checker.run()
 
     thread, _ = run_in_thread(checking)
-    assert looked.wait(PATIENCE)
+    assert looked.wait(WAIT_TIMEOUT_S)
     no_threads.set()
     checker.processes = Processes(n0=1, n1=2, n2=3)
-    assert refused.wait(PATIENCE)
+    assert refused.wait(WAIT_TIMEOUT_S)
     no_threads.clear()
     gate.open()
     wait_until(lambda: checked == {"n0", "n1", "n2"}, "all are checked")
     over.set()
-    thread.join(PATIENCE)
+    thread.join(WAIT_TIMEOUT_S)
 
 
 # -- its processes
@@ -99,7 +99,7 @@
     """It ended, its end is not read yet, and its number leads another session by now."""
     ended = subprocess.Popen([sys.executable, "-S", "-c", ""])
     pidfd = os.pidfd_open(ended.pid)
-    ended.wait(PATIENCE)
+    ended.wait(WAIT_TIMEOUT_S)
     other = subprocess.Popen(
         [sys.executable, "-S", "-c", "input()"], stdin=subprocess.PIPE, start_new_session=True
     )
@@ -107,7 +107,7 @@
         adopted = supervisor.Process(other.pid, "another's start", pidfd, None)
         Agent.kill(SimpleNamespace(processes={"n0": adopted}), "n0")
         other.terminate()
-        assert other.wait(PATIENCE) == -signal.SIGTERM  # else SIGKILL was there first
+        assert other.wait(WAIT_TIMEOUT_S) == -signal.SIGTERM  # else SIGKILL was there first
     finally:
         other.kill()
         other.wait()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 import vetchford
-from testkit.fakes.peers import TOLD, Balancer
-from testkit.fakes.server_process import Running
+from testkit.fakes.peers import SETTINGS, Balancer
+from testkit.fakes.server_process import ServerOptions, ServerProcess
 from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit
 from vetchford.admission.controller import AdmissionController
 from vetchford.admission.in_flight_bytes import InFlightBytes
@@ -19,10 +19,11 @@
 __all__ = [
     "GOOD",
     "ROOT",
-    "TOLD",
+    "SETTINGS",
     "Balancer",
     "Recorder",
-    "Running",
+    "ServerOptions",
+    "ServerProcess",
     "new_controller",
     "request_class",
     "send",
@@ -38,7 +39,7 @@
     "seed": "8c1f30d27a5be964",
     "stop_ms": 3200,
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
-    "settings": TOLD,
+    "settings": SETTINGS,
 }
 
 
--- a/tests/runtime/test_thread_pool.py
+++ b/tests/runtime/test_thread_pool.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.waiting import wait_until
 from vetchford.runtime import thread_pool as thread_pools
 from vetchford.runtime.metrics import Metrics
@@ -16,8 +16,8 @@
     thread_pool.start()
     wait_until(lambda: thread_pool.free == 1, "its first thread waits")
     held, busy = threading.Event(), threading.Event()
-    thread_pool.run(lambda: (busy.set(), held.wait(PATIENCE)))
-    assert busy.wait(PATIENCE)
+    thread_pool.run(lambda: (busy.set(), held.wait(WAIT_TIMEOUT_S)))
+    assert busy.wait(WAIT_TIMEOUT_S)
 
     def none(*given):
         raise RuntimeError("can't start new thread")
@@ -26,12 +26,12 @@
     thread_pool.run(done.set)
     assert not done.is_set() and thread_pool.metrics.by_name["no_thread"] == 1
     held.set()
-    assert done.wait(PATIENCE)
+    assert done.wait(WAIT_TIMEOUT_S)
     time.sleep(0)  # past its rest the thread is still there for the next
     monkeypatch.setattr(thread_pools, "IDLE_THREAD_TIMEOUT_S", 0.01)
     again = threading.Event()
     thread_pool.run(again.set)
-    assert again.wait(PATIENCE)
+    assert again.wait(WAIT_TIMEOUT_S)
 
 
 def test_starting_a_thread_is_retried_until_it_succeeds(monkeypatch):
--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -6,7 +6,7 @@
 import types
 
 import pytest
-from helpers import TOLD, Recorder
+from helpers import SETTINGS, Recorder
 
 from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
@@ -33,7 +33,7 @@
         "window": 13_000_000_000,
     },
 ]
-INFO = {**TOLD["familyInfo"], "depShare": 3.0, "cores": 3, "classSkipWorth": [0.3, 0.0]}
+INFO = {**SETTINGS["familyInfo"], "depShare": 3.0, "cores": 3, "classSkipWorth": [0.3, 0.0]}
 
 
 class Day:
@@ -42,7 +42,7 @@
     def __init__(self, seed, monkeypatch):
         self.chance, self.now = random.Random(seed), 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
-        settings = platform_settings.decode({**TOLD, "requestClasses": CLASSES, "familyInfo": INFO})
+        settings = platform_settings.decode({**SETTINGS, "requestClasses": CLASSES, "familyInfo": INFO})
         self.actor = AdmissionActor(seed, settings, Metrics())
         self.pool = WorkerPoolClient(("", 0), self.actor, Metrics())
         self.pool.run_or_post = self.sent
--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -3,7 +3,7 @@
 import queue
 
 import pytest
-from helpers import TOLD, Recorder
+from helpers import SETTINGS, Recorder
 
 from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
@@ -13,7 +13,10 @@
 
 @pytest.mark.parametrize("cold", [False, True])
 def test_the_slow_start_of_a_cold_worker_pool_counts_from_its_start(cold):
-    settings = {**TOLD, "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000}}
+    settings = {
+        **SETTINGS,
+        "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000},
+    }
     actor = AdmissionActor(7, platform_settings.decode(settings), Metrics())
     peer = Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
@@ -25,7 +28,7 @@
 
 def test_a_run_that_ended_since_the_poll_is_subtracted_from_the_gauge():
     # It would be taken off the slots, and a core would stand idle for what nobody reads.
-    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
@@ -39,7 +42,7 @@
 
 
 def test_the_timeout_and_work_of_a_request_are_capped_by_its_class():
-    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
@@ -65,7 +68,7 @@
 
 
 def test_a_request_that_the_controller_never_answers_is_failed_when_overdue():
-    actor, peer = AdmissionActor(7, platform_settings.decode(TOLD), Metrics()), Recorder()
+    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
     actor.attach(peer, peer, peer, peer, lambda: None)
     peer.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import Balancer
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.checkpoints import SHORT, Checkpoint, PostedEvents, Wrapped, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.protocol import json_rpc
@@ -52,15 +52,15 @@
     listener.add = checkpoint.before(listener.add)
     listener.start()
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     checkpoint.wait()
     closing, done = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
     closing.join(SHORT)
     checkpoint.open()
-    closing.join(PATIENCE)
+    closing.join(WAIT_TIMEOUT_S)
     assert done == [False]
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
 
 
 def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(under_test):
@@ -69,7 +69,7 @@
     listening = listener.sock
     listener.idle_poller.start()  # no thread accepts: what connects waits in the backlog
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     tries = []
 
     def accept():
@@ -83,7 +83,7 @@
     assert tries == [1] and not listener.is_drained()
     listener.close()
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}
 
 
 @pytest.mark.parametrize("by", ["accept", "close"])
@@ -102,16 +102,16 @@
 
     listener.sock = Wrapped(listening, accept=accept)
     first, second = Balancer(under_test.port), Balancer(under_test.port)
-    second.ask(1)
+    second.request(1)
     if by == "accept":
         listener.start()
     else:
         listener.idle_poller.start()
         listener.close()
     under_test.finish(*under_test.request())
-    heard = [second.hear() for _ in range(1 if by == "accept" else 2)]
+    heard = [second.receive() for _ in range(1 if by == "accept" else 2)]
     assert 1 in [message.get("id") for message in heard]
-    assert bad and first.hear() is None
+    assert bad and first.receive() is None
     wait_until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
 
 
@@ -120,7 +120,7 @@
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     listener.close()  # the poller does not run yet: the process was paused
     wait_until(
         lambda: all(connection.state.close_requested_at_s for connection in listener.connections),
@@ -129,7 +129,7 @@
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}
     wait_until(listener.is_drained, "the end once it is answered")
 
 
@@ -140,8 +140,8 @@
     listener.start()
     client = Balancer(under_test.port)
     whole, send = [], client.sock.sendall
-    client.raw = whole.append
-    client.ask(1)
+    client.send_bytes = whole.append
+    client.request(1)
     send(whole[0][:60])
     wait_until(
         lambda: any(
@@ -150,11 +150,11 @@
         "half is read",
     )
     listener.close()
-    assert client.hear()["method"] == "closing"
+    assert client.receive()["method"] == "closing"
     assert not listener.is_drained()
     send(whole[0][60:])
     under_test.finish(*under_test.request())
-    assert client.hear()["id"] == 1
+    assert client.receive()["id"] == 1
     wait_until(listener.is_drained, "the end once it is answered")
 
 
@@ -173,16 +173,16 @@
     listener.start()
     client = Balancer(under_test.port)
     checkpoint.wait()
-    client.ask(1)
+    client.request(1)
     sock = next(iter(listener.connections)).sock
     wait_until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
     checkpoint.open()
     first = under_test.request()
-    assert over.wait(PATIENCE)
-    client.ask(2)
+    assert over.wait(WAIT_TIMEOUT_S)
+    client.request(2)
     under_test.finish(*under_test.request())
     under_test.finish(*first)
-    assert {client.hear()["id"], client.hear()["id"]} == {1, 2}
+    assert {client.receive()["id"], client.receive()["id"]} == {1, 2}
 
 
 class PolledConnection:
@@ -232,7 +232,7 @@
         went = None
     checkpoint.open()
     assert went is None or went
-    assert connection.timed_out.get(timeout=PATIENCE) or connection.back.wait(PATIENCE)
+    assert connection.timed_out.get(timeout=WAIT_TIMEOUT_S) or connection.back.wait(WAIT_TIMEOUT_S)
 
 
 def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(under_test):
@@ -246,6 +246,6 @@
     listener.start()
     client = Balancer(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
-    assert client.hear()["id"] == 1 and client.hear() is None
+    assert client.receive()["id"] == 1 and client.receive() is None
     wait_until(lambda: not listener.connections, "it leaves the table")
     assert under_test.metrics.by_name["connections_not_watched"] == 1
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from testkit.fakes.peers import PATIENCE, RecordsPeer
+from testkit.fakes.peers import WAIT_TIMEOUT_S, RecordsPeer
 from testkit.faults.checkpoints import SHORT, Checkpoint, HeldLock, PostedEvents, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.runtime.metrics import Metrics
@@ -34,8 +34,8 @@
     calling, _ = run_in_thread(lambda: records.start_call("b", 2, until_ms, b"ask", False))
     calling.join(SHORT)
     checkpoint.open()
-    giving_up.join(PATIENCE)
-    calling.join(PATIENCE)
+    giving_up.join(WAIT_TIMEOUT_S)
+    calling.join(WAIT_TIMEOUT_S)
     _, name, _, other = service.take("OP")
     assert name == "b"
     other.sendall(b"b DONE 2\r\nok\r\n")
@@ -59,7 +59,7 @@
     checkpoint.wait()  # "b" is no longer among the waiting
     records.cancel_call("b", 2)
     checkpoint.open()
-    assert done.wait(PATIENCE)
+    assert done.wait(WAIT_TIMEOUT_S)
     assert 2 not in records.in_flight and not records.waiting  # else it is out, and nobody will give it up
 
 
--- a/tests/server/test_registry_races.py
+++ b/tests/server/test_registry_races.py
@@ -3,7 +3,7 @@
 import errno
 import socket
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.checkpoints import Checkpoint, Wrapped
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.registry_reporter import RegistryReporter
@@ -12,7 +12,7 @@
 def test_a_readiness_change_during_a_heartbeat_is_sent_next():
     service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     service.bind(("127.0.0.1", 0))
-    service.settimeout(PATIENCE)
+    service.settimeout(WAIT_TIMEOUT_S)
     reporter, checkpoint = RegistryReporter(service.getsockname(), "n1", Metrics()), Checkpoint()
     reporter.sock = Wrapped(reporter.sock, sendto=checkpoint.before(reporter.sock.sendto))
     reporter.start()
@@ -27,7 +27,7 @@
     services = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
     for service in services:
         service.bind(("127.0.0.1", 0))
-        service.settimeout(PATIENCE)
+        service.settimeout(WAIT_TIMEOUT_S)
     reporter, failed = RegistryReporter(services[0].getsockname(), "n1", Metrics()), []
     send = reporter.sock.sendto
 
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 
 import pytest
-from helpers import TOLD, Balancer, Running
+from helpers import SETTINGS, Balancer, ServerOptions, ServerProcess
 from rpc_values import IDEMPOTENCY_KEY, content
 
 
 def test_a_request_with_a_dependency_call_is_served_with_all_bodies_unchanged(server):
     client = server.balancer()
-    job = client.ask(1, content=base64.b64encode(bytes(range(256))).decode())
+    job = client.request(1, content=base64.b64encode(bytes(range(256))).decode())
     spawned = server.pool.take("spawn")[1]
     assert (spawned["job"], spawned["kind"]) == (job, "read")
     assert base64.b64decode(spawned["data"]) == bytes(range(256))
@@ -23,7 +23,7 @@
     connection.sendall(b"%b DONE 6\r\n\r\nyes\0\r\n" % job.encode())
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"\r\nyes\0"
     server.pool.finish(job, b"\xff" * 4096)
-    answer = client.hear()
+    answer = client.receive()
     assert answer["id"] == 1 and content(answer) == b"\xff" * 4096
     log = server.stop()
     assert "must_hold_broken" not in log and "finished=1" in log
@@ -31,86 +31,86 @@
 
 def test_answers_are_sent_as_runs_end_and_a_rejection_carries_a_retry_after(server):
     client = server.balancer()
-    jobs = [client.ask(n) for n in (1, 2, 3)]
+    jobs = [client.request(n) for n in (1, 2, 3)]
     # One whose client has almost stopped waiting is rejected at once: nothing of it ran.
-    client.ask(4, limit=10)
-    refused = client.hear()
+    client.request(4, limit=10)
+    refused = client.receive()
     assert refused["id"] == 4 and refused["error"]["code"] == -32050 and refused["error"]["data"]["later"] > 0
     for _ in jobs[:2]:
         server.pool.take("spawn")
     for at in (1, 0):
         server.pool.finish(jobs[at])
-        assert client.hear()["id"] == at + 1
+        assert client.receive()["id"] == at + 1
     server.pool.take("spawn")
     server.pool.finish(jobs[2], state="error")
-    failed = client.hear()
+    failed = client.receive()
     assert failed["id"] == 3 and failed["error"]["code"] != -32050
 
 
 def test_retries_with_one_idempotency_key_get_one_result_of_one_run(server):
     one, two = server.balancer(), server.balancer()
-    job = one.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
+    job = one.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
-    two.ask(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
-    two.ask(2, "read", txn="a3")  # read behind the repeat, on the same connection
+    two.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
+    two.request(2, "read", txn="a3")  # read behind the repeat, on the same connection
     server.pool.take("spawn")
     server.pool.finish(job, b"paid")
-    assert content(one.hear()) == b"paid"
-    assert content(two.hear()) == b"paid"
-    two.ask(3, "pay", txn="a4", unique=IDEMPOTENCY_KEY)
-    assert content(two.hear()) == b"paid"
+    assert content(one.receive()) == b"paid"
+    assert content(two.receive()) == b"paid"
+    two.request(3, "pay", txn="a4", unique=IDEMPOTENCY_KEY)
+    assert content(two.receive()) == b"paid"
     server.pool.finish("a3")
-    two.hear()
-    assert server.pool.nothing_more("spawn")
+    two.receive()
+    assert server.pool.received_none_of("spawn")
 
 
 def test_a_retry_after_the_key_window_runs_as_a_new_request(server):
     client = server.balancer()
-    job = client.ask(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
-    first = client.hear()  # too old to be run: rejected, and its fingerprint forgotten
+    job = client.request(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
+    first = client.receive()  # too old to be run: rejected, and its fingerprint forgotten
     assert first["error"]["code"] == -32050
-    job = client.ask(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
+    job = client.request(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
     assert server.pool.take("spawn")[1]["job"] == job
     server.pool.finish(job)
-    client.hear()
+    client.receive()
 
 
 def test_a_retry_of_a_failed_run_fails_and_does_not_run(server):
     client = server.balancer()
-    job = client.ask(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
+    job = client.request(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.finish(job, state="error")
-    assert client.hear()["error"]["code"] == -32051
-    client.ask(2, "pay", txn="c2", unique=IDEMPOTENCY_KEY)
-    assert client.hear()["error"]["code"] == -32051
-    assert server.pool.nothing_more("spawn")
+    assert client.receive()["error"]["code"] == -32051
+    client.request(2, "pay", txn="c2", unique=IDEMPOTENCY_KEY)
+    assert client.receive()["error"]["code"] == -32051
+    assert server.pool.received_none_of("spawn")
 
 
 def test_before_the_worker_pool_is_bound_the_server_is_not_ready_and_rejects(tmp_path):
-    with Running(tmp_path, up=False) as server:
+    with ServerProcess(tmp_path, ServerOptions(up=False)) as server:
         client = server.balancer()
         client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
-        assert client.hear()["result"] == {"serving": False}
-        client.ask(2)
-        assert client.hear()["error"]["code"] == -32050
+        assert client.receive()["result"] == {"serving": False}
+        client.request(2)
+        assert client.receive()["error"]["code"] == -32050
         server.pool.up.set()
-        assert server.heard_report() == ["HB", "n1", "UP"]
+        assert server.receive_report() == ["HB", "n1", "UP"]
         client.send({"jsonrpc": "2.0", "id": 3, "method": "check", "params": {"probe": True}})
-        assert client.hear()["result"] == {"serving": True}
+        assert client.receive()["result"] == {"serving": True}
 
 
 def test_a_reload_moves_all_peers_under_load_and_a_wrong_configuration_changes_nothing(server):
     client = server.balancer()
-    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     old_pool = server.pool
     old_pool.take("spawn")
     for rpc_id in (2, 3):  # more than once
-        old_pool, old_records, _ = server.move()
+        old_pool, old_records, _ = server.move_peers()
         assert server.pool.take("bind")[1]["n"] == old_pool.number  # the numbers go on
-        assert server.heard_report() == ["HB", "n1", "UP"]
+        assert server.receive_report() == ["HB", "n1", "UP"]
         server.pool.finish(job)
-        assert client.hear()["id"] == rpc_id - 1
-        job = client.ask(rpc_id)
+        assert client.receive()["id"] == rpc_id - 1
+        job = client.request(rpc_id)
         server.pool.take("spawn")
         server.pool.block(job)
         server.records.take("OP")[3].sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
@@ -119,9 +119,9 @@
         server.process.send_signal(signal.SIGHUP)
         while "".join(server.log).count("event=configuration_refused") < rpc_id - 1:
             time.sleep(0.01)
-        assert old_pool.nothing_more("spawn") and old_records.nothing_more("OP")
+        assert old_pool.received_none_of("spawn") and old_records.received_none_of("OP")
     server.pool.finish(job)
-    assert client.hear()["id"] == 3
+    assert client.receive()["id"] == 3
     log = server.stop()
     assert log.count("event=configuration_refused") == 2 and "key 'listen'" in log
     assert log.count("moved=pool,records,members") == 2
@@ -138,94 +138,96 @@
 
 def test_a_graceful_shutdown_answers_open_requests_rejects_late_ones_and_exits_with_0(server):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
     server.process.terminate()
-    while server.heard_report()[2] != "OUT":
+    while server.receive_report()[2] != "OUT":
         pass
-    assert client.hear()["method"] == "closing"
+    assert client.receive()["method"] == "closing"
     with pytest.raises(OSError):  # refused: nothing ran
         Balancer(server.port)
     server.pool.finish(job)
-    assert client.hear()["id"] == 1
+    assert client.receive()["id"] == 1
     client.sock.close()
     client.file.close()
     assert server.process.wait(20) == 0
 
 
 def test_a_graceful_shutdown_fails_a_run_that_never_ends_before_the_kill(tmp_path):
-    with Running(tmp_path, stop_ms=1200) as server:
+    with ServerProcess(tmp_path, ServerOptions(stop_ms=1200)) as server:
         client = server.balancer()
-        client.ask(1)
+        client.request(1)
         server.pool.take("spawn")
         server.process.terminate()
-        heard = [client.hear(), client.hear()]
+        heard = [client.receive(), client.receive()]
         assert sorted("error" in message for message in heard) == [False, True]
         assert server.process.wait(20) == 0
 
 
 def test_a_killed_server_can_restart_on_its_address_at_once(server, tmp_path):
     client = server.balancer()
-    client.ask(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
+    client.request(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.kill()
     server.process.wait()
-    with Running(tmp_path, listen=f"127.0.0.1:{server.port}", cold=True) as again:
+    with ServerProcess(tmp_path, ServerOptions(listen=f"127.0.0.1:{server.port}", cold=True)) as again:
         client = again.balancer()
-        job = client.ask(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)  # nothing is known of the life before
+        # Nothing is known of the incarnation before.
+        job = client.request(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)
         assert again.pool.take("spawn")[1]["job"] == job
         again.pool.finish(job)
-        assert "result" in client.hear()
+        assert "result" in client.receive()
 
 
 def test_a_run_that_never_ends_is_failed_at_its_deadline(server):
     client = server.balancer()
-    client.ask(1, limit=700)
+    client.request(1, limit=700)
     server.pool.take("spawn")
-    assert client.hear()["error"]["code"] == -32051  # it may have had its effect
+    assert client.receive()["error"]["code"] == -32051  # it may have had its effect
 
 
 def test_a_paused_process_loses_no_answer(server):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
     server.process.send_signal(signal.SIGSTOP)
     server.pool.finish(job)
-    client.ask(2, txn="p2")
+    client.request(2, txn="p2")
     server.process.send_signal(signal.SIGCONT)
-    assert client.hear()["id"] == 1
+    assert client.receive()["id"] == 1
     server.pool.take("spawn")
     server.pool.finish("p2")
-    assert client.hear()["id"] == 2
+    assert client.receive()["id"] == 2
 
 
 def test_an_idempotency_key_with_another_body_is_another_request(server):
     client, bad = server.balancer(), server.balancer()
-    job = client.ask(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
+    job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
-    bad.ask(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
+    bad.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
     assert server.pool.take("spawn")[1]["job"] == "a2"  # no repeat; the pool knows no such task
-    server.pool.say({"type": "unknown", "state": "spawn", "job": "a2"})
-    assert bad.hear()["error"]["code"] == -32051
+    server.pool.send({"type": "unknown", "state": "spawn", "job": "a2"})
+    assert bad.receive()["error"]["code"] == -32051
     server.pool.finish(job, b"paid")
-    assert content(client.hear()) == b"paid"
-    server.balancer().ask(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
+    assert content(client.receive()) == b"paid"
+    server.balancer().request(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
     assert server.pool.take("spawn")[1]["job"] == "a3"  # what never ran has left nothing to share
 
 
 def test_a_server_without_a_records_service_serves_reloads_and_survives_a_stray_call(tmp_path):
-    info = {**TOLD["familyInfo"], "below": "silent"}
-    with Running(tmp_path, no_records=True, familyInfo=info) as server:
+    info = {**SETTINGS["familyInfo"], "below": "silent"}
+    with ServerProcess(tmp_path, ServerOptions(has_records=False), familyInfo=info) as server:
         client = server.balancer()
-        odd, job = client.ask(1, txn="o1", limit=900), client.ask(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
+        odd = client.request(1, txn="o1", limit=900)
+        job = client.request(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
         for _ in range(2):
             server.pool.take("spawn")
         server.pool.block(odd)  # there is nobody to call: it ends by its limit, and nobody else with it
-        server.move()
+        server.move_peers()
         server.pool.take("bind")
         server.pool.finish(job, b"done")
-        assert content(client.hear()) == b"done"
-        assert client.hear()["error"]["code"] == -32051
+        assert content(client.receive()) == b"done"
+        assert client.receive()["error"]["code"] == -32051
         server.pool.finish(odd, state="cancelled")
         log = server.stop()
         assert "moved=pool,members" in log and "must_hold_broken" not in log
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import TOLD, Running
+from helpers import SETTINGS, ServerOptions, ServerProcess
 from rpc_values import IDEMPOTENCY_KEY, content
 
 
@@ -15,46 +15,48 @@
     check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
     with contextlib.suppress(OSError):
         for _ in range(400):
-            unread.raw((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
+            unread.send_bytes((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
     server.pool.finish(job)
-    assert client.hear()["id"] == 1
+    assert client.receive()["id"] == 1
 
 
 def test_a_half_closed_connection_still_gets_its_answers(server):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     client.sock.shutdown(socket.SHUT_WR)
     server.pool.take("spawn")
     server.pool.finish(job)
-    assert client.hear()["id"] == 1 and client.hear() is None
+    assert client.receive()["id"] == 1 and client.receive() is None
 
 
 def test_a_connection_reset_loses_no_answer_of_other_clients(server):
     gone, stays = server.balancer(), server.balancer()
-    lost, kept = gone.ask(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY), stays.ask(1, txn="f2")
+    lost = gone.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
+    kept = stays.request(1, txn="f2")
     for _ in range(2):
         server.pool.take("spawn")
-    gone.gone()
+    gone.reset()
     server.pool.finish(lost, b"kept for its repeat")
     server.pool.finish(kept)
-    assert stays.hear()["id"] == 1
-    stays.ask(2, "pay", txn="f3", unique=IDEMPOTENCY_KEY)
-    assert content(stays.hear()) == b"kept for its repeat"
+    assert stays.receive()["id"] == 1
+    stays.request(2, "pay", txn="f3", unique=IDEMPOTENCY_KEY)
+    assert content(stays.receive()) == b"kept for its repeat"
 
 
 def test_idle_connections_are_asked_to_close_and_those_with_open_requests_are_not(tmp_path):
-    info = {**TOLD["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}  # clients that hardly come back
-    with Running(tmp_path, familyInfo=info) as server:
+    # Clients that hardly come back.
+    info = {**SETTINGS["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}
+    with ServerProcess(tmp_path, familyInfo=info) as server:
         idle, busy = server.balancer(), server.balancer()
-        job = busy.ask(1)
+        job = busy.request(1)
         server.pool.take("spawn")
-        assert idle.hear()["method"] == "closing" and idle.hear() is None
+        assert idle.receive()["method"] == "closing" and idle.receive() is None
         server.pool.finish(job)
-        assert busy.hear()["id"] == 1
-        assert busy.hear()["method"] == "closing"
+        assert busy.receive()["id"] == 1
+        assert busy.receive()["method"] == "closing"
 
 
 GOOD_PARAMS = {"txn": "ff", "door": 1.0, "team": "acme", "content": "", "ram": 1.0}
@@ -107,87 +109,87 @@
         if isinstance(message, dict) and message.get("params") and message["params"].get("door") == 1.0:
             message = {**message, "params": {**message["params"], "door": time.time() * 1000.0}}
         client.send(message)
-        heard = client.hear()
+        heard = client.receive()
         assert (heard["error"]["code"], heard["id"]) == (code, rpc_id), message
     client = server.balancer()
-    client.ask(8)
+    client.request(8)
     server.pool.take("spawn")
-    client.ask(8, txn="ab")  # under this id an answer would pass for the open task's
-    assert client.hear()["id"] is None
-    client.ask(9, txn=f"{8:016x}")
-    assert client.hear()["error"]["code"] == -32602
+    client.request(8, txn="ab")  # under this id an answer would pass for the open task's
+    assert client.receive()["id"] is None
+    client.request(9, txn=f"{8:016x}")
+    assert client.receive()["error"]["code"] == -32602
     server.pool.finish(f"{8:016x}")
-    assert "result" in client.hear()
+    assert "result" in client.receive()
 
 
 def test_a_connection_with_too_many_bad_messages_is_closed(server):
     client = server.balancer()
-    client.ask(1)
+    client.request(1)
     server.pool.take("spawn")
     for _ in range(20):
         client.send(b"{}")
-    heard = [client.hear() for _ in range(10)]
+    heard = [client.receive() for _ in range(10)]
     assert [message.get("method") for message in heard] == [None] * 9 + ["closing"]
     server.pool.finish(f"{1:016x}")
-    assert client.hear()["id"] == 1 and client.hear() is None
+    assert client.receive()["id"] == 1 and client.receive() is None
 
 
 def test_notifications_do_not_close_the_connection(server):
     client = server.balancer()
-    client.ask(1)
+    client.request(1)
     server.pool.take("spawn")
     for _ in range(30):
         client.send({"jsonrpc": "2.0", "method": "what"})
         client.send({"jsonrpc": "2.0", "method": "read"})
-        assert client.hear()["error"]["code"] == -32600  # to the second alone
+        assert client.receive()["error"]["code"] == -32600  # to the second alone
     server.pool.finish(f"{1:016x}")
-    assert client.hear()["id"] == 1
-    client.ask(2)
+    assert client.receive()["id"] == 1
+    client.request(2)
     assert server.pool.take("spawn")
 
 
 def test_requests_over_the_limit_of_a_connection_are_rejected_and_it_stays_open(server):
     client = server.balancer()
     for rpc_id in range(1, 65 + 20):  # the last twenty are too many; as bad messages they would end it
-        client.ask(rpc_id)
-    refused = [client.hear() for _ in range(20)]
+        client.request(rpc_id)
+    refused = [client.receive() for _ in range(20)]
     assert {message["error"]["code"] for message in refused} == {-32050}
     server.pool.finish(server.pool.take("spawn")[1]["job"])
-    assert "result" in client.hear()
+    assert "result" in client.receive()
 
 
 def test_a_client_whose_requests_the_worker_pool_does_not_know_is_rejected_and_closed(server):
     client, bad = server.balancer(), server.balancer()
     for rpc_id in range(1, 6):
-        bad.ask(rpc_id, txn=f"b{rpc_id}")
+        bad.request(rpc_id, txn=f"b{rpc_id}")
     for _ in range(2):  # one on each core, the others are held
         server.pool.take("spawn")
-    client.ask(1, txn="c1")
-    server.pool.say({"type": "unknown", "state": "spawn", "job": "b1"})
-    heard = [bad.hear() for _ in range(5)]
+    client.request(1, txn="c1")
+    server.pool.send({"type": "unknown", "state": "spawn", "job": "b1"})
+    heard = [bad.receive() for _ in range(5)]
     assert sorted(m["error"]["code"] for m in heard if "id" in m) == [-32051, -32050, -32050, -32050]
     assert [m["method"] for m in heard if "method" in m] == ["closing"]
     assert server.pool.take("spawn")[1]["job"] == "c1"
-    server.pool.say({"type": "unknown", "state": "spawn", "job": "b2"})
-    assert bad.hear()["error"]["code"] == -32051 and bad.hear() is None
+    server.pool.send({"type": "unknown", "state": "spawn", "job": "b2"})
+    assert bad.receive()["error"]["code"] == -32051 and bad.receive() is None
 
 
 @pytest.mark.parametrize("said", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
 def test_a_silent_connection_or_an_incomplete_message_times_out(server, said):
     client = server.balancer()
-    client.raw(said)
-    while client.hear() is not None:
+    client.send_bytes(said)
+    while client.receive() is not None:
         pass
 
 
 def test_silent_connections_do_not_lock_out_other_clients(tmp_path):
-    with Running(tmp_path, sockets=40) as server:
+    with ServerProcess(tmp_path, ServerOptions(sockets=40)) as server:
         silent = [server.balancer() for _ in range(60)]  # more than may be open
         client = server.balancer()
-        client.ask(1)
+        client.request(1)
         server.pool.take("spawn")
         server.pool.finish(f"{1:016x}")
-        assert client.hear()["id"] == 1
+        assert client.receive()["id"] == 1
         del silent
 
 
@@ -205,27 +207,27 @@
 )
 def test_an_unparsable_stream_is_closed_after_its_open_requests_are_answered(server, head):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
-    client.raw(head)
-    assert client.hear()["error"]["code"] == -32600
-    assert client.hear()["method"] == "closing"
+    client.send_bytes(head)
+    assert client.receive()["error"]["code"] == -32600
+    assert client.receive()["method"] == "closing"
     server.pool.finish(job)
-    assert client.hear()["id"] == 1
-    assert client.hear() is None
+    assert client.receive()["id"] == 1
+    assert client.receive() is None
 
 
 @pytest.mark.parametrize(("sockets", "files"), [(40, None), (1024, 24)])
 def test_a_full_connection_table_accepts_new_clients_as_others_leave(tmp_path, sockets, files):
-    with Running(tmp_path, sockets=sockets, files=files) as server:
+    with ServerProcess(tmp_path, ServerOptions(sockets=sockets, max_files=files)) as server:
         clients = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
-        job = clients[0].ask(1)
+        job = clients[0].request(1)
         server.pool.take("spawn")
         server.pool.finish(job)
-        assert clients[0].hear()["id"] == 1
-        clients[-1].ask(1, txn="ab")
+        assert clients[0].receive()["id"] == 1
+        clients[-1].request(1, txn="ab")
         for client in clients[:20]:  # those in the backlog leave with them
-            client.gone()
+            client.reset()
         assert server.pool.take("spawn")[1]["job"] == "ab"
         server.pool.finish("ab")
-        assert clients[-1].hear()["id"] == 1
+        assert clients[-1].receive()["id"] == 1
--- a/tests/server/test_server_records.py
+++ b/tests/server/test_server_records.py
@@ -4,17 +4,17 @@
 import socket
 
 import pytest
-from helpers import TOLD, Running
+from helpers import SETTINGS, ServerOptions, ServerProcess
 from rpc_values import IDEMPOTENCY_KEY
 
 # A call is cut off after half of its share (0.2) of `callsOver`: here 40 s, in the other tests 0.1 s, which a
 # busy machine takes to move a server to other peers.
-UNHURRIED_CALLS = {**TOLD["familyInfo"], "callsOver": 400_000_000_000}
+UNHURRIED_CALLS = {**SETTINGS["familyInfo"], "callsOver": 400_000_000_000}
 
 
 def test_a_timed_out_call_is_cancelled_and_its_late_reply_is_dropped(server):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
     server.pool.block(job, b"first")
     _, _, _, connection = server.records.take("OP")
@@ -29,13 +29,13 @@
     other.sendall(b"%b DONE 4\r\ngood\r\n" % job.encode())
     assert base64.b64decode(server.pool.take("supply")[1]["data"]) == b"good"
     server.pool.finish(job)
-    client.hear()
+    client.receive()
 
 
 @pytest.mark.parametrize("end", ["WAIT", "EMPTY", "ERROR", "PAST", "cut", "nonsense"])
 def test_a_call_is_retried_only_if_it_never_ran(server, end):
     client = server.balancer()
-    job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+    job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block(job)
     _, _, _, connection = server.records.take("OP")
@@ -46,9 +46,9 @@
     if end in ("WAIT", "EMPTY"):
         assert server.records.take("OP")[1] == job
     else:
-        assert client.hear()["error"]["code"] == -32051  # may have had its effect: nothing is promised
+        assert client.receive()["error"]["code"] == -32051  # may have had its effect: nothing is promised
         server.pool.finish(job, state="cancelled")
-        assert server.records.nothing_more("OP")
+        assert server.records.received_none_of("OP")
 
 
 @pytest.mark.parametrize(
@@ -63,24 +63,24 @@
 )
 def test_an_unreadable_reply_fails_only_its_own_call(server, unreadable):
     client = server.balancer()
-    jobs = [client.ask(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
+    jobs = [client.request(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
     connections = []
     for job in jobs:
         server.pool.take("spawn")
         server.pool.block(job)
         connections.append(server.records.take("OP")[3])
     connections[0].sendall(unreadable.replace(b"%b", b"s1"))
-    assert client.hear()["error"]["code"] == -32051  # it may have had its effect
+    assert client.receive()["error"]["code"] == -32051  # it may have had its effect
     connections[1].sendall(b"s2 DONE 1\r\n!\r\n")
     assert server.pool.take("supply")[1]["job"] == "s2"
     server.pool.finish("s2")
-    assert client.hear()["id"] == 2
+    assert client.receive()["id"] == 2
 
 
 @pytest.mark.parametrize("more", [b"t1 DONE 5\r\nfirst\r\n", b"other WAIT\r\n", b"t1 DO"])
 def test_surplus_bytes_after_a_reply_are_not_read_as_the_next_reply(server, more):
     client = server.balancer()
-    client.ask(1, txn="t1")
+    client.request(1, txn="t1")
     server.pool.take("spawn")
     server.pool.block("t1")
     connection = server.records.take("OP")[3]
@@ -96,7 +96,7 @@
 def test_a_connection_closed_by_the_service_is_not_reused(server):
     client = server.balancer()
     for job in ("v1", "v2"):
-        client.ask(int(job[1]), txn=job)
+        client.request(int(job[1]), txn=job)
         server.pool.take("spawn")
         server.pool.block(job)
         _, name, _, connection = server.records.take("OP")
@@ -105,33 +105,33 @@
         connection.shutdown(socket.SHUT_RDWR)
         server.pool.take("supply")
         server.pool.finish(job)
-        client.hear()
+        client.receive()
 
 
 def test_calls_refused_while_the_service_is_down_are_retried_once_it_is_up(tmp_path):
-    with Running(tmp_path, records_up=False) as server:
+    with ServerProcess(tmp_path, ServerOptions(records_up=False)) as server:
         client = server.balancer()
-        job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+        job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
         server.pool.take("spawn")
         server.pool.block(job)
-        server.records.come_up()
+        server.records.listen()
         _, name, _, connection = server.records.take("OP")
         connection.sendall(b"%b DONE 1\r\n!\r\n" % name.encode())
         server.pool.take("supply")
         server.pool.finish(job)
-        assert "result" in client.hear()
+        assert "result" in client.receive()
 
 
 def test_a_call_in_flight_when_the_records_service_moves_ends_on_its_old_connection(tmp_path):
-    with Running(tmp_path, familyInfo=UNHURRIED_CALLS) as server:
+    with ServerProcess(tmp_path, familyInfo=UNHURRIED_CALLS) as server:
         client = server.balancer()
-        job = client.ask(1, "pay", unique=IDEMPOTENCY_KEY)
+        job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
         server.pool.take("spawn")
         server.pool.block(job)
         connection = server.records.take("OP")[3]
-        server.move()
+        server.move_peers()
         server.pool.take("bind")
         connection.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
         assert server.pool.take("supply")[1]["job"] == job
         server.pool.finish(job)
-        assert "result" in client.hear()
+        assert "result" in client.receive()
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -1,47 +1,48 @@
 """The whole server in a process of its own: the link to the worker pool."""
 
-from helpers import Running
+from helpers import ServerProcess
 from rpc_values import IDEMPOTENCY_KEY, content
 
 
 def test_a_reconnect_delivers_each_notice_once_and_starts_no_run_twice(server):
     client = server.balancer()
-    done, runs = client.ask(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY), client.ask(2, txn="d2")
+    done = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
+    runs = client.request(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
-    server.pool.cut()
+    server.pool.disconnect()
     server.pool.finish(done, b"while nobody listened")
     assert server.pool.take("bind")[1]["n"] in (0, 1)
-    assert content(client.hear()) == b"while nobody listened"
-    client.ask(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
-    assert content(client.hear()) == b"while nobody listened"
-    server.pool.say({**server.pool.notices[0], "data": "d3Jvbmc="})  # replayed under its old number
-    server.pool.cut()
+    assert content(client.receive()) == b"while nobody listened"
+    client.request(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
+    assert content(client.receive()) == b"while nobody listened"
+    server.pool.send({**server.pool.notices[0], "data": "d3Jvbmc="})  # replayed under its old number
+    server.pool.disconnect()
     assert server.pool.take("bind")[1]["n"] == 1
     server.pool.finish(runs)
-    assert client.hear()["id"] == 2
-    assert done not in [entry[1].get("job") for entry in list(server.pool.heard.queue)]
+    assert client.receive()["id"] == 2
+    assert done not in [entry[1].get("job") for entry in list(server.pool.received.queue)]
     assert "must_hold_broken" not in server.stop()
 
 
 def test_commands_are_queued_while_the_link_is_down_and_sent_on_the_next(tmp_path):
-    with Running(tmp_path) as server:
+    with ServerProcess(tmp_path) as server:
         client = server.balancer()
         server.pool.up.clear()  # links are taken, and nothing is answered on them
-        server.pool.cut()
-        job = client.ask(1)
+        server.pool.disconnect()
+        job = client.request(1)
         # Sent before the replay was read it could start a run anew. The rejection shows that it is decided.
-        client.ask(2, limit=1)
-        assert client.hear()["id"] == 2 and server.pool.nothing_more("spawn")
+        client.request(2, limit=1)
+        assert client.receive()["id"] == 2 and server.pool.received_none_of("spawn")
         server.pool.up.set()
         assert server.pool.take("spawn")[1]["job"] == job
         server.pool.finish(job)
-        assert client.hear()["id"] == 1
+        assert client.receive()["id"] == 1
 
 
 def test_malformed_messages_of_the_worker_pool_are_counted_and_ignored(server):
     client = server.balancer()
-    job = client.ask(1)
+    job = client.request(1)
     server.pool.take("spawn")
     for line in (
         b"{\n",
@@ -53,21 +54,21 @@
         b'{"type":"unknown","state":"pass","job":"x"}\n',
         b'{"type":"chatter","n":3,"state":"hello"}\n',
     ):
-        server.pool.say(None, raw=line)
-    server.pool.number = 3
+        server.pool.send(None, raw=line)
+    server.pool.last_number = 3
     server.pool.finish(job)
-    assert client.hear()["id"] == 1
+    assert client.receive()["id"] == 1
     server.pool.finish(job)  # once more, under a new number
-    client.ask(2, txn="e2")
+    client.request(2, txn="e2")
     server.pool.take("spawn")
-    server.pool.say({"type": "unknown", "state": "spawn", "job": "e2"})
-    assert client.hear()["error"]["code"] == -32051  # no end of it will ever be told
+    server.pool.send({"type": "unknown", "state": "spawn", "job": "e2"})
+    assert client.receive()["error"]["code"] == -32051  # no end of it will ever be told
     client = server.balancer()
-    client.ask(3, txn="e3")
+    client.request(3, txn="e3")
     server.pool.take("spawn")
-    server.pool.notice("finished", "e3", state="complete", took="long", data=None)
-    assert client.hear()["error"]["code"] == -32051  # over, with nothing to be made of it
-    server.pool.say(None, raw=b"x" * 200_000)
+    server.pool.notify("finished", "e3", state="complete", took="long", data=None)
+    assert client.receive()["error"]["code"] == -32051  # over, with nothing to be made of it
+    server.pool.send(None, raw=b"x" * 200_000)
     assert server.pool.take("bind")
     log = server.stop()
     assert "pool_bad_line" in log and "pool_odd_notice" in log and "must_hold_broken" not in log
--- a/tests/server/test_shutdown_races.py
+++ b/tests/server/test_shutdown_races.py
@@ -4,7 +4,7 @@
 import types
 
 import pytest
-from helpers import TOLD, Recorder
+from helpers import SETTINGS, Recorder
 
 from vetchford.protocol import platform_settings
 from vetchford.protocol.messages import IncomingRequest
@@ -20,7 +20,7 @@
         self.now = 1_764_576_000_000.0
         monkeypatch.setattr(timers, "time", types.SimpleNamespace(time=lambda: self.now / 1000.0))
         self.stops, self.peer, self.listener = [], Recorder(), Recorder()
-        self.actor = AdmissionActor(7, platform_settings.decode(TOLD), Metrics())
+        self.actor = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics())
         self.peer.mailbox = queue.SimpleQueue()
         self.listener.connections, self.all_out = (), False
         self.listener.is_drained = lambda: self.all_out
--- a/tests/testkit/test_fake_worker_pool.py
+++ b/tests/testkit/test_fake_worker_pool.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from testkit.fakes.peers import PATIENCE
-from testkit.fakes.schedule import Script
+from testkit.fakes.peers import WAIT_TIMEOUT_S
+from testkit.fakes.schedule import StepSchedule
 from testkit.fakes.worker_pool import FakeWorkerPool
 
 
 class Link:
     def __init__(self, workers, last_read):
-        self.sock = socket.create_connection(workers.listener.getsockname(), PATIENCE)
+        self.sock = socket.create_connection(workers.listener.getsockname(), WAIT_TIMEOUT_S)
         self.lines = self.sock.makefile("rb")
         self.say({"type": "bind", "n": last_read})
         assert self.hear()["type"] == "bound"
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def workers():
-    return FakeWorkerPool(2.0, Script([(0.0, 0.0)]))
+    return FakeWorkerPool(2.0, StepSchedule([(0.0, 0.0)]))
 
 
 def test_notices_are_numbered_from_1_again_for_a_server_that_starts_anew(workers):
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -9,7 +9,7 @@
 import pytest
 import xxhash
 
-from testkit.fakes.peers import PATIENCE
+from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped
 from testkit.faults.waiting import wait_until
 from vetchford.coordination.fleet_member import FleetMember
@@ -98,7 +98,7 @@
     side.transport.close_link(number)
     assert not closed.wait(SHORT)
     gate.open()
-    assert closed.wait(PATIENCE)
+    assert closed.wait(WAIT_TIMEOUT_S)
     mine.close()
 
 
@@ -122,7 +122,7 @@
     side.send_to_it(bad)
     wait_until(lambda: any("malformed" in name for name in side.metrics.by_name), "it is refused and counted")
     side.send_to_it(framing.encode_frame(envelope_of(2)))
-    assert side.datagrams.get(timeout=PATIENCE) == ("b", "word")
+    assert side.datagrams.get(timeout=WAIT_TIMEOUT_S) == ("b", "word")
 
 
 def make_fleet_member():
