--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -35,9 +35,9 @@
 from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from testkit.faults.fault_schedule import FaultSchedule
 from testkit.faults.history_checker import violations
-from testkit.faults.mutations import MUTATIONS, schedules_until_caught
 from testkit.faults.process_cluster import ProcessCluster
 from testkit.simulation import agents
+from testkit.simulation.agent_mutations import MUTATIONS, schedules_until_caught
 from testkit.simulation.network import Net
 from vetchford.fleet.agent_client import UnreachableError
 from vetchford.fleet.membership import MemberState
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from testkit.faults.mutations import MUTATIONS, schedules_until_caught
+from testkit.simulation.agent_mutations import MUTATIONS, schedules_until_caught
 from testkit.simulation.agents import World, play
 from vetchford.fleet import rollout_controls
 from vetchford.fleet.consensus import Role
