--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from benchmarks.fleet import Agent, free_ports
-from testkit.simulation.network import Net
+from testkit.simulation.network import Network
 from vetchford.fleet import supervisor
 from vetchford.fleet.agent_client import ask
 from vetchford.fleet.history_store import Store
@@ -29,7 +29,7 @@
 
 def detection(count: int, seed: int) -> float:
     """Seconds."""
-    net = Net(count, seed)
+    net = Network(count, seed)
     net.run(5_000.0)
     net.dead.add("a001")
     while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
@@ -38,9 +38,9 @@
 
 
 def false_alarms(count: int, seed: int, seconds: float) -> int:
-    net = Net(count, seed, loss=0.05, doubled=0.05)
+    net = Network(count, seed, loss=0.05, doubled=0.05)
     net.run(seconds * 1000.0)
-    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.state_changes)
 
 
 def of_two_hundred(folder: pathlib.Path) -> dict[str, Any]:
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -38,7 +38,7 @@
 from testkit.faults.process_cluster import ProcessCluster
 from testkit.simulation import agents
 from testkit.simulation.agent_mutations import MUTATIONS, schedules_until_caught
-from testkit.simulation.network import Net
+from testkit.simulation.network import Network
 from vetchford.fleet.agent_client import UnreachableError
 from vetchford.fleet.membership import MemberState
 
@@ -50,7 +50,7 @@
         world = agents.play(seed)
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
-    span = world.span("r1")
+    span = world.find_rollout("r1")
     return seed, world.violations(), span["state"] if span else "none", world.faults
 
 
@@ -243,7 +243,7 @@
 
 def view_alone(count: int) -> float:
     """Seconds until all of so many see a death, in virtual time."""
-    net = Net(count, 1)
+    net = Network(count, 1)
     net.run(5_000.0)
     net.dead.add("a001")
     while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
@@ -253,14 +253,14 @@
 
 def false_burials(seconds: float) -> int:
     """Among 20 alive at 5 % loss, each stopped for a second now and then."""
-    net = Net(20, 7, loss=0.05, doubled=0.05)
+    net = Network(20, 7, loss=0.05, doubled=0.05)
     while net.now < seconds * 1000.0:
         name = f"a{net.chance.randrange(20):03}"
         net.slow[name] = 1000.0
         net.run(net.now + 1000.0)
         del net.slow[name]
         net.run(net.now + 500.0)
-    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.state_changes)
 
 
 def summed(played: list[dict[str, Any]]) -> dict[str, Any]:
--- a/testkit/simulation/agent_mutations.py
+++ b/testkit/simulation/agent_mutations.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from testkit.simulation import agents
+from testkit.simulation.agent_machine import Machine
 from vetchford.fleet import fleet_view
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.consensus import ReplicatedRecord
@@ -60,15 +61,13 @@
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
     """Let a store that lost its votes go on under its old identity."""
-    begin: Callable[[Any], None] = agents.Machine.begin
+    start: Callable[[Any], None] = Machine.start
 
-    def begin_as_before(self: Any) -> None:
+    def start_as_before(self: Any) -> None:
         self.disk["store"] = f"{self.name}.1"
-        begin(self)
+        start(self)
 
-    return replaced(
-        (agents.Machine, "outlived", lambda self: None), (agents.Machine, "begin", begin_as_before)
-    )
+    return replaced((Machine, "replace_store", lambda self: None), (Machine, "start", start_as_before))
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,9 +82,11 @@
 MUTATIONS = {
     "no fencing": Mutation(no_fencing, {"faults": ("freeze", "slow", "cut", "one_way", "lossy")}, range(24)),
     "floor by the old view": Mutation(
-        minimum_by_stale_reports, {"faults": ("machine", "cut"), "floor": 16}, range(12)
+        minimum_by_stale_reports, {"faults": ("machine", "cut"), "minimum_available": 16}, range(12)
+    ),
+    "floor without what is out": Mutation(
+        minimum_without_steps_in_progress, {"minimum_available": 17}, range(12)
     ),
-    "floor without what is out": Mutation(minimum_without_steps_in_progress, {"floor": 17}, range(12)),
     "incarnation forgotten": Mutation(
         incarnation_forgotten, {"faults": ("old_disk", "no_disk", "cut", "cut")}, range(30)
     ),
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -1,322 +1,202 @@
-"""Several agents in virtual time: real decisions over processes, disks and links that break by a seeded
-script.
+"""Several agents in virtual time: real decisions over processes, disks and links that break by a seed.
 
 The world is the plain model: it knows which process runs and whether it serves, checks each act against the
-floor, and keeps one history that `violations` reads. The same seed gives the same history.
+minimum available, and keeps one history that `violations` reads. The same seed gives the same history.
 """
 
 import copy
 import heapq
 import random
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from testkit.simulation.agent_faults import FAULTS, FaultInjector
-from testkit.simulation.agent_history import find_violations
+from testkit.simulation.agent_history import Event, find_violations
+from testkit.simulation.agent_machine import KilledError, Machine
 from vetchford.fleet.consensus import Role
-from vetchford.fleet.coordinator import FleetCoordinator
-from vetchford.fleet.fleet_record import ENDED_STATES, founding_record
-from vetchford.fleet.instance import InstanceSettings
-from vetchford.fleet.local_steps import begin_step, step_results
+from vetchford.fleet.fleet_record import ENDED_STATES
 from vetchford.fleet.rollout import RefusedError
-from vetchford.fleet.rollout_controller import RolloutController
 
-STOP, READY, TURN = 400.0, 2000.0, 100.0  # ms
-SEEN_BY = 3000.0  # ms after which a fault must be known: what fell later than that is nobody's floor
-
-
-class KilledError(Exception):
-    """The agent dies here, between two of its acts."""
-
-
-class Machine:
-    """One agent's machine: its disk, its processes, and the agent while it runs."""
-
-    def __init__(self, world, name, instances):
-        self.world, self.name, self.instances = world, name, instances
-        self.disk, self.old_disk, self.up, self.full = {}, {}, {}, False
-        self.frozen_until, self.coordinator, self.fleet, self.lives = 0.0, None, None, 0
-        self.inbox = []  # what came while it was frozen
-        self.acts, self.dies_at = 0, 0  # acts on its host so far, and the one at which it dies; 0: none
-
-    # -- its start and end
-
-    def begin(self):
-        self.lives += 1
-        self.disk.setdefault("store", f"{self.name}.{self.lives}")
-        self.fleet = RolloutController(self)
-        world = self.world
-        self.coordinator = FleetCoordinator(
-            self,
-            self.name,
-            world.seed,
-            self.disk["store"],
-            founding_record(world.names),
-            world.now,
-            self.lives,
-        )
-        for name in self.instances:
-            self.fleet.declare(name, InstanceSettings("pay", STOP, READY), "v1")
-        for (kind, name), body in sorted((key, body) for key, body in self.disk.items() if key != "store"):
-            if kind in ("instance", "change"):
-                self.fleet.restore(kind, name, copy.deepcopy(body))
-            else:
-                self.coordinator.restore(kind, name, copy.deepcopy(body))
-        for name in self.instances:
-            self.fleet.on_process_found(
-                world.now, name, self.up[name]["version"] if name in self.up else None
-            )
-
-    def end(self):
-        self.coordinator = self.fleet = None
-        self.inbox.clear()
-
-    def outlived(self):
-        """Others knew a later incarnation: its disk has lost votes, so it takes a new identity."""
-        self.coordinator.record.replace_store(self.world.now, f"{self.name}.{self.lives}")
-        self.disk["store"] = self.coordinator.record.store
-
-    def restart(self, kind):
-        """The agent comes back after a fault, unless it is back already."""
-        if self.coordinator is not None:
-            return
-        if kind == "old_disk":
-            kept = {key: body for key, body in self.disk.items() if not is_of_the_fleet(key)}
-            self.disk = {key: body for key, body in self.old_disk.items() if is_of_the_fleet(key)} | kept
-        elif kind == "no_disk":  # of the fleet's part: that of the instances is `test_rollout_model`'s
-            self.disk = {key: body for key, body in self.disk.items() if key[0] in ("instance", "change")}
-        self.begin()
-        if kind in ("old_disk", "no_disk"):  # whoever knew its earlier incarnations tells it
-            self.outlived()
-
-    # -- hosts of the decisions
-
-    def maybe_die(self):
-        self.acts += 1
-        if self.acts == self.dies_at:
-            raise KilledError(self)
-
-    def save_record(self, kind, name, body):
-        self.maybe_die()
-        if self.full:
-            raise OSError("full")
-        if body is None:
-            self.disk.pop((kind, name), None)
-        else:
-            self.disk[kind, name] = copy.deepcopy(body)
-
-    keep = save_record
-
-    def post(self, to, kind, body):
-        self.maybe_die()
-        self.world.send(self.name, to, kind, body)
-        return True
-
-    def spawn(self, name, version):
-        assert name not in self.up, "a second process of one instance"
-        chance = self.world.chance
-        ready = 1e15 if version == "bad" else self.world.now + chance.uniform(50, 400)
-        hangs = chance.random() < 0.05
-        self.maybe_die()
-        self.up[name] = {"version": version, "ready": ready, "ends": 1e15, "hangs": hangs}
-
-    def terminate(self, name):
-        self.maybe_die()
-        self.world.checks_floor(self, name)
-        process = self.up[name]
-        process["leaving"] = True
-        if not process["hangs"]:
-            process["ends"] = self.world.now + self.world.chance.uniform(10, 300)
-
-    def kill(self, name):
-        self.up[name]["ends"] = self.world.now
-
-    def note(self, event, **fields):
-        self.world.history.append({"at": self.world.now, "agent": self.name, "event": event, **fields})
-
-    def report(self, known):
-        fleet = self.fleet
-        return {
-            "instances": {
-                one.name: {
-                    "state": one.state,
-                    "unseen": one.awaiting_first_check,
-                    "group": one.settings.group,
-                    "version": one.running_version or one.version,
-                    "declared": "v1",
-                    "wanted": one.wanted,
-                    "change": owner.id if (owner := fleet.rollout_of(one.name)) else "",
-                }
-                for one in fleet.instances.values()
-            },
-            "locals": step_results(fleet, known),
-            "versions": ["v2", "bad"],
-        }
-
-    def begin_step(self, step):
-        return begin_step(self.fleet, self.world.now, step)
-
-    # -- time
-
-    def serves(self, name):
-        process = self.up.get(name)
-        return process is not None and process["ready"] <= self.world.now and "leaving" not in process
-
-    def turn(self):
-        now = self.world.now
-        for name, process in list(self.up.items()):
-            if process["ends"] <= now:
-                del self.up[name]
-                if self.fleet is not None and now >= self.frozen_until:
-                    self.fleet.on_process_exit(now, name, 0)
-                else:
-                    self.inbox.append(("exited", name))
-        if self.fleet is None or now < self.frozen_until:
-            return
-        waiting, self.inbox = self.inbox, []
-        for kind, *given in waiting:
-            if kind == "exited":
-                if given[0] not in self.up:
-                    self.fleet.on_process_exit(now, given[0], None)
-            else:
-                self.coordinator.receive(now, *given)
-        for name in self.instances:
-            if name in self.up:
-                self.fleet.on_health_check(now, name, self.serves(name))
-        self.fleet.on_tick(now)
-        self.coordinator.tick(now)
-
-
-def is_of_the_fleet(key):
-    """Whether a key of a disk is of the fleet's record or controls, not of this machine's instances."""
-    return key != "store" and key[0] in ("book", "orders")
+TICK_INTERVAL_MS = 100.0
+DETECTION_TIME_MS = 3000.0
+"""After this time a fault must be known: an instance that failed later counts for no minimum."""
+RESTART_DELAY_MS = 1000.0
+DOUBLED_FRACTION = 0.02
+MIN_DELAY_MS = 1.0
+MAX_DELAY_MS = 15.0
+MIN_SLOW_DELAY_MS = 200.0
+MAX_SLOW_DELAY_MS = 2500.0
+START_BATCH = 100
+START_TIMEOUT_MS = 60_000.0
+ELECTION_TIMEOUT_MS = 30_000.0
+REPORT_DELAY_MS = 2000.0
+"""A rollout is in force, and seen by the next reports."""
+
+PLAYER_SEED_OFFSET = 77
+MIN_FAULT_GAP_MS = 100
+MAX_FAULT_GAP_MS = 4000
+CONTROL_FRACTION = 0.15
+"""Chance that a fault is followed by a pause or a resume, and as often by the request once more."""
+SETTLE_MS = 3000.0
+HEALED_ROUNDS = 30
+HEALED_ROUND_MS = 10_000.0
+RESUME_AFTER_ROUNDS = 3
 
 
 class World:
     """Virtual time, the network between the agents, and the checks of what must hold."""
 
-    def __init__(self, seed, agents=5, instances=4, floor=0):
-        self.seed, self.chance, self.now = seed, random.Random(seed), 0.0
-        self.names = [f"a{n}" for n in range(agents)]
+    def __init__(self, seed: int, agents: int = 5, instances: int = 4, minimum_available: int = 0) -> None:
+        """Start all agents; no instance runs.
+
+        Args:
+            seed: determines everything.
+            agents: how many; they are named a0, a1, ...
+            instances: how many each agent has; they are named n0, n1, ...
+            minimum_available: instances that no rollout may leave fewer than.
+        """
+        self.seed = seed
+        self.chance = random.Random(seed)
+        self.now = 0.0
+        self.names = [f"a{number}" for number in range(agents)]
         self.machines = {
-            name: Machine(self, name, [f"n{n}" for n in range(instances)]) for name in self.names
+            name: Machine(self, name, [f"n{number}" for number in range(instances)]) for name in self.names
         }
-        self.queue, self.count, self.history, self.floor = [], 0, [], floor
-        self.cut, self.loss, self.slow, self.sent = set(), {}, set(), 0
-        self.fallen, self.broken = {}, []  # instances that ended by themselves; breaches of the minimum
+        self.queue: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self.count = 0
+        self.history: list[Event] = []
+        self.minimum_available = minimum_available
+        self.cut: set[tuple[str, str]] = set()
+        """From whom to whom nothing comes."""
+        self.loss: dict[tuple[str, str], float] = {}
+        self.slow: set[tuple[str, str]] = set()
+        self.sent = 0
+        self.failed_at_ms: dict[tuple[str, str, float], float] = {}
+        """Instances that ended by themselves."""
+        self.minimum_violations: list[str] = []
         self.injector = FaultInjector(self)
         self.faults = self.injector.counts
-        self.at(0.0, self.turn)
+        self.at(0.0, self._tick)
         for machine in self.machines.values():
-            machine.begin()
+            machine.start()
 
     # -- time and links
 
-    def at(self, when, act, *given):
+    def at(self, when_ms: float, act: Callable[..., Any], *arguments: Any) -> None:
+        """Do something at that time."""
         self.count += 1
-        heapq.heappush(self.queue, (when, self.count, act, given))
+        heapq.heappush(self.queue, (when_ms, self.count, act, arguments))
 
-    def run(self, until, stop=lambda: False):
-        while self.queue and self.queue[0][0] <= until and not stop():
-            self.now, _, act, given = heapq.heappop(self.queue)
-            self.run_guarded(act, *given)
+    def run(self, until_ms: float, stop: Callable[[], bool] = lambda: False) -> bool:
+        """Run up to this time or until `stop()` holds; return whether it does."""
+        while self.queue and self.queue[0][0] <= until_ms and not stop():
+            self.now, _, act, arguments = heapq.heappop(self.queue)
+            self._run_guarded(act, *arguments)
         return stop()
 
-    def run_guarded(self, act, *given):
+    def _run_guarded(self, act: Callable[..., Any], *arguments: Any) -> None:
         try:
-            act(*given)
+            act(*arguments)
         except KilledError as killed:
-            machine = killed.args[0]
-            machine.end()
-            self.at(self.now + 1000.0, machine.restart, "kill")
+            killed.machine.stop()
+            self.at(self.now + RESTART_DELAY_MS, killed.machine.restart, "kill")
 
-    def turn(self):
+    def _tick(self) -> None:
         for machine in self.machines.values():
-            self.at(self.now, machine.turn)
-        self.at(self.now + TURN, self.turn)
+            self.at(self.now, machine.tick)
+        self.at(self.now + TICK_INTERVAL_MS, self._tick)
 
-    def send(self, sender, to, kind, body):
+    def send(self, sender: str, to: str, kind: str, body: dict[str, Any]) -> None:
+        """Send a message, unless the network loses it."""
         self.sent += 1
-        if (sender, to) in self.cut or self.chance.random() < self.loss.get((sender, to), 0.0):
+        link = (sender, to)
+        if link in self.cut or self.chance.random() < self.loss.get(link, 0.0):
             return
-        for _ in range(2 if self.chance.random() < 0.02 else 1):
-            late = self.chance.uniform(200.0, 2500.0) if (sender, to) in self.slow else 0.0
-            self.at(
-                self.now + self.chance.uniform(1.0, 15.0) + late,
-                self.arrive,
-                sender,
-                to,
-                kind,
-                copy.deepcopy(body),
-            )
+        copies = 2 if self.chance.random() < DOUBLED_FRACTION else 1
+        for _ in range(copies):
+            slow_ms = self.chance.uniform(MIN_SLOW_DELAY_MS, MAX_SLOW_DELAY_MS) if link in self.slow else 0.0
+            arrives_at_ms = self.now + self.chance.uniform(MIN_DELAY_MS, MAX_DELAY_MS) + slow_ms
+            self.at(arrives_at_ms, self._deliver, sender, to, kind, copy.deepcopy(body))
 
-    def arrive(self, sender, to, kind, body):
+    def _deliver(self, sender: str, to: str, kind: str, body: dict[str, Any]) -> None:
         machine = self.machines.get(to)
         if machine is None or machine.coordinator is None:
             return
-        if self.now < machine.frozen_until:
-            machine.inbox.append(("heard", sender, kind, body))
+        if self.now < machine.frozen_until_ms:
+            machine.inbox.append(("message", sender, kind, body))
         else:
             machine.coordinator.receive(self.now, sender, kind, body)
 
     # -- what must hold
 
-    def serving(self):
+    def serving(self) -> int:
+        """Return the number of instances that serve."""
         return sum(machine.serves(name) for machine in self.machines.values() for name in machine.instances)
 
-    def checks_floor(self, machine, name):
-        """Before a change takes one out: those that serve, and those that fell too late to be known."""
-        owner = machine.fleet.rollout_of(name)
+    def check_minimum(self, machine: Machine, name: str) -> None:
+        """Check that enough serve without an instance; those that failed too late to be known count too."""
+        assert machine.rollouts is not None
+        owner = machine.rollouts.rollout_of(name)
         if owner is None or not machine.serves(name):
             return
-        late = sum(self.now - at <= SEEN_BY for at in self.fallen.values())
-        left = self.serving() - 1 + late
+        undetected = sum(self.now - at_ms <= DETECTION_TIME_MS for at_ms in self.failed_at_ms.values())
+        left = self.serving() - 1 + undetected
         self.history.append(
             {"at": self.now, "agent": machine.name, "event": "taken_out", "name": name, "left": left}
         )
-        if left < self.floor:
-            self.broken.append(f"{self.now:.0f} {name}@{machine.name}: {left} left, floor {self.floor}")
+        if left < self.minimum_available:
+            self.minimum_violations.append(
+                f"{self.now:.0f} {name}@{machine.name}: {left} left, minimum {self.minimum_available}"
+            )
 
-    def violations(self):
-        """What the history and the checks of the minimum show, one text each."""
-        return self.broken + find_violations(self.history)
+    def violations(self) -> list[str]:
+        """Return what the history and the checks of the minimum show, one text each."""
+        return self.minimum_violations + find_violations(self.history)
 
-    def note_fallen(self, agent, instance):
+    def instance_failed(self, agent: str, instance: str) -> None:
         """An instance ends by itself, now."""
-        self.fallen[agent, instance, self.now] = self.now
+        self.failed_at_ms[agent, instance, self.now] = self.now
 
     # -- faults
 
-    def fault(self, kind, name):
-        """One fault at an agent; it heals by itself."""
+    def fault(self, kind: str, name: str) -> None:
+        """Inject one fault at an agent; it heals by itself."""
         self.injector.inject(kind, name)
 
-    def heal(self):
+    def heal(self) -> None:
+        """End all faults."""
         self.cut.clear()
         self.loss.clear()
         self.slow.clear()
         for machine in self.machines.values():
-            machine.frozen_until, machine.full = 0.0, False
+            machine.frozen_until_ms = 0.0
+            machine.disk_full = False
             if machine.coordinator is None:
-                machine.begin()
+                machine.start()
 
     # -- what tools ask
 
-    def request(self, agent, ask, **fields):
-        """The answer goes to the returned list."""
-        out, machine = [], self.machines[agent]
-        if machine.coordinator is None or self.now < machine.frozen_until:
-            return out
+    def request(self, agent: str, ask: str, **fields: Any) -> list[dict[str, Any]]:
+        """Send a request of the tool to an agent; the reply goes to the returned list."""
+        replies: list[dict[str, Any]] = []
+        machine = self.machines[agent]
+        if machine.coordinator is None or not machine.can_act():
+            return replies
+        request = {"ask": ask, **fields}
         try:
-            self.run_guarded(machine.coordinator.request, self.now, {"ask": ask, **fields}, out.append)
+            self._run_guarded(machine.coordinator.request, self.now, request, replies.append)
         except RefusedError as problem:
-            out.append({"refused": str(problem)})
-        return out
-
-    def change(self, name, id, kind, targets=None, **terms):
-        targets = targets or [f"{one}@{m.name}" for m in self.machines.values() for one in m.instances]
-        change = {
+            replies.append({"refused": str(problem)})
+        return replies
+
+    def request_rollout(
+        self, name: str, id: str, kind: str, targets: list[str] | None = None, **terms: Any
+    ) -> list[dict[str, Any]]:
+        """Ask an agent for a fleet rollout over these instances, by default all."""
+        rollout = {
             "id": id,
             "kind": kind,
-            "targets": targets,
+            "targets": targets or self._all_instances(),
             "version": "",
             "batch": 1,
             "floor": 0,
@@ -325,63 +205,113 @@
             "on_failure": "pause",
             **terms,
         }
-        return self.request(name, "span", change=change)
-
-    def span(self, id):
-        """The newest copy of a fleet rollout, as the record encodes it."""
-        found = [
-            (m.coordinator.record.version, m.coordinator.record.body["spans"][id])
-            for m in self.machines.values()
-            if m.coordinator is not None and id in m.coordinator.record.body["spans"]
+        return self.request(name, "span", change=rollout)
+
+    def _all_instances(self) -> list[str]:
+        return [f"{name}@{machine.name}" for machine in self.machines.values() for name in machine.instances]
+
+    def find_rollout(self, id: str) -> Any:
+        """Return the newest copy of a fleet rollout, as the record encodes it; `None` if there is none."""
+        records = [
+            machine.coordinator.record
+            for machine in self.machines.values()
+            if machine.coordinator is not None
         ]
-        return max(found, key=lambda one: one[0])[1] if found else None
-
-    def ended(self, id):
-        span = self.span(id)
-        return span is not None and span["state"] in ENDED_STATES
-
-    def up(self, seconds=60.0):
-        """All instances of a new world serving."""
-        self.until_driven()
-        self.change(self.names[0], "up", "start", batch=100)
-        assert self.run(self.now + seconds * 1000.0, lambda: self.ended("up")), self.span("up")
-        self.run(self.now + 2000.0)  # in force, and seen by the next reports
-        assert self.serving() == sum(len(machine.instances) for machine in self.machines.values())
-
-    def until_driven(self):
-        assert self.run(
-            self.now + 30_000.0,
-            lambda: any(
-                m.coordinator is not None and m.coordinator.record.role == Role.LEADER
-                for m in self.machines.values()
-            ),
+        copies = [
+            (record.version, record.body["spans"][id]) for record in records if id in record.body["spans"]
+        ]
+        return max(copies, key=lambda one: one[0])[1] if copies else None
+
+    def has_ended(self, id: str) -> bool:
+        """Return whether a fleet rollout has ended."""
+        rollout = self.find_rollout(id)
+        return rollout is not None and rollout["state"] in ENDED_STATES
+
+    def start_instances(self) -> None:
+        """Start all instances of a new world by a rollout and run until they serve."""
+        self.wait_for_leader()
+        self.request_rollout(self.names[0], "up", "start", batch=START_BATCH)
+        ended = self.run(self.now + START_TIMEOUT_MS, lambda: self.has_ended("up"))
+        assert ended, self.find_rollout("up")
+        self.run(self.now + REPORT_DELAY_MS)
+        assert self.serving() == len(self._all_instances())
+
+    def wait_for_leader(self) -> None:
+        """Run until an agent leads."""
+        assert self.run(self.now + ELECTION_TIMEOUT_MS, self._has_leader)
+
+    def _has_leader(self) -> bool:
+        return any(
+            machine.coordinator is not None and machine.coordinator.record.role == Role.LEADER
+            for machine in self.machines.values()
         )
 
 
-def play(seed, count=8, floor=14, faults=FAULTS, agents=5):
-    """A roll among faults, pauses and repeats of the same command; then everything heals."""
-    world = World(seed, agents=agents, floor=floor)
-    world.up()
-    chance = random.Random(seed + 77)
-    ways = {"batch": chance.choice((1, 3, 6)), "on_failure": chance.choice(("pause", "go_on", "back"))}
-    world.change(chance.choice(world.names), "r1", "roll", version="v2", floor=floor, **ways)
-    for _ in range(count):
-        world.run(world.now + chance.uniform(100, 4000))
-        world.fault(chance.choice(faults), chance.choice(world.names))
-        draw = chance.random()
-        if draw < 0.15:
-            world.request(chance.choice(world.names), chance.choice(("pause", "resume")), id="r1")
-        elif draw < 0.3:
-            world.change(chance.choice(world.names), "r1", "roll", version="v2", floor=floor, **ways)
-    world.run(world.now + 3000.0)
+class Player:
+    """A rollout among faults, pauses and repeats of the same request."""
+
+    ROLLOUT = "r1"
+
+    def __init__(self, world: World, minimum_available: int) -> None:
+        """Draw how the rollout goes."""
+        self.world = world
+        self.chance = random.Random(world.seed + PLAYER_SEED_OFFSET)
+        batch = self.chance.choice((1, 3, 6))
+        on_failure = self.chance.choice(("pause", "go_on", "back"))
+        self.terms: dict[str, Any] = {
+            "version": "v2",
+            "floor": minimum_available,
+            "batch": batch,
+            "on_failure": on_failure,
+        }
+
+    def request_rollout(self) -> None:
+        """Ask an agent for the rollout, once more if it is there."""
+        self.world.request_rollout(self._any_agent(), self.ROLLOUT, "roll", **self.terms)
+
+    def _any_agent(self) -> str:
+        return self.chance.choice(self.world.names)
+
+    def play_faults(self, count: int, faults: Sequence[str]) -> None:
+        """Inject faults, with pauses, resumes and repeats between them."""
+        for _ in range(count):
+            self.world.run(self.world.now + self.chance.uniform(MIN_FAULT_GAP_MS, MAX_FAULT_GAP_MS))
+            self.world.fault(self.chance.choice(faults), self._any_agent())
+            draw = self.chance.random()
+            if draw < CONTROL_FRACTION:
+                agent = self._any_agent()
+                self.world.request(agent, self.chance.choice(("pause", "resume")), id=self.ROLLOUT)
+            elif draw < 2 * CONTROL_FRACTION:
+                self.request_rollout()
+
+    def finish(self) -> None:
+        """Run a healed world until the rollout has ended; what is paused is resumed."""
+        for number in range(HEALED_ROUNDS):
+            if self.world.run(self.world.now + HEALED_ROUND_MS, lambda: self.world.has_ended(self.ROLLOUT)):
+                return
+            rollout = self.world.find_rollout(self.ROLLOUT)
+            if rollout is None:
+                self.request_rollout()
+            elif rollout["state"] == "paused" or number > RESUME_AFTER_ROUNDS:
+                for name in self.world.names:
+                    self.world.request(name, "resume", id=self.ROLLOUT)
+
+
+def play(
+    seed: int,
+    count: int = 8,
+    minimum_available: int = 14,
+    faults: Sequence[str] = FAULTS,
+    agents: int = 5,
+) -> World:
+    """Play a rollout among `count` faults, heal everything, and return the world at the end."""
+    world = World(seed, agents=agents, minimum_available=minimum_available)
+    world.start_instances()
+    player = Player(world, minimum_available)
+    player.request_rollout()
+    player.play_faults(count, faults)
+    world.run(world.now + SETTLE_MS)
     world.heal()
-    for turn in range(30):
-        if world.run(world.now + 10_000.0, lambda: world.ended("r1")):
-            break
-        if world.span("r1") is None:
-            world.change(chance.choice(world.names), "r1", "roll", version="v2", floor=floor, **ways)
-        elif world.span("r1")["state"] == "paused" or turn > 3:
-            for name in world.names:
-                world.request(name, "resume", id="r1")
-    world.run(world.now + 3000.0)
+    player.finish()
+    world.run(world.now + SETTLE_MS)
     return world
--- a/testkit/simulation/gossip.py
+++ b/testkit/simulation/gossip.py
@@ -20,6 +20,12 @@
 )
 LIARS = 0.1  # share of the servers, which report the maximum
 ENVELOPE_BYTES = 60  # measured on sockets
+REST_SHARE = 0.1
+HIGH_SHARE = 0.8
+JUMP_AT_MS = 10_000.0
+JUMP_TIMEOUT_MS = 15_000.0
+HALF_OF_JUMP = 0.45  # the share seen half of the way up
+MOST_OF_JUMP = 0.73  # and nine tenths of it
 encoder = msgspec.msgpack.Encoder()
 
 
@@ -29,7 +35,11 @@
     def __init__(
         self, port: Port, names: list[str], rings: dict[str, list[str]], truth: Any, lies: bool
     ) -> None:
-        self.port, self.truth, self.lies, self.bytes = port, truth, lies, 0
+        """Start the server; `truth` gives the true share by the world's time."""
+        self.port = port
+        self.truth = truth
+        self.lies = lies
+        self.bytes = 0
         self.chance = random.Random(f"{port.name}")
         self.gossip = LoadGossip(self, port.name, port.incarnation, METRICS, 7)
         self.gossip.set_members(names, rings[port.name])
@@ -60,6 +70,7 @@
 
 
 def make_world(count: int, loss: float, liars: bool, truth: Any, seed: int = 1) -> World:
+    """Return a world of `count` servers; `loss` is also the part of messages that are doubled."""
     names = [f"server-{n:04}" for n in range(count)]
     rings = MembershipView(names, "fleet").ring_successors(3)
     lying = set(names[: int(LIARS * count)]) if liars else set()
@@ -87,22 +98,21 @@
 
 def measure_fleet(count: int, loss: float) -> dict[str, Any]:
     """Figures of one size: at rest, after a jump from 0.1 to 0.8, and with a tenth of liars."""
-    world = make_world(count, loss, False, lambda now: 0.1 if now < 10_000.0 else 0.8)
-    world.run(10_000.0)
-    rest, worst, age = errors_and_age(world, 0.1)
+    world = make_world(count, loss, False, lambda now: REST_SHARE if now < JUMP_AT_MS else HIGH_SHARE)
+    world.run(JUMP_AT_MS)
+    rest, worst, age = errors_and_age(world, REST_SHARE)
     sent = sum(program.bytes for program in world.programs.values())
-    # Until the aggregate of all has gone half of the way, and nine tenths of it.
     half = whole = 0.0
-    while world.now < 25_000.0 and not whole:
+    while world.now < JUMP_AT_MS + JUMP_TIMEOUT_MS and not whole:
         world.run(world.now + 100.0)
         seen = [
             program.gossip.aggregate(world.clock(name), "full") for name, program in world.programs.items()
         ]
-        if not half and all(one is not None and one.value >= 0.45 for one in seen):
-            half = world.now - 10_000.0
-        if all(one is not None and one.value >= 0.73 for one in seen):
-            whole = world.now - 10_000.0
-    lied = make_world(count, loss, True, lambda now: 0.1)
+        if not half and all(one is not None and one.value >= HALF_OF_JUMP for one in seen):
+            half = world.now - JUMP_AT_MS
+        if all(one is not None and one.value >= MOST_OF_JUMP for one in seen):
+            whole = world.now - JUMP_AT_MS
+    lied = make_world(count, loss, True, lambda now: REST_SHARE)
     lied.run(8_000.0)
     return {
         "servers": count,
@@ -112,7 +122,7 @@
         "age_ms": round(age),
         "jump_half_ms": half,
         "jump_ms": whole,
-        "with_liars": round(errors_and_age(lied, 0.1)[0], 4),
+        "with_liars": round(errors_and_age(lied, REST_SHARE)[0], 4),
         "bytes_per_s": round(sent / count / 10.0),
         "messages_per_s": round(2000.0 / GOSSIP_INTERVAL_MS, 1),
     }
--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -20,6 +20,8 @@
 
 SERVERS = ("s0", "s1", "s2")
 LEASE_NAME = "deep"
+ALL_SERVERS_FRACTION = 0.2
+"""Chance that all lease servers restart, instead of what is down."""
 
 
 class Program:
@@ -28,9 +30,13 @@
     server_class, client_class = LeaseServer, LeaseClient
 
     def __init__(self, port: Port, capacity: int, zones: int) -> None:
-        self.port, self.busy_until, self.rest_until = port, 0.0, 0.0
+        """Start the process; its zone is one of `zones`."""
+        self.port = port
+        self.busy_until = 0.0
+        self.rest_until = 0.0
         self.events: list[tuple[str, dict[str, Any]]] = []
-        now, number = port.now(), int(port.name[1:])
+        now = port.now()
+        number = int(port.name[1:])
         self.server: LeaseServer | None = None
         if port.name in SERVERS:
             epoch = int(port.world.now / 100.0)
@@ -200,7 +206,7 @@
 
 
 def _restart_all_servers(world: World, name: str) -> None:
-    for server in SERVERS if world.chance.random() < 0.2 else ():
+    for server in SERVERS if world.chance.random() < ALL_SERVERS_FRACTION else ():
         world.kill(server)
     _restart_all(world, name)
 
--- a/testkit/simulation/world.py
+++ b/testkit/simulation/world.py
@@ -18,7 +18,10 @@
     """How one program reaches the world."""
 
     def __init__(self, world: "World", name: str, incarnation: int) -> None:
-        self.world, self.name, self.incarnation = world, name, incarnation
+        """Act as this incarnation of a program."""
+        self.world = world
+        self.name = name
+        self.incarnation = incarnation
 
     def send(self, to: str, message: Any) -> None:
         """Sends over the simulated network; a message must not be changed after it."""
@@ -47,9 +50,13 @@
         `loss`, `doubled`: shares of messages that are lost or duplicated; `delay`: bounds in ms; `slope`: how
         far each clock's rate may be off; with it each offset is drawn.
         """
-        self.chance, self.make = random.Random(seed), make
-        self.loss, self.doubled, self.delay = loss, doubled, delay
-        self.now, self.count = 0.0, 0
+        self.chance = random.Random(seed)
+        self.make = make
+        self.loss = loss
+        self.doubled = doubled
+        self.delay = delay
+        self.now = 0.0
+        self.count = 0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.programs: dict[str, Any] = {}
         self.ports: dict[str, Port] = {}
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from testkit.simulation.network import Net
+from testkit.simulation.network import Network
 from vetchford.fleet import failure_detector
 from vetchford.fleet.membership import MemberState, describe_unseen
 
@@ -11,35 +11,35 @@
 
 @pytest.mark.parametrize("count", [2, 8, 40, 200])
 def test_stopped_agent_alone_becomes_unreachable_for_all(count):
-    net = Net(count, seed=count)
+    net = Network(count, seed=count)
     net.run(5_000.0)
     net.dead.add("a001")
     bound = 5_000.0 + 2_000.0 * count**0.5 + failure_detector.SUSPICION_PERIODS * 1000.0 * 9 + 20_000.0
     while net.views("a001") != {UNREACHABLE}:
         net.run(net.now + 500.0)
         assert net.now < bound, net.views("a001")
-    assert {name for _, _, name, state in net.told if state == UNREACHABLE} == {"a001"}
+    assert {name for _, _, name, state in net.state_changes if state == UNREACHABLE} == {"a001"}
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_live_agent_becomes_unreachable_at_five_percent_loss_and_duplication(seed):
-    net = Net(50, seed, loss=0.05, doubled=0.05)
+    net = Network(50, seed, loss=0.05, doubled=0.05)
     net.run(120_000.0)
-    assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
+    assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
     assert (
         net.sent < 50 * 120 * 2 * 1.5 + 2000
     )  # a probe and its answer a period, and a few in others' places
 
 
 def test_slow_agent_never_becomes_unreachable():
-    net = Net(20, 4)
+    net = Network(20, 4)
     net.slow["a003"] = 200.0
     net.run(120_000.0)
-    assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
+    assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
 
 
 def test_isolated_agent_suspects_others_later_than_they_suspect_it():
-    net = Net(20, 5)
+    net = Network(20, 5)
     net.run(3_000.0)
     net.side["a007"] = 1
     net.run(18_000.0)
@@ -51,16 +51,16 @@
 
 
 def test_flapping_link_and_one_second_stalls_make_nobody_unreachable():
-    net = Net(20, 8)
+    net = Network(20, 8)
     for turn in range(60):
         net.side["a003"] = turn % 2  # one second each way
         net.slow["a005"] = 1000.0 if turn % 5 == 0 else 0.0
         net.run(net.now + 1000.0)
-    assert not [entry for entry in net.told if entry[3] == UNREACHABLE]
+    assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
 
 
 def test_fixed_members_stay_fixed_and_own_stall_makes_nobody_unreachable():
-    net = Net(5, 9)
+    net = Network(5, 9)
     one = failure_detector.FailureDetector(
         net.agents["a000"].actions, "a000", net.agents, 9, fixed_members=True
     )
@@ -74,7 +74,7 @@
 
 
 def test_all_agents_are_alive_again_after_partition_heals():
-    net = Net(30, 6)
+    net = Network(30, 6)
     net.run(3_000.0)
     for n in range(12):
         net.side[f"a{n:03}"] = 1
@@ -90,7 +90,7 @@
 
 
 def test_refuted_suspicion_ends_and_stale_updates_are_ignored():
-    net = Net(3, 1)
+    net = Network(3, 1)
     one = net.agents["a000"]
     one.membership.apply_update(0.0, ("a001", SUSPECT, 0))
     one.membership.apply_update(1.0, ("a001", ALIVE, 1))
@@ -103,7 +103,7 @@
 
 
 def test_unreachable_agents_are_forgotten_and_tables_are_emptied():
-    net = Net(5, 2)
+    net = Network(5, 2)
     net.run(2_000.0)
     net.dead.add("a004")
     net.run(60_000.0 + failure_detector.UNREACHABLE_RETENTION_MS)
