--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -106,7 +106,7 @@
     old_pool.take("spawn")
     for rpc_id in (2, 3):  # more than once
         old_pool, old_records, _ = server.move_peers()
-        assert server.pool.take("bind")[1]["n"] == old_pool.number  # the numbers go on
+        assert server.pool.take("bind")[1]["n"] == old_pool.last_number  # the numbers go on
         assert server.receive_report() == ["HB", "n1", "UP"]
         server.pool.finish(job)
         assert client.receive()["id"] == rpc_id - 1
