--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -31,12 +31,14 @@
 
 from benchmarks.pools import LIMIT, settings
 from testkit.fakes import worker_pool
-from testkit.fakes.load_generator import Flow, Load
-from testkit.fakes.schedule import Apart
-from testkit.faults.mutations import MISTAKES, caught
-from testkit.faults.process_cluster import ProcessCluster, Script, wrong
+from testkit.fakes.fake_process import FakeProcess
+from testkit.fakes.load_generator import LoadGenerator, TrafficClass
+from testkit.faults.fault_schedule import FaultSchedule
+from testkit.faults.history_checker import violations
+from testkit.faults.process_cluster import ProcessCluster
 from testkit.simulation import agents
-from testkit.simulation.network import Net
+from testkit.simulation.agent_mutations import MUTATIONS, schedules_until_caught
+from testkit.simulation.network import Network
 from vetchford.fleet.agent_client import UnreachableError
 from vetchford.fleet.membership import MemberState
 
@@ -48,7 +50,7 @@
         world = agents.play(seed)
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
-    span = world.span("r1")
+    span = world.find_rollout("r1")
     return seed, world.violations(), span["state"] if span else "none", world.faults
 
 
@@ -66,8 +68,10 @@
 
 
 def planted() -> dict[str, int]:
-    with multiprocessing.Pool(len(MISTAKES)) as thread_pool:
-        return dict(zip(sorted(MISTAKES), thread_pool.map(caught, sorted(MISTAKES)), strict=True))
+    with multiprocessing.Pool(len(MUTATIONS)) as thread_pool:
+        return dict(
+            zip(sorted(MUTATIONS), thread_pool.map(schedules_until_caught, sorted(MUTATIONS)), strict=True)
+        )
 
 
 # -- processes
@@ -75,7 +79,7 @@
 
 def of_processes(seed: int, seconds: float, faults: int) -> dict[str, Any]:
     """One roll of twenty real servers under load while links, agents and stores break."""
-    pools = Apart(worker_pool.serve_many, AGENTS * EACH, 2.0)
+    pools = FakeProcess(worker_pool.serve_many, AGENTS * EACH, 2.0)
     told = settings()
     told["familyInfo"]["below"] = "silent"
     with tempfile.TemporaryDirectory() as name:
@@ -92,14 +96,14 @@
             return [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)]
 
         with ProcessCluster(folder, AGENTS, EACH, seed, command, stop="3500ms") as rig:
-            script = Script(rig.names, seed, seconds, faults)
+            script = FaultSchedule(rig.names, seed, seconds, faults)
             rig.clocks = script.clocks
-            rig.begin()
-            rig.driven()
-            rig.up()
-            flows = [Flow("session-check", 11.0, 10.0), Flow("charge", 5.0, 30.0, 0, True)]
+            rig.start()
+            rig.wait_for_leader()
+            rig.start_instances()
+            flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
             loads = {
-                key: Load(
+                key: LoadGenerator(
                     int(address.rpartition(":")[2]),
                     flows,
                     seconds + 8.0,
@@ -116,22 +120,29 @@
                 thread.start()
             time.sleep(1.0)
             roll = {"version": "v2", "batch": 3, "floor": FLOOR, "on_failure": "go_on", "soak": 500.0}
-            rig.change(rig.names[seed % AGENTS], "r1", "roll", **roll)
+            rig.request_rollout(rig.names[seed % AGENTS], "r1", "roll", **roll)
             made = script.play(rig)
-            ended = rig.find("r1")
+            ended = rig.find_rollout("r1")
             if not ended["state"]:  # it was asked of an agent that was cut off, or died with it
-                rig.until(lambda: "refused" not in rig.change(rig.driven(), "r1", "roll", **roll), 30.0)
-            ended = rig.ended("r1", 60.0)
+                rig.wait_until(
+                    lambda: "refused" not in rig.request_rollout(rig.wait_for_leader(), "r1", "roll", **roll),
+                    30.0,
+                )
+            ended = rig.wait_for_rollout("r1", 60.0)
             for thread in threads:
                 thread.join()
-            rig.until(lambda: rig.ask(rig.driven(), {"ask": "all"})["unknown"] == [], 30.0, "all seen again")
+            rig.wait_until(
+                lambda: rig.ask(rig.wait_for_leader(), {"ask": "all"})["unknown"] == [],
+                30.0,
+                "all seen again",
+            )
             # An agent that was begun anew just now still checks those that it took over.
             with contextlib.suppress(AssertionError):
-                rig.until(lambda: up(rig) == len(rig.addresses), 20.0)
-            seen = rig.ask(rig.driven(), {"ask": "all"})["instances"]
-            table = rig.table()
+                rig.wait_until(lambda: up(rig) == len(rig.addresses), 20.0)
+            seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
+            table = rig.process_table()
             events = rig.events()
-            ran = pools.end()["ran"]
+            ran = pools.stop()["ran"]
             killed = set(ended["killed"])
             return {
                 "seed": seed,
@@ -139,22 +150,22 @@
                 "met_on_links": rig.links.met(),
                 "change": ended["state"],
                 "why": ended["why"],
-                "wrong": wrong(events, FLOOR)[:4],
+                "wrong": violations(events, FLOOR)[:4],
                 "drivers": sum(entry["event"] == "leader_elected" for entry in events),
                 "orders": sum(entry["event"] == "order_accepted" for entry in events),
                 "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
                 "new_version": sum(one["version"] == "v2" for one in seen.values()),
                 "serving": sum(one["state"] == "serving" for one in seen.values()),
-                "tried": sum(t.tried - t.unsent for load in loads.values() for t in load.tallies.values()),
-                "lost": sum(len(load.cut) for key, load in loads.items() if key not in killed),
-                "lost_with_killed": sum(len(load.cut) for key, load in loads.items() if key in killed),
+                "tried": sum(t.sent - t.unsent for load in loads.values() for t in load.counts.values()),
+                "lost": sum(len(load.lost) for key, load in loads.items() if key not in killed),
+                "lost_with_killed": sum(len(load.lost) for key, load in loads.items() if key in killed),
                 "ran_twice": sum(count > 1 for count in ran.values()),
-                "broken": sum(len(load.wrong) for load in loads.values()),
+                "broken": sum(len(load.violations) for load in loads.values()),
             }
 
 
 def up(rig: ProcessCluster) -> int:
-    seen = rig.ask(rig.driven(), {"ask": "all"})["instances"]
+    seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
     return sum(one["state"] == "serving" for one in seen.values())
 
 
@@ -189,8 +200,8 @@
         ProcessCluster(pathlib.Path(name), count, 1, 3, relays=False) as rig,
     ):
         began = time.monotonic()
-        rig.begin()
-        rig.driven(seconds=60.0)
+        rig.start()
+        rig.wait_for_leader(timeout_s=60.0)
         driven = time.monotonic() - began
 
         def views(of: str, among: list[str]) -> set[str]:
@@ -203,7 +214,7 @@
             return found
 
         sampled = rig.names[:: max(1, count // 8)]
-        rig.until(lambda: all(views(name, sampled) <= {"there"} for name in sampled), 60.0, "all there")
+        rig.wait_until(lambda: all(views(name, sampled) <= {"there"} for name in sampled), 60.0, "all there")
         before = {name: rig.peers(name) for name in sampled}
         at = time.monotonic()
         time.sleep(2.0)
@@ -211,16 +222,16 @@
         passed = time.monotonic() - at
         sent = [after[name]["bytes_sent"] - before[name]["bytes_sent"] for name in sampled]
         messages = [after[name]["datagrams_sent"] - before[name]["datagrams_sent"] for name in sampled]
-        driver = rig.driver()
+        driver = rig.leader()
         gone = next(name for name in reversed(rig.names) if name != driver)
         others = [name for name in sampled if name != gone]
         rig.kill(gone)
         at = time.monotonic()
-        rig.until(lambda: views(gone, others) == {"not seen"}, 90.0, "the death is seen")
+        rig.wait_until(lambda: views(gone, others) == {"not seen"}, 90.0, "the death is seen")
         seen = time.monotonic() - at
-        rig.begin(gone)
+        rig.start(gone)
         at = time.monotonic()
-        rig.until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
+        rig.wait_until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
         return {
             "driven_s": round(driven, 1),
             "death_seen_s": round(seen, 1),
@@ -232,7 +243,7 @@
 
 def view_alone(count: int) -> float:
     """Seconds until all of so many see a death, in virtual time."""
-    net = Net(count, 1)
+    net = Network(count, 1)
     net.run(5_000.0)
     net.dead.add("a001")
     while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
@@ -242,14 +253,14 @@
 
 def false_burials(seconds: float) -> int:
     """Among 20 alive at 5 % loss, each stopped for a second now and then."""
-    net = Net(20, 7, loss=0.05, doubled=0.05)
+    net = Network(20, 7, loss=0.05, doubled=0.05)
     while net.now < seconds * 1000.0:
         name = f"a{net.chance.randrange(20):03}"
         net.slow[name] = 1000.0
         net.run(net.now + 1000.0)
         del net.slow[name]
         net.run(net.now + 500.0)
-    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.told)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.state_changes)
 
 
 def summed(played: list[dict[str, Any]]) -> dict[str, Any]:
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -8,8 +8,9 @@
 import pytest
 from helpers import Balancer
 
-from testkit.fakes.peers import PATIENCE
-from testkit.faults.checkpoints import SHORT, Checkpoint, Heard, Wrapped, beside, until
+from testkit.fakes.peers import WAIT_TIMEOUT_S
+from testkit.faults.checkpoints import SHORT, Checkpoint, PostedEvents, Wrapped, run_in_thread
+from testkit.faults.waiting import wait_until
 from vetchford.protocol import json_rpc
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
@@ -23,7 +24,7 @@
     """A listener on loopback, with an admission actor that only records."""
 
     def __init__(self, most=16):
-        self.admission, self.metrics = Heard(), Metrics()
+        self.admission, self.metrics = PostedEvents(), Metrics()
         self.listener = Listener(
             ("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.admission, self.metrics
         )
@@ -51,15 +52,15 @@
     listener.add = checkpoint.before(listener.add)
     listener.start()
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     checkpoint.wait()
-    closing, done = beside(lambda: (listener.close(), listener.is_drained())[1])
+    closing, done = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
     closing.join(SHORT)
     checkpoint.open()
-    closing.join(PATIENCE)
+    closing.join(WAIT_TIMEOUT_S)
     assert done == [False]
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
 
 
 def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(under_test):
@@ -68,7 +69,7 @@
     listening = listener.sock
     listener.idle_poller.start()  # no thread accepts: what connects waits in the backlog
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     tries = []
 
     def accept():
@@ -82,7 +83,7 @@
     assert tries == [1] and not listener.is_drained()
     listener.close()
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}
 
 
 @pytest.mark.parametrize("by", ["accept", "close"])
@@ -101,17 +102,17 @@
 
     listener.sock = Wrapped(listening, accept=accept)
     first, second = Balancer(under_test.port), Balancer(under_test.port)
-    second.ask(1)
+    second.request(1)
     if by == "accept":
         listener.start()
     else:
         listener.idle_poller.start()
         listener.close()
     under_test.finish(*under_test.request())
-    heard = [second.hear() for _ in range(1 if by == "accept" else 2)]
+    heard = [second.receive() for _ in range(1 if by == "accept" else 2)]
     assert 1 in [message.get("id") for message in heard]
-    assert bad and first.hear() is None
-    until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
+    assert bad and first.receive() is None
+    wait_until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
 
 
 def test_the_drained_check_sees_unread_bytes(under_test, monkeypatch):
@@ -119,17 +120,17 @@
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
     client = Balancer(under_test.port)
-    client.ask(1)
+    client.request(1)
     listener.close()  # the poller does not run yet: the process was paused
-    until(
+    wait_until(
         lambda: all(connection.state.close_requested_at_s for connection in listener.connections),
         "asked to close",
     )
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
     under_test.finish(*under_test.request())
-    assert {client.hear().get("id") for _ in range(2)} == {None, 1}
-    until(listener.is_drained, "the end once it is answered")
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}
+    wait_until(listener.is_drained, "the end once it is answered")
 
 
 def test_a_message_started_before_closing_is_waited_for(under_test, monkeypatch):
@@ -139,22 +140,22 @@
     listener.start()
     client = Balancer(under_test.port)
     whole, send = [], client.sock.sendall
-    client.raw = whole.append
-    client.ask(1)
+    client.send_bytes = whole.append
+    client.request(1)
     send(whole[0][:60])
-    until(
+    wait_until(
         lambda: any(
             c.state.message_has_started() and listener.idle_poller.is_waiting(c) for c in listener.connections
         ),
         "half is read",
     )
     listener.close()
-    assert client.hear()["method"] == "closing"
+    assert client.receive()["method"] == "closing"
     assert not listener.is_drained()
     send(whole[0][60:])
     under_test.finish(*under_test.request())
-    assert client.hear()["id"] == 1
-    until(listener.is_drained, "the end once it is answered")
+    assert client.receive()["id"] == 1
+    wait_until(listener.is_drained, "the end once it is answered")
 
 
 def test_a_request_that_arrives_as_its_connection_times_out_is_answered(under_test, monkeypatch):
@@ -172,16 +173,16 @@
     listener.start()
     client = Balancer(under_test.port)
     checkpoint.wait()
-    client.ask(1)
+    client.request(1)
     sock = next(iter(listener.connections)).sock
-    until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
+    wait_until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
     checkpoint.open()
     first = under_test.request()
-    assert over.wait(PATIENCE)
-    client.ask(2)
+    assert over.wait(WAIT_TIMEOUT_S)
+    client.request(2)
     under_test.finish(*under_test.request())
     under_test.finish(*first)
-    assert {client.hear()["id"], client.hear()["id"]} == {1, 2}
+    assert {client.receive()["id"], client.receive()["id"]} == {1, 2}
 
 
 class PolledConnection:
@@ -219,7 +220,7 @@
     )
     poller.start()
     if first:
-        beside(lambda: (poller.add(connection), connection.back.set()))
+        run_in_thread(lambda: (poller.add(connection), connection.back.set()))
     else:
         poller.add(connection)
         connection.peer.send(b"!")
@@ -231,7 +232,7 @@
         went = None
     checkpoint.open()
     assert went is None or went
-    assert connection.timed_out.get(timeout=PATIENCE) or connection.back.wait(PATIENCE)
+    assert connection.timed_out.get(timeout=WAIT_TIMEOUT_S) or connection.back.wait(WAIT_TIMEOUT_S)
 
 
 def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(under_test):
@@ -245,6 +246,6 @@
     listener.start()
     client = Balancer(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
-    assert client.hear()["id"] == 1 and client.hear() is None
-    until(lambda: not listener.connections, "it leaves the table")
+    assert client.receive()["id"] == 1 and client.receive() is None
+    wait_until(lambda: not listener.connections, "it leaves the table")
     assert under_test.metrics.by_name["connections_not_watched"] == 1
