--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -86,11 +86,11 @@
         if self.workload.dependency is not None:
             self.workload.dependency.apply_fleet_signals(call_slowdown, call_capacity)
 
-    def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
-        """Cut all deadlines, so that everything is answered before the process is killed."""
-        self.health.start_draining(now_ms, kill_at_ms)
+    def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
+        """Cut all deadlines, so that everything is answered by `answers_due_at_ms`."""
+        self.health.start_draining(now_ms, answers_due_at_ms)
         for request in self.workload.requests.values():
-            request.deadline_ms = min(request.deadline_ms, self.health.kill_at_ms)
+            request.deadline_ms = min(request.deadline_ms, self.health.latest_deadline_ms)
 
     def client_gone(self, now_ms: float, index: int) -> None:
         """Cancel a request that nobody waits for."""
@@ -163,7 +163,7 @@
 
     def _count_arrival(self, now_ms: float, arrival: RequestArrival) -> Request:
         kind = self.workload.classes[arrival.class_index]
-        times = self.retry_objective.times(now_ms, arrival, kind, self.health.kill_at_ms)
+        times = self.retry_objective.times(now_ms, arrival, kind, self.health.latest_deadline_ms)
         request = Request.of(arrival, kind, times)
         self.workload.requests[request.index] = request
         self.workload.in_flight.add(request.client, request.size_bytes)
--- a/vetchford/admission/events.py
+++ b/vetchford/admission/events.py
@@ -33,8 +33,11 @@
         `utilization`: fraction of the cores that are busy; `on_cores`: all that wants a core just now.
         """
 
-    def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
-        """The termination notice came; the process is killed at `kill_at_ms`."""
+    def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
+        """The termination notice came; all answers are due by `answers_due_at_ms`.
+
+        What the process needs between its last answer and its exit is the adapter's to leave.
+        """
 
     def apply_fleet_signals(
         self, call_slowdown: float, call_capacity: float, is_full: bool, retry_after_factor: float
--- a/vetchford/admission/health.py
+++ b/vetchford/admission/health.py
@@ -12,8 +12,8 @@
 STALL_AFTER_MS = 1500.0
 STALL_AFTER_RUNS = 4.0
 """Mean run times without progress that a stall takes at least."""
-ANSWERED_BEFORE_KILL_MS = 20.0
-"""All is answered so long before the process is killed: several rounds of events."""
+DRAIN_MARGIN_MS = 20.0
+"""In a drain the last deadline is so long before all answers are due: several rounds of events."""
 READ_DELAY_FADE = 0.9
 """Factor on the read delay for each tick without a backlog of reading."""
 READING_BACKLOG = 1.0
@@ -39,8 +39,8 @@
         self.last_progress_at_ms = 0.0
         self.notice_at_ms = math.inf
         """When the termination notice came."""
-        self.kill_at_ms = math.inf
-        """When all must be answered before the process is killed."""
+        self.latest_deadline_ms = math.inf
+        """Deadlines are cut to this time; infinite before the termination notice."""
         self.read_delay_ratio = 0.0
         """Recent wait to be read over the latency objective."""
 
@@ -60,10 +60,10 @@
         self.stalled = False
         self.update_readiness()
 
-    def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
-        """Note the termination notice; the process is killed at `kill_at_ms`."""
+    def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
+        """Note the termination notice; all answers are due by `answers_due_at_ms`."""
         self.notice_at_ms = now_ms
-        self.kill_at_ms = kill_at_ms - ANSWERED_BEFORE_KILL_MS
+        self.latest_deadline_ms = answers_due_at_ms - DRAIN_MARGIN_MS
         self.update_readiness()
 
     def on_tick(self, now_ms: float) -> None:
--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -25,13 +25,13 @@
         self.queue_times.add((now_ms - arrived_at_ms) / timeout_ms)
 
     def times(
-        self, now_ms: float, arrival: RequestArrival, kind: RequestClass, kill_at_ms: float
+        self, now_ms: float, arrival: RequestArrival, kind: RequestClass, latest_deadline_ms: float
     ) -> AttemptTimes:
-        """Return the times of an arriving attempt; nothing is due after `kill_at_ms`."""
+        """Return the times of an arriving attempt; no deadline is after `latest_deadline_ms`."""
         arrived_at_ms = now_ms - arrival.queued_for_ms
         if arrival.deadline_ms is not None:
-            return self._with_deadline(arrival, kind, arrived_at_ms, arrival.deadline_ms, kill_at_ms)
-        return self._without_deadline(arrival, kind, arrived_at_ms, kill_at_ms)
+            return self._with_deadline(arrival, kind, arrived_at_ms, arrival.deadline_ms, latest_deadline_ms)
+        return self._without_deadline(arrival, kind, arrived_at_ms, latest_deadline_ms)
 
     def _with_deadline(
         self,
@@ -39,26 +39,26 @@
         kind: RequestClass,
         arrived_at_ms: float,
         given_ms: float,
-        kill_at_ms: float,
+        latest_deadline_ms: float,
     ) -> AttemptTimes:
         """Judge the age by what is left until the client's deadline, shorter than first attempts have."""
         patience_ms = kind.timeout_ms if given_ms else self._usual_patience_ms(kind)
         objective_at_ms = arrived_at_ms + min(kind.latency_objective_ms, patience_ms)
         age = self.queue_times.age((given_ms - arrived_at_ms) / kind.timeout_ms)
         objective_at_ms -= age * kind.timeout_ms
-        deadline_ms = min(given_ms, kill_at_ms)
+        deadline_ms = min(given_ms, latest_deadline_ms)
         is_retry = arrival.is_retry or age > RETRY_AGE_FRACTION
         return AttemptTimes(arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, is_retry)
 
     def _without_deadline(
-        self, arrival: RequestArrival, kind: RequestClass, arrived_at_ms: float, kill_at_ms: float
+        self, arrival: RequestArrival, kind: RequestClass, arrived_at_ms: float, latest_deadline_ms: float
     ) -> AttemptTimes:
         """Take the most common wait for the client's patience, and a marked retry for one that backed off."""
         objective_ms = min(kind.latency_objective_ms, self._usual_patience_ms(kind))
         objective_at_ms = arrived_at_ms + objective_ms
         if arrival.is_retry:
             objective_at_ms -= BACKOFF_FRACTION * self.retry_after.mean_ms
-        deadline_ms = min(arrived_at_ms + kind.timeout_ms, kill_at_ms)
+        deadline_ms = min(arrived_at_ms + kind.timeout_ms, latest_deadline_ms)
         return AttemptTimes(arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, arrival.is_retry)
 
     def _usual_patience_ms(self, kind: RequestClass) -> float:
--- a/vetchford/bench_adapter/simulated_server.py
+++ b/vetchford/bench_adapter/simulated_server.py
@@ -77,7 +77,8 @@
         self.controller.request_arrived(now_ms, arrival)
 
     def _termination_notice(self, now_ms: float, event: Event) -> None:
-        self.controller.start_draining(now_ms, self.decoder.kill_at_ms(event))
+        answers_due_at_ms = self.decoder.kill_at_ms(event)  # a simulated server needs no time to exit
+        self.controller.start_draining(now_ms, answers_due_at_ms)
 
     def _tick(self, now_ms: float, event: Event) -> None:
         gauges = self.decoder.gauges(event)
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -220,7 +220,7 @@
             controller.on_tick(self.clock.now_ms(), self.gauges.core_use(), on_cores)
 
     def _fail_overdue(self, before_ms: float) -> None:
-        self.state.answers.fail_overdue(before_ms, self._bound_controller().health.kill_at_ms)
+        self.state.answers.fail_overdue(before_ms, self._bound_controller().health.latest_deadline_ms)
 
     def _close_idle_connections(self) -> None:
         if self.actions.idle_timeout_ms < math.inf:
