--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -119,7 +119,7 @@
         self.capacity.run_blocked(now_ms, request)
         self.health.run_left(now_ms)
         request.state = RequestState.WAITING_FOR_CALL
-        request.dependency_wait_ms -= now_ms
+        request.wait_started(now_ms)
         if not request.answered:  # else it ends by itself
             self.workload.waiting[index] = request
             self.dependency_calls.start_calls(now_ms)
--- a/vetchford/admission/dependency_calls.py
+++ b/vetchford/admission/dependency_calls.py
@@ -72,4 +72,4 @@
         self.workload.running += 1
         self.capacity.run_resumed(now_ms, request)
         self.health.run_joined(now_ms)
-        request.dependency_wait_ms += now_ms
+        request.wait_ended(now_ms)
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -128,7 +128,7 @@
     concurrency_at_start: float = 0.0
     """Runs and reads on the cores when its run started."""
     dependency_wait_ms: float = 0.0
-    """Time waited on calls so far, less the clock time when the wait began while it lasts."""
+    """Time waited on calls; meaningful between waits only, see `wait_started`."""
     key_expires_at_ms: float = 0.0
     """When its idempotency key is dropped; 0: it has none."""
     bulkhead: int = 0
@@ -139,6 +139,21 @@
         """Whether repeats of it are recognised by their idempotency key."""
         return self.request_class.effect == Effect.IDEMPOTENT_BY_KEY
 
+    def wait_started(self, now_ms: float) -> None:
+        """Begin to wait on a call.
+
+        While the wait lasts, `dependency_wait_ms` is the sum of earlier waits less this start.
+        """
+        self.dependency_wait_ms -= now_ms
+
+    def wait_ended(self, now_ms: float) -> None:
+        """End the wait that `wait_started` began, and add it to `dependency_wait_ms`."""
+        self.dependency_wait_ms += now_ms
+
+    def has_waited(self) -> bool:
+        """Return whether it waits on a call or has waited on one; a wait that took no time is none."""
+        return self.dependency_wait_ms != 0.0
+
     @classmethod
     def of(cls, arrival: RequestArrival, request_class: RequestClass, times: AttemptTimes) -> "Request":
         """Return the request of an arrival, with the times that were decided for it."""
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -55,8 +55,7 @@
             self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
         elif request.state == RequestState.CALLING:
             self.bulkheads.calls.call_ended(now_ms, request.bulkhead, request.index, None, False)
-        called = request.dependency_wait_ms != 0.0
-        self.bulkheads.run_ended(request.bulkhead, called, self._extra_bytes(request))
+        self.bulkheads.run_ended(request.bulkhead, request.has_waited(), self._extra_bytes(request))
 
     def call_started(self, now_ms: float, request: Request) -> None:
         """Count the call."""
