--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -132,20 +132,14 @@
         request = self.workload.requests[index]
         answered_after_ms = None if outcome in UNANSWERED_OUTCOMES else took_ms
         never_ran = outcome in NEVER_RAN_OUTCOMES
-        if self.workload.dependency is not None:
-            self.workload.dependency.ended(now_ms, answered_after_ms)
-        self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
-        request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
+        self._count_call_back(now_ms, request, answered_after_ms, never_ran)
         if outcome == Outcome.COMPLETED:
             self.dependency_calls.resume(now_ms, request)
         elif not request.answered:  # one given up on while its call was out ends by itself
-            if request.request_class.skip_fraction > 0.0:
-                self.dependency_calls.skip(now_ms, request)
-            elif never_ran:
-                self.workload.waiting[index] = request  # its call may be made again, at the next tick
-                return
-            else:
-                self.lifecycle.give_up(request)
+            if never_ran and not _may_skip(request):
+                self.workload.waiting[index] = request
+                return  # its call may be made again, from the next tick on
+            self._continue_without_call(now_ms, request)
         self.dependency_calls.start_calls(now_ms)
         self.scheduler.dispatch(now_ms)
 
@@ -187,6 +181,22 @@
         self.health.run_left(now_ms)
         load.in_flight.used_bytes -= request.size_bytes * load.in_flight.running_extra
 
+    def _count_call_back(
+        self, now_ms: float, request: Request, answered_after_ms: float | None, never_ran: bool
+    ) -> None:
+        """Free what a call held, and learn from it; `answered_after_ms` is None where no answer came."""
+        if self.workload.dependency is not None:
+            self.workload.dependency.ended(now_ms, answered_after_ms)
+        self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
+        request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
+
+    def _continue_without_call(self, now_ms: float, request: Request) -> None:
+        """Let a run go on without its call where its class allows that, or else give the request up."""
+        if _may_skip(request):
+            self.dependency_calls.skip(now_ms, request)
+        else:
+            self.lifecycle.give_up(request)
+
     def _update_workload(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
         load = self.workload
         cores_busy = utilization is None or utilization > BUSY_UTILIZATION
@@ -213,10 +223,7 @@
         elif request.state == RequestState.QUEUED:
             self._reject_if_hopeless(now_ms, request)
         elif request.index in self.workload.waiting and self.estimate.is_call_too_late(now_ms, request):
-            if request.request_class.skip_fraction > 0.0:
-                self.dependency_calls.skip(now_ms, request)
-            else:
-                self.lifecycle.give_up(request)
+            self._continue_without_call(now_ms, request)
 
     def _reject_if_hopeless(self, now_ms: float, request: Request) -> None:
         """Reject a queued request; terminal only where it would be too late on any server."""
@@ -224,3 +231,7 @@
             self.lifecycle.reject(request, RejectionReason.STALLED)
         elif not self.estimate.is_in_time(now_ms, request, 0.0):
             self.lifecycle.reject(request, RejectionReason.LATENCY_OBJECTIVE, terminal=True)
+
+
+def _may_skip(request: Request) -> bool:
+    return request.request_class.skip_fraction > 0.0
