--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -130,7 +130,7 @@
 
         Args:
             request: The repeat.
-            original: Index of the original, -1 for an unknown one.
+            original: Index of the original, or `UNKNOWN_ORIGINAL`.
             not_served: Whether the repeat itself would be rejected.
         """
         first = self.workload.requests.get(original)
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -13,6 +13,8 @@
 
 UNKNOWN_WORK_MS = 1.0
 """Expected work of a request whose client gives none: the class's mean run time then stands for it."""
+UNKNOWN_ORIGINAL = -1
+"""In place of the index of the request that another repeats: this server does not hold it any more."""
 NOTHING_OFFERED = 1e-9
 """Keeps the achieved part of what was offered defined before the first request."""
 
@@ -62,7 +64,7 @@
     queued_for_ms: float
     """Time between its arrival at the machine and now."""
     original: int | None
-    """Index of the request it repeats, -1 for a repeat of an unknown one, None for no repeat."""
+    """Index of the request it repeats, or `UNKNOWN_ORIGINAL`; None for no repeat."""
 
 
 @dataclass(slots=True)
--- a/vetchford/bench_adapter/simulator_events.py
+++ b/vetchford/bench_adapter/simulator_events.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
-from vetchford.admission.request import Outcome, RequestArrival
+from vetchford.admission.request import UNKNOWN_ORIGINAL, Outcome, RequestArrival
 from vetchford.admission.settings import ServerSettings
 from vetchford.errors import MalformedInputError
 from vetchford.protocol import platform_settings
@@ -25,7 +25,6 @@
 CALL_ENDED = "callResult"
 RUN_ENDED = "ended"
 
-UNKNOWN_ORIGINAL = -1  # a repeat of something that this server does not hold any more
 NO_TENANT = -1
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
 
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -6,6 +6,8 @@
 
 from vetchford.server.index_allocator import IndexAllocator
 
+NO_ORIGINAL = -1  # in place of the index, for a request that is no repeat
+
 
 class Client(Protocol):
     """The connection that a request came by; its methods may be called from any thread."""
@@ -38,7 +40,7 @@
     blocked_notice: int = 0  # number of the notice that the run waits for a dependency call
     call_body: bytes = b""  # body of that call
     call_number: int = 0  # number of the dependency call in flight; 0: none
-    original: int = -1  # index of the request whose result this one shares; -1: none
+    original: int = NO_ORIGINAL  # index of the request whose result this one shares
 
 
 class RequestTable:
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -15,6 +15,7 @@
 from vetchford.server.idempotency_cache import RunResult
 from vetchford.server.listener import Listener
 from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.request_table import NO_ORIGINAL
 from vetchford.server.server_state import ServerState
 
 log = structlog.get_logger()
@@ -61,7 +62,7 @@
         self.registry = registry
         self.on_tick = on_tick
         self.deferred: deque[SharedResult] = deque()
-        self.arriving = -1  # index of the request that is just being admitted
+        self.arriving: int | None = None  # index of the request that is just being admitted
         self.idle_timeout_ms = math.inf  # for which a silent connection is kept
 
     def start(self, index: int) -> None:
@@ -116,7 +117,7 @@
         """Forget the request."""
         entry = self.requests[index]
         self.metrics.check_invariant(entry.answered, "released_after_its_answer", task=entry.request_id)
-        if entry.original >= 0:
+        if entry.original != NO_ORIGINAL:
             self.idempotency_cache.remove_follower(entry.original, index)
         for follower in self.idempotency_cache.release(index):
             self.deferred.append(SharedResult(follower, NOT_COMPLETED))
