--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -84,7 +84,12 @@
         latest_answer_ms = arrived_at_ms + request_class.timeout_ms if deadline_ms is None else deadline_ms
         answer_due_ms = max(now_ms, latest_answer_ms)
         entry = RequestEntry(
-            request.request_id, request.method, client, request.rpc_id, request.content, answer_due_ms
+            request_id=request.request_id,
+            method=request.method,
+            client=client,
+            rpc_id=request.rpc_id,
+            content=request.content,
+            answer_due_ms=answer_due_ms,
         )
         original = None
         if request.idempotency_key is not None and request_class.effect == Effect.IDEMPOTENT_BY_KEY:
@@ -93,19 +98,19 @@
         self.metrics.increment("read")
         self.actions.arriving = index
         arrival = RequestArrival(
-            index,
-            request.request_class,
-            request.tenant,
-            request.client_number,
-            deadline_ms,
-            work_ms,
-            max(1, round(request.memory_kb * BYTES_PER_KB)),
-            False,
-            max(0.0, now_ms - arrived_at_ms),
-            original,
+            request_index=index,
+            class_index=request.request_class,
+            tenant=request.tenant,
+            client=request.client_number,
+            deadline_ms=deadline_ms,
+            work_ms=work_ms,
+            size_bytes=max(1, round(request.memory_kb * BYTES_PER_KB)),
+            is_retry=False,  # the protocol does not mark them
+            queued_for_ms=max(0.0, now_ms - arrived_at_ms),
+            original=original,
         )
         controller.request_arrived(now_ms, arrival)
-        self.actions.arriving = -1
+        self.actions.arriving = None
 
     def _find_original(self, entry: RequestEntry, request: IncomingRequest) -> int | None:
         """Set the key of an entry, and return the request that it repeats, if any."""
