--- a/tests/server/test_admission_actor.py
+++ b/tests/server/test_admission_actor.py
@@ -222,4 +222,4 @@
     # Links broke at the wrong time, and results were shared.
     assert day.actor.metrics.by_name["commands_sent_again"] and len(answers) - len(day.runs) > 20
     assert all("must_hold" not in name and "broke" not in name for name in day.actor.metrics.by_name)
-    assert not day.actor.state.calls.in_flight and not day.actor.state.idempotency_cache.followers
+    assert not day.actor.state.calls.by_number and not day.actor.state.idempotency_cache.followers
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -161,7 +161,7 @@
     "protocol": {"admission.request", "admission.settings"},
     "runtime": set(),
     "server": {"admission", "bulkheads", "configuration", "coordination", "protocol", "runtime"},
-    "server.dependency_calls": {"runtime", "server.records_client", "server.request_table"},
+    "server.calls_in_flight": {"runtime", "server.records_client", "server.request_table"},
     "server.client_connection": {
         *PEER_ACTORS,
         "server.client_messages",
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -27,7 +27,7 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers, unix_time_ms
-from vetchford.server.dependency_calls import DependencyCalls
+from vetchford.server.calls_in_flight import CallsInFlight
 from vetchford.server.idempotency_cache import IdempotencyCache
 from vetchford.server.listener import Listener
 from vetchford.server.records_client import RecordsClient
@@ -111,7 +111,7 @@
             answers=answers,
             idempotency_cache=IdempotencyCache(),
             commands=WorkerPoolCommands(worker_pool, requests, self.metrics),
-            calls=DependencyCalls(records, self.timers, self.call_timed_out),
+            calls=CallsInFlight(records, self.timers, self.call_timed_out),
         )
         self.listener = listener
         self.registry = registry
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -31,7 +31,7 @@
         """Take out a closed connection, and free its slot."""
 
 
-class ConnectionOwner(RequestTarget, Protocol):
+class ClientConnectionOwner(RequestTarget, Protocol):
     """The listener that accepted the connection, as far as the connection needs it."""
 
     thread_pool: ThreadPool  # for writers
@@ -51,7 +51,7 @@
     so that an idle connection costs no thread. Methods of the reader and of the actor are marked as such.
     """
 
-    def __init__(self, sock: socket.socket, owner: ConnectionOwner, metrics: Metrics) -> None:
+    def __init__(self, sock: socket.socket, owner: ClientConnectionOwner, metrics: Metrics) -> None:
         """Take over `sock`, which the connection closes at its end."""
         super().__init__("connection", metrics, owner.thread_pool)
         self.sock = sock
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -49,7 +49,7 @@
         """Take the outcome of the call of that number."""
 
 
-class ConnectionOwner(Protocol):
+class RecordsConnectionOwner(Protocol):
     """The client that the connection belongs to."""
 
     address: tuple[str, int] | None
@@ -65,7 +65,7 @@
 class RecordsConnection(PooledActor):
     """A connection, opened by its first call. `make_call` and `close` are entries of the actor."""
 
-    def __init__(self, owner: ConnectionOwner) -> None:
+    def __init__(self, owner: RecordsConnectionOwner) -> None:
         """Create a connection to the address that the owner has now."""
         super().__init__("records-connection", owner.metrics, owner.thread_pool)
         self.owner = owner
--- a/vetchford/server/server_state.py
+++ b/vetchford/server/server_state.py
@@ -4,7 +4,7 @@
 
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers
-from vetchford.server.dependency_calls import DependencyCalls
+from vetchford.server.calls_in_flight import CallsInFlight
 from vetchford.server.idempotency_cache import IdempotencyCache
 from vetchford.server.request_answers import RequestAnswers
 from vetchford.server.request_table import RequestTable
@@ -23,4 +23,4 @@
     answers: RequestAnswers
     idempotency_cache: IdempotencyCache
     commands: WorkerPoolCommands
-    calls: DependencyCalls
+    calls: CallsInFlight
