--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -28,7 +28,7 @@
 class Client(Protocol):
     """The connection that a message comes from."""
 
-    open_requests: set[int | str]  # ids
+    open_requests: set[int | str]  # ids; a request's is added here before it is handed on
     bad_message_count: int
 
     def reply(self, parts: list[bytes]) -> None:
--- a/vetchford/server/connection_state.py
+++ b/vetchford/server/connection_state.py
@@ -1,7 +1,14 @@
 """The state of one client connection: what it waits for, and when a close loses no answer. No I/O.
 
-The connection's reader thread and its actor report what happened, each calling the methods that are marked
-as its own; the questions may be asked from any thread. Times are monotonic seconds.
+The connection's reader thread and its actor report what happened, each by the methods that are marked as its
+own, and by fields that `client_connection` and `client_messages` set themselves:
+
+- `open_requests`: the reader adds an id as it hands the request on, the actor takes it out (`answer_queued`)
+- `last_active_at_s`: the reader as a message is whole, the actor as it has written
+- `writing`, `ends_after_answers`, `reading_done`: the actor
+- `broken`: either of them, whichever first sees the connection fail; it is never cleared
+
+The questions may be asked from any thread. Times are monotonic seconds.
 """
 
 from collections.abc import Callable
@@ -94,7 +101,7 @@
         self.ends_after_answers = False  # the sending side is shut down behind the last open answer
         self.closed = False
 
-    # -- reported by the reader
+    # -- reported by the reader, on its thread
 
     def message_received(self, now_s: float) -> None:
         """Take that a message is whole."""
@@ -121,7 +128,7 @@
         self.discarded_bytes += count
         return bool(self.open_requests) or self.discarded_bytes <= connection_limits.MAX_DISCARDED_BYTES
 
-    # -- reported by the actor
+    # -- reported by the actor, on the thread that runs its entries
 
     def answer_queued(self, rpc_id: int) -> None:
         """Take that the answer to an open request is about to be written."""
