--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -93,9 +93,9 @@
 
     def call(self, index: int, cut_at_ms: float) -> None:
         """Make the dependency call that the run waits for."""
-        deadline = self.clock.origin_unix_ms + cut_at_ms
+        deadline_unix_ms = self.clock.origin_unix_ms + cut_at_ms
         self.calls.start(
-            index, self.requests[index], self.clock.now_ms(), deadline, self._is_idempotent(index)
+            index, self.requests[index], self.clock.now_ms(), deadline_unix_ms, self._is_idempotent(index)
         )
 
     def skip(self, index: int) -> None:
@@ -106,8 +106,8 @@
         """Let the request hold its idempotency key, if it has one, for `keep_for_ms` from now."""
         key = self.requests[index].idempotency_key
         if key is not None:
-            until = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
-            self.idempotency_cache.remember(key, index, until)
+            until_unix_ms = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
+            self.idempotency_cache.remember(key, index, until_unix_ms)
 
     def forget(self, index: int) -> None:
         """Take the idempotency key from the request."""
@@ -138,9 +138,9 @@
 
     def schedule_tick(self, delay_ms: float) -> None:
         """Call `on_tick` after `delay_ms`, with gauges polled shortly before."""
-        due = unix_time_ms() + delay_ms
-        self.timers.schedule(due - POLL_AHEAD_MS, self.commands.poll)
-        self.timers.schedule(due, self.on_tick)
+        due_unix_ms = unix_time_ms() + delay_ms
+        self.timers.schedule(due_unix_ms - POLL_AHEAD_MS, self.commands.poll)
+        self.timers.schedule(due_unix_ms, self.on_tick)
 
     def _rejection_counter(self, index: int) -> str:
         """Return the counter of a rejection, by the server's state or whether the request was queued."""
