--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -184,7 +184,7 @@
     host.acts.clear()
     send(server, 30.0, 3, 0)
     assert not [act for act in host.acts if act[0] == "reject"]
-    short = [server.retry_after.with_jitter_ms(10.0) for _ in range(50)]
+    short = [server.retry_after.draw_ms(10.0) for _ in range(50)]
     server.retry_after.factor = 3.0
-    long = [server.retry_after.with_jitter_ms(10.0) for _ in range(50)]
+    long = [server.retry_after.draw_ms(10.0) for _ in range(50)]
     assert 2.0 < sum(long) / sum(short) < 4.0
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -69,7 +69,7 @@
         if original is not None and self.lifecycle.resolve_repeat(request, original, reason is not None):
             return
         if reason is not None:
-            longest_ms = self.retry_after.with_jitter_ms(math.inf)
+            longest_ms = self.retry_after.draw_ms(math.inf)
             self.lifecycle.reject(request, reason, retry_after_ms=longest_ms)
         elif self.checks.admit(now_ms, request):
             self.workload.queued[request.index] = request
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -57,7 +57,7 @@
         self.traffic.rejections += 1.0
         self.settle(request)
         if retry_after_ms is None:
-            retry_after_ms = self.retry_after.with_jitter_ms(self.capacity.backlog_ms(request))
+            retry_after_ms = self.retry_after.draw_ms(self.capacity.backlog_ms(request))
         terminal = terminal or self.terminal_rejection.is_terminal(request)
         self.actions.reject(request.index, terminal, retry_after_ms, reason)
         self.finish(request)
--- a/vetchford/admission/retry_after.py
+++ b/vetchford/admission/retry_after.py
@@ -10,6 +10,7 @@
 """Part of the retry-after that is spread by chance, so that clients do not come back in step."""
 CHANCE_RANGE = 2**32
 MEAN_WEIGHT = 0.05
+"""Weight of a draw in the mean retry-after."""
 
 
 class RetryAfter:
@@ -22,11 +23,12 @@
         self.factor = 1.0
         """As the fleet measures: how much longer clients are to stay away."""
         self.mean_ms = 0.0
+        """Recent mean of what clients were asked to wait; moved by each draw."""
         self.draws = 0
         """Random numbers drawn."""
 
-    def with_jitter_ms(self, wanted_ms: float) -> float:
-        """Return the retry-after to ask of a client, for a wanted one.
+    def draw_ms(self, wanted_ms: float) -> float:
+        """Draw the retry-after to ask of a client, for a wanted one, and count it into the mean.
 
         It is between half of the wanted one and all of it, within the longest that may be asked.
         """
