--- a/vetchford/admission/in_flight_bytes.py
+++ b/vetchford/admission/in_flight_bytes.py
@@ -57,15 +57,20 @@
     def over_client_limit(self, client: int, size_bytes: int) -> bool:
         """Return whether the client exceeds its part of the node threshold.
 
-        The paper's native_transport_max_concurrent_requests_in_bytes_per_ip. It binds above a fill level,
-        below which spare room is lent (design). One request is always within it: with many clients a part is
-        less than a request, and priority weights would no longer count.
+        The paper's native_transport_max_concurrent_requests_in_bytes_per_ip. A client that is alone has no
+        limit. The limit binds above a fill level, below which spare room is lent (design). One request is
+        always within it: with many clients a part is less than a request, and priority weights would no
+        longer count.
 
         Args:
             client: Whose request has arrived.
             size_bytes: Of that request, which is counted already.
         """
         clients = len(self.bytes_by_client)
-        if clients <= 1 or self.unanswered_bytes < LENDING_FRACTION * self.clearable_bytes:
+        if clients <= 1:
             return False
-        return self.bytes_by_client[client] > max(size_bytes, CLIENT_PARTS * self.clearable_bytes / clients)
+        room_is_lent = self.unanswered_bytes < LENDING_FRACTION * self.clearable_bytes
+        if room_is_lent:
+            return False
+        client_part_bytes = CLIENT_PARTS * self.clearable_bytes / clients
+        return self.bytes_by_client[client] > max(size_bytes, client_part_bytes)
