--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -34,7 +34,7 @@
         """Answer a request with the result of the one it repeats, once there is one."""
 
     def call(self, index: int, cut_at_ms: float) -> None:
-        """Make the call that a request waits for, to be abandoned at the clock time `cut_at`."""
+        """Make the call that a request waits for, to be abandoned at the clock time `cut_at_ms`."""
 
     def skip(self, index: int) -> None:
         """Let a request that waits for a call go on without it."""
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -110,7 +110,7 @@
             self.start_probes(now_ms)
 
     def shift_deadlines(self, gap_ms: float) -> None:
-        """This process was stopped for `gap`: nobody else is late because of it."""
+        """This process was stopped for `gap_ms`: nobody else is late because of it."""
         for member in self.membership.members.values():
             member.since_ms += gap_ms
         for probe in self.probes.values():
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -29,7 +29,7 @@
     def start(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> float:
         """Count from the termination notice; return by when all must be answered.
 
-        `stop_ms`: until the program is killed. `grace`: what arrives later is not run.
+        `stop_ms`: until the program is killed. `grace_ms`: what arrives later is not run.
         """
         self.kill_at_unix_ms = signalled_at_unix_ms + stop_ms
         self.close_at_unix_ms = signalled_at_unix_ms + min(grace_ms, MAX_GRACE_SHARE * stop_ms)
