--- a/tests/coordination/test_load_sampler.py
+++ b/tests/coordination/test_load_sampler.py
@@ -1,6 +1,17 @@
 """What one server reports of itself."""
 
-from vetchford.coordination.load_sampler import WINDOW_MS, LoadSampler
+import ast
+
+from helpers import ROOT
+
+from vetchford.admission.request import Outcome
+from vetchford.coordination.load_sampler import (
+    COMPLETED,
+    CUT_OFF,
+    REJECTED_COUNTERS,
+    WINDOW_MS,
+    LoadSampler,
+)
 
 
 def figures(sampler, now_ms, started_at_ms=(), usual_ms=40.0, counts=None):
@@ -39,3 +50,21 @@
     assert "full" not in figures(sampler, 0.0, counts={"read": 100, "rejected_at_door": 90})
     metrics = figures(sampler, 1000.0, counts={"read": 200, "rejected_at_door": 110, "rejected_held": 5})
     assert metrics["full"] == 0.25 and metrics["rate"] == 100.0
+
+
+def test_outcomes_and_counters_are_those_of_the_server():
+    assert (COMPLETED, CUT_OFF) == (Outcome.COMPLETED, Outcome.OVERDUE)
+    counted = {
+        node.value
+        for path in (ROOT / "vetchford/server").glob("*.py")
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Constant) and str(node.value).startswith("rejected_")
+    }
+    assert sorted(REJECTED_COUNTERS) == sorted(counted)
+
+
+def test_every_counter_of_rejections_is_summed():
+    for name in REJECTED_COUNTERS:
+        sampler = LoadSampler()
+        figures(sampler, 0.0, counts={"read": 0})
+        assert figures(sampler, 1000.0, counts={"read": 100, name: 25})["full"] == 0.25
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -19,11 +19,21 @@
 MIN_STUCK_MS = 1000.0
 MS_PER_S = 1000.0
 
-# Outcomes of a call that are told apart here, and counters of admission.
+# Values of `vetchford.admission.request.Outcome`, which coordination does not import.
 COMPLETED = "completed"
 CUT_OFF = "overdue"
+
+# Counters of the server.
 REQUESTS_READ = "read"
-REJECTED_PREFIX = "rejected_"
+REJECTED_COUNTERS = (
+    "rejected_at_door",
+    "rejected_held",
+    "rejected_stalled",
+    "rejected_draining",
+    "rejected_no_pool",
+    "rejected_over_open",
+    "rejected_distrusted",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +42,7 @@
 
     at_ms: float
     duration_ms: float
-    outcome: str
+    outcome: str  # an `Outcome`; `COMPLETED` and `CUT_OFF` are told apart here
 
     def is_lost(self) -> bool:
         """Whether it was not answered."""
@@ -126,7 +136,7 @@
 
     def _request_metrics(self, now_ms: float, counts: Mapping[str, int]) -> dict[str, float]:
         """The rate of requests, and the share of them that was rejected."""
-        rejected = sum(count for name, count in counts.items() if name.startswith(REJECTED_PREFIX))
+        rejected = sum(counts.get(name, 0) for name in REJECTED_COUNTERS)
         self.counters.append(CounterSample(now_ms, counts.get(REQUESTS_READ, 0), rejected))
         while len(self.counters) > 1 and now_ms - self.counters[0].at_ms > WINDOW_MS:
             self.counters.popleft()
