--- a/vetchford/runtime/metrics.py
+++ b/vetchford/runtime/metrics.py
@@ -28,6 +28,11 @@
             count = self.by_name[name] = self.by_name.get(name, 0) + 1
         return count
 
+    def snapshot(self) -> dict[str, int]:
+        """Return the counts as of now, by name."""
+        with self.lock:
+            return self.by_name.copy()
+
     def log_sampled(self, event: str, **fields: Any) -> None:
         """Count an event that a peer can provoke, and log the 1st, 2nd, 4th, 8th ... of it."""
         count = self.increment(event)
@@ -36,8 +41,7 @@
 
     def log_summary(self, **fields: Any) -> None:
         """Log all counters on one line, with `fields` before them."""
-        with self.lock:
-            counted = dict(sorted(self.by_name.items()))
+        counted = dict(sorted(self.snapshot().items()))
         log.info("summary", **fields, **counted)
 
     def report_internal_error(self, part: str, problem: Exception) -> None:
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -254,7 +254,7 @@
             self.clock.now_ms(),
             self.state.calls.start_times(),
             usual_duration_ms,
-            self.metrics.by_name.copy(),
+            self.metrics.snapshot(),
             in_flight.used_bytes,
             in_flight.memory_bytes,
         )
