--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -127,7 +127,7 @@
 
     def should_skip(self, request: Request) -> bool:
         """Where its bulkhead's queue for calls is long, or one that must call waits."""
-        return self.bulkheads.calls.should_skip(request.bulkhead, self.workload.waiting.values())
+        return self.bulkheads.calls.decide_skip(request.bulkhead, self.workload.waiting.values())
 
     def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
         """By the calls of its bulkhead."""
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -113,7 +113,7 @@
             max_running: How many the server survives, reserves included.
             blocked: Bulkheads to be passed over.
         """
-        candidates = self.calls.requests_to_start(queued, waiting, blocked)
+        candidates = self.calls.choose_startable(queued, waiting, blocked)
         bulkhead = self.slots.next_to_start(now_ms, candidates, running, slots, max_running)
         return [] if bulkhead is None else candidates[bulkhead]
 
--- a/vetchford/bulkheads/call_sharing.py
+++ b/vetchford/bulkheads/call_sharing.py
@@ -63,12 +63,13 @@
 
     # -- rules
 
-    def requests_to_start(
+    def choose_startable(
         self, queued: Iterable[Request], waiting: Iterable[Request], blocked: set[int]
     ) -> dict[int, list[Request]]:
-        """The queued requests that may start, by bulkhead; `blocked` bulkheads are passed over.
+        """Choose the queued requests that may start, by bulkhead; `blocked` bulkheads are passed over.
 
-        What must call is not started into a queue as long as its bulkhead's limit: it would only wait.
+        What must call is not started into a queue as long as its bulkhead's limit: it would only wait. The
+        limit is told that it was reached.
         """
         queued_calls = [0] * len(self.settings)
         for request in waiting:
@@ -89,6 +90,7 @@
         """The waiting requests of the bulkhead whose call goes out next; none where all are at their limits.
 
         What may skip calls only while nothing waits that must, to which the dependency's time is worth more.
+        A limit that holds a call back is told so.
         """
         waiting = list(waiting)
         first = [request for request in waiting if must_call(request)] or waiting
@@ -96,16 +98,21 @@
         for request in first:
             candidates.setdefault(request.bulkhead, []).append(request)
         self.fair_share.advance(now_ms)
-        allowed = [bulkhead for bulkhead in candidates if self._may_call(bulkhead, max(MIN_CALLS, calls))]
+        allowed = []
+        for bulkhead in candidates:
+            if self._is_at_limit(bulkhead):
+                self._note_limit_reached(bulkhead)
+            elif self.fair_share.may_acquire(bulkhead, max(MIN_CALLS, calls), self.settings):
+                allowed.append(bulkhead)
         return candidates[self.fair_share.next(allowed)] if allowed else []
 
-    def _may_call(self, bulkhead: int, calls: float) -> bool:
-        """Whether a bulkhead may have one more call out: within its own limit, and by its share of all."""
-        if self.fair_share.in_use[bulkhead] + 1.0 > self.limits[bulkhead].limit + ROUNDING:
-            self.limits[bulkhead].limit_reached()
-            self.observer.limit_reached(bulkhead, Resource.CALLS)
-            return False
-        return self.fair_share.may_acquire(bulkhead, calls, self.settings)
+    def _is_at_limit(self, bulkhead: int) -> bool:
+        """Whether one more call would be beyond the bulkhead's own limit."""
+        return self.fair_share.in_use[bulkhead] + 1.0 > self.limits[bulkhead].limit + ROUNDING
+
+    def _note_limit_reached(self, bulkhead: int) -> None:
+        self.limits[bulkhead].limit_reached()
+        self.observer.limit_reached(bulkhead, Resource.CALLS)
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
         """Clock time at which its call is abandoned: by the call budget, or when its answer would be late.
@@ -117,8 +124,11 @@
             useful_until_ms = request.deadline_ms
         return min(now_ms + self.settings[request.bulkhead].call_budget_ms, useful_until_ms)
 
-    def should_skip(self, bulkhead: int, waiting: Iterable[Request]) -> bool:
-        """Whether a request that may skip its call does: more wait than may call, or one that must waits."""
+    def decide_skip(self, bulkhead: int, waiting: Iterable[Request]) -> bool:
+        """Decide whether a request that may skip its call does: more wait than may call, or one that must.
+
+        The observer is told where one that must call is the reason.
+        """
         waiting = list(waiting)
         if any(must_call(request) for request in waiting):
             self.observer.limit_reached(bulkhead, Resource.SKIPPED_CALLS)
