--- a/vetchford/coordination/incarnation.py
+++ b/vetchford/coordination/incarnation.py
@@ -7,11 +7,11 @@
 import time
 
 from vetchford.runtime.clock import clock
+from vetchford.runtime.units import MS_PER_S
 
 MAX_RAISES = 5  # in RAISE_WINDOW_MS
 RAISE_WINDOW_MS = 60_000.0
 NONCE_BITS = 62
-MS_PER_S = 1000.0
 
 
 class IncarnationCounter:
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from vetchford.gossip.metrics import Metric
+from vetchford.runtime.units import MS_PER_S
 
 WINDOW_MS = 2000.0  # that metrics are taken over
 MIN_WINDOW_FRACTION = 0.25  # that must have passed before rates are reported
@@ -17,7 +18,6 @@
 MIN_CALLS = 8  # from which the usual duration of a call is known
 STUCK_FACTOR = 12.0  # times the usual duration that the oldest call is out
 MIN_STUCK_MS = 1000.0
-MS_PER_S = 1000.0
 
 # Values of `vetchford.admission.request.Outcome`, which coordination does not import.
 COMPLETED = "completed"
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -9,9 +9,10 @@
 import sys
 import time
 
+from vetchford.runtime.units import MS_PER_S
+
 VARIABLE = "VETCHFORD_CLOCK"
 TRUE_CLOCK = "0 1"
-MS_PER_S = 1000.0
 
 
 class Clock:
--- a/vetchford/runtime/timers.py
+++ b/vetchford/runtime/timers.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-MS_PER_S = 1000.0
+from vetchford.runtime.units import MS_PER_S
+
 MAX_FIRED_AT_ONCE = 64  # timers, before the mailbox is read again
 
 
--- a/vetchford/server/connection_table.py
+++ b/vetchford/server/connection_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.timers import MS_PER_S
+from vetchford.runtime.units import MS_PER_S
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
 from vetchford.server.connection_limits import CROWDED, NEARLY_FULL, NORMAL, Crowding
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -21,7 +21,8 @@
 )
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import start_thread
-from vetchford.runtime.timers import MS_PER_S, unix_time_ms
+from vetchford.runtime.timers import unix_time_ms
+from vetchford.runtime.units import MS_PER_S
 from vetchford.server import signals
 from vetchford.server.admission_actor import AdmissionActor
 from vetchford.server.listener import Listener
