--- a/vetchford/admission/completion_estimate.py
+++ b/vetchford/admission/completion_estimate.py
@@ -14,7 +14,7 @@
 """Factor on the expected run time while the cores are busy: many runs take longer than expected."""
 ROOM_MARGIN = 0.8
 """The same while the cores have room, where an attempt costs little."""
-REMAINING_RUN_FRACTION = 0.5
+AFTER_CALL_FRACTION = 0.5
 """Part of a run that follows its dependency call."""
 
 
@@ -57,7 +57,7 @@
 
     def is_call_too_late(self, now_ms: float, request: Request) -> bool:
         """Return whether a call that went out now would be followed by an answer that is not wanted."""
-        run_ms = REMAINING_RUN_FRACTION * self.workload.expected_run_time_ms(request)
+        run_ms = AFTER_CALL_FRACTION * self.workload.expected_run_time_ms(request)
         late_counts = request.request_class.late_fraction
         useful_until_ms = request.deadline_ms if late_counts else request.objective_at_ms
         return now_ms + run_ms > useful_until_ms
