--- a/vetchford/server/connection_table.py
+++ b/vetchford/server/connection_table.py
@@ -65,7 +65,10 @@
         return NORMAL
 
     def close_longest_idle(self) -> None:
-        """Ask the connections that were idle for longest to close, down to the crowded share."""
+        """Ask the connections that were idle for longest to close, down to the crowded share.
+
+        Those that have sent no message yet are passed over: their timeout for the first message ends them.
+        """
         idle_since_s = time.monotonic() - connection_limits.CROWDED_IDLE_TIMEOUT_S
         staying = self.not_asked_to_close()
         idle = [
@@ -79,7 +82,11 @@
             self._request_close(connection)
 
     def close_idle(self, idle_timeout_ms: float) -> None:
-        """Ask the connections to close that were idle for longer than that."""
+        """Ask the connections to close that were idle for longer than that.
+
+        Also those that have sent no message yet, whose age then counts from accepting them; those that
+        `close_longest_idle` leaves to their timeout for the first message.
+        """
         idle_since_s = time.monotonic() - idle_timeout_ms / MS_PER_S
         with self.lock:
             idle = [connection for connection in self.open if connection.state.is_idle_since(idle_since_s)]
