--- a/vetchford/admission/health.py
+++ b/vetchford/admission/health.py
@@ -79,9 +79,11 @@
         return arrived_at_ms > self.notice_at_ms + self.workload.settings.drain_grace_ms
 
     def makes_no_progress(self, now_ms: float) -> bool:
-        """Return whether all slots are taken and no run has left them for too long: a stall.
+        """Return whether all slots are taken and no run has left the cores for too long: a stall.
 
-        Queued requests then have no chance, and are better sent to another server at once.
+        Queued requests then have no chance, and are better sent to another server at once. The runs are
+        compared with the concurrency limit, or with the cores where those are fewer, and not with
+        `Workload.slots`: what reading takes from the slots does not count here.
         """
         load = self.workload
         patience_ms = max(STALL_AFTER_MS, STALL_AFTER_RUNS * load.mean_run_time_ms)
