--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -78,9 +78,10 @@
 
     def backlog_ms(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
-        return self._delay_behind(
-            self.bulkheads.slots.fair_share.updated_at_ms, request, self._queued(request)
-        )
+        # The question comes without a time. That at which the use of slots was last accounted for stands for
+        # it, and serves only to say for how long the oldest call is out.
+        accounted_at_ms = self.bulkheads.slots.fair_share.updated_at_ms
+        return self._delay_behind(accounted_at_ms, request, self._queued(request))
 
     def has_room(self, request: Request) -> bool:
         """By its bulkhead's part of the bytes, and what others lend."""
