--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -69,7 +69,7 @@
         if original is not None and self.lifecycle.resolve_repeat(request, original, reason is not None):
             return
         if reason is not None:
-            longest_ms = self.retry_after.with_jitter_ms(math.inf)
+            longest_ms = self.retry_after.draw_ms(math.inf)
             self.lifecycle.reject(request, reason, retry_after_ms=longest_ms)
         elif self.checks.admit(now_ms, request):
             self.workload.queued[request.index] = request
@@ -86,11 +86,11 @@
         if self.workload.dependency is not None:
             self.workload.dependency.apply_fleet_signals(call_slowdown, call_capacity)
 
-    def start_draining(self, now_ms: float, kill_at_ms: float) -> None:
-        """Cut all deadlines, so that everything is answered before the process is killed."""
-        self.health.start_draining(now_ms, kill_at_ms)
+    def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
+        """Cut all deadlines, so that everything is answered by `answers_due_at_ms`."""
+        self.health.start_draining(now_ms, answers_due_at_ms)
         for request in self.workload.requests.values():
-            request.deadline_ms = min(request.deadline_ms, self.health.kill_at_ms)
+            request.deadline_ms = min(request.deadline_ms, self.health.latest_deadline_ms)
 
     def client_gone(self, now_ms: float, index: int) -> None:
         """Cancel a request that nobody waits for."""
@@ -119,7 +119,7 @@
         self.capacity.run_blocked(now_ms, request)
         self.health.run_left(now_ms)
         request.state = RequestState.WAITING_FOR_CALL
-        request.dependency_wait_ms -= now_ms
+        request.wait_started(now_ms)
         if not request.answered:  # else it ends by itself
             self.workload.waiting[index] = request
             self.dependency_calls.start_calls(now_ms)
@@ -132,20 +132,14 @@
         request = self.workload.requests[index]
         answered_after_ms = None if outcome in UNANSWERED_OUTCOMES else took_ms
         never_ran = outcome in NEVER_RAN_OUTCOMES
-        if self.workload.dependency is not None:
-            self.workload.dependency.ended(now_ms, answered_after_ms)
-        self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
-        request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
+        self._count_call_back(now_ms, request, answered_after_ms, never_ran)
         if outcome == Outcome.COMPLETED:
             self.dependency_calls.resume(now_ms, request)
         elif not request.answered:  # one given up on while its call was out ends by itself
-            if request.request_class.skip_fraction > 0.0:
-                self.dependency_calls.skip(now_ms, request)
-            elif never_ran:
-                self.workload.waiting[index] = request  # its call may be made again, at the next tick
-                return
-            else:
-                self.lifecycle.give_up(request)
+            if never_ran and not _may_skip(request):
+                self.workload.waiting[index] = request
+                return  # its call may be made again, from the next tick on
+            self._continue_without_call(now_ms, request)
         self.dependency_calls.start_calls(now_ms)
         self.scheduler.dispatch(now_ms)
 
@@ -163,7 +157,7 @@
 
     def _count_arrival(self, now_ms: float, arrival: RequestArrival) -> Request:
         kind = self.workload.classes[arrival.class_index]
-        times = self.retry_objective.times(now_ms, arrival, kind, self.health.kill_at_ms)
+        times = self.retry_objective.times(now_ms, arrival, kind, self.health.latest_deadline_ms)
         request = Request.of(arrival, kind, times)
         self.workload.requests[request.index] = request
         self.workload.in_flight.add(request.client, request.size_bytes)
@@ -187,6 +181,22 @@
         self.health.run_left(now_ms)
         load.in_flight.used_bytes -= request.size_bytes * load.in_flight.running_extra
 
+    def _count_call_back(
+        self, now_ms: float, request: Request, answered_after_ms: float | None, never_ran: bool
+    ) -> None:
+        """Free what a call held, and learn from it; `answered_after_ms` is None where no answer came."""
+        if self.workload.dependency is not None:
+            self.workload.dependency.ended(now_ms, answered_after_ms)
+        self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
+        request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
+
+    def _continue_without_call(self, now_ms: float, request: Request) -> None:
+        """Let a run go on without its call where its class allows that, or else give the request up."""
+        if _may_skip(request):
+            self.dependency_calls.skip(now_ms, request)
+        else:
+            self.lifecycle.give_up(request)
+
     def _update_workload(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
         load = self.workload
         cores_busy = utilization is None or utilization > BUSY_UTILIZATION
@@ -213,10 +223,7 @@
         elif request.state == RequestState.QUEUED:
             self._reject_if_hopeless(now_ms, request)
         elif request.index in self.workload.waiting and self.estimate.is_call_too_late(now_ms, request):
-            if request.request_class.skip_fraction > 0.0:
-                self.dependency_calls.skip(now_ms, request)
-            else:
-                self.lifecycle.give_up(request)
+            self._continue_without_call(now_ms, request)
 
     def _reject_if_hopeless(self, now_ms: float, request: Request) -> None:
         """Reject a queued request; terminal only where it would be too late on any server."""
@@ -224,3 +231,7 @@
             self.lifecycle.reject(request, RejectionReason.STALLED)
         elif not self.estimate.is_in_time(now_ms, request, 0.0):
             self.lifecycle.reject(request, RejectionReason.LATENCY_OBJECTIVE, terminal=True)
+
+
+def _may_skip(request: Request) -> bool:
+    return request.request_class.skip_fraction > 0.0
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -13,6 +13,8 @@
 
 UNKNOWN_WORK_MS = 1.0
 """Expected work of a request whose client gives none: the class's mean run time then stands for it."""
+UNKNOWN_ORIGINAL = -1
+"""In place of the index of the request that another repeats: this server does not hold it any more."""
 NOTHING_OFFERED = 1e-9
 """Keeps the achieved part of what was offered defined before the first request."""
 
@@ -62,7 +64,7 @@
     queued_for_ms: float
     """Time between its arrival at the machine and now."""
     original: int | None
-    """Index of the request it repeats, -1 for a repeat of an unknown one, None for no repeat."""
+    """Index of the request it repeats, or `UNKNOWN_ORIGINAL`; None for no repeat."""
 
 
 @dataclass(slots=True)
@@ -128,7 +130,7 @@
     concurrency_at_start: float = 0.0
     """Runs and reads on the cores when its run started."""
     dependency_wait_ms: float = 0.0
-    """Time waited on calls so far, less the clock time when the wait began while it lasts."""
+    """Time waited on calls; meaningful between waits only, see `wait_started`."""
     key_expires_at_ms: float = 0.0
     """When its idempotency key is dropped; 0: it has none."""
     bulkhead: int = 0
@@ -139,6 +141,21 @@
         """Whether repeats of it are recognised by their idempotency key."""
         return self.request_class.effect == Effect.IDEMPOTENT_BY_KEY
 
+    def wait_started(self, now_ms: float) -> None:
+        """Begin to wait on a call.
+
+        While the wait lasts, `dependency_wait_ms` is the sum of earlier waits less this start.
+        """
+        self.dependency_wait_ms -= now_ms
+
+    def wait_ended(self, now_ms: float) -> None:
+        """End the wait that `wait_started` began, and add it to `dependency_wait_ms`."""
+        self.dependency_wait_ms += now_ms
+
+    def has_waited(self) -> bool:
+        """Return whether it waits on a call or has waited on one; a wait that took no time is none."""
+        return self.dependency_wait_ms != 0.0
+
     @classmethod
     def of(cls, arrival: RequestArrival, request_class: RequestClass, times: AttemptTimes) -> "Request":
         """Return the request of an arrival, with the times that were decided for it."""
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -55,8 +55,7 @@
             self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
         elif request.state == RequestState.CALLING:
             self.bulkheads.calls.call_ended(now_ms, request.bulkhead, request.index, None, False)
-        called = request.dependency_wait_ms != 0.0
-        self.bulkheads.run_ended(request.bulkhead, called, self._extra_bytes(request))
+        self.bulkheads.run_ended(request.bulkhead, request.has_waited(), self._extra_bytes(request))
 
     def call_started(self, now_ms: float, request: Request) -> None:
         """Count the call."""
@@ -79,9 +78,10 @@
 
     def backlog_ms(self, request: Request) -> float:
         """Behind all queued requests of its own bulkhead."""
-        return self._delay_behind(
-            self.bulkheads.slots.fair_share.updated_at_ms, request, self._queued(request)
-        )
+        # The question comes without a time. That at which the use of slots was last accounted for stands for
+        # it, and serves only to say for how long the oldest call is out.
+        accounted_at_ms = self.bulkheads.slots.fair_share.updated_at_ms
+        return self._delay_behind(accounted_at_ms, request, self._queued(request))
 
     def has_room(self, request: Request) -> bool:
         """By its bulkhead's part of the bytes, and what others lend."""
@@ -128,7 +128,7 @@
 
     def should_skip(self, request: Request) -> bool:
         """Where its bulkhead's queue for calls is long, or one that must call waits."""
-        return self.bulkheads.calls.should_skip(request.bulkhead, self.workload.waiting.values())
+        return self.bulkheads.calls.decide_skip(request.bulkhead, self.workload.waiting.values())
 
     def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
         """By the calls of its bulkhead."""
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from vetchford.gossip.metrics import Metric
+from vetchford.runtime.units import MS_PER_S
 
 WINDOW_MS = 2000.0  # that metrics are taken over
 MIN_WINDOW_FRACTION = 0.25  # that must have passed before rates are reported
@@ -17,13 +18,22 @@
 MIN_CALLS = 8  # from which the usual duration of a call is known
 STUCK_FACTOR = 12.0  # times the usual duration that the oldest call is out
 MIN_STUCK_MS = 1000.0
-MS_PER_S = 1000.0
 
-# Outcomes of a call that are told apart here, and counters of admission.
+# Values of `vetchford.admission.request.Outcome`, which coordination does not import.
 COMPLETED = "completed"
 CUT_OFF = "overdue"
+
+# Counters of the server.
 REQUESTS_READ = "read"
-REJECTED_PREFIX = "rejected_"
+REJECTED_COUNTERS = (
+    "rejected_at_door",
+    "rejected_held",
+    "rejected_stalled",
+    "rejected_draining",
+    "rejected_no_pool",
+    "rejected_over_open",
+    "rejected_distrusted",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +42,7 @@
 
     at_ms: float
     duration_ms: float
-    outcome: str
+    outcome: str  # an `Outcome`; `COMPLETED` and `CUT_OFF` are told apart here
 
     def is_lost(self) -> bool:
         """Whether it was not answered."""
@@ -126,7 +136,7 @@
 
     def _request_metrics(self, now_ms: float, counts: Mapping[str, int]) -> dict[str, float]:
         """The rate of requests, and the share of them that was rejected."""
-        rejected = sum(count for name, count in counts.items() if name.startswith(REJECTED_PREFIX))
+        rejected = sum(counts.get(name, 0) for name in REJECTED_COUNTERS)
         self.counters.append(CounterSample(now_ms, counts.get(REQUESTS_READ, 0), rejected))
         while len(self.counters) > 1 and now_ms - self.counters[0].at_ms > WINDOW_MS:
             self.counters.popleft()
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -27,7 +27,7 @@
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.timers import Timers, unix_time_ms
-from vetchford.server.dependency_calls import DependencyCalls
+from vetchford.server.calls_in_flight import CallsInFlight
 from vetchford.server.idempotency_cache import IdempotencyCache
 from vetchford.server.listener import Listener
 from vetchford.server.records_client import RecordsClient
@@ -111,7 +111,7 @@
             answers=answers,
             idempotency_cache=IdempotencyCache(),
             commands=WorkerPoolCommands(worker_pool, requests, self.metrics),
-            calls=DependencyCalls(records, self.timers, self.call_timed_out),
+            calls=CallsInFlight(records, self.timers, self.call_timed_out),
         )
         self.listener = listener
         self.registry = registry
@@ -220,7 +220,7 @@
             controller.on_tick(self.clock.now_ms(), self.gauges.core_use(), on_cores)
 
     def _fail_overdue(self, before_ms: float) -> None:
-        self.state.answers.fail_overdue(before_ms, self._bound_controller().health.kill_at_ms)
+        self.state.answers.fail_overdue(before_ms, self._bound_controller().health.latest_deadline_ms)
 
     def _close_idle_connections(self) -> None:
         if self.actions.idle_timeout_ms < math.inf:
@@ -254,7 +254,7 @@
             self.clock.now_ms(),
             self.state.calls.start_times(),
             usual_duration_ms,
-            self.metrics.by_name.copy(),
+            self.metrics.snapshot(),
             in_flight.used_bytes,
             in_flight.memory_bytes,
         )
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -15,6 +15,7 @@
 from vetchford.server.idempotency_cache import RunResult
 from vetchford.server.listener import Listener
 from vetchford.server.registry_reporter import RegistryReporter
+from vetchford.server.request_table import NO_ORIGINAL
 from vetchford.server.server_state import ServerState
 
 log = structlog.get_logger()
@@ -61,7 +62,7 @@
         self.registry = registry
         self.on_tick = on_tick
         self.deferred: deque[SharedResult] = deque()
-        self.arriving = -1  # index of the request that is just being admitted
+        self.arriving: int | None = None  # index of the request that is just being admitted
         self.idle_timeout_ms = math.inf  # for which a silent connection is kept
 
     def start(self, index: int) -> None:
@@ -92,9 +93,9 @@
 
     def call(self, index: int, cut_at_ms: float) -> None:
         """Make the dependency call that the run waits for."""
-        deadline = self.clock.origin_unix_ms + cut_at_ms
+        deadline_unix_ms = self.clock.origin_unix_ms + cut_at_ms
         self.calls.start(
-            index, self.requests[index], self.clock.now_ms(), deadline, self._is_idempotent(index)
+            index, self.requests[index], self.clock.now_ms(), deadline_unix_ms, self._is_idempotent(index)
         )
 
     def skip(self, index: int) -> None:
@@ -105,8 +106,8 @@
         """Let the request hold its idempotency key, if it has one, for `keep_for_ms` from now."""
         key = self.requests[index].idempotency_key
         if key is not None:
-            until = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
-            self.idempotency_cache.remember(key, index, until)
+            until_unix_ms = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
+            self.idempotency_cache.remember(key, index, until_unix_ms)
 
     def forget(self, index: int) -> None:
         """Take the idempotency key from the request."""
@@ -116,7 +117,7 @@
         """Forget the request."""
         entry = self.requests[index]
         self.metrics.check_invariant(entry.answered, "released_after_its_answer", task=entry.request_id)
-        if entry.original >= 0:
+        if entry.original != NO_ORIGINAL:
             self.idempotency_cache.remove_follower(entry.original, index)
         for follower in self.idempotency_cache.release(index):
             self.deferred.append(SharedResult(follower, NOT_COMPLETED))
@@ -137,9 +138,9 @@
 
     def schedule_tick(self, delay_ms: float) -> None:
         """Call `on_tick` after `delay_ms`, with gauges polled shortly before."""
-        due = unix_time_ms() + delay_ms
-        self.timers.schedule(due - POLL_AHEAD_MS, self.commands.poll)
-        self.timers.schedule(due, self.on_tick)
+        due_unix_ms = unix_time_ms() + delay_ms
+        self.timers.schedule(due_unix_ms - POLL_AHEAD_MS, self.commands.poll)
+        self.timers.schedule(due_unix_ms, self.on_tick)
 
     def _rejection_counter(self, index: int) -> str:
         """Return the counter of a rejection, by the server's state or whether the request was queued."""
