--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -1,4 +1,4 @@
-"""Client of the worker pool: one link, opened again whenever it is lost."""
+"""Client of the worker pool: maintains one link, and reconnects whenever the link is lost."""
 
 import socket
 import time
@@ -14,92 +14,93 @@
 from vetchford.runtime.sockets import send_now, send_parts, shut
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
-RECONNECT_DELAY_S = 0.02  # between attempts: runs go on meanwhile, and the pool is on the same machine
-MAX_RECONNECT_DELAY_S = 0.5  # what the delay doubles up to while nobody listens
+RECONNECT_DELAY_S = 0.02  # short, as runs continue without a link and the worker pool is on the same machine
+MAX_RECONNECT_DELAY_S = 0.5  # the delay doubles up to this while connections are refused
 CONNECT_TIMEOUT_S = 2.0  # far more than a connection on one machine takes
 
 
 class WorkerPoolEvents(Mailbox, Protocol):
-    """What the admission actor is told by the worker pool; each is posted to its mailbox."""
+    """The events of the worker pool, which are posted to the admission actor's mailbox."""
 
     def worker_pool_bound(self, link: int, cold: bool, started_ms_ago: float) -> None:
-        """Take that a link is open."""
+        """Handle the opening of a link."""
 
     def worker_pool_lost(self) -> None:
-        """Take that the link is lost."""
+        """Handle the loss of the link."""
 
     def poll_answered(self, reference: str, gauges: list[float]) -> None:
-        """Take the answer to a poll."""
+        """Handle the answer to a poll."""
 
     def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
-        """Take the end of a run; `content` is its result in base64."""
+        """Handle the end of a run; `content` is its result in base64."""
 
     def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
-        """Take that a run waits for a dependency call with this body."""
+        """Handle the notice that a run waits for a dependency call with this body."""
 
     def command_unknown(self, command: str, request_id: str) -> None:
-        """Take that a command was not carried out."""
+        """Handle the worker pool's report that it did not carry out a command."""
 
 
 class WorkerPoolClient(PooledActor):
-    """Sends commands on the open link, and posts the pool's messages to the admission actor.
+    """Sends commands on the open link, and posts the worker pool's messages to the admission actor.
 
-    The actor writes. A thread of its own opens the links and reads them. Links are numbered, so that a
-    command which was meant for a lost link is not sent on the next one.
+    The actor writes; a separate reader thread opens the links and reads from them. Links are numbered, so
+    that a command for a lost link is not sent on the next link.
     """
 
     def __init__(self, address: tuple[str, int], admission: WorkerPoolEvents, metrics: Metrics) -> None:
-        """Create the client of the pool at `address`; `start` opens the first link."""
+        """Create the client of the worker pool at `address`; `start` opens the first link."""
         super().__init__("worker-pool", metrics, ThreadPool(metrics, 1))
         self.address = address
         self.admission = admission
         self.last_notice = 0  # number of the last notice that was read
-        self.last_requested_again = 0  # the last notice that was missing or unreadable; each is so once
-        self.link = 0  # number of the link that is or was open
+        self.last_requested_again = 0  # number of the last notice that a replay was requested for
+        self.link = 0  # number of the current link, or of the last one while no link is open
         self.sock: socket.socket | None = None  # None while no link is open
         self.outgoing: list[bytes] = []  # written at the end of each batch of entries
-        self.outgoing_link = 0  # the link that `outgoing` is meant for
+        self.outgoing_link = 0  # number of the link that `outgoing` is to be sent on
 
     def start(self) -> None:
-        """Start the thread that opens and reads links, for the life of the process."""
+        """Start the thread that opens and reads links; it runs until the process exits."""
         self.thread_pool.start()
         start_thread(self._maintain_link, "worker-pool-reader", self.metrics)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Go over to the pool at `address`, which goes on with the same runs; an entry of the actor."""
+        """Connect to the worker pool at `address`, which continues the same runs; an entry of the actor."""
         if address != self.address:
             self.address = address
             if self.sock is not None:
-                shut(self.sock)  # the reader opens the next link
+                shut(self.sock)  # the reader thread then opens the next link
 
     # -- writing: entries of the actor
 
     def send(self, link: int, parts: list[bytes]) -> None:
-        """Send a command on the link of that number; it is dropped if the link is lost."""
+        """Send a command on the link with this number; the command is dropped if the link is lost."""
         if link != self.outgoing_link:
             self.outgoing = []
             self.outgoing_link = link
         self.outgoing += parts
 
     def on_idle(self) -> None:
-        """Write all that a batch of entries left, blocking."""
+        """Write the commands of a batch of entries; blocks."""
         self._write(send_parts)
 
     def flush_nonblocking(self) -> None:
-        """Write what the system takes at once."""
+        """Write as much as the kernel accepts without blocking."""
         self._write(send_now)
 
     def has_unwritten(self) -> bool:
-        """Return whether `flush_nonblocking` has left bytes to write."""
+        """Return whether bytes are left to write after `flush_nonblocking`."""
         return bool(self.outgoing)
 
     def _write(self, send: Callable[[socket.socket, list[bytes]], list[bytes] | None]) -> None:
         parts = self.outgoing
         self.outgoing = []
-        # Read before the number of the link, which the reader raises first: never the next link's socket.
+        # The reader thread increments `link` before it sets `sock`. Reading them in the opposite order rules
+        # out that commands for the last link are written to the next link's socket.
         sock = self.sock
         if not parts or sock is None or self.outgoing_link != self.link:
-            return  # the admission actor sends it again on the next link if it is still needed
+            return  # the admission actor sends commands that are still needed again on the next link
         try:
             self.outgoing = send(sock, parts) or []
         except OSError as error:
@@ -129,14 +130,14 @@
                 time.sleep(delay_s)
 
     def _use_link(self, sock: socket.socket, address: tuple[str, int]) -> str:
-        """Bind and read until the link is lost; return why it was."""
+        """Bind the link and read from it until it is lost; return the reason of the loss."""
         try:
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             send_parts(sock, worker_pool_lines.bind(self.last_notice))
-            self.link += 1  # before the socket: see `_write`
+            self.link += 1  # before `sock` is set: see `_write`
             self.sock = sock
-            if address == self.address:  # else it has changed, and nothing would close this link
+            if address == self.address:  # if it changed before `sock` was set, nothing would close this link
                 self._read(sock)
         except (OSError, UnreadableStreamError) as error:
             return f"{type(error).__name__}: {error}"
@@ -156,7 +157,7 @@
             message = worker_pool_lines.decode(line)
         except BadLineError as error:
             self.metrics.log_sampled("pool_bad_line", problem=str(error))
-            self._request_again(self.last_notice + 1)  # the line may have been that notice
+            self._request_again(self.last_notice + 1)  # the line may have been the next notice
             return
         try:
             self.handle_message(*message)
@@ -164,16 +165,18 @@
             self.metrics.log_sampled("pool_bad_line", problem=str(error))
 
     def _request_again(self, number: int) -> None:
-        """Break the link, as the pool tells the notice again on the next one; do so once for each notice.
+        """Close the link, so that the worker pool replays notice `number` on the next link.
 
-        A notice that stays missing or unreadable is skipped.
+        This is done once for each notice: one that is missing or unreadable again is skipped.
 
         Raises:
-            UnreadableStreamError: It is the first time.
+            UnreadableStreamError: The replay of this notice was not requested before.
         """
         if number > self.last_requested_again:
             self.last_requested_again = number
-            raise UnreadableStreamError(f"notice {number} did not arrive whole")
+            raise UnreadableStreamError(
+                f"notice {number} is missing or unreadable; reconnecting to have it replayed"
+            )
 
     # -- messages, on the reader thread
 
@@ -181,8 +184,8 @@
         """Post a message to the admission actor.
 
         Raises:
-            BadLineError: The message can't be understood.
-            UnreadableStreamError: The link is to be opened again.
+            BadLineError: The message is malformed or of an unknown type.
+            UnreadableStreamError: The link must be reopened, so that a notice is replayed.
         """
         admission = self.admission
         if message_type in worker_pool_lines.NOTICES:
@@ -209,7 +212,8 @@
             self.metrics.increment("pool_notices_again")
             return
         if number != self.last_notice + 1:
-            # The pool keeps its notices. Without that of its end, a run would hold a core's place for ever.
+            # The worker pool replays its notices on the next link. If the notice of a run's end were lost,
+            # the run would count as executing, and occupy a core, for ever.
             self.metrics.log_sampled("pool_notices_missed", after=self.last_notice, number=number)
             self._request_again(self.last_notice + 1)
         try:
@@ -218,7 +222,7 @@
             self._request_again(number)
             self.last_notice = number
             if notice_type == worker_pool_lines.FINISHED:
-                # The run is over all the same, and must not hold a core's place.
+                # The run has ended, although its result is unreadable; it must not occupy a core any longer.
                 self._post_notice(worker_pool_lines.unreadable_end(fields))
             raise
         self.last_notice = number
