--- a/tests/server/test_admission_events.py
+++ b/tests/server/test_admission_events.py
@@ -1,4 +1,4 @@
-"""Single events of the admission actor, with peers that only record."""
+"""Single events of the admission actor, which acts on recorders in place of clients and services."""
 
 import queue
 
@@ -18,36 +18,36 @@
         "rules": {"fallMultiple": 8.0, "coldFrom": 0.24, "rampTime": 18_000_000_000},
     }
     actor = AdmissionActor(7, platform_settings.decode(settings), Metrics())
-    peer = Recorder()
-    actor.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
+    recorder = Recorder()
+    actor.attach(recorder, recorder, recorder, recorder, lambda: None)
+    recorder.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, cold, 5000.0)
-    assert actor.clock.now_ms() >= 5000.0  # what is left of the ramp the controller gets by its clock
+    assert actor.clock.now_ms() >= 5000.0  # the controller derives the rest of the warm-up from its clock
     assert actor.controller.workload.settings.warm_up_ms == (18_000.0 if cold else 0.0)
 
 
 def test_a_run_that_ended_since_the_poll_is_subtracted_from_the_gauge():
-    # It would be taken off the slots, and a core would stand idle for what nobody reads.
-    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
-    actor.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
+    # Otherwise the run would be taken for the work of reading requests, and a core would be left idle for it.
+    actor, recorder = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
+    actor.attach(recorder, recorder, recorder, recorder, lambda: None)
+    recorder.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
     actor.controller.workload.running = 2
     actor.poll_answered("1-1", [0.9, 3.0])
     actor.controller.workload.running = 1
     ticks = []
-    actor.controller.on_tick = lambda now, busy, on_cores: ticks.append((busy, on_cores))
+    actor.controller.on_tick = lambda now_ms, core_use, on_cores: ticks.append((core_use, on_cores))
     actor.tick()
-    assert ticks == [(0.9, 2.0)]  # one reads, as at the poll
+    assert ticks == [(0.9, 2.0)]  # one run and, as at the poll, one core in use for reading
 
 
 def test_the_timeout_and_work_of_a_request_are_capped_by_its_class():
-    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
-    actor.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
+    actor, recorder = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
+    actor.attach(recorder, recorder, recorder, recorder, lambda: None)
+    recorder.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
     actor.request_arrived(
-        peer,
+        recorder,
         IncomingRequest(
             1,
             "ab",
@@ -68,12 +68,12 @@
 
 
 def test_a_request_that_the_controller_never_answers_is_failed_when_overdue():
-    actor, peer = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
-    actor.attach(peer, peer, peer, peer, lambda: None)
-    peer.mailbox = queue.SimpleQueue()
+    actor, recorder = AdmissionActor(7, platform_settings.decode(SETTINGS), Metrics()), Recorder()
+    actor.attach(recorder, recorder, recorder, recorder, lambda: None)
+    recorder.mailbox = queue.SimpleQueue()
     actor.worker_pool_bound(1, False, 5000.0)
     actor.request_arrived(
-        peer,
+        recorder,
         IncomingRequest(
             1,
             "ab",
@@ -91,9 +91,9 @@
     )
     actor.controller.on_tick = lambda *arguments: None
     actor.tick()
-    assert "answer" not in [act[0] for act in peer.acts]
-    actor.clock.origin_unix_ms -= 2000.0  # its limit has passed
+    assert "answer" not in [act[0] for act in recorder.acts]
+    actor.clock.origin_unix_ms -= 2000.0  # past the client timeout of 1000 ms
     actor.tick()
     actor.tick()
-    assert [act[0] for act in peer.acts].count("answer") == 1
+    assert [act[0] for act in recorder.acts].count("answer") == 1
     assert actor.metrics.by_name["must_hold_broken"] == 1
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -1,15 +1,15 @@
-"""The actor that owns the admission controller and all that is kept of requests.
+"""The actor that owns the admission controller and the state of all requests.
 
-The actors of the peers post events to it, one method each. Nothing here blocks on a socket. Each concern has
-a part of its own, which only the thread of this actor uses:
+The listener, the worker pool client and the records client post events to it; each event is one method.
+Nothing here blocks on a socket. Each concern has a class of its own, used only on this actor's thread:
 
-- `admission`: requests that arrive, clients that leave
-- `runs`: what happens in the worker pool and to dependency calls
-- `actions`: what the controller decides, carried out
-- `shutdown`: from the termination notice to the end
-- `state` and `gauges`: what they keep, and what the worker pool reports
+- `admission`: requests that arrive, clients that disconnect
+- `runs`: notices of the worker pool and outcomes of dependency calls
+- `actions`: carries out the controller's decisions
+- `shutdown`: the graceful shutdown, from the termination signal to the exit
+- `state` and `gauges`: the state that these share, and the load that the worker pool reports
 
-Left here are the mailbox, the ticks and the load reports.
+This module holds the mailbox, the ticks and the load reports.
 """
 
 import contextlib
@@ -49,12 +49,13 @@
 
 log = structlog.get_logger()
 
-OVERDUE_MS = 30.0  # past an answer's due time: the tick before it has answered, and 150 are allowed
+# After an answer's due time. The tick before that time should have answered; a delay of 150 ms is allowed.
+OVERDUE_MS = 30.0
 SUMMARY_INTERVAL_MS = 10_000.0
 
 
 class FleetSignals(Protocol):
-    """What the servers of a fleet see together; see `vetchford.gossip.fleet_signals`."""
+    """Load signals aggregated over the servers of a fleet; see `vetchford.gossip.fleet_signals`."""
 
     call_slowdown: float
     call_capacity: float
@@ -63,9 +64,9 @@
 
 
 class AdmissionActor(Actor):
-    """Takes the events of a server and hands them to its admission controller.
+    """Receives the events of a server and passes them to its admission controller.
 
-    There is no controller until the worker pool is bound; requests that are read before are rejected.
+    The controller is created once the worker pool is bound; requests that arrive earlier are rejected.
     """
 
     state: ServerState
@@ -81,7 +82,7 @@
         metrics: Metrics,
         make_bulkheads: Callable[[], Any] | None = None,
     ) -> None:
-        """Take the server's settings; without `make_bulkheads` request classes share all capacity."""
+        """Use the server's settings; without `make_bulkheads` all request classes share the capacity."""
         super().__init__("admission", metrics)
         self.seed = seed
         self.settings = settings
@@ -100,7 +101,10 @@
         listener: Listener,
         on_stopped: Callable[[], None],
     ) -> None:
-        """Set the peers, before the start; `on_stopped` is called on this actor's thread at the end."""
+        """Connect the server's other actors, before the start.
+
+        `on_stopped` is called on this actor's thread once a graceful shutdown has finished.
+        """
         requests = RequestTable()
         answers = RequestAnswers(requests, self.metrics)
         self.state = ServerState(
@@ -123,7 +127,7 @@
     # -- the mailbox and the timers
 
     def next_timeout(self) -> float | None:
-        """Return the seconds until the next timer."""
+        """Return the seconds until the next timer is due, or None if no timer is scheduled."""
         return self.timers.next_timeout()
 
     def on_idle(self) -> None:
@@ -131,66 +135,69 @@
         self.timers.fire_due(self.run_guarded)
 
     def run_guarded(self, method: Callable[..., None], *arguments: Any) -> None:
-        """Run one event, then what the controller's actions have deferred."""
+        """Run one event, then deliver the shared results that the controller's actions deferred."""
         super().run_guarded(method, *arguments)
         while self.actions.deferred:
-            shared = self.actions.deferred.popleft()
-            super().run_guarded(self.admission.deliver_shared_result, self._bound_controller(), shared)
+            shared_result = self.actions.deferred.popleft()
+            super().run_guarded(self.admission.deliver_shared_result, self._bound_controller(), shared_result)
 
     # -- events of clients
 
     def request_arrived(self, client: Client, request: IncomingRequest) -> None:
-        """Take a request that was read from a client's connection."""
+        """Admit or reject a request that was read from a client connection."""
         if self.controller is None:
             self.admission.reject_unready(client, request)
         else:
             self.admission.request_arrived(self.controller, client, request)
 
     def client_gone(self, client: Client) -> None:
-        """Take that a client's connection broke."""
-        if self.controller is not None:  # else there is no request of it
+        """Abandon the open requests of a client whose connection broke."""
+        if self.controller is not None:  # without a controller, no request was admitted
             self.admission.client_gone(self.controller, client)
 
     # -- events of the worker pool and the records service
 
     def worker_pool_bound(self, link: int, cold: bool, started_ms_ago: float) -> None:
-        """Use a new link; `cold`: the worker pool's speed still rises, from its start on."""
+        """Use a new link.
+
+        `cold`: the worker pool is still warming up; it started `started_ms_ago`.
+        """
         self.state.commands.link_bound(link)
         if self.controller is None:
             if self.shutdown.schedule.started():
-                return  # a controller would report readiness, and what came before was rejected
+                return  # a new controller would report the server as ready; earlier requests were rejected
             self._start_controller(cold, started_ms_ago)
-        self.state.commands.poll()  # notices that come before the answer are the replay
+        self.state.commands.poll()  # notices that arrive before its answer are replayed ones
 
     def worker_pool_lost(self) -> None:
-        """Keep commands until another link is bound."""
+        """Queue commands until another link is bound."""
         self.state.commands.link_lost()
 
     def poll_answered(self, reference: str, gauges: list[float]) -> None:
-        """Take the gauges, and that all commands before the poll have arrived."""
+        """Update the gauges, and mark all commands sent before the poll as received by the worker pool."""
         number = self.state.commands.poll_number(reference)
         if number is not None:
             self.gauges.update(gauges, self._bound_controller().workload.running)
             self.state.commands.poll_answered(number)
 
     def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
-        """Take that a run waits for a dependency call."""
+        """Handle the notice that a run waits for a dependency call."""
         self.runs.run_blocked(self._bound_controller(), request_id, notice, body)
 
     def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
-        """Take the end of a run; `content` is its result in base64."""
+        """Handle the end of a run; `content` is its result in base64."""
         self.runs.run_ended(self._bound_controller(), request_id, outcome, duration_ms, content)
 
     def command_unknown(self, command: str, request_id: str) -> None:
-        """Take that the worker pool did not carry out a command."""
+        """Handle the worker pool's report that it did not carry out a command."""
         self.runs.command_unknown(self._bound_controller(), command, request_id)
 
     def call_ended(self, number: int, outcome: Outcome, reply: bytes) -> None:
-        """Take the outcome of a call to the records service."""
+        """Handle the outcome of a call to the records service."""
         self.runs.call_ended(self._bound_controller(), number, outcome, reply)
 
     def call_timed_out(self, number: int) -> None:
-        """Take that the deadline of a call has passed, also if it has ended before."""
+        """Handle the deadline of a call; calls that ended earlier are ignored."""
         self.runs.call_timed_out(self._bound_controller(), number)
 
     def _start_controller(self, cold: bool, started_ms_ago: float) -> None:
@@ -202,21 +209,21 @@
         self.timers.schedule(unix_time_ms() + SUMMARY_INTERVAL_MS, self.log_summary)
 
     def _bound_controller(self) -> AdmissionController:
-        """Return the controller, in events that come only after the worker pool was bound."""
+        """Return the controller; only for events that occur after the worker pool was bound."""
         assert self.controller is not None
         return self.controller
 
     # -- ticks
 
     def tick(self) -> None:
-        """Let the controller look at the time and the gauges; then what must happen whatever it does."""
+        """Run the controller's tick, then the checks that must run even if the controller raises."""
         controller = self._bound_controller()
         on_cores = self.gauges.on_cores(controller.workload.running)
-        # The callbacks run from the last to the first, also if `on_tick` or one of them raises.
-        with contextlib.ExitStack() as always:
-            always.callback(self.shutdown.advance_if_closing)
-            always.callback(self._close_idle_connections)
-            always.callback(self._fail_overdue, self.clock.now_ms() - OVERDUE_MS)
+        # The callbacks run in reverse order, even if `on_tick` or another callback raises.
+        with contextlib.ExitStack() as after_tick:
+            after_tick.callback(self.shutdown.advance_if_closing)
+            after_tick.callback(self._close_idle_connections)
+            after_tick.callback(self._fail_overdue, self.clock.now_ms() - OVERDUE_MS)
             controller.on_tick(self.clock.now_ms(), self.gauges.core_use(), on_cores)
 
     def _fail_overdue(self, before_ms: float) -> None:
@@ -229,9 +236,9 @@
     # -- shutdown
 
     def shutdown_requested(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> None:
-        """Start a graceful shutdown that counts from the signal, however late this is read."""
+        """Start a graceful shutdown; its times count from the signal, even if this event is handled late."""
         answers_due_unix_ms = self.shutdown.start(signalled_at_unix_ms, stop_ms, grace_ms)
-        if self.controller is None:  # no ticks come, and nothing can be run: only what was read is answered
+        if self.controller is None:  # no ticks and no runs: requests that were read are rejected
             self.registry.post(self.registry.set_readiness, False)
             self.shutdown.advance_repeatedly()
             return
@@ -243,7 +250,7 @@
     # -- load reports and the summary
 
     def sample_load(self, report: Callable[[dict[str, float]], None]) -> None:
-        """Call `report` with figures for the other servers of the fleet; see `LoadSampler.figures`."""
+        """Call `report` with the figures for the other servers of the fleet; see `LoadSampler.figures`."""
         controller = self.controller
         if controller is None or self.load_sampler is None:
             return
@@ -261,14 +268,14 @@
         report(figures)
 
     def fleet_signals_changed(self, signals: FleetSignals) -> None:
-        """Hand what the fleet sees to the controller."""
+        """Pass the load signals of the fleet to the controller."""
         if self.controller is not None:
             self.controller.apply_fleet_signals(
                 signals.call_slowdown, signals.call_capacity, signals.is_full, signals.retry_after_factor
             )
 
     def log_summary(self) -> None:
-        """Log all counts, now and each `SUMMARY_INTERVAL_MS` from now on."""
+        """Log all counters now, and again every `SUMMARY_INTERVAL_MS`."""
         self.metrics.log_summary(
             open=self.state.answers.count_unanswered(),
             connections=len(self.listener.connections),
--- a/vetchford/server/index_allocator.py
+++ b/vetchford/server/index_allocator.py
@@ -1,17 +1,17 @@
-"""Small indices for names."""
+"""Allocates small integer indices for names."""
 
 
 class IndexAllocator:
-    """Gives each name the index of a released one, or the next: as many as names were known at once."""
+    """Allocates released indices first, so that there are as few as names were known at the same time."""
 
     def __init__(self) -> None:
-        """Start without names."""
-        self.by_name: dict[str, int] = {}  # emptied by `release`
+        """Create an allocator without names."""
+        self.by_name: dict[str, int] = {}  # names are removed by `release`
         self.names: list[str] = []  # by index
         self.released: list[int] = []
 
     def add(self, name: str) -> int:
-        """Return the index of a name that has none yet."""
+        """Allocate and return an index for a name that has none yet."""
         if self.released:
             index = self.released.pop()
             self.names[index] = name
@@ -22,6 +22,6 @@
         return index
 
     def release(self, index: int) -> None:
-        """Forget the name; its index may be given to another."""
+        """Remove the name with this index; the index may be used again."""
         del self.by_name[self.names[index]]
         self.released.append(index)
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -1,4 +1,4 @@
-"""Requests that arrive and clients that leave, handed to the admission controller."""
+"""Passes requests that arrive and clients that disconnect to the admission controller."""
 
 import hashlib
 
@@ -12,17 +12,17 @@
 from vetchford.server.server_actions import ServerActions, SharedResult
 from vetchford.server.server_state import ServerState
 
-KEY_DIGEST_SIZE = 16  # bytes
+KEY_DIGEST_BYTES = 16
 
 
 class RequestAdmission:
-    """Enters requests and answers those that a controller need not see.
+    """Adds requests to the table, and answers those that need no decision of the controller.
 
-    Used by the thread of the admission actor alone.
+    Used only on the admission actor's thread.
     """
 
     def __init__(self, state: ServerState, actions: ServerActions) -> None:
-        """Enter requests in the table of `state`; `actions` are those of the controller."""
+        """Add requests to the table of `state`; `actions` are those that the controller calls."""
         self.actions = actions
         self.metrics = state.metrics
         self.clock = state.clock
@@ -31,14 +31,14 @@
         self.idempotency_cache = state.idempotency_cache
 
     def reject_unready(self, client: Client, request: IncomingRequest) -> None:
-        """Reject a request while the worker pool is not up: it never ran."""
+        """Reject a request that arrived before the worker pool was bound."""
         self.metrics.increment("rejected_no_pool")
         client.answer(request.rpc_id, json_rpc.rejected(request.rpc_id, False, 0.0))
 
     def request_arrived(
         self, controller: AdmissionController, client: Client, request: IncomingRequest
     ) -> None:
-        """Enter a request and have it admitted or rejected; one whose id is in use is refused."""
+        """Let the controller admit or reject a request; answer with an error if its id is in use."""
         if self.requests.find(request.request_id) is None:
             self._admit(controller, client, request)
             return
@@ -47,7 +47,7 @@
         client.answer(request.rpc_id, json_rpc.error(request.rpc_id, error.code, str(error)))
 
     def client_gone(self, controller: AdmissionController, client: Client) -> None:
-        """Give up what is unanswered of a client whose connection broke."""
+        """Abandon the unanswered requests of a client whose connection broke."""
         indices = [index for index, entry in self.requests.unanswered() if entry.client is client]
         for index in indices:
             if self.requests.is_unanswered(index):
@@ -56,15 +56,15 @@
                 controller.client_gone(self.clock.now_ms(), index)
 
     def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
-        """Reject what is queued of a client whose requests did not come by the balancers."""
+        """Reject the queued requests of a client whose requests the worker pool does not know."""
         for index, entry in self.requests.unanswered():
             if entry.client is client and index in controller.workload.queued:
                 self.answers.reject(entry, True, 0.0, "rejected_distrusted")
                 controller.client_gone(self.clock.now_ms(), index)
 
-    def deliver_shared_result(self, controller: AdmissionController, shared: SharedResult) -> None:
+    def deliver_shared_result(self, controller: AdmissionController, shared_result: SharedResult) -> None:
         """Answer a repeated request with the result of its original."""
-        index, result = shared
+        index, result = shared_result
         if not self.requests.is_unanswered(index):
             return
         outcome = Outcome.COMPLETED if result.completed else Outcome.ERRORED
@@ -75,8 +75,8 @@
         now_ms = self.clock.now_ms()
         arrived_at_ms = request.arrived_at_unix_ms - self.clock.origin_unix_ms
         request_class = controller.workload.classes[request.request_class]
-        # No client waits for longer than the limit of the class, nor asks for more work than fits into it: a
-        # request that claims so must neither be queued for hours nor outweigh all others in what is learnt.
+        # The client's timeout and work are capped by the timeout of the request class. Otherwise one request
+        # with extreme values could stay queued for hours or dominate the estimates learnt from all requests.
         deadline_ms = None
         if request.client_timeout_ms is not None:
             deadline_ms = arrived_at_ms + min(request.client_timeout_ms, request_class.timeout_ms)
@@ -96,7 +96,7 @@
             original = self._find_original(entry, request)
         index = self.requests.add(entry)
         self.metrics.increment("read")
-        self.actions.arriving = index
+        self.actions.arriving_index = index
         arrival = RequestArrival(
             request_index=index,
             class_index=request.request_class,
@@ -105,15 +105,15 @@
             deadline_ms=deadline_ms,
             work_ms=work_ms,
             size_bytes=max(1, round(request.memory_kb * BYTES_PER_KB)),
-            is_retry=False,  # the protocol does not mark them
+            is_retry=False,  # the protocol does not mark retries
             queued_for_ms=max(0.0, now_ms - arrived_at_ms),
             original=original,
         )
         controller.request_arrived(now_ms, arrival)
-        self.actions.arriving = None
+        self.actions.arriving_index = None
 
     def _find_original(self, entry: RequestEntry, request: IncomingRequest) -> int | None:
-        """Set the key of an entry, and return the request that it repeats, if any."""
+        """Set the idempotency key of an entry; return the index of the request that it repeats, if any."""
         entry.idempotency_key = qualified_key(request)
         original = self.idempotency_cache.find_original(entry.idempotency_key, request.arrived_at_unix_ms)
         if original is not None:
@@ -122,9 +122,9 @@
 
 
 def qualified_key(request: IncomingRequest) -> str:
-    """Return the key of a request with its class and a digest of its body.
+    """Return the idempotency key of a request, qualified by its request class and a digest of its body.
 
-    All attempts of a request carry the same body: the same key with another one is no repeat.
+    All attempts of a request carry the same body, so the same key with another body is another request.
     """
-    digest = hashlib.blake2b(request.content.encode(), digest_size=KEY_DIGEST_SIZE).hexdigest()
+    digest = hashlib.blake2b(request.content.encode(), digest_size=KEY_DIGEST_BYTES).hexdigest()
     return f"{request.request_class} {request.idempotency_key} {digest}"
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request."""
+"""Sends the one final answer of each request."""
 
 import math
 
@@ -7,14 +7,14 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.request_table import RequestEntry, RequestTable
 
-COMPLETED = Outcome.COMPLETED  # bound once: read through its class, a member costs a method call
+COMPLETED = Outcome.COMPLETED  # a module global, as each access through the enum class costs a method call
 
 
 class RequestAnswers:
-    """Sends answers to clients and counts them. Used by the thread of the admission actor alone."""
+    """Sends answers to clients and counts them. Used only on the admission actor's thread."""
 
     def __init__(self, requests: RequestTable, metrics: Metrics) -> None:
-        """Answer the requests of this table."""
+        """Answer the requests of the table `requests`."""
         self.requests = requests
         self.metrics = metrics
 
@@ -23,15 +23,19 @@
         self._send(entry, json_rpc.completed(entry.rpc_id, content), "finished")
 
     def fail(self, entry: RequestEntry) -> None:
-        """Answer with an error that promises nothing about effects."""
+        """Answer with an error that leaves open whether the request had an effect."""
         self._send(entry, json_rpc.failed(entry.rpc_id), "abandoned")
 
     def reject(self, entry: RequestEntry, terminal: bool, retry_after_ms: float, counter: str) -> None:
-        """Answer that it never ran: `retry_after_ms`: 0 for none; `terminal`: not to be sent again."""
+        """Answer that the request never ran.
+
+        `terminal`: the client must not retry. `retry_after_ms`: 0 for no retry-after. `counter`: the metric
+        that counts the rejection.
+        """
         self._send(entry, json_rpc.rejected(entry.rpc_id, terminal, retry_after_ms), counter)
 
     def run_ended(self, entry: RequestEntry, outcome: Outcome, content: str) -> None:
-        """Answer by how the run ended, unless another answer was sent before."""
+        """Answer with the outcome of the run, unless the request was already answered."""
         if entry.answered:
             self.metrics.increment("runs_unwanted")
         elif outcome == COMPLETED:
@@ -40,9 +44,10 @@
             self.fail(entry)
 
     def fail_overdue(self, before_ms: float, deadline_ms: float = math.inf) -> None:
-        """Fail what was due before `before_ms` by the server's clock; all of it is due by `deadline_ms`.
+        """Fail the unanswered requests that were due before `before_ms`, by the server's clock.
 
-        The controller answers in time. This holds whatever goes wrong there.
+        Every request counts as due by `deadline_ms` at the latest. This is a safeguard against faults of the
+        controller, which normally answers in time.
         """
         for entry in self.requests.unanswered_entries():
             if min(entry.answer_due_ms, deadline_ms) < before_ms:
--- a/vetchford/server/request_table.py
+++ b/vetchford/server/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that a server knows, by small index."""
+"""The table of the requests that a server knows, by index."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -6,45 +6,45 @@
 
 from vetchford.server.index_allocator import IndexAllocator
 
-NO_ORIGINAL = -1  # in place of the index, for a request that is no repeat
+NO_ORIGINAL = -1  # index of the original, for a request that is no repeat
 
 
 class Client(Protocol):
-    """The connection that a request came by; its methods may be called from any thread."""
+    """The connection that a request arrived on; its methods may be called from any thread."""
 
     def answer(self, rpc_id: int, parts: list[bytes]) -> None:
         """Send the final answer of a request, as parts of one message."""
 
     def stop_reading(self) -> None:
-        """Read nothing more, and close once all is answered."""
+        """Stop reading, and close the connection once all open requests are answered."""
 
     def run_or_post(self, method: Callable[..., None], *arguments: Any) -> None:
-        """Run one of its methods on the actor of the connection."""
+        """Run `method`, one of the connection's methods, on the connection's actor."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestEntry:
-    """What is kept of one request: where its answer goes, and what the worker pool was sent for it last."""
+    """One request: where to send its answer, the last command to the worker pool, and its dependency call."""
 
     request_id: str
     method: str  # name of the request class on the wire
     client: Client
     rpc_id: int
-    content: str  # base64; emptied once the run has ended
+    content: str  # request body in base64; emptied once the run has ended
     answer_due_ms: float  # by the server's clock
-    idempotency_key: str | None = None  # with its class and a digest of the body; None: not idempotent by key
+    idempotency_key: str | None = None  # from `qualified_key`; None: the request is not idempotent by key
     answered: bool = False
     command: list[bytes] | None = None  # last command to the worker pool, while it may not have arrived
     command_link: int = 0  # number of the link that the command was sent on; 0: not sent
-    command_poll: int = 0  # number of the last poll sent before it
+    command_poll: int = 0  # number of the last poll sent before the command
     blocked_notice: int = 0  # number of the notice that the run waits for a dependency call
-    call_body: bytes = b""  # body of that call
+    call_body: bytes = b""  # body of the dependency call that the run waits for
     call_number: int = 0  # number of the dependency call in flight; 0: none
-    original: int = NO_ORIGINAL  # index of the request whose result this one shares
+    original: int = NO_ORIGINAL  # index of the original request, whose result this request shares
 
 
 class RequestTable:
-    """Entries by index; a released index has none. Used by the thread of the admission actor alone."""
+    """Entries by index, None for released indices. Used only on the admission actor's thread."""
 
     def __init__(self) -> None:
         """Start without requests."""
@@ -52,7 +52,7 @@
         self.entries: list[RequestEntry | None] = []
 
     def __len__(self) -> int:
-        """Return the number of requests that are known, answered ones included."""
+        """Return the number of known requests, including answered ones."""
         return len(self.indices.by_name)
 
     def __getitem__(self, index: int) -> RequestEntry:
@@ -62,7 +62,7 @@
         return entry
 
     def add(self, entry: RequestEntry) -> int:
-        """Return the index of a request whose `request_id` is not known yet."""
+        """Add a request whose `request_id` is not known yet; return its index."""
         index = self.indices.add(entry.request_id)
         if index == len(self.entries):
             self.entries.append(entry)
@@ -71,27 +71,27 @@
         return index
 
     def find(self, request_id: str) -> int | None:
-        """Return the index of a request by its id; None where it is not known."""
+        """Return the index of the request with this id, or None if the id is not known."""
         return self.indices.by_name.get(request_id)
 
     def is_unanswered(self, index: int) -> bool:
-        """Whether the index is in use and its request has no answer yet."""
+        """Return whether the index is in use and its request has no answer yet."""
         entry = self.entries[index]
         return entry is not None and not entry.answered
 
     def unanswered(self) -> Iterator[tuple[int, RequestEntry]]:
-        """Yield the requests without an answer, each looked at as its turn comes."""
+        """Yield index and entry of each unanswered request; entries are checked as the iteration proceeds."""
         for index, entry in enumerate(self.entries):
             if entry is not None and not entry.answered:
                 yield index, entry
 
     def unanswered_entries(self) -> Iterator[RequestEntry]:
-        """Yield what `unanswered` does, without the indices; each tick looks at all entries."""
+        """Yield the entries of `unanswered` without their indices, as every tick iterates over them."""
         for entry in self.entries:
             if entry is not None and not entry.answered:
                 yield entry
 
     def release(self, index: int) -> None:
-        """Forget the request; its index may be given to another."""
+        """Remove the request; its index may be used again."""
         self.indices.release(index)
         self.entries[index] = None
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -1,4 +1,4 @@
-"""What happens to runs and to their dependency calls, handed to the admission controller."""
+"""Passes the worker pool's notices and the outcomes of dependency calls to the admission controller."""
 
 from typing import TYPE_CHECKING
 
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from vetchford.coordination.load_sampler import LoadSampler
 
-COMPLETED = Outcome.COMPLETED  # bound once: read through its class, a member costs a method call
+COMPLETED = Outcome.COMPLETED  # a module global, as each access through the enum class costs a method call
 SUPERSEDED = Outcome.SUPERSEDED
 EXECUTING_STATES = (RequestState.EXECUTING,)
 STARTED_STATES = (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING)
-MAX_LOGGED_ID = 64  # characters
+MAX_LOGGED_ID_LENGTH = 64  # characters
 
 
 class RunEvents:
-    """Takes notices of the worker pool and outcomes of calls.
+    """Handles notices of the worker pool and outcomes of dependency calls.
 
-    Used by the thread of the admission actor alone.
+    Used only on the admission actor's thread.
     """
 
     def __init__(
         self, state: ServerState, admission: RequestAdmission, load_sampler: "LoadSampler | None"
     ) -> None:
-        """Take events about the requests of `state`; `load_sampler` is shown the outcomes of calls."""
+        """Handle events about the requests of `state`; `load_sampler` records the outcomes of calls."""
         self.admission = admission
         self.metrics = state.metrics
         self.clock = state.clock
@@ -41,7 +41,7 @@
         self.load_sampler = load_sampler
 
     def run_blocked(self, controller: AdmissionController, request_id: str, notice: int, body: bytes) -> None:
-        """Take that a run waits for a dependency call, by notice number `notice`."""
+        """Handle the notice that a run waits for a dependency call; `notice` is the notice's number."""
         index = self._find_run(controller, request_id, EXECUTING_STATES)
         if index is None:
             return
@@ -49,8 +49,8 @@
         entry.command = None
         entry.blocked_notice = notice
         entry.call_body = body
-        if controller.workload.dependency is None:  # the controller would fail in each tick
-            self._count_odd_notice(request_id, known=True)
+        if controller.workload.dependency is None:  # passed on, it would make the controller raise each tick
+            self._count_unexpected_notice(request_id, known=True)
             return
         controller.run_blocked(self.clock.now_ms(), index)
 
@@ -62,7 +62,7 @@
         duration_ms: float,
         content: str,
     ) -> None:
-        """Take the end of a run; `content` is its result in base64."""
+        """Handle the end of a run; `content` is its result in base64."""
         index = self._find_run(controller, request_id, STARTED_STATES)
         if index is None:
             return
@@ -70,7 +70,7 @@
         entry.command = None
         entry.content = ""
         self.calls.cancel(entry)
-        if outcome == SUPERSEDED:  # it never ran: a request with its key is no repeat of it
+        if outcome == SUPERSEDED:  # the request never ran, so a request with the same key is no repeat
             self.idempotency_cache.forget(index)
         self.answers.run_ended(entry, outcome, content)
         result = RunResult(outcome == COMPLETED, content)
@@ -80,14 +80,14 @@
             self.admission.deliver_shared_result(controller, SharedResult(follower, result))
 
     def command_unknown(self, controller: AdmissionController, command: str, request_id: str) -> None:
-        """Take that the worker pool did not carry out a command."""
+        """Handle the worker pool's report that it did not carry out a command."""
         self.metrics.log_sampled("pool_unknown", command=command, task=request_id)
         index = self.requests.find(request_id)
         if command != worker_pool_lines.SPAWN or index is None:
             return
-        # No end of this run will ever be reported.
+        # The worker pool will never report an end of this run, so the run is ended here.
         client = self.requests[index].client
-        # Before this end frees a core for its next request.
+        # Before `run_ended` frees a core, which would start the client's next queued request.
         self.admission.reject_queued_of(controller, client)
         self.run_ended(controller, request_id, SUPERSEDED, 0.0, "")
         client.run_or_post(client.stop_reading)
@@ -95,7 +95,7 @@
     def call_ended(
         self, controller: AdmissionController, number: int, outcome: Outcome, reply: bytes
     ) -> None:
-        """Take the outcome of a call to the records service."""
+        """Handle the outcome of a call to the records service."""
         call = self.calls.end(number)
         if call is None:
             self.metrics.increment("calls_late")
@@ -112,7 +112,7 @@
         controller.call_ended(self.clock.now_ms(), index, outcome, duration_ms)
 
     def call_timed_out(self, controller: AdmissionController, number: int) -> None:
-        """Give up a call at its deadline, if it is still in flight."""
+        """Cancel a call at its deadline, if the call is still in flight."""
         index = self.calls.find(number)
         if index is not None:
             self.calls.records.cancel_call(self.requests[index].request_id, number)
@@ -121,13 +121,13 @@
     def _find_run(
         self, controller: AdmissionController, request_id: str, states: tuple[int, ...]
     ) -> int | None:
-        """Return the request of a notice; None, counted, where the notice can't be about a run of it."""
+        """Return the index of a notice's request; count the notice and return None if no run matches it."""
         index = self.requests.find(request_id)
         requests = controller.workload.requests
         if index is None or index not in requests or requests[index].state not in states:
-            self._count_odd_notice(request_id, known=index is not None)
+            self._count_unexpected_notice(request_id, known=index is not None)
             return None
         return index
 
-    def _count_odd_notice(self, request_id: str, known: bool) -> None:
-        self.metrics.log_sampled("pool_odd_notice", task=request_id[:MAX_LOGGED_ID], known=known)
+    def _count_unexpected_notice(self, request_id: str, known: bool) -> None:
+        self.metrics.log_sampled("pool_odd_notice", task=request_id[:MAX_LOGGED_ID_LENGTH], known=known)
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -1,4 +1,4 @@
-"""The actions of the admission controller, carried out on the peers of a real server."""
+"""Carries out the decisions of the admission controller: answers, runs, dependency calls and timers."""
 
 import math
 from collections import deque
@@ -20,14 +20,15 @@
 
 log = structlog.get_logger()
 
-POLL_AHEAD_MS = 6.0  # before a tick: the gauges come back in under one, a busy machine takes a few
+# Before a tick. The worker pool's answer usually takes under 1 ms, and a few ms on a busy machine.
+POLL_AHEAD_MS = 6.0
 NOT_COMPLETED = RunResult(False, "")
 REASON_COUNTERS = {reason: f"rejection_{reason.name.lower()}" for reason in RejectionReason}
-"""Metric that counts the rejections by each rule; those of `_rejection_counter` say when they happened."""
+"""Metric that counts the rejections by each rule; `_rejection_counter` counts them by the server's state."""
 
 
 class SharedResult(NamedTuple):
-    """The result that a repeated request is to be answered with."""
+    """The result of an original request, which a repeated request is to be answered with."""
 
     request_index: int
     result: RunResult
@@ -36,11 +37,12 @@
 class ServerActions(AdmissionActions):
     """Answers clients, commands the worker pool and calls the records service as the controller decides.
 
-    The controller calls these methods from within its own, on the thread of the admission actor. What would
-    call the controller again is put in `deferred`, for the actor to do once the controller has returned.
+    The controller calls these methods from its own methods, on the admission actor's thread. Work that would
+    call back into the controller is put in `deferred`, which the actor processes once the controller has
+    returned.
     """
 
-    controller: AdmissionController  # set once it is built, before requests are admitted
+    controller: AdmissionController  # set by the admission actor before the first request is admitted
 
     def __init__(
         self,
@@ -49,7 +51,7 @@
         registry: RegistryReporter,
         on_tick: Callable[[], None],
     ) -> None:
-        """Act on the requests of `state`; `on_tick` is called as the controller asks for it."""
+        """Act on the requests of `state`; `on_tick` is called whenever a tick of the controller is due."""
         self.metrics = state.metrics
         self.clock = state.clock
         self.timers = state.timers
@@ -62,15 +64,15 @@
         self.registry = registry
         self.on_tick = on_tick
         self.deferred: deque[SharedResult] = deque()
-        self.arriving: int | None = None  # index of the request that is just being admitted
-        self.idle_timeout_ms = math.inf  # for which a silent connection is kept
+        self.arriving_index: int | None = None  # of the request that the controller is deciding on
+        self.idle_timeout_ms = math.inf  # after which an idle client connection is closed
 
     def start(self, index: int) -> None:
         """Start the run of a queued request."""
         self.commands.start_run(self.requests[index], self._is_idempotent(index))
 
     def stop(self, index: int) -> None:
-        """Count only: the protocol has no such command yet. The run ends by itself and changes no answer."""
+        """Count the stop only: the worker pool has no such command. The end of the run changes no answer."""
         self.metrics.increment("stops_not_sent")
 
     def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
@@ -83,7 +85,7 @@
         self.answers.fail(self.requests[index])
 
     def share(self, index: int) -> None:
-        """Answer with the result of the original request, now or as it ends."""
+        """Answer with the result of the original request, now or when its run ends."""
         original = self.requests[index].original
         result = self.idempotency_cache.results.get(original)
         if result is not None:
@@ -103,18 +105,18 @@
         self.commands.skip_call(self.requests[index])
 
     def remember(self, index: int, keep_for_ms: float) -> None:
-        """Let the request hold its idempotency key, if it has one, for `keep_for_ms` from now."""
+        """Keep the idempotency key of the request, if it has one, for `keep_for_ms` from now."""
         key = self.requests[index].idempotency_key
         if key is not None:
-            until_unix_ms = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
-            self.idempotency_cache.remember(key, index, until_unix_ms)
+            expires_unix_ms = math.ceil(self.clock.origin_unix_ms + self.clock.now_ms() + keep_for_ms)
+            self.idempotency_cache.remember(key, index, expires_unix_ms)
 
     def forget(self, index: int) -> None:
-        """Take the idempotency key from the request."""
+        """Drop the idempotency key of the request: a later request with this key is no repeat of it."""
         self.idempotency_cache.forget(index)
 
     def release(self, index: int) -> None:
-        """Forget the request."""
+        """Remove the request from the table and the idempotency cache."""
         entry = self.requests[index]
         self.metrics.check_invariant(entry.answered, "released_after_its_answer", task=entry.request_id)
         if entry.original != NO_ORIGINAL:
@@ -124,31 +126,31 @@
         self.requests.release(index)
 
     def set_readiness(self, ready: bool) -> None:
-        """Answer health checks, and report to the registry, by this."""
+        """Use `ready` as the answer to health checks, and report it to the registry."""
         self.listener.ready = ready
         self.registry.post(self.registry.set_readiness, ready)
         log.info("readiness_changed", good=ready)
 
     def publish_load(self, value: float) -> None:
-        """Do nothing: the protocol has no place for a load report."""
+        """Do nothing, as the answers to clients have no field for a load value."""
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections that were silent for `timeout_ms`, as of the next tick."""
+        """Close connections that were idle for `timeout_ms`, from the next tick on."""
         self.idle_timeout_ms = timeout_ms
 
     def schedule_tick(self, delay_ms: float) -> None:
-        """Call `on_tick` after `delay_ms`, with gauges polled shortly before."""
+        """Schedule `on_tick` after `delay_ms`, and a poll of the gauges shortly before it."""
         due_unix_ms = unix_time_ms() + delay_ms
         self.timers.schedule(due_unix_ms - POLL_AHEAD_MS, self.commands.poll)
         self.timers.schedule(due_unix_ms, self.on_tick)
 
     def _rejection_counter(self, index: int) -> str:
-        """Return the counter of a rejection, by the server's state or whether the request was queued."""
+        """Return the counter for a rejection: by the server's state, else by whether it was queued."""
         if self.controller.health.notice_at_ms < math.inf:
             return "rejected_draining"
         if self.controller.health.stalled:
             return "rejected_stalled"
-        if index == self.arriving:
+        if index == self.arriving_index:
             return "rejected_at_door"
         return "rejected_held"
 
--- a/vetchford/server/server_clock.py
+++ b/vetchford/server/server_clock.py
@@ -1,12 +1,12 @@
-"""The clock that all decisions of one server are made by."""
+"""The clock that a server's admission decisions are based on."""
 
 from vetchford.runtime import timers
 
 
 class ServerClock:
-    """Milliseconds since the worker pool started; the controller is given no other time.
+    """Milliseconds since the worker pool started; all times given to the controller are of this clock.
 
-    Only the thread of the admission actor may use it.
+    Used only on the admission actor's thread.
     """
 
     def __init__(self) -> None:
@@ -14,9 +14,9 @@
         self.origin_unix_ms = 0.0
 
     def start(self, elapsed_ms: float) -> None:
-        """Let the clock stand at `elapsed_ms` now."""
+        """Set the clock to `elapsed_ms`."""
         self.origin_unix_ms = timers.unix_time_ms() - elapsed_ms
 
     def now_ms(self) -> float:
-        """Return the time since the start."""
+        """Return the time since the worker pool started; before `start`, the Unix time."""
         return timers.unix_time_ms() - self.origin_unix_ms
--- a/vetchford/server/server_state.py
+++ b/vetchford/server/server_state.py
@@ -1,4 +1,4 @@
-"""What the admission actor keeps, in parts of one job each."""
+"""The state that the classes of the admission actor share."""
 
 from dataclasses import dataclass
 
@@ -14,10 +14,10 @@
 
 @dataclass(eq=False, slots=True)
 class ServerState:
-    """The parts; only the thread of the admission actor uses them, metrics apart."""
+    """The shared objects; all but `metrics` are used only on the admission actor's thread."""
 
     metrics: Metrics
-    clock: ServerClock  # that decisions are made by
+    clock: ServerClock
     timers: Timers
     requests: RequestTable
     answers: RequestAnswers
--- a/vetchford/server/worker_pool_gauges.py
+++ b/vetchford/server/worker_pool_gauges.py
@@ -4,30 +4,32 @@
 
 
 class WorkerPoolGauges:
-    """The last values. Used by the thread of the admission actor alone."""
+    """The last reported values. Used only on the admission actor's thread."""
 
     def __init__(self, positions: dict[str, int]) -> None:
-        """Read values at `positions`, by the gauge's name; none are known yet."""
+        """Create gauges without values; `positions` gives the position of each value by the gauge's name."""
         self.positions = positions
         self.values: list[float] = []
-        self.executing_then = 0  # runs that the server counted as executing when the values were read
+        self.executing_at_update = 0  # runs that the server counted as executing when it received the values
 
     def update(self, values: list[float], executing: int) -> None:
-        """Take new values; `executing` runs are counted now."""
+        """Store new values; `executing` is the number of runs that the server counts as executing now."""
         self.values = values
-        self.executing_then = executing
+        self.executing_at_update = executing
 
     def core_use(self) -> float | None:
-        """Return the share of the cores in use; None where it is not reported."""
+        """Return the share of the cores in use, or None if the worker pool does not report it."""
         return self._value(CORE_USE_GAUGE)
 
     def on_cores(self, executing: int) -> float | None:
-        """Return what is on the cores now that `executing` runs are counted; None where it is not reported.
+        """Return the current number of cores in demand, or None if the worker pool does not report it.
 
-        A run that ended since the poll would otherwise be taken for reading, and its core left idle.
+        The reported value is corrected by the change of the server's own count of runs, `executing`, since
+        the update. Otherwise a run that has ended since would be taken for the work of reading requests, and
+        its core would be left idle.
         """
         reported = self._value(ON_CORES_GAUGE)
-        return None if reported is None else reported + (executing - self.executing_then)
+        return None if reported is None else reported + (executing - self.executing_at_update)
 
     def _value(self, name: str) -> float | None:
         position = self.positions.get(name, len(self.values))
