--- a/tests/server/test_connection_state.py
+++ b/tests/server/test_connection_state.py
@@ -1,4 +1,4 @@
-"""When a client connection times out and when a close loses no answer, decided without a socket."""
+"""Timeouts and closing of a client connection, decided without a socket: no close may lose an answer."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class Mailbox:
-    """Whether entries wait for the actor, as the test sets it."""
+    """A mailbox whose number of entries the test sets."""
 
     def __init__(self):
         self.entries = 0
@@ -94,7 +94,9 @@
     state.message_received(START_S)
     state.message_handled()
     state.message_continues(START_S)
-    state.message_continues(START_S + 1.0)  # more of the same message: counted from its first bytes
+    state.message_continues(
+        START_S + 1.0
+    )  # more of the same message; the timeout counts from its first bytes
     state.close_requested(START_S)
     end_s = START_S + connection_limits.MESSAGE_TIMEOUT_S
     assert state.timeout_action(end_s - 0.01, normal) is TimeoutAction.NONE
@@ -126,8 +128,10 @@
     assert state.timeout_action(end_s + 0.01, normal) is TimeoutAction.CLOSE
 
 
-@pytest.mark.parametrize("unfinished", ["open request", "half a message", "unwritten answer", "entry"])
-def test_nothing_that_is_owed_to_the_client_is_lost_by_the_end_of_the_close_timeout(
+@pytest.mark.parametrize(
+    "unfinished", ["open request", "half a message", "unwritten answer", "mailbox entry"]
+)
+def test_a_connection_with_unfinished_work_is_not_finished_at_the_end_of_the_close_timeout(
     state, mailbox, unfinished
 ):
     state.message_received(START_S)
@@ -148,7 +152,7 @@
     assert state.is_finished(START_S + 1.0, 0.5)
 
 
-def test_an_entry_that_waits_puts_off_the_close_even_of_a_broken_connection(state, mailbox):
+def test_a_mailbox_entry_delays_the_close_even_of_a_broken_connection(state, mailbox):
     receive_request(state)
     state.broken = True
     state.reading_done = True
@@ -159,16 +163,18 @@
 
 
 @pytest.mark.parametrize(
-    ("was_silent", "event", "has_spoken"),
+    ("had_sent_no_message", "event", "has_sent"),
     [
         (True, None, False),
         (True, "message", True),
-        (False, "message", False),  # answered already: not what it sent since the timeout
+        (False, "message", False),  # not a first message, and no request is open
         (False, "request", True),
         (True, "half a message", True),
     ],
 )
-def test_a_client_that_sends_as_it_times_out_is_read_on(state, was_silent, event, has_spoken):
+def test_a_client_that_sends_as_its_connection_times_out_is_read_further(
+    state, had_sent_no_message, event, has_sent
+):
     if event == "message":
         state.message_received(START_S)
         state.message_handled()
@@ -176,10 +182,10 @@
         receive_request(state)
     elif event == "half a message":
         state.message_continues(START_S)
-    assert state.has_spoken(was_silent) == has_spoken
+    assert state.has_sent_since_timeout(had_sent_no_message) == has_sent
 
 
-def test_a_connection_is_idle_once_all_is_answered_and_nothing_has_happened_since(state):
+def test_a_connection_is_idle_once_all_requests_are_answered_and_it_was_not_active_since(state):
     receive_request(state)
     assert not state.is_idle_since(START_S + 9.0)
     answer(state, now_s=START_S + 5.0)
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -1,4 +1,4 @@
-"""Connections between two lines, on loopback. Rows and their state: docs/crossings.md."""
+"""Race tests of accepting, reading and closing connections, on loopback. Cases: docs/crossings.md."""
 
 import errno
 import queue
@@ -21,17 +21,17 @@
 
 
 class ListenerUnderTest:
-    """A listener on loopback, with an admission actor that only records."""
+    """A listener on loopback, whose events are queued in place of an admission actor."""
 
-    def __init__(self, most=16):
+    def __init__(self, max_connections=16):
         self.admission, self.metrics = PostedEvents(), Metrics()
         self.listener = Listener(
-            ("127.0.0.1", 0), most, {"read": 0}, {"acme": 0}, self.admission, self.metrics
+            ("127.0.0.1", 0), max_connections, {"read": 0}, {"acme": 0}, self.admission, self.metrics
         )
         self.port = self.listener.sock.getsockname()[1]
 
-    def request(self):
-        """The connection and the id of the next request that the admission actor gets."""
+    def next_request(self):
+        """Return the connection and the id of the next request posted to the admission actor."""
         connection, request = self.admission.take("request_arrived")
         return connection, request.rpc_id
 
@@ -41,172 +41,173 @@
 
 @pytest.fixture
 def under_test():
-    listening = ListenerUnderTest()
-    yield listening
-    listening.listener.close()
+    running = ListenerUnderTest()
+    yield running
+    running.listener.close()
 
 
 def test_a_connection_being_accepted_is_not_missed_by_the_shutdown(under_test):
-    """Accepted and not yet in the table, as the listener closes and the drain looks whether all is done."""
+    """The listener is closed and checked for drained while a connection is accepted but not in the table."""
     checkpoint, listener = Checkpoint(), under_test.listener
     listener.add = checkpoint.before(listener.add)
     listener.start()
     client = Balancer(under_test.port)
     client.request(1)
     checkpoint.wait()
-    closing, done = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
-    closing.join(SHORT)
+    closing_thread, drained = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
+    closing_thread.join(SHORT)
     checkpoint.open()
-    closing.join(WAIT_TIMEOUT_S)
-    assert done == [False]
-    under_test.finish(*under_test.request())
-    assert {client.receive().get("id") for _ in range(2)} == {None, 1}  # `closing`, and its answer
+    closing_thread.join(WAIT_TIMEOUT_S)
+    assert drained == [False]
+    under_test.finish(*under_test.next_request())
+    assert {client.receive().get("id") for _ in range(2)} == {None, 1}  # `closing` and the answer
 
 
 def test_a_listener_out_of_descriptors_accepts_the_backlog_at_the_next_tick(under_test):
-    """The drain closes the listener with a request in the backlog and no descriptor left for it."""
-    listener, short = under_test.listener, [OSError(errno.EMFILE, "too many")]
-    listening = listener.sock
-    listener.idle_poller.start()  # no thread accepts: what connects waits in the backlog
+    """The listener is closed with a request in the backlog and no descriptor left for its connection."""
+    listener, accept_errors = under_test.listener, [OSError(errno.EMFILE, "too many")]
+    listening_sock = listener.sock
+    listener.idle_poller.start()  # without the accepting thread, connections wait in the backlog
     client = Balancer(under_test.port)
     client.request(1)
-    tries = []
+    accept_calls = []
 
     def accept():
-        tries.append(1)
-        if short:
-            raise short.pop()
-        return listening.accept()
+        accept_calls.append(1)
+        if accept_errors:
+            raise accept_errors.pop()
+        return listening_sock.accept()
 
-    listener.sock = Wrapped(listening, accept=accept)
+    listener.sock = Wrapped(listening_sock, accept=accept)
     listener.close()
-    assert tries == [1] and not listener.is_drained()
+    assert accept_calls == [1] and not listener.is_drained()
     listener.close()
-    under_test.finish(*under_test.request())
+    under_test.finish(*under_test.next_request())
     assert {client.receive().get("id") for _ in range(2)} == {None, 1}
 
 
-@pytest.mark.parametrize("by", ["accept", "close"])
-def test_a_connection_reset_before_its_options_are_set_affects_no_other(under_test, by):
-    listener, listening, bad = under_test.listener, under_test.listener.sock, []
+@pytest.mark.parametrize("accepted_by", ["accept", "close"])
+def test_a_connection_reset_before_its_options_are_set_affects_no_other(under_test, accepted_by):
+    listener, listening_sock, reset_socks = under_test.listener, under_test.listener.sock, []
 
-    def reset(*given):
+    def fail_with_reset(*arguments):
         raise OSError(errno.ECONNRESET, "reset")
 
     def accept():
-        sock, peer = listening.accept()
-        if not bad:
-            bad.append(sock)
-            return Wrapped(sock, setsockopt=reset), peer
-        return sock, peer
+        sock, address = listening_sock.accept()
+        if not reset_socks:
+            reset_socks.append(sock)
+            return Wrapped(sock, setsockopt=fail_with_reset), address
+        return sock, address
 
-    listener.sock = Wrapped(listening, accept=accept)
+    listener.sock = Wrapped(listening_sock, accept=accept)
     first, second = Balancer(under_test.port), Balancer(under_test.port)
     second.request(1)
-    if by == "accept":
+    if accepted_by == "accept":
         listener.start()
     else:
         listener.idle_poller.start()
         listener.close()
-    under_test.finish(*under_test.request())
-    heard = [second.receive() for _ in range(1 if by == "accept" else 2)]
-    assert 1 in [message.get("id") for message in heard]
-    assert bad and first.receive() is None
-    wait_until(lambda: len(listener.connections) <= 1, "the reset one leaves the table")
+    under_test.finish(*under_test.next_request())
+    messages = [second.receive() for _ in range(1 if accepted_by == "accept" else 2)]
+    assert 1 in [message.get("id") for message in messages]
+    assert reset_socks and first.receive() is None
+    wait_until(lambda: len(listener.connections) <= 1, "the reset connection is removed from the table")
 
 
 def test_the_drained_check_sees_unread_bytes(under_test, monkeypatch):
-    """A pause lets the time after `closing` pass before anybody has read one taken in at the drain."""
+    """The process is paused past the close timeout before a connection accepted in `close` is read."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
     client = Balancer(under_test.port)
     client.request(1)
-    listener.close()  # the poller does not run yet: the process was paused
+    listener.close()  # the poller does not run yet, as if the process were paused
     wait_until(
         lambda: all(connection.state.close_requested_at_s for connection in listener.connections),
-        "asked to close",
+        "all connections are asked to close",
     )
     assert listener.connections and not listener.is_drained()
     listener.idle_poller.start()
-    under_test.finish(*under_test.request())
+    under_test.finish(*under_test.next_request())
     assert {client.receive().get("id") for _ in range(2)} == {None, 1}
-    wait_until(listener.is_drained, "the end once it is answered")
+    wait_until(listener.is_drained, "the listener is drained once the request is answered")
 
 
 def test_a_message_started_before_closing_is_waited_for(under_test, monkeypatch):
-    """Half a request was read; the listener closes, the time after `closing` passes; then comes the rest."""
+    """Part of a request was read when the listener closes; the rest comes after the close timeout."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
     listener.start()
     client = Balancer(under_test.port)
-    whole, send = [], client.sock.sendall
-    client.send_bytes = whole.append
+    messages, send = [], client.sock.sendall
+    client.send_bytes = messages.append
     client.request(1)
-    send(whole[0][:60])
+    send(messages[0][:60])
     wait_until(
         lambda: any(
-            c.state.message_has_started() and listener.idle_poller.is_waiting(c) for c in listener.connections
+            connection.state.message_has_started() and listener.idle_poller.is_waiting(connection)
+            for connection in listener.connections
         ),
-        "half is read",
+        "the first part is read",
     )
     listener.close()
     assert client.receive()["method"] == "closing"
     assert not listener.is_drained()
-    send(whole[0][60:])
-    under_test.finish(*under_test.request())
+    send(messages[0][60:])
+    under_test.finish(*under_test.next_request())
     assert client.receive()["id"] == 1
-    wait_until(listener.is_drained, "the end once it is answered")
+    wait_until(listener.is_drained, "the listener is drained once the request is answered")
 
 
 def test_a_request_that_arrives_as_its_connection_times_out_is_answered(under_test, monkeypatch):
-    """Silent for too long it is to go; its first request comes before the last read, the second behind it."""
+    """The first request arrives between the timeout and the last read, the second one after the last read."""
     monkeypatch.setattr(connection_limits, "FIRST_MESSAGE_TIMEOUT_S", 0.05)
     listener, checkpoint = under_test.listener, Checkpoint()
-    read_before_close, over = ClientConnection.read_before_close, threading.Event()
+    read_before_close, last_read_done = ClientConnection.read_before_close, threading.Event()
 
-    def held(connection):
+    def held_read_before_close(connection):
         checkpoint.come()
         read_before_close(connection)
-        over.set()
+        last_read_done.set()
 
-    monkeypatch.setattr(ClientConnection, "read_before_close", held)
+    monkeypatch.setattr(ClientConnection, "read_before_close", held_read_before_close)
     listener.start()
     client = Balancer(under_test.port)
     checkpoint.wait()
     client.request(1)
     sock = next(iter(listener.connections)).sock
-    wait_until(lambda: sock.recv(1, socket.MSG_PEEK), "the request stands in the buffer")
+    wait_until(lambda: sock.recv(1, socket.MSG_PEEK), "the request is in the socket's buffer")
     checkpoint.open()
-    first = under_test.request()
-    assert over.wait(WAIT_TIMEOUT_S)
+    first_request = under_test.next_request()
+    assert last_read_done.wait(WAIT_TIMEOUT_S)
     client.request(2)
-    under_test.finish(*under_test.request())
-    under_test.finish(*first)
+    under_test.finish(*under_test.next_request())
+    under_test.finish(*first_request)
     assert {client.receive()["id"], client.receive()["id"]} == {1, 2}
 
 
 class PolledConnection:
-    """In the place of a client connection in the poller."""
+    """Stands in for a client connection in the poller; tells whether it was registered when it timed out."""
 
     def __init__(self):
-        self.sock, self.peer = socket.socketpair()
-        self.keeps_open, self.back, self.timed_out = True, threading.Event(), queue.Queue()
+        self.sock, self.client_sock = socket.socketpair()
+        self.keeps_open, self.registered, self.timed_out = True, threading.Event(), queue.Queue()
 
-    def check_timeouts(self, now):
+    def check_timeouts(self, now_s):
         return not self.keeps_open
 
     def read(self):
         self.sock.recv(1)
         self.resume(self)
-        self.back.set()
+        self.registered.set()
 
     def read_before_close(self):
-        self.timed_out.put(self.back.is_set())
+        self.timed_out.put(self.registered.is_set())
 
 
-@pytest.mark.parametrize("first", [True, False])
-def test_no_connection_times_out_between_its_entry_and_its_registration_with_epoll(first):
-    """Let go there it would be closed, and its number armed anew for whoever has it next."""
+@pytest.mark.parametrize("first_registration", [True, False])
+def test_no_connection_times_out_between_its_entry_and_its_registration_with_epoll(first_registration):
+    """The connection would be closed, and the registration apply to the next one with its descriptor."""
     poller = IdleConnectionPoller(ThreadPool(Metrics(), 4))
     connection = PolledConnection()
     checkpoint = Checkpoint()
@@ -215,37 +216,37 @@
         poller.epoll,
         **{
             name: checkpoint.before(getattr(poller.epoll, name))
-            for name in (["register"] if first else ["modify"])
+            for name in (["register"] if first_registration else ["modify"])
         },
     )
     poller.start()
-    if first:
-        run_in_thread(lambda: (poller.add(connection), connection.back.set()))
+    if first_registration:
+        run_in_thread(lambda: (poller.add(connection), connection.registered.set()))
     else:
         poller.add(connection)
-        connection.peer.send(b"!")
+        connection.client_sock.send(b"!")
     checkpoint.wait()
     connection.keeps_open = False
     try:
-        went = connection.timed_out.get(timeout=SHORT)
+        timed_out_registered = connection.timed_out.get(timeout=SHORT)
     except queue.Empty:
-        went = None
+        timed_out_registered = None
     checkpoint.open()
-    assert went is None or went
-    assert connection.timed_out.get(timeout=WAIT_TIMEOUT_S) or connection.back.wait(WAIT_TIMEOUT_S)
+    assert timed_out_registered is None or timed_out_registered
+    assert connection.timed_out.get(timeout=WAIT_TIMEOUT_S) or connection.registered.wait(WAIT_TIMEOUT_S)
 
 
 def test_a_connection_that_epoll_refuses_is_closed_and_removed_from_the_table(under_test):
-    """It was read, and the system refuses to watch it on: in the listener's table it would stay for good."""
+    """After a read, epoll refuses to register the connection again; it would stay in the table for ever."""
     listener = under_test.listener
 
-    def refuses(*given):
+    def refuse(*arguments):
         raise OSError(errno.ENOMEM, "no memory")
 
-    listener.idle_poller.epoll = Wrapped(listener.idle_poller.epoll, modify=refuses)
+    listener.idle_poller.epoll = Wrapped(listener.idle_poller.epoll, modify=refuse)
     listener.start()
     client = Balancer(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
     assert client.receive()["id"] == 1 and client.receive() is None
-    wait_until(lambda: not listener.connections, "it leaves the table")
+    wait_until(lambda: not listener.connections, "the connection is removed from the table")
     assert under_test.metrics.by_name["connections_not_watched"] == 1
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client (a balancer): reads its messages and writes the answers.
+"""One connection of a client (usually a load balancer): reads its messages and writes the answers.
 
 The actor owns the socket; `connection_state` decides what the connection waits for and when it is closed.
 """
@@ -22,37 +22,37 @@
 
 
 class ConnectionSet(Protocol):
-    """The table of open connections, as far as a connection needs it."""
+    """The part of the connection table that a connection uses."""
 
     def crowding(self) -> Crowding:
         """Return how full the table is."""
 
     def remove(self, connection: "ClientConnection") -> None:
-        """Take out a closed connection, and free its slot."""
+        """Remove a closed connection and release its slot."""
 
 
 class ClientConnectionOwner(RequestTarget, Protocol):
-    """The listener that accepted the connection, as far as the connection needs it."""
+    """The part of the listener that a connection uses."""
 
     thread_pool: ThreadPool  # for writers
     reader_threads: ThreadPool
     idle_poller: IdleConnectionPoller
-    messages: MessageHandler
+    message_handler: MessageHandler
 
     @property
     def connections(self) -> ConnectionSet:
-        """The table that the connection is in."""
+        """The table that contains the connection."""
 
 
 class ClientConnection(PooledActor):
-    """A connection whose reader hands messages on, and whose actor writes the answers.
+    """A connection whose reader passes messages on, and whose actor writes the answers.
 
-    At most one reader thread reads it at a time; while none does, the idle poller waits for its next bytes,
-    so that an idle connection costs no thread. Methods of the reader and of the actor are marked as such.
+    At most one thread reads from the connection at a time. Between reads, the idle poller waits for the next
+    bytes, so that an idle connection occupies no thread. The sections below say which thread calls a method.
     """
 
     def __init__(self, sock: socket.socket, owner: ClientConnectionOwner, metrics: Metrics) -> None:
-        """Take over `sock`, which the connection closes at its end."""
+        """Take ownership of `sock`, which the connection closes at its end."""
         super().__init__("connection", metrics, owner.thread_pool)
         self.sock = sock
         self.owner = owner
@@ -61,10 +61,10 @@
         self.open_requests = self.state.open_requests
 
         # Reading.
-        self.receive_buffer: ReceiveBuffer | None = None  # only while part of a message was received
+        self.receive_buffer: ReceiveBuffer | None = None  # None while no message is partly received
         self.bad_message_count = 0
-        self.is_last_read = False  # the reader doesn't wait for more bytes
-        self.reading_stopped = False  # its requests are not trusted any more
+        self.is_last_read = False  # the reader does not wait for more bytes
+        self.reading_stopped = False  # the worker pool does not know the client's requests
 
         # Writing.
         self.outgoing: list[bytes] = []  # written at the end of each batch of entries
@@ -73,23 +73,27 @@
     # -- reading, on a reader thread
 
     def read(self) -> None:
-        """Handle what has arrived, then wait in the idle poller or end the connection."""
+        """Handle the received bytes, then wait in the idle poller or end the connection."""
         if self._receive():
             self._wait_for_bytes()
         else:
             self._finish_reading()
 
     def read_before_close(self) -> None:
-        """Handle what has arrived since the connection timed out; end it unless that was a message."""
+        """Handle what has arrived since the connection timed out; end the connection if no message did."""
         state = self.state
         if state.message_has_started():
-            self._stop_parsing("a message was begun and not ended")
-        was_silent = not state.has_sent_message
+            self._stop_parsing("timed out with an incomplete message")
+        had_sent_no_message = not state.has_sent_message
         self.is_last_read = True
-        more = self._receive()
-        if more and state.has_spoken(was_silent) and state.reading is not DISCARDING:
-            # The client sent a message while it timed out, and may send more before it learns of the close.
-            # Closing with that unread would reset the connection and lose the answer.
+        may_read_on = self._receive()
+        if (
+            may_read_on
+            and state.has_sent_since_timeout(had_sent_no_message)
+            and state.reading is not DISCARDING
+        ):
+            # The client sent a message as the connection timed out, and may send more before it learns of the
+            # close. Closing the socket with unread bytes would reset the connection and lose the answer.
             self.is_last_read = False
             self._wait_for_bytes()
             return
@@ -101,13 +105,13 @@
         try:
             self.owner.idle_poller.resume(self)
         except OSError as error:
-            # Unwatched it would stay in the table for ever, neither read nor closed.
+            # Without the registration, the connection would never be read, closed or removed from the table.
             self.metrics.log_sampled("connections_not_watched", problem=str(error))
             self.state.broken = True
             self._finish_reading()
 
     def _receive(self) -> bool:
-        """Handle all that has arrived; return False once nothing more is to be read."""
+        """Handle all received bytes; return False once the connection is not to be read any more."""
         try:
             return self._receive_until_blocked()
         except OSError:
@@ -138,11 +142,11 @@
                 buffer.add_received(count)
                 self._handle_messages(buffer)
         if not self.state.message_has_started():
-            self.receive_buffer = None  # hundreds of idle connections keep no buffers
+            self.receive_buffer = None  # saves memory, as hundreds of connections may be idle
         return True
 
     def _may_wait_for_message(self) -> bool:
-        """Return whether to block for READ_WAIT_TIMEOUT_S, which saves the way through the poller."""
+        """Return whether to block for READ_WAIT_TIMEOUT_S, which avoids the cost of using the poller."""
         if not self.state.has_answered or self.is_last_read:
             return False
         return self.owner.reader_threads.has_spare_threads()
@@ -153,8 +157,8 @@
             while (body := json_rpc.next_body(buffer)) is not None:
                 state.message_received(time.monotonic())
                 if self.reading_stopped:
-                    raise UnreadableStreamError("its tasks are unknown to the worker pool")
-                self.owner.messages.handle(self, body)
+                    raise UnreadableStreamError("the worker pool does not know the requests of this client")
+                self.owner.message_handler.handle(self, body)
                 state.message_handled()
         except UnreadableStreamError as error:
             self._stop_parsing(str(error))
@@ -164,9 +168,9 @@
             state.message_continues(time.monotonic())
 
     def _stop_parsing(self, reason: str) -> None:
-        """Send `reason` as an error, and discard what still arrives until all open requests are answered.
+        """Send `reason` as an error, and discard further input until all open requests are answered.
 
-        Closed with bytes unread, the system would reset the connection, and answers would be lost.
+        Closing the socket with unread bytes would reset the connection and lose answers.
         """
         self.metrics.log_sampled("balancer_unfollowable", problem=reason)
         self.state.parsing_failed(time.monotonic())
@@ -180,21 +184,21 @@
         self.run_or_post(self._set_reading_done)
 
     def reply(self, parts: list[bytes]) -> None:
-        """Send a reply that belongs to no open request; called by the reader.
+        """Send a reply that belongs to no open request; called on the reader thread.
 
         Raises:
             OSError: The client does not read its replies.
         """
         if not self.reply_slots.acquire(blocking=False):
-            raise ConnectionError("replies are not read")
+            raise ConnectionError("the client does not read its replies")
         self.run_or_post(self._write_reply, parts)
 
-    # -- timeouts, on the polling thread and on that of the admission actor
+    # -- timeouts, on the polling thread and the admission actor's thread
 
     def check_timeouts(self, now_s: float) -> bool:
         """Return whether the connection has timed out at `now_s` (monotonic) and is to be closed.
 
-        One that is idle for too long is first asked to close, which takes effect at a later check.
+        The client of a connection that is idle for too long is first asked to close the connection.
         """
         action = self.state.timeout_action(now_s, self.owner.connections.crowding)
         if action is REQUEST_CLOSE:
@@ -203,25 +207,25 @@
         return action is CLOSE
 
     def is_finished(self, now_s: float, close_timeout_s: float) -> bool:
-        """Return whether it was asked to close `close_timeout_s` ago, and nothing is left to do."""
+        """Return whether the client was asked to close `close_timeout_s` ago and nothing is left to do."""
         return self.state.is_finished(now_s, close_timeout_s)
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes wait that were not handled yet, in the system's buffer or with a reader."""
+        """Return whether received bytes are not handled yet, in the kernel's buffer or by a reader thread."""
         if self.state.ignores_input():
             return False
         try:
             if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        except OSError:  # nothing is there, or the socket is closed
+        except OSError:  # no bytes are available, or the socket is closed
             pass
-        # After the peek: what was received before it is with a reader, or among the open requests by now.
+        # Checked after the peek. Bytes received before it are with a reader or have become open requests.
         return self.running and not self.owner.idle_poller.is_waiting(self)
 
     # -- writing: entries of the actor
 
     def answer(self, rpc_id: int, parts: list[bytes]) -> None:
-        """Send the answer to an open request; called by the admission actor, never blocks."""
+        """Send the answer to an open request without blocking; called by the admission actor."""
         self.run_or_post(self._write_answer, rpc_id, parts)
 
     def _write_answer(self, rpc_id: int, parts: list[bytes]) -> None:
@@ -239,7 +243,7 @@
             self.state.close_requested(time.monotonic())
 
     def stop_reading(self) -> None:
-        """Read nothing more, as the worker pool doesn't know its requests; an entry of the actor."""
+        """Stop reading, as the worker pool does not know the client's requests; an entry of the actor."""
         self.reading_stopped = True
         self._end_after_answers()
         shut(self.sock, socket.SHUT_RD)
@@ -252,7 +256,7 @@
         self.state.reading_done = True
 
     def on_idle(self) -> None:
-        """Write what a batch of entries left, for WRITE_TIMEOUT_S at most; then close if finished."""
+        """Write the output of a batch of entries, for WRITE_TIMEOUT_S at most; then close if finished."""
         if self.outgoing:
             self._write_all()
             self.state.last_active_at_s = time.monotonic()
@@ -260,7 +264,7 @@
         self._close_if_finished()
 
     def flush_nonblocking(self) -> None:
-        """Write what the system takes at once; the rest is left to `on_idle` on a thread of the pool."""
+        """Write as much as the kernel accepts at once; `on_idle` writes the rest on a thread of the pool."""
         self.state.last_active_at_s = time.monotonic()
         if self.state.broken:
             self.outgoing = []
@@ -274,7 +278,7 @@
             self._close_if_finished()
 
     def has_unwritten(self) -> bool:
-        """Return whether `flush_nonblocking` has left bytes to write."""
+        """Return whether bytes are left to write after `flush_nonblocking`."""
         return bool(self.outgoing)
 
     def _write_all(self) -> None:
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -1,4 +1,4 @@
-"""Handles the messages of clients: requests go to the admission actor, all others are replied to here."""
+"""Handles the messages of clients: passes requests to the admission actor and replies to all others."""
 
 from typing import Any, Protocol
 
@@ -10,25 +10,25 @@
 from vetchford.runtime.timers import unix_time_ms
 from vetchford.server import connection_limits
 
-MAX_LOGGED_METHOD = 40  # characters
-MAX_LOGGED_PARAMS = 120  # characters
-NO_TENANT = -1  # the index for a request that names none
+MAX_LOGGED_METHOD_LENGTH = 40  # characters
+MAX_LOGGED_PARAMS_LENGTH = 120  # characters
+NO_TENANT = -1  # tenant index of a request that names no tenant
 
 
 class ClientEvents(Mailbox, Protocol):
-    """What the admission actor is told by client connections; each is posted to its mailbox."""
+    """The events of client connections, which are posted to the admission actor's mailbox."""
 
     def request_arrived(self, client: Any, request: IncomingRequest) -> None:
-        """Take a request that was read from the connection `client`."""
+        """Handle a request that was read from the connection `client`."""
 
     def client_gone(self, client: Any) -> None:
-        """Take that the connection `client` broke."""
+        """Handle the loss of the connection `client`."""
 
 
 class Client(Protocol):
-    """The connection that a message comes from."""
+    """The connection that a message was received on."""
 
-    open_requests: set[int | str]  # ids; a request's is added here before it is handed on
+    open_requests: set[int | str]  # ids; each is added before its request is passed to the admission actor
     bad_message_count: int
 
     def reply(self, parts: list[bytes]) -> None:
@@ -36,27 +36,27 @@
 
 
 class RequestTarget(Protocol):
-    """What the server knows that a message is checked against, and where its requests go."""
+    """The settings that messages are checked against, and the admission actor that receives the requests."""
 
-    request_classes: dict[str, int]  # index by method name
-    tenants: dict[str, int]  # index by name
-    ready: bool  # the result of a health check
+    request_classes: dict[str, int]  # index of each request class, by method name
+    tenants: dict[str, int]  # index of each tenant, by name
+    ready: bool  # the result of health checks
     admission: ClientEvents
     metrics: Metrics
 
 
 class MessageHandler:
-    """Handles the messages of all clients, each on the thread that reads it; keeps no state of its own."""
+    """Handles the messages of all clients, each on the thread that read it; has no state of its own."""
 
     def __init__(self, target: RequestTarget) -> None:
-        """Create the handler of the messages to `target`."""
+        """Create a handler that checks messages against `target`."""
         self.target = target
 
     def handle(self, client: Client, body: memoryview) -> None:
-        """Handle the body of one message; a bad one is replied to with an error.
+        """Handle the body of one message; a bad message is replied to with an error.
 
         Raises:
-            UnreadableStreamError: It was one bad message too many.
+            UnreadableStreamError: The client has sent MAX_BAD_MESSAGES bad messages.
             OSError: The client does not read its replies.
         """
         try:
@@ -73,17 +73,19 @@
             self._handle_bad_message(client, error)
 
     def _handle_notification(self, client: Client, method: str, params: dict[str, Any]) -> None:
-        # Not counted as bad messages: balancers have been seen to send hundreds at a time, and closing the
-        # connection for that would fail its open requests.
+        # Not counted as bad messages: load balancers have been seen to send hundreds of notifications at a
+        # time, and closing the connection for that would fail its open requests.
         self.target.metrics.log_sampled(
-            "balancer_notification", method=method[:MAX_LOGGED_METHOD], params=str(params)[:MAX_LOGGED_PARAMS]
+            "balancer_notification",
+            method=method[:MAX_LOGGED_METHOD_LENGTH],
+            params=str(params)[:MAX_LOGGED_PARAMS_LENGTH],
         )
-        if method in self.target.request_classes:  # a request that could not be answered for want of an id
+        if method in self.target.request_classes:  # a request without an id, which can't be answered
             client.reply(json_rpc.error(None, json_rpc.INVALID_REQUEST, "field 'id' is missing"))
 
     def _handle_bad_message(self, client: Client, error: json_rpc.BadMessageError) -> None:
         self.target.metrics.log_sampled("balancer_bad_message", code=error.code, problem=str(error))
-        # With the id of an open request, the client would take the error for the answer to that request.
+        # If the error carried the id of an open request, the client would take it for that request's answer.
         rpc_id = None if error.rpc_id in client.open_requests else error.rpc_id
         client.reply(json_rpc.error(rpc_id, error.code, str(error)))
         client.bad_message_count += 1
@@ -93,12 +95,14 @@
     def _handle_request(self, client: Client, method: str, rpc_id: int | str, params: dict[str, Any]) -> None:
         request_class = self.target.request_classes.get(method)
         if request_class is None:
-            raise json_rpc.BadMessageError(json_rpc.METHOD_NOT_FOUND, "method names no stage", rpc_id)
+            raise json_rpc.BadMessageError(
+                json_rpc.METHOD_NOT_FOUND, "field 'method' names no request class", rpc_id
+            )
         if not isinstance(rpc_id, int):
-            raise json_rpc.BadFieldError("id", "is no number", rpc_id, json_rpc.INVALID_REQUEST)
+            raise json_rpc.BadFieldError("id", "must be an integer", rpc_id, json_rpc.INVALID_REQUEST)
         if len(client.open_requests) >= connection_limits.MAX_OPEN_REQUESTS:
-            # Not a bad message: the server isn't told when a client gives a request up, so a client that
-            # gave up many may send as many more.
+            # Not a bad message: the server is not told when a client abandons a request, so a client that
+            # abandoned many requests may send as many again.
             self.target.metrics.increment("rejected_over_open")
             client.reply(json_rpc.rejected(rpc_id, False, 0.0))
             return
--- a/vetchford/server/connection_state.py
+++ b/vetchford/server/connection_state.py
@@ -1,14 +1,15 @@
-"""The state of one client connection: what it waits for, and when a close loses no answer. No I/O.
+"""The state of one client connection: what it waits for, and when it can be closed without losing answers.
 
-The connection's reader thread and its actor report what happened, each by the methods that are marked as its
-own, and by fields that `client_connection` and `client_messages` set themselves:
+This module does no I/O. The connection's reader thread and its actor report events through the methods in
+their sections below. `client_connection` and `client_messages` also set these fields directly:
 
-- `open_requests`: the reader adds an id as it hands the request on, the actor takes it out (`answer_queued`)
-- `last_active_at_s`: the reader as a message is whole, the actor as it has written
+- `open_requests`: the reader adds an id before it passes the request on, the actor removes the id in
+  `answer_queued`
+- `last_active_at_s`: the reader when a message is complete, the actor when it has written
 - `writing`, `ends_after_answers`, `reading_done`: the actor
-- `broken`: either of them, whichever first sees the connection fail; it is never cleared
+- `broken`: reader or actor, whichever first sees the connection fail; never cleared
 
-The questions may be asked from any thread. Times are monotonic seconds.
+The queries may be called on any thread. Times are monotonic seconds.
 """
 
 from collections.abc import Callable
@@ -19,22 +20,23 @@
 
 
 class Reading(Enum):
-    """What the bytes that arrive next belong to."""
+    """How the bytes that arrive next are handled."""
 
     BETWEEN_MESSAGES = auto()
     IN_MESSAGE = auto()
-    """Part of a message was received; it is owed an answer once it is whole."""
+    """Part of a message was received; the message must be answered once it is complete."""
     DISCARDING = auto()
-    """The stream can't be parsed any further. It is still read, as a close with bytes unread would reset the
-    connection, and answers would be lost."""
+    """The stream can't be parsed any further. It is still read, as closing the socket with unread bytes would
+    reset the connection and lose answers."""
 
 
 class Waiting(Enum):
-    """What a connection that no reader is busy with waits for: the first of these that applies."""
+    """What a connection without an active reader waits for: the first member that applies."""
 
     ANSWERS = auto()
+    """Requests are open."""
     END_OF_STREAM = auto()
-    """All is answered, and what still arrives is discarded."""
+    """No request is open, and further input is discarded."""
     FIRST_MESSAGE = auto()
     CLIENT_CLOSE = auto()
     """The client was asked to close the connection."""
@@ -42,24 +44,24 @@
 
 
 class TimeoutAction(Enum):
-    """What is to be done about a connection that waits."""
+    """The action for a waiting connection when its timeouts are checked."""
 
     NONE = auto()
     REQUEST_CLOSE = auto()
-    """Ask the client to close it."""
+    """Ask the client to close the connection."""
     CLOSE = auto()
-    """Read once more and close it if nothing came."""
+    """Read once more, and close the connection if no message arrived."""
 
 
 class CloseStep(Enum):
-    """What the actor does to the socket at the end."""
+    """A step of closing the socket, executed by the actor."""
 
     STOP_SENDING = auto()
     CLOSE = auto()
 
 
-# Bound once: the timeouts of each connection are checked 20 times a second, and a member that is read through
-# its class costs as much as the rest of a check.
+# Module globals, as the timeouts of each connection are checked 20 times a second, and access to a member
+# through its enum class costs as much as the rest of a check.
 BETWEEN_MESSAGES = Reading.BETWEEN_MESSAGES
 IN_MESSAGE = Reading.IN_MESSAGE
 DISCARDING = Reading.DISCARDING
@@ -75,74 +77,77 @@
 
 
 class ConnectionState:
-    """Reading, answering and closing of one connection.
+    """The state of reading, answering and closing one connection.
 
     A connection is closed once its reader is done, its actor has no entries left, and either every open
     request is answered or no answer can reach the client.
     """
 
     def __init__(self, now_s: float, mailbox_is_empty: Callable[[], bool]) -> None:
-        """Start with nothing received; `mailbox_is_empty`: no entry waits for the connection's actor."""
+        """Create the state of a new connection.
+
+        `mailbox_is_empty` returns whether the mailbox of the connection's actor has no entries.
+        """
         self.mailbox_is_empty = mailbox_is_empty
-        self.open_requests: set[int | str] = set()  # ids that were read and whose answers haven't been sent
+        self.open_requests: set[int | str] = set()  # ids of requests that were read and are not answered yet
         self.last_active_at_s = now_s
 
         self.reading = BETWEEN_MESSAGES
-        self.message_started_at_s = now_s  # holds in a message only
-        self.has_sent_message = False  # whether the client ever sent a whole message
+        self.message_started_at_s = now_s  # meaningful while `reading` is IN_MESSAGE
+        self.has_sent_message = False  # whether the client has sent a complete message
         self.discarded_bytes = 0
-        self.reading_done = False  # nothing more is read
+        self.reading_done = False  # nothing more will be read
 
         self.has_answered = False
-        self.writing = False  # an answer is no open request any more, and not written yet
+        self.writing = False  # an answer was removed from `open_requests` and is not written yet
 
         self.broken = False  # no answer can reach the client any more
         self.close_requested_at_s: float | None = None  # when the client was asked to close
-        self.ends_after_answers = False  # the sending side is shut down behind the last open answer
+        self.ends_after_answers = False  # shut down the sending side after the last open request is answered
         self.closed = False
 
     # -- reported by the reader, on its thread
 
     def message_received(self, now_s: float) -> None:
-        """Take that a message is whole."""
+        """Record that a complete message was received."""
         self.last_active_at_s = now_s
         self.has_sent_message = True
 
     def message_handled(self) -> None:
-        """Take that the message was handed on: the bytes behind it are the next one."""
+        """Record that the message was handled; the bytes after it belong to the next message."""
         self.reading = BETWEEN_MESSAGES
 
     def message_continues(self, now_s: float) -> None:
-        """Take that part of a message was received, and no more has arrived."""
+        """Record that part of a message was received and the rest has not arrived yet."""
         if self.reading is not IN_MESSAGE:
             self.message_started_at_s = now_s
             self.reading = IN_MESSAGE
 
     def parsing_failed(self, now_s: float) -> None:
-        """Take that the stream can't be parsed any further."""
+        """Record that the stream can't be parsed any further."""
         self.reading = DISCARDING
         self.last_active_at_s = now_s
 
     def bytes_discarded(self, count: int) -> bool:
-        """Take that bytes were discarded; return whether to read on, for the sake of open requests."""
+        """Record that bytes were discarded; return whether to continue reading."""
         self.discarded_bytes += count
         return bool(self.open_requests) or self.discarded_bytes <= connection_limits.MAX_DISCARDED_BYTES
 
     # -- reported by the actor, on the thread that runs its entries
 
     def answer_queued(self, rpc_id: int) -> None:
-        """Take that the answer to an open request is about to be written."""
+        """Record that the answer to an open request is about to be written."""
         self.writing = True
         self.has_answered = True
-        # Before it is sent: the client may use the id again at once.
+        # Before the answer is sent, as the client may reuse the id as soon as it receives the answer.
         self.open_requests.discard(rpc_id)
 
     def close_requested(self, now_s: float) -> None:
-        """Take that the client is asked to close the connection."""
+        """Record that the client is asked to close the connection."""
         self.close_requested_at_s = now_s
 
     def close_steps(self) -> tuple[CloseStep, ...]:
-        """Return what to do to the socket now, in this order; each step is returned once."""
+        """Return the steps to execute on the socket now, in order; each step is returned only once."""
         if not self.mailbox_is_empty() or (self.open_requests and not self.broken):
             return NO_STEPS
         steps = NO_STEPS
@@ -154,28 +159,31 @@
             steps += (CloseStep.CLOSE,)
         return steps
 
-    # -- questions
+    # -- queries
 
     def message_has_started(self) -> bool:
-        """Return whether part of a message was received that will be answered once it is whole."""
+        """Return whether an incomplete message was received that must be answered once it is complete."""
         return self.reading is IN_MESSAGE
 
     def ignores_input(self) -> bool:
-        """Return whether what still arrives is not answered."""
+        """Return whether further input will not be answered."""
         return self.reading is DISCARDING or self.reading_done or self.broken
 
-    def has_spoken(self, was_silent: bool) -> bool:
-        """Return whether the client has sent something since it timed out that is owed an answer.
+    def has_sent_since_timeout(self, had_sent_no_message: bool) -> bool:
+        """Return whether, since the connection timed out, the client has sent input that must be answered.
 
-        `was_silent`: it had never sent a whole message by then.
+        `had_sent_no_message`: the client had not sent a complete message when the connection timed out.
         """
-        sent_first_message = was_silent and self.has_sent_message
+        sent_first_message = had_sent_no_message and self.has_sent_message
         return sent_first_message or bool(self.open_requests) or self.message_has_started()
 
     def is_finished(self, now_s: float, close_timeout_s: float) -> bool:
-        """Return whether it was asked to close `close_timeout_s` ago, and nothing is left to do."""
-        # A message that has started is owed an answer once it is whole; MESSAGE_TIMEOUT_S bounds the wait.
-        quiet = (
+        """Return whether the client was asked to close `close_timeout_s` ago and nothing is left to do.
+
+        A broken connection is always finished.
+        """
+        # A started message must be answered once it is complete; MESSAGE_TIMEOUT_S bounds the wait for it.
+        nothing_pending = (
             not self.open_requests
             and not self.writing
             and self.reading is not IN_MESSAGE
@@ -184,14 +192,14 @@
         if self.broken:
             return True
         requested_at_s = self.close_requested_at_s
-        return quiet and requested_at_s is not None and requested_at_s < now_s - close_timeout_s
+        return nothing_pending and requested_at_s is not None and requested_at_s < now_s - close_timeout_s
 
     def is_idle_since(self, since_s: float) -> bool:
-        """Return whether nothing is open on it, and nothing happened since `since_s`."""
+        """Return whether no request is open and the connection was last active before `since_s`."""
         return not self.open_requests and self.last_active_at_s < since_s
 
     def waits_for(self) -> Waiting:
-        """Return what it waits for."""
+        """Return what the connection waits for."""
         if self.open_requests:
             return ANSWERS
         if self.reading is DISCARDING:
@@ -203,9 +211,9 @@
         return NEXT_MESSAGE
 
     def timeout_action(self, now_s: float, crowding: Callable[[], Crowding]) -> TimeoutAction:
-        """Return what to do about the connection at `now_s`; `crowding` is that of the connection table.
+        """Return the action for the connection at `now_s`; `crowding` returns that of the connection table.
 
-        One that is idle for too long is first asked to close, which takes effect at a later check.
+        For a connection that is idle for too long, a later check closes it if the client has not.
         """
         message_age_s = now_s - self.message_started_at_s
         if self.reading is IN_MESSAGE and message_age_s > connection_limits.MESSAGE_TIMEOUT_S:
@@ -224,5 +232,5 @@
             timeout_s = connection_limits.IDLE_TIMEOUT_S
         if now_s - self.last_active_at_s <= timeout_s:
             return NONE
-        is_next = waits_for is NEXT_MESSAGE
-        return REQUEST_CLOSE if is_next else CLOSE
+        is_idle = waits_for is NEXT_MESSAGE
+        return REQUEST_CLOSE if is_idle else CLOSE
--- a/vetchford/server/connection_table.py
+++ b/vetchford/server/connection_table.py
@@ -1,4 +1,4 @@
-"""The open client connections of a server, and which of them are asked to close."""
+"""The table of open client connections; selects the idle connections that are asked to close."""
 
 import threading
 import time
@@ -14,11 +14,11 @@
 class ConnectionTable:
     """A set of connections of limited size; all methods may be called from any thread.
 
-    Whoever accepts reserves a slot first; the slot is free again once the connection is removed.
+    A slot is reserved before a connection is accepted, and released when the connection is removed.
     """
 
     def __init__(self, max_connections: int, metrics: Metrics) -> None:
-        """Start empty, with `max_connections` free slots."""
+        """Create an empty table with `max_connections` free slots."""
         self.max_connections = max_connections
         self.metrics = metrics
         self.open: set[ClientConnection] = set()
@@ -39,17 +39,17 @@
             return list(self.open)
 
     def add(self, connection: ClientConnection) -> None:
-        """Add a connection that was accepted."""
+        """Add a connection for which a slot is reserved."""
         with self.lock:
             self.open.add(connection)
 
     def discard(self, connection: ClientConnection | None) -> None:
-        """Take out a connection that was lost as it was accepted; its slot is not freed."""
+        """Remove a connection that failed while it was accepted, without releasing its slot."""
         with self.lock:
             self.open = {other for other in self.open if other is not connection}
 
     def remove(self, connection: ClientConnection) -> None:
-        """Take out a closed connection, and free its slot."""
+        """Remove a closed connection and release its slot."""
         with self.lock:
             if connection in self.open:
                 self.open.remove(connection)
@@ -65,27 +65,27 @@
         return NORMAL
 
     def close_longest_idle(self) -> None:
-        """Ask the connections that were idle for longest to close, down to the crowded share.
+        """Ask the longest idle connections to close, until no more than the crowded share stay open.
 
-        Those that have sent no message yet are passed over: their timeout for the first message ends them.
+        Connections that have sent no message yet are left to the timeout for the first message.
         """
         idle_since_s = time.monotonic() - connection_limits.CROWDED_IDLE_TIMEOUT_S
-        staying = self.not_asked_to_close()
+        remaining = self.not_asked_to_close()
         idle = [
             connection
-            for connection in staying
+            for connection in remaining
             if connection.state.has_sent_message and connection.state.is_idle_since(idle_since_s)
         ]
         idle.sort(key=lambda connection: connection.state.last_active_at_s)
-        excess = len(staying) - int(connection_limits.CROWDED_SHARE * self.max_connections)
+        excess = len(remaining) - int(connection_limits.CROWDED_SHARE * self.max_connections)
         for connection in idle[: max(0, excess)]:
             self._request_close(connection)
 
     def close_idle(self, idle_timeout_ms: float) -> None:
-        """Ask the connections to close that were idle for longer than that.
+        """Ask the connections that were idle for longer than `idle_timeout_ms` to close.
 
-        Also those that have sent no message yet, whose age then counts from accepting them; those that
-        `close_longest_idle` leaves to their timeout for the first message.
+        Unlike `close_longest_idle`, this includes connections that have sent no message yet; they count as
+        idle from their acceptance.
         """
         idle_since_s = time.monotonic() - idle_timeout_ms / MS_PER_S
         with self.lock:
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients (balancers), and closes them at the end."""
+"""Accepts client connections, and closes them during shutdown."""
 
 import select
 import socket
@@ -31,12 +31,12 @@
         admission: ClientEvents,
         metrics: Metrics,
     ) -> None:
-        """Bind to `address`; `start` begins to accept.
+        """Bind to `address`; `start` begins to accept connections.
 
-        `request_classes` and `tenants` give the index of each name; requests go to `admission`.
+        `request_classes` and `tenants` give the index of each name; requests are posted to `admission`.
 
         Raises:
-            OSError: The address is taken, or is none of this machine.
+            OSError: The address is in use, or is not an address of this machine.
         """
         self.request_classes = request_classes
         self.tenants = tenants
@@ -45,10 +45,10 @@
         self.thread_pool = ThreadPool(metrics, connection_limits.MAX_WRITER_THREADS)
         self.reader_threads = ThreadPool(metrics, connection_limits.MAX_READER_THREADS)
         self.idle_poller = IdleConnectionPoller(self.reader_threads)
-        self.messages = MessageHandler(self)
+        self.message_handler = MessageHandler(self)
         self.connections = ConnectionTable(max_connections, metrics)
         self.ready = False  # the result of health checks; set by the admission actor
-        self.closing = False  # `close` was called: no further connection is waited for
+        self.closing = False  # `close` was called; the accepting thread stops
         self.closed = False  # the listening socket is closed
         self.accept_lock = threading.Lock()  # held from accepting a connection until it is in the table
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -58,7 +58,7 @@
         self.sock.setblocking(False)
 
     def start(self) -> None:
-        """Start to accept connections and to read from them."""
+        """Start accepting connections and reading from them."""
         self.thread_pool.start()
         self.reader_threads.start()
         self.idle_poller.start()
@@ -67,7 +67,7 @@
     # -- accepting
 
     def accept_connections(self) -> None:
-        """Accept until `close` is called; while the table is full, clients wait in the backlog."""
+        """Accept connections until `close` is called; clients wait in the backlog while the table is full."""
         poller = select.poll()
         poller.register(self.sock, select.POLLIN)
         while not self.closing:
@@ -88,7 +88,7 @@
                 self.connections.close_longest_idle()
 
     def _reserve_slot(self) -> bool:
-        """Wait for a free place in the table; return False if the listener is closing."""
+        """Wait for a free slot in the table and reserve it; return False if the listener is closing."""
         while not self.connections.free_slots.acquire(timeout=connection_limits.FULL_TABLE_CHECK_INTERVAL_S):
             if self.closing:
                 return False
@@ -96,8 +96,8 @@
         return True
 
     def _accept_one(self) -> bool:
-        """Accept the next connection; return False if there was none or it was lost at once."""
-        # Under the lock, so that `close` never sees a connection that is accepted and not in the table.
+        """Accept the next connection; return False if there was none, or if the connection failed at once."""
+        # Under the lock, so that `close` misses no connection that is accepted but not yet in the table.
         with self.accept_lock:
             if self.closed:
                 return False
@@ -108,7 +108,7 @@
             return self.add(sock)
 
     def add(self, sock: socket.socket) -> bool:
-        """Put an accepted connection into the table and wait for its bytes; return False if it was lost."""
+        """Add an accepted connection to the table and the poller; return False if the connection failed."""
         connection = None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -117,7 +117,7 @@
             connection = ClientConnection(sock, self, self.metrics)
             self.connections.add(connection)
             self.idle_poller.add(connection)
-        except OSError as error:  # ends this connection, not the thread that accepts all others
+        except OSError as error:  # ends this connection only, not the accepting thread
             self.metrics.log_sampled("connections_lost_at_door", problem=str(error))
             self.connections.discard(connection)
             sock.close()
@@ -126,15 +126,15 @@
         return True
 
     def close_idle(self, idle_timeout_ms: float) -> None:
-        """Ask the connections to close that were idle for longer than that."""
+        """Ask the connections that were idle for longer than `idle_timeout_ms` to close."""
         self.connections.close_idle(idle_timeout_ms)
 
     # -- shutdown
 
     def close(self) -> None:
-        """Accept what has connected already and nothing more, then ask all connections to close.
+        """Accept the connections in the backlog but no later ones, then ask all connections to close.
 
-        May be called again, where descriptors ran out before the backlog was empty.
+        Call it again if the process ran out of descriptors before the backlog was empty.
         """
         self.closing = True
         with self.accept_lock:
@@ -143,7 +143,7 @@
             connection.run_or_post(connection.request_close)
 
     def _accept_backlog(self) -> None:
-        # Bounded: clients that keep connecting hold up the admission actor for no longer than that.
+        # Bounded, so that clients that keep connecting do not block the admission actor for long.
         for _ in range(connection_limits.LISTEN_BACKLOG):
             if self.closed:
                 return
@@ -155,28 +155,28 @@
                 self.sock.close()
             except ConnectionAbortedError:
                 continue
-            except OSError as error:  # out of descriptors: the next call of `close` accepts the rest
+            except OSError as error:  # out of descriptors; the next call of `close` accepts the rest
                 self.metrics.log_sampled("accept_failed", problem=str(error))
                 return
             else:
                 self.add(sock)
 
     def is_drained(self) -> bool:
-        """Return whether every request that came through the listener is answered, or can't be any more."""
+        """Return whether every request received on a client connection is answered or can't be answered."""
         now_s = time.monotonic()
-        staying = self.connections.snapshot()
-        # Checked again after the look for unread bytes: the process may have been paused for the whole close
-        # timeout, with a request unread or just being read.
+        connections = self.connections.snapshot()
+        # The connections are checked again after the check for unread bytes: the process may have been paused
+        # for the whole close timeout while a request was unread or was being read.
         return (
             self.closed
-            and _all_finished(staying, now_s)
-            and not any(connection.has_unread_bytes() for connection in staying)
-            and _all_finished(staying, now_s)
+            and _all_finished(connections, now_s)
+            and not any(connection.has_unread_bytes() for connection in connections)
+            and _all_finished(connections, now_s)
         )
 
 
 def _all_finished(connections: list[ClientConnection], now_s: float) -> bool:
-    """Return whether nothing is left to do on any of them, nor crosses the notification to close."""
+    """Return whether all connections are finished, including messages in transit as `closing` was sent."""
     return all(
         connection.is_finished(now_s, connection_limits.DRAIN_CLOSE_TIMEOUT_S) for connection in connections
     )
