--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: when nothing new is taken any more, when all is answered, and when the program ends."""
+"""Graceful shutdown: when to stop accepting requests, when all requests are answered, and when to exit."""
 
 import math
 from collections.abc import Callable
@@ -13,49 +13,49 @@
 
 log = structlog.get_logger()
 
-EXIT_TIME_MS = 120.0  # from the last answers to the tick that sees them written, and the exit itself
-EXIT_BEFORE_KILL_MS = 40.0  # before the kill: what is not written by then will not be
-MAX_GRACE_SHARE = 0.6  # of the time to stop: a short one must still leave time for what is unanswered
+EXIT_TIME_MS = 120.0  # from the last answers to the tick that finds them written, and for the exit itself
+EXIT_BEFORE_KILL_MS = 40.0  # the latest exit, before the kill; answers not written by then are lost
+MAX_GRACE_SHARE = 0.6  # of `stop_ms`, so that a short `stop_ms` leaves time to answer open requests
 
 
 class ShutdownSchedule:
     """The times of a graceful shutdown, in Unix ms; infinite until it starts."""
 
     def __init__(self) -> None:
-        """Expect no shutdown."""
+        """Create a schedule without a shutdown."""
         self.kill_at_unix_ms = math.inf
         self.close_at_unix_ms = math.inf
 
     def start(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> float:
-        """Count from the termination notice; return by when all must be answered.
+        """Set the times, counted from the termination signal; return when all requests must be answered.
 
-        `stop_ms`: until the program is killed. `grace_ms`: what arrives later is not run.
+        `stop_ms`: time until the process is killed. `grace_ms`: requests that arrive later are not run.
         """
         self.kill_at_unix_ms = signalled_at_unix_ms + stop_ms
         self.close_at_unix_ms = signalled_at_unix_ms + min(grace_ms, MAX_GRACE_SHARE * stop_ms)
         return self.kill_at_unix_ms - EXIT_TIME_MS
 
     def started(self) -> bool:
-        """Whether the termination notice has come."""
+        """Return whether the shutdown has started."""
         return self.kill_at_unix_ms < math.inf
 
-    def last_exit(self) -> float:
-        """Return when the program exits, whatever is unanswered: a moment later it would be killed."""
+    def latest_exit_unix_ms(self) -> float:
+        """Return when the process exits even with unanswered requests, shortly before it would be killed."""
         return self.kill_at_unix_ms - EXIT_BEFORE_KILL_MS
 
-    def closes(self, now_unix_ms: float) -> bool:
-        """Whether nothing new is taken any more."""
+    def is_grace_over(self, now_unix_ms: float) -> bool:
+        """Return whether no further requests are accepted."""
         return now_unix_ms >= self.close_at_unix_ms
 
     def must_exit(self, now_unix_ms: float) -> bool:
-        """Whether the program can wait no longer."""
-        return now_unix_ms >= self.last_exit()
+        """Return whether the process must exit, even with unanswered requests."""
+        return now_unix_ms >= self.latest_exit_unix_ms()
 
 
 class GracefulShutdown:
-    """Closes the listener, waits for the last answers and ends the server.
+    """Closes the listener, waits for the last answers and stops the server.
 
-    Used by the thread of the admission actor alone.
+    Used only on the admission actor's thread.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         log_summary: Callable[[], None],
         on_stopped: Callable[[], None],
     ) -> None:
-        """Call `log_summary` and then `on_stopped` once, at the end."""
+        """Create an idle shutdown; once, at its end, it calls `log_summary` and then `on_stopped`."""
         self.listener = listener
         self.answers = answers
         self.timers = timers
@@ -77,33 +77,36 @@
         self.stopped = False
 
     def start(self, signalled_at_unix_ms: float, stop_ms: float, grace_ms: float) -> float:
-        """Start the schedule; return by when all must be answered, in Unix ms."""
+        """Start the schedule; return when all requests must be answered, in Unix ms."""
         log.info("shutdown_started", stop_ms=stop_ms, open=self.answers.count_unanswered())
         answers_due_unix_ms = self.schedule.start(signalled_at_unix_ms, stop_ms, grace_ms)
-        self.timers.schedule(self.schedule.last_exit(), self.advance)  # ticks may fall on either side of it
+        # Ticks may fall too early or too late for the latest exit.
+        self.timers.schedule(self.schedule.latest_exit_unix_ms(), self.advance)
         return answers_due_unix_ms
 
     def advance_repeatedly(self) -> None:
-        """Advance at the interval of ticks, where there is no controller that asks for them."""
+        """Advance at the interval of the ticks, for a server without a controller to schedule them."""
         self.advance()
         if not self.stopped:
             self.timers.schedule(unix_time_ms() + TICK_MS, self.advance_repeatedly)
 
     def advance_if_closing(self) -> None:
-        """Advance if the grace is over."""
-        if self.schedule.closes(unix_time_ms()):
+        """Advance if the grace time is over."""
+        if self.schedule.is_grace_over(unix_time_ms()):
             self.advance()
 
     def advance(self) -> None:
-        """Take nothing new; end the server once all is answered and written, or time is up."""
-        time_is_up = self.schedule.must_exit(unix_time_ms())
+        """Close the listener; stop the server once all answers are written or the process must exit."""
+        must_exit = self.schedule.must_exit(unix_time_ms())
         try:
-            if time_is_up:  # a program that was paused past its ticks still answers what it can
+            if (
+                must_exit
+            ):  # the ticks may not have answered all requests, for example if the process was paused
                 self.answers.fail_overdue(math.inf)
             self.listener.close()
         finally:
-            # Whatever goes wrong above, the program ends before it is killed.
-            if time_is_up or (self.listener.is_drained() and not self.answers.count_unanswered()):
+            # The server stops before the process is killed, even if closing the listener raises.
+            if must_exit or (self.listener.is_drained() and not self.answers.count_unanswered()):
                 self._stop()
 
     def _stop(self) -> None:
--- a/vetchford/server/signals.py
+++ b/vetchford/server/signals.py
@@ -1,6 +1,6 @@
-"""The signals of a server: blocked before any thread starts, and taken where it waits for them.
+"""Signal handling: signals are blocked before any thread starts, and received by waiting for them.
 
-Loaded before all else, so it loads nothing itself that takes time.
+This module is imported before all others, so it imports only what loads fast.
 """
 
 import os
@@ -12,10 +12,10 @@
 
 
 def exit_on_termination() -> None:
-    """Until `block_signals` let a termination signal end the program at once, and block SIGHUP.
+    """Make a termination signal exit the process at once, until `block_signals` is called; block SIGHUP.
 
-    While nothing is open there is nothing to wait for. Blocked like the others a SIGTERM would wait for as
-    long as the configuration takes to be read, and a file that never comes would have the start killed.
+    While no request is open, the process has nothing to wait for. If SIGTERM were blocked, it would wait
+    until the configuration is read, and reading a file that never arrives would end only with a kill.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     for number in sorted(TERMINATION_SIGNALS):
@@ -23,18 +23,21 @@
 
 
 def block_signals() -> None:
-    """Block all; before any thread starts, as one that doesn't block them would end the program."""
+    """Block all signals of the server, before any thread starts.
+
+    A thread that does not block them would receive them, and the process would end at once.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
 def wait_for_termination(on_reload: Callable[[], None]) -> int:
-    """Return the termination signal once it comes; call `on_reload` on each SIGHUP until then."""
+    """Wait for a termination signal and return its number; call `on_reload` on each SIGHUP until then."""
     while (number := signal.sigwait(SIGNALS)) == signal.SIGHUP:
         on_reload()
     return int(number)
 
 
 def handle_reloads(on_reload: Callable[[], None]) -> None:
-    """Call `on_reload` on each SIGHUP for good; for a shutdown, which a further signal does not change."""
+    """Call `on_reload` on each SIGHUP during a shutdown, and ignore further termination signals."""
     while True:
         wait_for_termination(on_reload)
