--- a/tests/server/test_platform_config.py
+++ b/tests/server/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The configuration of one server: which keys are refused, and what is understood."""
+"""Decoding the configuration of one server: invalid keys, overrides and optional keys."""
 
 import json
 
@@ -56,7 +56,7 @@
     for records in (None, ""):
         document["records"] = records
         with pytest.raises(MalformedInputError, match="'records'"):
-            platform_config.decode(document)  # its runs may call
+            platform_config.decode(document)  # the settings declare a dependency that runs may call
     document["settings"]["familyInfo"]["below"] = "silent"
     platform_config.decode(document)
     del document["records"]
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -1,4 +1,4 @@
-"""Where the configuration of one server comes from: its file, the environment and our own settings files."""
+"""Reads the configuration of one server from the platform's file, the environment and settings files."""
 
 import json
 import os
@@ -13,11 +13,11 @@
 
 FILE_VARIABLE = "ROUTER_CONFIG"
 OVERRIDES = {"ROUTER_NAME": NAME_KEY, "ROUTER_LISTEN": LISTEN_KEY}
-"""Keys of the configuration that a variable of the environment goes before."""
+"""Environment variables that override keys of the configuration file."""
 
 
 class NoActions:
-    """Actions of an admission controller that do nothing, to try settings with."""
+    """Actions of an admission controller that do nothing, used to validate settings."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """Return an action that does nothing."""
@@ -27,16 +27,16 @@
 def load(
     environment: Mapping[str, str] = os.environ, path: str | None = None, own_paths: list[str] | None = None
 ) -> ServerConfiguration:
-    """Return what the configuration file, the environment and our own settings files say.
+    """Return the configuration from the platform's file, the environment and the settings files.
 
-    `path` goes before the environment's ROUTER_CONFIG; `own_paths` are files of our own settings.
+    `path` takes precedence over the environment's ROUTER_CONFIG; `own_paths` are the settings files.
 
     Raises:
-        MalformedInputError: A file can't be read, or a key is wrong: a line for each.
+        MalformedInputError: A file can't be read, or keys are invalid; the message has a line for each fault.
     """
     path = path or environment.get(FILE_VARIABLE)
     if not path:
-        raise MalformedInputError(f"{FILE_VARIABLE} names no configuration file")
+        raise MalformedInputError(f"no configuration file given: use --config or set {FILE_VARIABLE}")
     document = read_file(path)
     for variable, key in OVERRIDES.items():
         if environment.get(variable):
@@ -44,35 +44,35 @@
     configuration = decode(document)
     if not own_paths:
         return configuration
-    from vetchford.configuration import isolated_reader  # a server without such files does without it
+    from vetchford.configuration import isolated_reader  # not imported by a server without settings files
 
     request_classes = list(configuration.settings.class_indices())
     return replace(configuration, own=OwnSettings(isolated_reader.read(own_paths, request_classes)))
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """Return what a configuration file holds, unchecked.
+    """Return the contents of a configuration file, unchecked.
 
     Raises:
-        MalformedInputError: It can't be read, or holds no JSON object.
+        MalformedInputError: The file can't be read, or does not contain a JSON object.
     """
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
-    except OSError as problem:
-        raise MalformedInputError(f"configuration file {path}: {problem.strerror}") from None
-    except (ValueError, RecursionError) as problem:  # the second: brackets in brackets without end
-        raise MalformedInputError(f"configuration file {path}: no JSON: {problem}") from None
+    except OSError as error:
+        raise MalformedInputError(f"configuration file {path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:  # RecursionError: brackets nested too deeply
+        raise MalformedInputError(f"configuration file {path}: invalid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise MalformedInputError(f"configuration file {path}: not an object")
+        raise MalformedInputError(f"configuration file {path}: expected a JSON object")
     return document
 
 
 def decode(document: dict[str, Any]) -> ServerConfiguration:
-    """Return the configuration that a document holds.
+    """Return the configuration from the contents of a configuration file.
 
     Raises:
-        MalformedInputError: A key is wrong, or no admission controller can be built from the settings.
+        MalformedInputError: A key is invalid, or no admission controller can be built from the settings.
     """
     configuration = platform_configuration.decode(document)
     settings = configuration.settings
@@ -81,6 +81,6 @@
         settings.tenant_indices()
         settings.gauge_indices()
         factory.build(NoActions(), configuration.seed, settings, False)
-    except (TypeError, AttributeError, ValueError) as problem:
-        raise platform_configuration.unusable_settings(problem) from None
+    except (TypeError, AttributeError, ValueError) as error:
+        raise platform_configuration.unusable_settings(error) from None
     return configuration
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -1,4 +1,4 @@
-"""Configurations that are read anew while a server runs: which keys take effect, and on which thread."""
+"""Reloading the configuration of a running server: which keys take effect, and on which thread."""
 
 import threading
 from collections.abc import Callable, Mapping
@@ -22,16 +22,16 @@
 log = structlog.get_logger()
 
 FIXED_KEYS = (NAME_KEY, LISTEN_KEY, LIMITS_KEY, SETTINGS_KEY)
-"""Keys that wait for the next start."""
+"""Keys whose changes take effect at the next start only."""
 OWN_SETTINGS = "declared"
-"""What log lines call our own settings, which wait for the next start too."""
+"""Name in log lines of the settings files, whose changes take effect at the next start too."""
 
 
 class ConfigurationReloader:
-    """Reloads the configuration, one time after the other, on a thread that lives as long as that takes.
+    """Reloads the configuration on request, one reload at a time, on a thread that ends with the last reload.
 
-    A file that is slow to read must not hold up whoever waits for signals: a SIGTERM behind it would lose
-    that time of its shutdown.
+    Reloads don't run on the thread that waits for signals: if a file is slow to read, a SIGTERM would be
+    handled late and the shutdown would lose that time.
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         reload: Callable[[ServerConfiguration], ServerConfiguration],
         start_thread: Callable[[Callable[[], None]], None],
     ) -> None:
-        """Let `configuration` hold until `reload` returns another for it."""
+        """Create a reloader; `reload` receives the current configuration and returns the one to use next."""
         self.configuration = configuration
         self.reload = reload
         self.start_thread = start_thread
-        self.lock = threading.Lock()  # for the two below
-        self.requested = False  # a reload is to be started
-        self.reloading = False  # the thread runs
+        self.lock = threading.Lock()  # guards `requested` and `reloading`
+        self.requested = False  # a reload was requested and has not started
+        self.reloading = False  # the reload thread runs
 
     def request(self) -> None:
-        """Reload soon; may be called from any thread, and never blocks for long."""
+        """Request a reload; may be called from any thread, and never blocks for long."""
         with self.lock:
             self.requested = True
             was_idle = not self.reloading
@@ -60,7 +60,7 @@
             log.warning("configuration_reload_queued")
 
     def run(self) -> None:
-        """Reload until no request is left; the body of the thread."""
+        """Reload until no request is left; runs on the reload thread."""
         while True:
             with self.lock:
                 self.reloading = self.requested
@@ -69,46 +69,49 @@
                     return
             try:
                 self.configuration = self.reload(self.configuration)
-            except Exception as problem:  # else every later request would wait for this one for good
-                log.error("configuration_refused", problem=f"{type(problem).__name__}: {problem}")
+            except Exception as error:  # otherwise `reloading` would stay set, and block all later reloads
+                log.error("configuration_refused", problem=f"{type(error).__name__}: {error}")
 
 
 def reload_configuration(
     current: ServerConfiguration,
     read: Callable[[], ServerConfiguration],
-    move_peer: Mapping[str, Callable[[Address | None], None]],
+    change_address: Mapping[str, Callable[[Address | None], None]],
     change_own_settings: Callable[[OwnSettings], None],
 ) -> ServerConfiguration:
-    """Apply the configuration as `read` returns it now; return what holds from now on.
+    """Apply the configuration that `read` returns; return the configuration in effect afterwards.
 
-    `move_peer` has a function for each key of `peer_addresses`, to call with a changed address.
-    `change_own_settings` is called with what our own files declare. A wrong configuration changes nothing.
+    `change_address` has a function for each key of `service_addresses`, called with a changed address.
+    `change_own_settings` is called with the contents of the settings files. An invalid configuration changes
+    nothing.
     """
     try:
-        fresh = read()
-    except Exception as problem:  # whatever is wrong with the file, the server goes on
-        log.error("configuration_refused", problem=str(problem))
+        new = read()
+    except Exception as error:  # the server continues with the current configuration
+        log.error("configuration_refused", problem=str(error))
         return current
-    addresses = peer_addresses(fresh)
-    in_use = peer_addresses(current)
-    moved = [key for key, address in addresses.items() if address != in_use[key]]
-    for key in moved:
-        move_peer[key](addresses[key])
-    change_own_settings(fresh.own)
+    new_addresses = service_addresses(new)
+    current_addresses = service_addresses(current)
+    changed_keys = [key for key, address in new_addresses.items() if address != current_addresses[key]]
+    for key in changed_keys:
+        change_address[key](new_addresses[key])
+    change_own_settings(new.own)
     log.info(
-        "configuration_renewed", moved=",".join(moved), not_changed=",".join(_waiting_keys(fresh, current))
+        "configuration_renewed",
+        moved=",".join(changed_keys),
+        not_changed=",".join(_keys_pending_restart(new, current)),
     )
     return replace(
         current,
-        stop_ms=fresh.stop_ms,
-        worker_pool=fresh.worker_pool,
-        records=fresh.records,
-        registry=fresh.registry,
+        stop_ms=new.stop_ms,
+        worker_pool=new.worker_pool,
+        records=new.records,
+        registry=new.registry,
     )
 
 
-def peer_addresses(configuration: ServerConfiguration) -> dict[str, Address | None]:
-    """Return, by its key, the address of each peer that a running server can go over to."""
+def service_addresses(configuration: ServerConfiguration) -> dict[str, Address | None]:
+    """Return, by configuration key, the addresses that can be changed while a server runs."""
     return {
         WORKER_POOL_KEY: configuration.worker_pool,
         RECORDS_KEY: configuration.records,
@@ -116,9 +119,9 @@
     }
 
 
-def _waiting_keys(fresh: ServerConfiguration, current: ServerConfiguration) -> list[str]:
-    """Return the keys that have changed and wait for the next start."""
-    waiting = [key for key in FIXED_KEYS if fresh.document.get(key) != current.document.get(key)]
-    if fresh.own != current.own:
-        waiting.append(OWN_SETTINGS)
-    return waiting
+def _keys_pending_restart(new: ServerConfiguration, current: ServerConfiguration) -> list[str]:
+    """Return the keys that have changed but take effect at the next start only."""
+    changed_keys = [key for key in FIXED_KEYS if new.document.get(key) != current.document.get(key)]
+    if new.own != current.own:
+        changed_keys.append(OWN_SETTINGS)
+    return changed_keys
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -1,4 +1,4 @@
-"""Start, signals and end of one server."""
+"""Starts one server, handles its signals and shuts it down."""
 
 import gc
 import threading
@@ -38,20 +38,20 @@
 
 EXIT_DONE = 0
 EXIT_FAILED = 1  # at run time
-STACK_SIZE = 256 * 1024  # bytes a thread; no call here nests deeply, and untouched pages cost nothing
-OTHER_DESCRIPTORS = 8  # listener, poller, the worker pool's link, registry reports and the standard three
-FLEET_DESCRIPTORS = 4  # datagrams, a listener that accepts nobody, a connection to it, one spare
+STACK_SIZE_BYTES = 256 * 1024  # for each thread; calls don't nest deeply, and untouched pages use no memory
+OTHER_DESCRIPTORS = 8  # listener, poller, worker pool link, registry reports and the three standard streams
+FLEET_DESCRIPTORS = 4  # datagrams, a listener that accepts no connections, a connection to it, one spare
 MIN_CALL_DESCRIPTORS = 8
-MAX_CALL_DESCRIPTORS = 56  # three times the calls that a server of twelve cores may have in flight
-CALL_DESCRIPTORS_SHARE = 4  # one descriptor in so many is for calls, before the others are taken off
-PROCESS_EXIT_TIME_S = 0.02  # from the last line of the log; half of shutdown.EXIT_BEFORE_KILL_MS
+MAX_CALL_DESCRIPTORS = 56  # three times the calls that a server with twelve cores may have in flight
+CALL_DESCRIPTORS_DIVISOR = 4  # one of this many descriptors is for calls, less OTHER_DESCRIPTORS
+PROCESS_EXIT_TIME_S = 0.02  # from the last log line to the exit; half of shutdown.EXIT_BEFORE_KILL_MS
 
 
 class CannotListenError(VetchfordError):
-    """An address to listen on is taken, or is none of this machine."""
+    """An address to listen on is in use, or is not an address of this machine."""
 
     def __init__(self, address: str, reason: str | None) -> None:
-        """Take the address in the form of the configuration, and the system's reason."""
+        """Create the error for an address as in the configuration; `reason` is the system's error text."""
         super().__init__(f"cannot listen on {address}: {reason}")
         self.address = address
         self.reason = reason
@@ -59,34 +59,38 @@
 
 @dataclass(frozen=True)
 class DescriptorBudget:
-    """How the file descriptors of one server are shared out."""
+    """The division of a server's file descriptors between dependency calls and clients."""
 
     calls: int
     clients: int
 
     @classmethod
     def share(cls, total: int, in_fleet: bool) -> "DescriptorBudget":
-        """Share `total` descriptors between dependency calls and client connections."""
-        calls = max(MIN_CALL_DESCRIPTORS, total // CALL_DESCRIPTORS_SHARE - OTHER_DESCRIPTORS)
+        """Divide `total` descriptors between dependency calls and client connections."""
+        calls = max(MIN_CALL_DESCRIPTORS, total // CALL_DESCRIPTORS_DIVISOR - OTHER_DESCRIPTORS)
         calls = min(MAX_CALL_DESCRIPTORS, calls)
         reserved = OTHER_DESCRIPTORS + (FLEET_DESCRIPTORS if in_fleet else 0)
         return cls(calls, total - calls - reserved)
 
 
 class Server:
-    """The actors of one server, which it starts. They end with the process."""
+    """Creates and starts the actors of one server, which run until the process exits."""
 
     def __init__(self, configuration: ServerConfiguration, metrics: Metrics) -> None:
-        """Create the actors and listen; CannotListenError where that fails."""
+        """Create the actors and listen.
+
+        Raises:
+            CannotListenError: An address to listen on is in use, or is not an address of this machine.
+        """
         self.configuration = configuration
         self.settings = configuration.settings
         self.admission = AdmissionActor(
             configuration.seed,
             self.settings,
             metrics,
-            bulkheads_maker(configuration, metrics),
+            bulkheads_factory(configuration, metrics),
         )
-        self.stopped = threading.Event()  # set once a graceful shutdown has ended
+        self.stopped = threading.Event()  # set once a graceful shutdown has finished
         in_fleet = configuration.own.fleet is not None
         budget = DescriptorBudget.share(configuration.max_descriptors, in_fleet)
         self.worker_pool = WorkerPoolClient(configuration.worker_pool, self.admission, metrics)
@@ -97,7 +101,7 @@
         self.admission.attach(self.worker_pool, self.records, self.registry, self.listener, self.stopped.set)
 
     def start(self) -> None:
-        """Start all actors; the listener accepts from now on."""
+        """Start all actors; the listener then accepts connections."""
         self.admission.start()
         self.registry.start()
         self.worker_pool.start()
@@ -109,13 +113,13 @@
     def reload(
         self, current: ServerConfiguration, read: Callable[[], ServerConfiguration]
     ) -> ServerConfiguration:
-        """Apply the configuration as `read` returns it now; return what holds from now on."""
-        move_peer: dict[str, Callable[[Address | None], None]] = {
+        """Apply the configuration that `read` returns; return the configuration in effect afterwards."""
+        change_address: dict[str, Callable[[Address | None], None]] = {
             WORKER_POOL_KEY: partial(self.worker_pool.post, self.worker_pool.change_address),
             RECORDS_KEY: self.records.change_address,
             REGISTRY_KEY: partial(self.registry.post, self.registry.change_address),
         }
-        return reload_configuration(current, read, move_peer, self._change_own_settings)
+        return reload_configuration(current, read, change_address, self._change_own_settings)
 
     def start_shutdown(self, signalled_at_unix_ms: float, stop_ms: float) -> None:
         """Start a graceful shutdown; the process is killed `stop_ms` after the signal."""
@@ -126,11 +130,11 @@
         )
 
     def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
-        """Create the actor that speaks to the other servers; None where none are configured."""
+        """Create the actor that communicates with the other servers; None if no fleet is configured."""
         settings = self.configuration.own.fleet
         if settings is None:
             return None
-        from vetchford.coordination import fleet_member  # a server alone does without it
+        from vetchford.coordination import fleet_member  # not imported by a server without a fleet
 
         admission = self.admission
         admission.load_sampler = fleet_member.measure()
@@ -142,8 +146,8 @@
                 partial(admission.post, admission.sample_load),
                 partial(admission.post, admission.fleet_signals_changed),
             )
-        except OSError as problem:
-            raise CannotListenError(settings["listen"], problem.strerror) from problem
+        except OSError as error:
+            raise CannotListenError(settings["listen"], error.strerror) from error
 
     def _listen(self, max_connections: int, metrics: Metrics) -> Listener:
         try:
@@ -155,8 +159,8 @@
                 self.admission,
                 metrics,
             )
-        except OSError as problem:
-            raise CannotListenError(str(self.configuration.listen), problem.strerror) from problem
+        except OSError as error:
+            raise CannotListenError(str(self.configuration.listen), error.strerror) from error
 
     def _change_own_settings(self, own: OwnSettings) -> None:
         if self.fleet_member is not None and own.fleet:
@@ -166,19 +170,19 @@
 def serve(
     configuration: ServerConfiguration,
     read: Callable[[], ServerConfiguration],
-    log_ends_by: Callable[[float], None],
+    set_log_deadline: Callable[[float], None],
 ) -> int:
-    """Run one server until a termination signal has come and all is answered; return the exit status.
+    """Run one server until a termination signal and the end of its shutdown; return the exit status.
 
-    `read` returns the configuration anew. `log_ends_by` is called with the Unix time in seconds until which
-    the log may hold up the end. Called on the main thread, with signals blocked.
+    `read` reads the configuration again. `set_log_deadline` is called with the Unix time in seconds until
+    which writing the log may delay the exit. Call this function on the main thread, with signals blocked.
     """
-    threading.stack_size(STACK_SIZE)
+    threading.stack_size(STACK_SIZE_BYTES)
     metrics = Metrics()
     try:
         server = Server(configuration, metrics)
-    except CannotListenError as problem:
-        log.error("listen_failed", address=problem.address, problem=problem.reason)
+    except CannotListenError as error:
+        log.error("listen_failed", address=error.address, problem=error.reason)
         return EXIT_FAILED
     gc.collect()
     gc.freeze()
@@ -190,27 +194,27 @@
         lambda current: server.reload(current, read),
         lambda run: start_thread(run, "configuration-reload", metrics),
     )
-    number = signals.wait_for_termination(reloader.request)
+    signal_number = signals.wait_for_termination(reloader.request)
     signalled_at_unix_ms = unix_time_ms()
-    log.info("signal_received", number=number)
-    return _shut_down(server, signalled_at_unix_ms, reloader, log_ends_by, metrics)
+    log.info("signal_received", number=signal_number)
+    return _shut_down(server, signalled_at_unix_ms, reloader, set_log_deadline, metrics)
 
 
 def _shut_down(
     server: Server,
     signalled_at_unix_ms: float,
     reloader: ConfigurationReloader,
-    log_ends_by: Callable[[float], None],
+    set_log_deadline: Callable[[float], None],
     metrics: Metrics,
 ) -> int:
-    """Shut down gracefully; return the exit status at the latest when the process is about to be killed."""
+    """Shut down gracefully; return the exit status no later than when the process is to be killed."""
     stop_ms = reloader.configuration.stop_ms
     kill_at_unix_s = (signalled_at_unix_ms + stop_ms) / MS_PER_S
-    log_ends_by(kill_at_unix_s - PROCESS_EXIT_TIME_S)
+    set_log_deadline(kill_at_unix_s - PROCESS_EXIT_TIME_S)
     server.start_shutdown(signalled_at_unix_ms, stop_ms)
     handle_further_signals(reloader, metrics)
     if not server.stopped.wait(max(0.0, kill_at_unix_s - time.time())):
-        # The thread of the admission actor is stuck; a kill is next.
+        # The admission actor's thread is stuck, and the process is about to be killed.
         log.error("shutdown_timed_out", stop_ms=stop_ms)
         return EXIT_FAILED
     log.info("stopped")
@@ -218,20 +222,20 @@
 
 
 def handle_further_signals(reloader: ConfigurationReloader, metrics: Metrics) -> None:
-    """Reload on SIGHUP during the shutdown too: peers may still move."""
+    """Reload on SIGHUP during the shutdown too, as service addresses may still change."""
     run = partial(signals.handle_reloads, reloader.request)
     try:
         threading.Thread(target=run, name="signals", daemon=True).start()
-    except RuntimeError as problem:  # the shutdown goes before what may still move
-        metrics.log_sampled("no_thread", part="signals", problem=str(problem))
+    except RuntimeError as error:  # the shutdown continues without reloads
+        metrics.log_sampled("no_thread", part="signals", problem=str(error))
 
 
-def bulkheads_maker(configuration: ServerConfiguration, metrics: Metrics) -> Callable[[], Any] | None:
-    """Return what makes the bulkheads that our own files declare; None where there are none."""
+def bulkheads_factory(configuration: ServerConfiguration, metrics: Metrics) -> Callable[[], Any] | None:
+    """Return a factory of the bulkheads that the settings files declare; None if they declare none."""
     declared = configuration.own.bulkheads
     if declared is None:
         return None
-    from vetchford.bulkheads import bulkhead_metrics  # a server without bulkheads does without it
+    from vetchford.bulkheads import bulkhead_metrics  # not imported by a server without bulkheads
 
     request_classes = configuration.settings.request_classes
     return partial(bulkhead_metrics.capacity, request_classes, declared, metrics)
