--- a/tests/server/conftest.py
+++ b/tests/server/conftest.py
@@ -6,6 +6,6 @@
 
 @pytest.fixture
 def server(tmp_path):
-    """The whole server in a process of its own, against fakes of all that it talks to."""
+    """Run a server process whose worker pool, records service and registry are fakes."""
     with ServerProcess(tmp_path) as running:
         yield running
--- a/tests/server/rpc_values.py
+++ b/tests/server/rpc_values.py
@@ -1,4 +1,4 @@
-"""Values of the clients' protocol that several tests of the server process use."""
+"""Values of the client protocol, shared by the tests of the server process."""
 
 import base64
 
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -1,4 +1,4 @@
-"""The whole server in a process of its own: requests, repeats, configuration, shutdown."""
+"""Server process: requests, retries, configuration and shutdown."""
 
 import base64
 import re
@@ -32,43 +32,47 @@
 def test_answers_are_sent_as_runs_end_and_a_rejection_carries_a_retry_after(server):
     client = server.balancer()
     jobs = [client.request(n) for n in (1, 2, 3)]
-    # One whose client has almost stopped waiting is rejected at once: nothing of it ran.
+    # A request whose client waits only 10 ms is rejected at once and never runs.
     client.request(4, limit=10)
-    refused = client.receive()
-    assert refused["id"] == 4 and refused["error"]["code"] == -32050 and refused["error"]["data"]["later"] > 0
+    rejection = client.receive()
+    assert (
+        rejection["id"] == 4
+        and rejection["error"]["code"] == -32050
+        and rejection["error"]["data"]["later"] > 0
+    )
     for _ in jobs[:2]:
         server.pool.take("spawn")
-    for at in (1, 0):
-        server.pool.finish(jobs[at])
-        assert client.receive()["id"] == at + 1
+    for index in (1, 0):
+        server.pool.finish(jobs[index])
+        assert client.receive()["id"] == index + 1
     server.pool.take("spawn")
     server.pool.finish(jobs[2], state="error")
-    failed = client.receive()
-    assert failed["id"] == 3 and failed["error"]["code"] != -32050
+    failure = client.receive()
+    assert failure["id"] == 3 and failure["error"]["code"] != -32050
 
 
 def test_retries_with_one_idempotency_key_get_one_result_of_one_run(server):
-    one, two = server.balancer(), server.balancer()
-    job = one.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
+    client, retrying_client = server.balancer(), server.balancer()
+    job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
-    two.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
-    two.request(2, "read", txn="a3")  # read behind the repeat, on the same connection
+    retrying_client.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
+    retrying_client.request(2, "read", txn="a3")  # its spawn shows that the retry before it was read
     server.pool.take("spawn")
     server.pool.finish(job, b"paid")
-    assert content(one.receive()) == b"paid"
-    assert content(two.receive()) == b"paid"
-    two.request(3, "pay", txn="a4", unique=IDEMPOTENCY_KEY)
-    assert content(two.receive()) == b"paid"
+    assert content(client.receive()) == b"paid"
+    assert content(retrying_client.receive()) == b"paid"
+    retrying_client.request(3, "pay", txn="a4", unique=IDEMPOTENCY_KEY)
+    assert content(retrying_client.receive()) == b"paid"
     server.pool.finish("a3")
-    two.receive()
+    retrying_client.receive()
     assert server.pool.received_none_of("spawn")
 
 
 def test_a_retry_after_the_key_window_runs_as_a_new_request(server):
     client = server.balancer()
     job = client.request(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
-    first = client.receive()  # too old to be run: rejected, and its fingerprint forgotten
-    assert first["error"]["code"] == -32050
+    rejection = client.receive()  # too old to run; its idempotency key is dropped
+    assert rejection["error"]["code"] == -32050
     job = client.request(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
     assert server.pool.take("spawn")[1]["job"] == job
     server.pool.finish(job)
@@ -104,9 +108,9 @@
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     old_pool = server.pool
     old_pool.take("spawn")
-    for rpc_id in (2, 3):  # more than once
+    for rpc_id in (2, 3):  # two reloads
         old_pool, old_records, _ = server.move_peers()
-        assert server.pool.take("bind")[1]["n"] == old_pool.last_number  # the numbers go on
+        assert server.pool.take("bind")[1]["n"] == old_pool.last_number  # notice numbers continue
         assert server.receive_report() == ["HB", "n1", "UP"]
         server.pool.finish(job)
         assert client.receive()["id"] == rpc_id - 1
@@ -128,12 +132,12 @@
 
 
 def test_every_thread_blocks_the_signals_that_the_main_thread_waits_for(server):
-    held = {signal.SIGHUP, signal.SIGINT, signal.SIGTERM}
+    signals = {signal.SIGHUP, signal.SIGINT, signal.SIGTERM}
     for status in Path(f"/proc/{server.process.pid}/task").glob("*/status"):
-        if status.parent.name == str(server.process.pid):  # the one that waits for them
+        if status.parent.name == str(server.process.pid):  # the main thread
             continue
-        blocked = int(re.search(r"SigBlk:\s*(\w+)", status.read_text())[1], 16)
-        assert held <= {number for number in held if blocked >> (number - 1) & 1}
+        blocked_mask = int(re.search(r"SigBlk:\s*(\w+)", status.read_text())[1], 16)
+        assert signals <= {number for number in signals if blocked_mask >> (number - 1) & 1}
 
 
 def test_a_graceful_shutdown_answers_open_requests_rejects_late_ones_and_exits_with_0(server):
@@ -144,7 +148,7 @@
     while server.receive_report()[2] != "OUT":
         pass
     assert client.receive()["method"] == "closing"
-    with pytest.raises(OSError):  # refused: nothing ran
+    with pytest.raises(OSError):  # new connections are refused
         Balancer(server.port)
     server.pool.finish(job)
     assert client.receive()["id"] == 1
@@ -159,8 +163,8 @@
         client.request(1)
         server.pool.take("spawn")
         server.process.terminate()
-        heard = [client.receive(), client.receive()]
-        assert sorted("error" in message for message in heard) == [False, True]
+        messages = [client.receive(), client.receive()]
+        assert sorted("error" in message for message in messages) == [False, True]
         assert server.process.wait(20) == 0
 
 
@@ -170,12 +174,12 @@
     server.pool.take("spawn")
     server.process.kill()
     server.process.wait()
-    with ServerProcess(tmp_path, ServerOptions(listen=f"127.0.0.1:{server.port}", cold=True)) as again:
-        client = again.balancer()
-        # Nothing is known of the incarnation before.
+    with ServerProcess(tmp_path, ServerOptions(listen=f"127.0.0.1:{server.port}", cold=True)) as restarted:
+        client = restarted.balancer()
+        # The restarted server knows no requests of its previous incarnation.
         job = client.request(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)
-        assert again.pool.take("spawn")[1]["job"] == job
-        again.pool.finish(job)
+        assert restarted.pool.take("spawn")[1]["job"] == job
+        restarted.pool.finish(job)
         assert "result" in client.receive()
 
 
@@ -183,7 +187,7 @@
     client = server.balancer()
     client.request(1, limit=700)
     server.pool.take("spawn")
-    assert client.receive()["error"]["code"] == -32051  # it may have had its effect
+    assert client.receive()["error"]["code"] == -32051  # the request may have had an effect
 
 
 def test_a_paused_process_loses_no_answer(server):
@@ -201,33 +205,33 @@
 
 
 def test_an_idempotency_key_with_another_body_is_another_request(server):
-    client, bad = server.balancer(), server.balancer()
+    client, unknown_client = server.balancer(), server.balancer()
     job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
-    bad.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
-    assert server.pool.take("spawn")[1]["job"] == "a2"  # no repeat; the pool knows no such task
+    unknown_client.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
+    assert server.pool.take("spawn")[1]["job"] == "a2"  # no retry; the worker pool does not know the request
     server.pool.send({"type": "unknown", "state": "spawn", "job": "a2"})
-    assert bad.receive()["error"]["code"] == -32051
+    assert unknown_client.receive()["error"]["code"] == -32051
     server.pool.finish(job, b"paid")
     assert content(client.receive()) == b"paid"
     server.balancer().request(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
-    assert server.pool.take("spawn")[1]["job"] == "a3"  # what never ran has left nothing to share
+    assert server.pool.take("spawn")[1]["job"] == "a3"  # "a2" never ran, so it left no result to share
 
 
 def test_a_server_without_a_records_service_serves_reloads_and_survives_a_stray_call(tmp_path):
     info = {**SETTINGS["familyInfo"], "below": "silent"}
     with ServerProcess(tmp_path, ServerOptions(has_records=False), familyInfo=info) as server:
         client = server.balancer()
-        odd = client.request(1, txn="o1", limit=900)
+        calling_job = client.request(1, txn="o1", limit=900)
         job = client.request(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
         for _ in range(2):
             server.pool.take("spawn")
-        server.pool.block(odd)  # there is nobody to call: it ends by its limit, and nobody else with it
+        server.pool.block(calling_job)  # without a service, this request alone fails at its deadline
         server.move_peers()
         server.pool.take("bind")
         server.pool.finish(job, b"done")
         assert content(client.receive()) == b"done"
         assert client.receive()["error"]["code"] == -32051
-        server.pool.finish(odd, state="cancelled")
+        server.pool.finish(calling_job, state="cancelled")
         log = server.stop()
         assert "moved=pool,members" in log and "must_hold_broken" not in log
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -1,4 +1,4 @@
-"""The whole server in a process of its own: connections and messages of clients."""
+"""Server process: client connections and client messages."""
 
 import contextlib
 import socket
@@ -10,12 +10,14 @@
 
 
 def test_a_client_that_does_not_read_delays_no_other_client(server):
-    unread = server.balancer()
-    unread.sock.settimeout(0.2)  # s: for each write; how many fit does not matter
-    check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
+    unread_client = server.balancer()
+    unread_client.sock.settimeout(0.2)  # s, for each write; the number of messages sent does not matter
+    health_check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
     with contextlib.suppress(OSError):
         for _ in range(400):
-            unread.send_bytes((b"Content-Length: %d\r\n\r\n%b" % (len(check), check)) * 1000)
+            unread_client.send_bytes(
+                (b"Content-Length: %d\r\n\r\n%b" % (len(health_check), health_check)) * 1000
+            )
     client = server.balancer()
     job = client.request(1)
     server.pool.take("spawn")
@@ -33,30 +35,30 @@
 
 
 def test_a_connection_reset_loses_no_answer_of_other_clients(server):
-    gone, stays = server.balancer(), server.balancer()
-    lost = gone.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
-    kept = stays.request(1, txn="f2")
+    reset_client, other_client = server.balancer(), server.balancer()
+    reset_job = reset_client.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
+    other_job = other_client.request(1, txn="f2")
     for _ in range(2):
         server.pool.take("spawn")
-    gone.reset()
-    server.pool.finish(lost, b"kept for its repeat")
-    server.pool.finish(kept)
-    assert stays.receive()["id"] == 1
-    stays.request(2, "pay", txn="f3", unique=IDEMPOTENCY_KEY)
-    assert content(stays.receive()) == b"kept for its repeat"
+    reset_client.reset()
+    server.pool.finish(reset_job, b"kept for its retry")
+    server.pool.finish(other_job)
+    assert other_client.receive()["id"] == 1
+    other_client.request(2, "pay", txn="f3", unique=IDEMPOTENCY_KEY)
+    assert content(other_client.receive()) == b"kept for its retry"
 
 
 def test_idle_connections_are_asked_to_close_and_those_with_open_requests_are_not(tmp_path):
-    # Clients that hardly come back.
+    # With 1000 clients and a `callerIdle` of 20 ms, an idle connection is hardly used again.
     info = {**SETTINGS["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}
     with ServerProcess(tmp_path, familyInfo=info) as server:
-        idle, busy = server.balancer(), server.balancer()
-        job = busy.request(1)
+        idle_client, waiting_client = server.balancer(), server.balancer()
+        job = waiting_client.request(1)
         server.pool.take("spawn")
-        assert idle.receive()["method"] == "closing" and idle.receive() is None
+        assert idle_client.receive()["method"] == "closing" and idle_client.receive() is None
         server.pool.finish(job)
-        assert busy.receive()["id"] == 1
-        assert busy.receive()["method"] == "closing"
+        assert waiting_client.receive()["id"] == 1
+        assert waiting_client.receive()["method"] == "closing"
 
 
 GOOD_PARAMS = {"txn": "ff", "door": 1.0, "team": "acme", "content": "", "ram": 1.0}
@@ -103,18 +105,18 @@
 
 
 def test_bad_messages_get_their_error_codes_and_the_connection_stays_open(server):
-    for at, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
-        if at % 5 == 0:  # a few on each connection: it stands no more
+    for index, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
+        if index % 5 == 0:  # fewer on each connection than the number that closes it
             client = server.balancer()
         if isinstance(message, dict) and message.get("params") and message["params"].get("door") == 1.0:
             message = {**message, "params": {**message["params"], "door": time.time() * 1000.0}}
         client.send(message)
-        heard = client.receive()
-        assert (heard["error"]["code"], heard["id"]) == (code, rpc_id), message
+        reply = client.receive()
+        assert (reply["error"]["code"], reply["id"]) == (code, rpc_id), message
     client = server.balancer()
     client.request(8)
     server.pool.take("spawn")
-    client.request(8, txn="ab")  # under this id an answer would pass for the open task's
+    client.request(8, txn="ab")  # an answer with this id would be taken for that of the open request
     assert client.receive()["id"] is None
     client.request(9, txn=f"{8:016x}")
     assert client.receive()["error"]["code"] == -32602
@@ -128,8 +130,8 @@
     server.pool.take("spawn")
     for _ in range(20):
         client.send(b"{}")
-    heard = [client.receive() for _ in range(10)]
-    assert [message.get("method") for message in heard] == [None] * 9 + ["closing"]
+    messages = [client.receive() for _ in range(10)]
+    assert [message.get("method") for message in messages] == [None] * 9 + ["closing"]
     server.pool.finish(f"{1:016x}")
     assert client.receive()["id"] == 1 and client.receive() is None
 
@@ -141,7 +143,7 @@
     for _ in range(30):
         client.send({"jsonrpc": "2.0", "method": "what"})
         client.send({"jsonrpc": "2.0", "method": "read"})
-        assert client.receive()["error"]["code"] == -32600  # to the second alone
+        assert client.receive()["error"]["code"] == -32600  # the reply to the second; the first gets none
     server.pool.finish(f"{1:016x}")
     assert client.receive()["id"] == 1
     client.request(2)
@@ -150,47 +152,52 @@
 
 def test_requests_over_the_limit_of_a_connection_are_rejected_and_it_stays_open(server):
     client = server.balancer()
-    for rpc_id in range(1, 65 + 20):  # the last twenty are too many; as bad messages they would end it
+    for rpc_id in range(1, 65 + 20):  # the last 20 exceed the limit; counted as bad, they would close it
         client.request(rpc_id)
-    refused = [client.receive() for _ in range(20)]
-    assert {message["error"]["code"] for message in refused} == {-32050}
+    rejections = [client.receive() for _ in range(20)]
+    assert {message["error"]["code"] for message in rejections} == {-32050}
     server.pool.finish(server.pool.take("spawn")[1]["job"])
     assert "result" in client.receive()
 
 
 def test_a_client_whose_requests_the_worker_pool_does_not_know_is_rejected_and_closed(server):
-    client, bad = server.balancer(), server.balancer()
+    client, unknown_client = server.balancer(), server.balancer()
     for rpc_id in range(1, 6):
-        bad.request(rpc_id, txn=f"b{rpc_id}")
-    for _ in range(2):  # one on each core, the others are held
+        unknown_client.request(rpc_id, txn=f"b{rpc_id}")
+    for _ in range(2):  # one run on each core; the other requests are queued
         server.pool.take("spawn")
     client.request(1, txn="c1")
     server.pool.send({"type": "unknown", "state": "spawn", "job": "b1"})
-    heard = [bad.receive() for _ in range(5)]
-    assert sorted(m["error"]["code"] for m in heard if "id" in m) == [-32051, -32050, -32050, -32050]
-    assert [m["method"] for m in heard if "method" in m] == ["closing"]
+    messages = [unknown_client.receive() for _ in range(5)]
+    assert sorted(message["error"]["code"] for message in messages if "id" in message) == [
+        -32051,
+        -32050,
+        -32050,
+        -32050,
+    ]
+    assert [message["method"] for message in messages if "method" in message] == ["closing"]
     assert server.pool.take("spawn")[1]["job"] == "c1"
     server.pool.send({"type": "unknown", "state": "spawn", "job": "b2"})
-    assert bad.receive()["error"]["code"] == -32051 and bad.receive() is None
+    assert unknown_client.receive()["error"]["code"] == -32051 and unknown_client.receive() is None
 
 
-@pytest.mark.parametrize("said", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
-def test_a_silent_connection_or_an_incomplete_message_times_out(server, said):
+@pytest.mark.parametrize("sent", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
+def test_a_silent_connection_or_an_incomplete_message_times_out(server, sent):
     client = server.balancer()
-    client.send_bytes(said)
+    client.send_bytes(sent)
     while client.receive() is not None:
         pass
 
 
 def test_silent_connections_do_not_lock_out_other_clients(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(sockets=40)) as server:
-        silent = [server.balancer() for _ in range(60)]  # more than may be open
+        silent_clients = [server.balancer() for _ in range(60)]  # more than may be open
         client = server.balancer()
         client.request(1)
         server.pool.take("spawn")
         server.pool.finish(f"{1:016x}")
         assert client.receive()["id"] == 1
-        del silent
+        del silent_clients
 
 
 @pytest.mark.parametrize(
@@ -217,16 +224,16 @@
     assert client.receive() is None
 
 
-@pytest.mark.parametrize(("sockets", "files"), [(40, None), (1024, 24)])
-def test_a_full_connection_table_accepts_new_clients_as_others_leave(tmp_path, sockets, files):
-    with ServerProcess(tmp_path, ServerOptions(sockets=sockets, max_files=files)) as server:
+@pytest.mark.parametrize(("sockets", "max_files"), [(40, None), (1024, 24)])
+def test_a_full_connection_table_accepts_new_clients_as_others_leave(tmp_path, sockets, max_files):
+    with ServerProcess(tmp_path, ServerOptions(sockets=sockets, max_files=max_files)) as server:
         clients = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
         job = clients[0].request(1)
         server.pool.take("spawn")
         server.pool.finish(job)
         assert clients[0].receive()["id"] == 1
         clients[-1].request(1, txn="ab")
-        for client in clients[:20]:  # those in the backlog leave with them
+        for client in clients[:20]:  # including clients in the backlog
             client.reset()
         assert server.pool.take("spawn")[1]["job"] == "ab"
         server.pool.finish("ab")
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -1,4 +1,4 @@
-"""The whole server in a process of its own: the link to the worker pool."""
+"""Server process: the link to the worker pool."""
 
 from helpers import ServerProcess
 from rpc_values import IDEMPOTENCY_KEY, content
@@ -6,32 +6,33 @@
 
 def test_a_reconnect_delivers_each_notice_once_and_starts_no_run_twice(server):
     client = server.balancer()
-    done = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
-    runs = client.request(2, txn="d2")
+    ended_job = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
+    running_job = client.request(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
     server.pool.disconnect()
-    server.pool.finish(done, b"while nobody listened")
+    server.pool.finish(ended_job, b"finished without a link")
     assert server.pool.take("bind")[1]["n"] in (0, 1)
-    assert content(client.receive()) == b"while nobody listened"
+    assert content(client.receive()) == b"finished without a link"
     client.request(3, "pay", txn="d3", unique=IDEMPOTENCY_KEY)
-    assert content(client.receive()) == b"while nobody listened"
-    server.pool.send({**server.pool.notices[0], "data": "d3Jvbmc="})  # replayed under its old number
+    assert content(client.receive()) == b"finished without a link"
+    server.pool.send({**server.pool.notices[0], "data": "d3Jvbmc="})  # a second notice with the same number
     server.pool.disconnect()
     assert server.pool.take("bind")[1]["n"] == 1
-    server.pool.finish(runs)
+    server.pool.finish(running_job)
     assert client.receive()["id"] == 2
-    assert done not in [entry[1].get("job") for entry in list(server.pool.received.queue)]
+    assert ended_job not in [entry[1].get("job") for entry in list(server.pool.received.queue)]
     assert "must_hold_broken" not in server.stop()
 
 
 def test_commands_are_queued_while_the_link_is_down_and_sent_on_the_next(tmp_path):
     with ServerProcess(tmp_path) as server:
         client = server.balancer()
-        server.pool.up.clear()  # links are taken, and nothing is answered on them
+        server.pool.up.clear()  # links are accepted, but nothing is answered on them
         server.pool.disconnect()
         job = client.request(1)
-        # Sent before the replay was read it could start a run anew. The rejection shows that it is decided.
+        # A command sent before the replay was read could start a run a second time. The rejection of the
+        # second request shows that the first one was admitted by then.
         client.request(2, limit=1)
         assert client.receive()["id"] == 2 and server.pool.received_none_of("spawn")
         server.pool.up.set()
@@ -58,16 +59,16 @@
     server.pool.last_number = 3
     server.pool.finish(job)
     assert client.receive()["id"] == 1
-    server.pool.finish(job)  # once more, under a new number
+    server.pool.finish(job)  # the same end again, with a new notice number
     client.request(2, txn="e2")
     server.pool.take("spawn")
     server.pool.send({"type": "unknown", "state": "spawn", "job": "e2"})
-    assert client.receive()["error"]["code"] == -32051  # no end of it will ever be told
+    assert client.receive()["error"]["code"] == -32051  # the end of this run will never be reported
     client = server.balancer()
     client.request(3, txn="e3")
     server.pool.take("spawn")
     server.pool.notify("finished", "e3", state="complete", took="long", data=None)
-    assert client.receive()["error"]["code"] == -32051  # over, with nothing to be made of it
+    assert client.receive()["error"]["code"] == -32051  # the run has ended with an unreadable result
     server.pool.send(None, raw=b"x" * 200_000)
     assert server.pool.take("bind")
     log = server.stop()
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -1,4 +1,4 @@
-"""Signals between two lines, at the whole server. In both builds; docs/crossings.md."""
+"""Race tests of the server process and its signals. Cases: docs/crossings.md."""
 
 import base64
 import os
@@ -26,25 +26,25 @@
     return base64.b64decode(message["result"]["content"])
 
 
-def until_out(server):
-    end = time.monotonic() + WAIT_TIMEOUT_S
+def wait_until_reported_not_ready(server):
+    deadline_s = time.monotonic() + WAIT_TIMEOUT_S
     while server.receive_report()[2] != "OUT":
-        assert time.monotonic() < end, "it is still reported as fit"
+        assert time.monotonic() < deadline_s, "the server still reports that it is ready"
 
 
 # -- start and signals
 
 
-def opened_for_reading(path):
-    """Returns the writing end: somebody is just reading it, and waits for what is written."""
-    opening, ends = run_in_thread(lambda: open(path, "w"))  # noqa: SIM115
-    opening.join(WAIT_TIMEOUT_S)
-    assert ends, "nobody reads the configuration"
-    return ends[0]
+def open_once_read(fifo):
+    """Return the writing end of a FIFO as soon as the server has opened it for reading."""
+    opening_thread, files = run_in_thread(lambda: open(fifo, "w"))  # noqa: SIM115
+    opening_thread.join(WAIT_TIMEOUT_S)
+    assert files, "the server does not read the configuration"
+    return files[0]
 
 
 def test_sighup_before_the_configuration_is_read_does_not_end_the_process(tmp_path):
-    with ServerProcess(tmp_path) as model:  # stand-ins, and a configuration that suits them
+    with ServerProcess(tmp_path) as model:  # only its fakes and its configuration are used
         text = model.config.read_text()
         pipe = tmp_path / "pipe.json"
         os.mkfifo(pipe)
@@ -56,13 +56,13 @@
             env={**os.environ, "ROUTER_CONFIG": str(pipe)},
         )
         try:
-            with opened_for_reading(pipe) as end:  # it is in the middle of its start
+            with open_once_read(pipe) as file:  # the server is starting and reads its configuration
                 process.send_signal(signal.SIGHUP)
-                end.write(text)
-            # Opened while the first reader is there still, the pipe would give it both texts.
+                file.write(text)
+            # If the FIFO were opened again before the first reader closed it, that reader would get both texts.
             assert any("event=serving" in line for line in process.stdout)
-            with opened_for_reading(pipe) as end:  # it serves, and reads anew as it was asked to
-                end.write(text)
+            with open_once_read(pipe) as file:  # the server has started and handles the SIGHUP
+                file.write(text)
             assert any("event=configuration_renewed" in line for line in process.stdout)
             process.terminate()
             assert process.wait(WAIT_TIMEOUT_S) == 0, process.stdout.read()
@@ -82,7 +82,7 @@
         env={**os.environ, "ROUTER_CONFIG": str(pipe)},
     )
     try:
-        with opened_for_reading(pipe):  # it is in the middle of its start, and nothing is written there
+        with open_once_read(pipe):  # the server is starting and waits for its configuration
             process.terminate()
             assert process.wait(WAIT_TIMEOUT_S) == 0, process.stdout.read()
         assert process.stdout.read() == ""
@@ -95,25 +95,25 @@
     server.config.unlink()
     os.mkfifo(server.config)
     server.process.send_signal(signal.SIGHUP)
-    with opened_for_reading(server.config):  # and nothing is written there
+    with open_once_read(server.config):  # nothing is written, so the reload does not end
         server.process.terminate()
-        until_out(server)
+        wait_until_reported_not_ready(server)
         assert server.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_sigterm_before_the_worker_pool_is_bound_answers_a_started_message_and_never_reports_ready(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(up=False)) as server:
         client = server.balancer()
-        whole, send = [], client.sock.sendall
-        client.send_bytes = whole.append
+        messages, send = [], client.sock.sendall
+        client.send_bytes = messages.append
         client.request(7)
-        send(whole[0][:60])
+        send(messages[0][:60])
         server.process.terminate()
-        until_out(server)
-        server.pool.up.set()  # the pool comes up in the middle of it
-        send(whole[0][60:])
-        heard = {message.get("id"): message for message in (client.receive(), client.receive())}
-        assert heard[7]["error"]["code"] == -32050 and None in heard  # and `closing`
+        wait_until_reported_not_ready(server)
+        server.pool.up.set()  # the worker pool comes up during the shutdown
+        send(messages[0][60:])
+        replies = {message.get("id"): message for message in (client.receive(), client.receive())}
+        assert replies[7]["error"]["code"] == -32050 and None in replies  # None: the `closing` notification
         assert server.process.wait(WAIT_TIMEOUT_S) == 0
         server.members.setblocking(False)
         reports = []
@@ -134,47 +134,47 @@
     server.pool.take("spawn")
     server.process.terminate()
     assert client.receive()["method"] == "closing"
-    old = server.move_peers()  # SIGHUP
+    old_peers = server.move_peers()  # sends SIGHUP
     assert server.pool.take("bind")[1]["n"] == 0
     assert server.receive_report() == ["HB", "n1", "OUT"]
     server.process.terminate()
     server.pool.finish(job, b"paid")
     assert content(client.receive()) == b"paid"
     assert server.process.wait(WAIT_TIMEOUT_S) == 0
-    assert old[0].received_none_of("spawn") and server.pool.received_none_of("spawn")
+    assert old_peers[0].received_none_of("spawn") and server.pool.received_none_of("spawn")
 
 
 def test_a_shutdown_without_worker_pool_link_and_registry_answers_all_requests(server):
     client = server.balancer()
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
-    server.members.close()  # nobody takes reports any more
+    server.members.close()  # the registry receives no reports any more
     server.process.terminate()
     assert client.receive()["method"] == "closing"
     server.pool.disconnect()
-    server.pool.finish(job, b"told on the next link")
-    assert content(client.receive()) == b"told on the next link"
+    server.pool.finish(job, b"sent on the next link")
+    assert content(client.receive()) == b"sent on the next link"
     assert server.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_a_retry_during_shutdown_gets_the_result_of_the_first_attempt(server):
-    one, two = server.balancer(), server.balancer()
-    job = one.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
+    client, retrying_client = server.balancer(), server.balancer()
+    job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
-    assert one.receive()["method"] == two.receive()["method"] == "closing"  # past the grace
-    two.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
-    two.request(2, txn="a3")  # nothing new is run; its answer shows that the repeat before it was read
-    assert two.receive()["error"]["code"] == -32050
+    assert client.receive()["method"] == retrying_client.receive()["method"] == "closing"  # after the grace
+    retrying_client.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
+    retrying_client.request(2, txn="a3")  # its rejection shows that the retry before it was read
+    assert retrying_client.receive()["error"]["code"] == -32050
     server.pool.finish(job, b"paid")
-    assert content(one.receive()) == content(two.receive()) == b"paid"
+    assert content(client.receive()) == content(retrying_client.receive()) == b"paid"
     assert server.process.wait(WAIT_TIMEOUT_S) == 0
     assert server.pool.received_none_of("spawn")
 
 
 def test_a_blocked_log_pipe_does_not_delay_the_exit(tmp_path):
-    """Its pipe is full from the first line on, so the thread that writes it is stuck as the program ends."""
-    with ServerProcess(tmp_path) as model:  # stand-ins, and a port
+    """The pipe is full before the first log line, so the log's writer thread is blocked during the exit."""
+    with ServerProcess(tmp_path) as model:  # only its fakes, its configuration and its port are used
         model.stop()
         model.write_config(f"127.0.0.1:{model.port}")
         model.members.setblocking(False)
@@ -183,15 +183,15 @@
                 model.members.recv(64)
         except BlockingIOError:
             model.members.settimeout(WAIT_TIMEOUT_S)
-        read, write = os.pipe()
-        os.set_blocking(write, False)
+        read_end, write_end = os.pipe()
+        os.set_blocking(write_end, False)
         try:
             while True:
-                os.write(write, b"x" * 4096)
+                os.write(write_end, b"x" * 4096)
         except BlockingIOError:
-            os.set_blocking(write, True)
+            os.set_blocking(write_end, True)
         process = subprocess.Popen(
-            model.COMMAND, stderr=write, env={**os.environ, "ROUTER_CONFIG": str(model.config)}
+            model.COMMAND, stderr=write_end, env={**os.environ, "ROUTER_CONFIG": str(model.config)}
         )
         try:
             assert model.receive_report() == ["HB", "n1", "UP"]
@@ -203,16 +203,16 @@
             model.pool.finish(job, b"done")
             assert content(client.receive()) == b"done"
             assert process.wait(WAIT_TIMEOUT_S) == 0
-            assert os.read(read, 1 << 20).strip(b"x") == b""  # it was stuck from before its first line
+            assert os.read(read_end, 1 << 20).strip(b"x") == b""  # no log line was ever written
         finally:
             process.kill()
             process.wait()
-            os.close(read)
-            os.close(write)
+            os.close(read_end)
+            os.close(write_end)
 
 
-def narrow(server):
-    """A balancer whose machine takes little in for it before it reads."""
+def client_with_small_receive_buffer(server):
+    """Return a client whose kernel buffers few bytes that the client has not read."""
     client = server.balancer()
     client.sock.close()
     client.sock = socket.socket()
@@ -223,49 +223,50 @@
     return client
 
 
-def in_the_system(port):
-    """Bytes on their way through connections of that port: unread, or not yet taken by the other side."""
+def kernel_buffered_bytes(port):
+    """Return the bytes in the kernel's send and receive queues of all connections of the port."""
     total = 0
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
-        words = line.split()
-        if f":{port:04X}" in (words[1][-5:], words[2][-5:]):
-            total += sum(int(part, 16) for part in words[4].split(":"))
+        columns = line.split()
+        if f":{port:04X}" in (columns[1][-5:], columns[2][-5:]):
+            total += sum(int(queue_size, 16) for queue_size in columns[4].split(":"))
     return total
 
 
-def half_written(server, client, count=100, size=40_000):
-    """Answers that nobody reads, until the server has more for the connection than its system takes.
+def fill_send_buffer(server, client, count=100, size=40_000):
+    """Have the server answer more than the kernel buffers for a client that does not read.
 
-    Returns another balancer, whose answer came behind them.
+    Return another client, whose answer was sent after all of these answers.
     """
-    for number in range(1, count + 1):
-        job = client.request(number)
+    for rpc_id in range(1, count + 1):
+        job = client.request(rpc_id)
         assert server.pool.take("spawn")[1]["job"] == job
         server.pool.finish(job, os.urandom(size))
-    other = server.balancer()  # its turn comes behind all of them
-    other.request(1, txn="ff")
+    other_client = server.balancer()
+    other_client.request(1, txn="ff")
     server.pool.finish(server.pool.take("spawn")[1]["job"])
-    assert other.receive()["id"] == 1
-    # The rest is with the server, and one is half written.
-    assert in_the_system(server.port) < count * size * 4 // 3
-    return other
+    assert other_client.receive()["id"] == 1
+    # The server still holds answers, one of them partly written: base64 makes an answer 4/3 of its size.
+    assert kernel_buffered_bytes(server.port) < count * size * 4 // 3
+    return other_client
 
 
 def test_partly_written_answers_are_completed_during_shutdown(server):
-    client = narrow(server)
-    other = half_written(server, client)
+    client = client_with_small_receive_buffer(server)
+    other_client = fill_send_buffer(server, client)
     server.process.terminate()
-    assert other.receive()["method"] == "closing" and other.receive() is None  # past all other waits
-    heard = [client.receive() for _ in range(101)]
-    assert sorted(message["id"] for message in heard if "id" in message) == list(range(1, 101))
-    assert [message["method"] for message in heard if "id" not in message] == ["closing"]
+    # The shutdown then waits for the unwritten answers only.
+    assert other_client.receive()["method"] == "closing" and other_client.receive() is None
+    messages = [client.receive() for _ in range(101)]
+    assert sorted(message["id"] for message in messages if "id" in message) == list(range(1, 101))
+    assert [message["method"] for message in messages if "id" not in message] == ["closing"]
     assert server.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_a_client_that_never_reads_does_not_prevent_the_end_of_a_shutdown(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(stop_ms=1500)) as server:
-        client = narrow(server)
-        half_written(server, client)
+        client = client_with_small_receive_buffer(server)
+        fill_send_buffer(server, client)
         server.process.terminate()
         assert server.process.wait(WAIT_TIMEOUT_S) == 0
         server.log_reader.join(WAIT_TIMEOUT_S)
@@ -284,10 +285,10 @@
     server.move_peers()
     server.pool.take("bind")
     assert server.receive_report() == ["HB", "n1", "UP"]
-    job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)  # stage and tenant of the start
+    job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)  # request class and tenant from before the reload
     server.pool.take("spawn")
     server.pool.finish(job, b"paid")
     assert content(client.receive()) == b"paid"
     client.request(2, "pay", txn="b2", unique=IDEMPOTENCY_KEY)
-    assert content(client.receive()) == b"paid"  # still fingerprinted
+    assert content(client.receive()) == b"paid"  # the class is still idempotent by key
     assert "not_changed=" in server.stop()
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -1,4 +1,4 @@
-"""Race tests of the link to the worker pool, at the whole server. In both builds; docs/crossings.md."""
+"""Race tests of the server process and its link to the worker pool. Cases: docs/crossings.md."""
 
 import json
 
@@ -8,33 +8,36 @@
 from testkit.faults.waiting import wait_until
 
 
-@pytest.mark.parametrize("way", ["no line", "no field", "missing"])
-def test_an_incomplete_notice_is_replayed_on_a_new_link(server, way):
+@pytest.mark.parametrize("fault", ["unreadable line", "unreadable field", "missing"])
+def test_an_incomplete_notice_is_replayed_on_a_new_link(server, fault):
     client = server.balancer()
     job = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
     other = client.request(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
-    # Both spawns are confirmed before the link breaks: one that is not is rightly sent again on the next.
-    polls = server.pool.answered_polls
-    wait_until(lambda: server.pool.answered_polls >= polls + 3, "three answered polls")
-    say, lost = server.pool.send, {"no line": b'{"type":"fini\xff\n', "no field": None}.get(way, b"")
+    # Both spawns must be confirmed before the link breaks, as an unconfirmed spawn is rightly sent again.
+    polls_before = server.pool.answered_polls
+    wait_until(lambda: server.pool.answered_polls >= polls_before + 3, "three answered polls")
+    send, bad_line = (
+        server.pool.send,
+        {"unreadable line": b'{"type":"fini\xff\n', "unreadable field": None}.get(fault, b""),
+    )
     server.pool.send = lambda message, raw=None: None
     server.pool.finish(job, b"paid")
-    server.pool.send = say
-    if way == "no field":
-        lost = json.dumps({**server.pool.notices[0], "took": "long"}).encode() + b"\n"
-    if lost:
-        say(None, raw=lost)
+    server.pool.send = send
+    if fault == "unreadable field":
+        bad_line = json.dumps({**server.pool.notices[0], "took": "long"}).encode() + b"\n"
+    if bad_line:
+        send(None, raw=bad_line)
     else:
         server.pool.finish(other)
     assert server.pool.take("bind")[1]["n"] == 0
     assert content(client.receive()) == b"paid"
-    if lost:
+    if bad_line:
         server.pool.finish(other)
     assert client.receive()["id"] == 2
     client.request(3, txn="d3")
-    server.pool.take("spawn")  # no run is left over on a core
+    server.pool.take("spawn")  # a core is free, as both runs have ended
     assert server.pool.received_none_of("spawn", "bind")
     server.pool.finish("d3")
     assert client.receive()["id"] == 3
@@ -55,7 +58,7 @@
 
 
 def test_a_command_confirmed_two_links_ago_is_not_resent(server):
-    """A reply told twice would pass for a later call's; a spawn told twice could run anew what just ended."""
+    """A repeated reply would be taken for that of a later call; a repeated spawn could start a second run."""
     client = server.balancer()
     client.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
@@ -63,19 +66,20 @@
     server.records.take("OP")[3].sendall(b"f1 DONE 2\r\nok\r\n")
     server.pool.take("supply")
 
-    def confirmed(n):
-        # Of what must not run twice a poll stands behind the spawn: its answer confirms all before it.
+    def run_confirmed_request(n):
+        # A spawn of a request that must not run twice is followed by a poll. The answer to the poll confirms
+        # all earlier commands.
         client.request(n, "pay", txn=f"g{n}", unique=f"{n:032x}")
-        kind, message = server.pool.take("spawn", "supply")
-        assert (kind, message["job"]) == ("spawn", f"g{n}")
+        command_type, message = server.pool.take("spawn", "supply")
+        assert (command_type, message["job"]) == ("spawn", f"g{n}")
         server.pool.finish(f"g{n}")
         assert client.receive()["id"] == n
 
-    confirmed(2)
+    run_confirmed_request(2)
     for n in (3, 4):
         server.pool.disconnect()
         server.pool.take("bind")
-        confirmed(n)  # sent only once the link is good again
+        run_confirmed_request(n)  # its spawn is sent only once the new link is ready
     assert server.pool.received_none_of("supply", "spawn")
     server.pool.finish("f1")
     assert client.receive()["id"] == 1
