--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -59,7 +59,7 @@
             with open_once_read(pipe) as file:  # the server is starting and reads its configuration
                 process.send_signal(signal.SIGHUP)
                 file.write(text)
-            # If the FIFO were opened again before the first reader closed it, that reader would get both texts.
+            # Opened again before the first reader has closed it, the FIFO would give that reader both texts.
             assert any("event=serving" in line for line in process.stdout)
             with open_once_read(pipe) as file:  # the server has started and handles the SIGHUP
                 file.write(text)
