--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -101,17 +101,17 @@
         return sock, address
 
     listener.sock = Wrapped(listening_sock, accept=accept)
-    first, second = Balancer(under_test.port), Balancer(under_test.port)
-    second.request(1)
+    reset_client, other_client = Balancer(under_test.port), Balancer(under_test.port)
+    other_client.request(1)
     if accepted_by == "accept":
         listener.start()
     else:
         listener.idle_poller.start()
         listener.close()
     under_test.finish(*under_test.next_request())
-    messages = [second.receive() for _ in range(1 if accepted_by == "accept" else 2)]
+    messages = [other_client.receive() for _ in range(1 if accepted_by == "accept" else 2)]
     assert 1 in [message.get("id") for message in messages]
-    assert reset_socks and first.receive() is None
+    assert reset_socks and reset_client.receive() is None
     wait_until(lambda: len(listener.connections) <= 1, "the reset connection is removed from the table")
 
 
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -44,12 +44,12 @@
 
 
 def test_sighup_before_the_configuration_is_read_does_not_end_the_process(tmp_path):
-    with ServerProcess(tmp_path) as model:  # only its fakes and its configuration are used
-        text = model.config.read_text()
+    with ServerProcess(tmp_path) as template:  # only its fakes and its configuration are used
+        text = template.config.read_text()
         pipe = tmp_path / "pipe.json"
         os.mkfifo(pipe)
         process = subprocess.Popen(
-            model.COMMAND,
+            template.COMMAND,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
@@ -174,15 +174,15 @@
 
 def test_a_blocked_log_pipe_does_not_delay_the_exit(tmp_path):
     """The pipe is full before the first log line, so the log's writer thread is blocked during the exit."""
-    with ServerProcess(tmp_path) as model:  # only its fakes, its configuration and its port are used
-        model.stop()
-        model.write_config(f"127.0.0.1:{model.port}")
-        model.members.setblocking(False)
+    with ServerProcess(tmp_path) as template:  # only its fakes, its configuration and its port are used
+        template.stop()
+        template.write_config(f"127.0.0.1:{template.port}")
+        template.members.setblocking(False)
         try:
             while True:
-                model.members.recv(64)
+                template.members.recv(64)
         except BlockingIOError:
-            model.members.settimeout(WAIT_TIMEOUT_S)
+            template.members.settimeout(WAIT_TIMEOUT_S)
         read_end, write_end = os.pipe()
         os.set_blocking(write_end, False)
         try:
@@ -191,16 +191,16 @@
         except BlockingIOError:
             os.set_blocking(write_end, True)
         process = subprocess.Popen(
-            model.COMMAND, stderr=write_end, env={**os.environ, "ROUTER_CONFIG": str(model.config)}
+            template.COMMAND, stderr=write_end, env={**os.environ, "ROUTER_CONFIG": str(template.config)}
         )
         try:
-            assert model.receive_report() == ["HB", "n1", "UP"]
-            client = model.balancer()
+            assert template.receive_report() == ["HB", "n1", "UP"]
+            client = template.balancer()
             job = client.request(1)
-            model.pool.take("spawn")
+            template.pool.take("spawn")
             process.terminate()
             assert client.receive()["method"] == "closing"
-            model.pool.finish(job, b"done")
+            template.pool.finish(job, b"done")
             assert content(client.receive()) == b"done"
             assert process.wait(WAIT_TIMEOUT_S) == 0
             assert os.read(read_end, 1 << 20).strip(b"x") == b""  # no log line was ever written
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -36,8 +36,11 @@
         ["serve", "--config", str(file)],
         ["--log-level", "loud", "version"],
     ):
-        ran = run_command(*arguments)
-        assert (ran.returncode, ran.stdout, ran.stderr.count("\n")) == (2, "", 1), (arguments, ran.stderr)
+        result = run_command(*arguments)
+        assert (result.returncode, result.stdout, result.stderr.count("\n")) == (2, "", 1), (
+            arguments,
+            result.stderr,
+        )
     assert "pool" in run_command("check", ROUTER_CONFIG=str(file)).stderr
 
 
@@ -45,8 +48,8 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "config.json"
         file.write_text(json.dumps({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
-        ran = run_command("--log-form", "json", "serve", "--config", str(file))
-    assert ran.returncode == 1 and json.loads(ran.stderr)["event"] == "listen_failed"
+        result = run_command("--log-form", "json", "serve", "--config", str(file))
+    assert result.returncode == 1 and json.loads(result.stderr)["event"] == "listen_failed"
 
 
 def test_successful_commands_exit_with_0(tmp_path):
@@ -62,8 +65,8 @@
 def test_deeply_nested_json_is_refused_with_one_error_line(tmp_path):
     file = tmp_path / "config.json"
     file.write_text("[" * 200_000)
-    ran = run_command("check", "--config", str(file))
-    assert ran.returncode == 2 and ran.stderr.count("\n") == 1 and "invalid JSON" in ran.stderr
+    result = run_command("check", "--config", str(file))
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and "invalid JSON" in result.stderr
 
 
 def test_the_code_and_the_on_call_page_name_the_same_log_events():
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -12,7 +12,7 @@
 def test_an_incomplete_notice_is_replayed_on_a_new_link(server, fault):
     client = server.balancer()
     job = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
-    other = client.request(2, txn="d2")
+    other_job = client.request(2, txn="d2")
     for _ in range(2):
         server.pool.take("spawn")
     # Both spawns must be confirmed before the link breaks, as an unconfirmed spawn is rightly sent again.
@@ -30,11 +30,11 @@
     if bad_line:
         send(None, raw=bad_line)
     else:
-        server.pool.finish(other)
+        server.pool.finish(other_job)
     assert server.pool.take("bind")[1]["n"] == 0
     assert content(client.receive()) == b"paid"
     if bad_line:
-        server.pool.finish(other)
+        server.pool.finish(other_job)
     assert client.receive()["id"] == 2
     client.request(3, txn="d3")
     server.pool.take("spawn")  # a core is free, as both runs have ended
@@ -66,20 +66,20 @@
     server.records.take("OP")[3].sendall(b"f1 DONE 2\r\nok\r\n")
     server.pool.take("supply")
 
-    def run_confirmed_request(n):
+    def run_confirmed_request(rpc_id):
         # A spawn of a request that must not run twice is followed by a poll. The answer to the poll confirms
         # all earlier commands.
-        client.request(n, "pay", txn=f"g{n}", unique=f"{n:032x}")
+        client.request(rpc_id, "pay", txn=f"g{rpc_id}", unique=f"{rpc_id:032x}")
         command_type, message = server.pool.take("spawn", "supply")
-        assert (command_type, message["job"]) == ("spawn", f"g{n}")
-        server.pool.finish(f"g{n}")
-        assert client.receive()["id"] == n
+        assert (command_type, message["job"]) == ("spawn", f"g{rpc_id}")
+        server.pool.finish(f"g{rpc_id}")
+        assert client.receive()["id"] == rpc_id
 
     run_confirmed_request(2)
-    for n in (3, 4):
+    for rpc_id in (3, 4):
         server.pool.disconnect()
         server.pool.take("bind")
-        run_confirmed_request(n)  # its spawn is sent only once the new link is ready
+        run_confirmed_request(rpc_id)  # its spawn is sent only once the new link is ready
     assert server.pool.received_none_of("supply", "spawn")
     server.pool.finish("f1")
     assert client.receive()["id"] == 1
--- a/vetchford/server/__init__.py
+++ b/vetchford/server/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop of the server: configuration, signals, end."""
+"""One server: client connections, admission, worker pool and records clients, configuration and shutdown."""
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -3,8 +3,8 @@
 The listener, the worker pool client and the records client post events to it; each event is one method.
 Nothing here blocks on a socket. Each concern has a class of its own, used only on this actor's thread:
 
-- `admission`: requests that arrive, clients that disconnect
-- `runs`: notices of the worker pool and outcomes of dependency calls
+- `request_admission`: requests that arrive, clients that disconnect
+- `run_events`: notices of the worker pool and outcomes of dependency calls
 - `actions`: carries out the controller's decisions
 - `shutdown`: the graceful shutdown, from the termination signal to the exit
 - `state` and `gauges`: the state that these share, and the load that the worker pool reports
@@ -50,7 +50,7 @@
 log = structlog.get_logger()
 
 # After an answer's due time. The tick before that time should have answered; a delay of 150 ms is allowed.
-OVERDUE_MS = 30.0
+OVERDUE_MARGIN_MS = 30.0
 SUMMARY_INTERVAL_MS = 10_000.0
 
 
@@ -71,8 +71,8 @@
 
     state: ServerState
     actions: ServerActions
-    admission: RequestAdmission
-    runs: RunEvents
+    request_admission: RequestAdmission
+    run_events: RunEvents
     shutdown: GracefulShutdown
 
     def __init__(
@@ -120,8 +120,8 @@
         self.listener = listener
         self.registry = registry
         self.actions = ServerActions(self.state, listener, registry, self.tick)
-        self.admission = RequestAdmission(self.state, self.actions)
-        self.runs = RunEvents(self.state, self.admission, self.load_sampler)
+        self.request_admission = RequestAdmission(self.state, self.actions)
+        self.run_events = RunEvents(self.state, self.request_admission, self.load_sampler)
         self.shutdown = GracefulShutdown(listener, answers, self.timers, self.log_summary, on_stopped)
 
     # -- the mailbox and the timers
@@ -137,23 +137,25 @@
     def run_guarded(self, method: Callable[..., None], *arguments: Any) -> None:
         """Run one event, then deliver the shared results that the controller's actions deferred."""
         super().run_guarded(method, *arguments)
-        while self.actions.deferred:
-            shared_result = self.actions.deferred.popleft()
-            super().run_guarded(self.admission.deliver_shared_result, self._bound_controller(), shared_result)
+        while self.actions.deferred_results:
+            shared_result = self.actions.deferred_results.popleft()
+            super().run_guarded(
+                self.request_admission.deliver_shared_result, self._bound_controller(), shared_result
+            )
 
     # -- events of clients
 
     def request_arrived(self, client: Client, request: IncomingRequest) -> None:
         """Admit or reject a request that was read from a client connection."""
         if self.controller is None:
-            self.admission.reject_unready(client, request)
+            self.request_admission.reject_unready(client, request)
         else:
-            self.admission.request_arrived(self.controller, client, request)
+            self.request_admission.request_arrived(self.controller, client, request)
 
     def client_gone(self, client: Client) -> None:
         """Abandon the open requests of a client whose connection broke."""
         if self.controller is not None:  # without a controller, no request was admitted
-            self.admission.client_gone(self.controller, client)
+            self.request_admission.client_gone(self.controller, client)
 
     # -- events of the worker pool and the records service
 
@@ -182,23 +184,23 @@
 
     def run_blocked(self, request_id: str, notice: int, body: bytes) -> None:
         """Handle the notice that a run waits for a dependency call."""
-        self.runs.run_blocked(self._bound_controller(), request_id, notice, body)
+        self.run_events.run_blocked(self._bound_controller(), request_id, notice, body)
 
     def run_ended(self, request_id: str, outcome: Outcome, duration_ms: float, content: str) -> None:
         """Handle the end of a run; `content` is its result in base64."""
-        self.runs.run_ended(self._bound_controller(), request_id, outcome, duration_ms, content)
+        self.run_events.run_ended(self._bound_controller(), request_id, outcome, duration_ms, content)
 
     def command_unknown(self, command: str, request_id: str) -> None:
         """Handle the worker pool's report that it did not carry out a command."""
-        self.runs.command_unknown(self._bound_controller(), command, request_id)
+        self.run_events.command_unknown(self._bound_controller(), command, request_id)
 
     def call_ended(self, number: int, outcome: Outcome, reply: bytes) -> None:
         """Handle the outcome of a call to the records service."""
-        self.runs.call_ended(self._bound_controller(), number, outcome, reply)
+        self.run_events.call_ended(self._bound_controller(), number, outcome, reply)
 
     def call_timed_out(self, number: int) -> None:
         """Handle the deadline of a call; calls that ended earlier are ignored."""
-        self.runs.call_timed_out(self._bound_controller(), number)
+        self.run_events.call_timed_out(self._bound_controller(), number)
 
     def _start_controller(self, cold: bool, started_ms_ago: float) -> None:
         self.clock.start(started_ms_ago)
@@ -223,7 +225,7 @@
         with contextlib.ExitStack() as after_tick:
             after_tick.callback(self.shutdown.advance_if_closing)
             after_tick.callback(self._close_idle_connections)
-            after_tick.callback(self._fail_overdue, self.clock.now_ms() - OVERDUE_MS)
+            after_tick.callback(self._fail_overdue, self.clock.now_ms() - OVERDUE_MARGIN_MS)
             controller.on_tick(self.clock.now_ms(), self.gauges.core_use(), on_cores)
 
     def _fail_overdue(self, before_ms: float) -> None:
--- a/vetchford/server/calls_in_flight.py
+++ b/vetchford/server/calls_in_flight.py
@@ -45,7 +45,7 @@
         """Remove and return a call that has an outcome; None if the call was cancelled before."""
         return self.by_number.pop(number, None)
 
-    def find(self, number: int) -> int | None:
+    def find_request(self, number: int) -> int | None:
         """Return the index of the request that made a call; None if the call is not in flight."""
         call = self.by_number.get(number)
         return None if call is None else call.request_index
--- a/vetchford/server/connection_state.py
+++ b/vetchford/server/connection_state.py
@@ -129,7 +129,7 @@
         self.last_active_at_s = now_s
 
     def bytes_discarded(self, count: int) -> bool:
-        """Record that bytes were discarded; return whether to continue reading."""
+        """Record discarded bytes; return whether to read on: up to a limit, unless requests are open."""
         self.discarded_bytes += count
         return bool(self.open_requests) or self.discarded_bytes <= connection_limits.MAX_DISCARDED_BYTES
 
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -12,7 +12,7 @@
 from vetchford.protocol.platform_configuration import LISTEN_KEY, NAME_KEY, OwnSettings, ServerConfiguration
 
 FILE_VARIABLE = "ROUTER_CONFIG"
-OVERRIDES = {"ROUTER_NAME": NAME_KEY, "ROUTER_LISTEN": LISTEN_KEY}
+ENVIRONMENT_OVERRIDES = {"ROUTER_NAME": NAME_KEY, "ROUTER_LISTEN": LISTEN_KEY}
 """Environment variables that override keys of the configuration file."""
 
 
@@ -38,7 +38,7 @@
     if not path:
         raise MalformedInputError(f"no configuration file given: use --config or set {FILE_VARIABLE}")
     document = read_file(path)
-    for variable, key in OVERRIDES.items():
+    for variable, key in ENVIRONMENT_OVERRIDES.items():
         if environment.get(variable):
             document[key] = environment[variable]
     configuration = decode(document)
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -27,10 +27,10 @@
     """
 
     def __init__(
-        self, state: ServerState, admission: RequestAdmission, load_sampler: "LoadSampler | None"
+        self, state: ServerState, request_admission: RequestAdmission, load_sampler: "LoadSampler | None"
     ) -> None:
         """Handle events about the requests of `state`; `load_sampler` records the outcomes of calls."""
-        self.admission = admission
+        self.request_admission = request_admission
         self.metrics = state.metrics
         self.clock = state.clock
         self.requests = state.requests
@@ -77,7 +77,7 @@
         followers = self.idempotency_cache.run_ended(index, result)
         controller.run_ended(self.clock.now_ms(), index, outcome, duration_ms)
         for follower in followers:
-            self.admission.deliver_shared_result(controller, SharedResult(follower, result))
+            self.request_admission.deliver_shared_result(controller, SharedResult(follower, result))
 
     def command_unknown(self, controller: AdmissionController, command: str, request_id: str) -> None:
         """Handle the worker pool's report that it did not carry out a command."""
@@ -88,7 +88,7 @@
         # The worker pool will never report an end of this run, so the run is ended here.
         client = self.requests[index].client
         # Before `run_ended` frees a core, which would start the client's next queued request.
-        self.admission.reject_queued_of(controller, client)
+        self.request_admission.reject_queued_of(controller, client)
         self.run_ended(controller, request_id, SUPERSEDED, 0.0, "")
         client.run_or_post(client.stop_reading)
 
@@ -113,7 +113,7 @@
 
     def call_timed_out(self, controller: AdmissionController, number: int) -> None:
         """Cancel a call at its deadline, if the call is still in flight."""
-        index = self.calls.find(number)
+        index = self.calls.find_request(number)
         if index is not None:
             self.calls.records.cancel_call(self.requests[index].request_id, number)
             self.call_ended(controller, number, Outcome.OVERDUE, b"")
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -20,8 +20,8 @@
 
 log = structlog.get_logger()
 
-# Before a tick. The worker pool's answer usually takes under 1 ms, and a few ms on a busy machine.
-POLL_AHEAD_MS = 6.0
+# The worker pool's answer usually takes under 1 ms, and a few ms on a busy machine.
+POLL_BEFORE_TICK_MS = 6.0
 NOT_COMPLETED = RunResult(False, "")
 REASON_COUNTERS = {reason: f"rejection_{reason.name.lower()}" for reason in RejectionReason}
 """Metric that counts the rejections by each rule; `_rejection_counter` counts them by the server's state."""
@@ -37,9 +37,9 @@
 class ServerActions(AdmissionActions):
     """Answers clients, commands the worker pool and calls the records service as the controller decides.
 
-    The controller calls these methods from its own methods, on the admission actor's thread. Work that would
-    call back into the controller is put in `deferred`, which the actor processes once the controller has
-    returned.
+    The controller calls these methods from its own methods, on the admission actor's thread. Shared results
+    call back into the controller, so they are put in `deferred_results`, which the actor delivers once the
+    controller has returned.
     """
 
     controller: AdmissionController  # set by the admission actor before the first request is admitted
@@ -63,7 +63,7 @@
         self.listener = listener
         self.registry = registry
         self.on_tick = on_tick
-        self.deferred: deque[SharedResult] = deque()
+        self.deferred_results: deque[SharedResult] = deque()
         self.arriving_index: int | None = None  # of the request that the controller is deciding on
         self.idle_timeout_ms = math.inf  # after which an idle client connection is closed
 
@@ -89,7 +89,7 @@
         original = self.requests[index].original
         result = self.idempotency_cache.results.get(original)
         if result is not None:
-            self.deferred.append(SharedResult(index, result))
+            self.deferred_results.append(SharedResult(index, result))
         else:
             self.idempotency_cache.add_follower(original, index)
 
@@ -122,7 +122,7 @@
         if entry.original != NO_ORIGINAL:
             self.idempotency_cache.remove_follower(entry.original, index)
         for follower in self.idempotency_cache.release(index):
-            self.deferred.append(SharedResult(follower, NOT_COMPLETED))
+            self.deferred_results.append(SharedResult(follower, NOT_COMPLETED))
         self.requests.release(index)
 
     def set_readiness(self, ready: bool) -> None:
@@ -141,7 +141,7 @@
     def schedule_tick(self, delay_ms: float) -> None:
         """Schedule `on_tick` after `delay_ms`, and a poll of the gauges shortly before it."""
         due_unix_ms = unix_time_ms() + delay_ms
-        self.timers.schedule(due_unix_ms - POLL_AHEAD_MS, self.commands.poll)
+        self.timers.schedule(due_unix_ms - POLL_BEFORE_TICK_MS, self.commands.poll)
         self.timers.schedule(due_unix_ms, self.on_tick)
 
     def _rejection_counter(self, index: int) -> str:
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -65,7 +65,7 @@
     clients: int
 
     @classmethod
-    def share(cls, total: int, in_fleet: bool) -> "DescriptorBudget":
+    def divide(cls, total: int, in_fleet: bool) -> "DescriptorBudget":
         """Divide `total` descriptors between dependency calls and client connections."""
         calls = max(MIN_CALL_DESCRIPTORS, total // CALL_DESCRIPTORS_DIVISOR - OTHER_DESCRIPTORS)
         calls = min(MAX_CALL_DESCRIPTORS, calls)
@@ -92,7 +92,7 @@
         )
         self.stopped = threading.Event()  # set once a graceful shutdown has finished
         in_fleet = configuration.own.fleet is not None
-        budget = DescriptorBudget.share(configuration.max_descriptors, in_fleet)
+        budget = DescriptorBudget.divide(configuration.max_descriptors, in_fleet)
         self.worker_pool = WorkerPoolClient(configuration.worker_pool, self.admission, metrics)
         self.records = RecordsClient(configuration.records, budget.calls, self.admission, metrics)
         self.registry = RegistryReporter(configuration.registry, configuration.name, metrics)
--- a/vetchford/server/shutdown.py
+++ b/vetchford/server/shutdown.py
@@ -44,7 +44,7 @@
         return self.kill_at_unix_ms - EXIT_BEFORE_KILL_MS
 
     def is_grace_over(self, now_unix_ms: float) -> bool:
-        """Return whether no further requests are accepted."""
+        """Return whether the grace time is over, after which the listener is closed."""
         return now_unix_ms >= self.close_at_unix_ms
 
     def must_exit(self, now_unix_ms: float) -> bool:
@@ -99,9 +99,7 @@
         """Close the listener; stop the server once all answers are written or the process must exit."""
         must_exit = self.schedule.must_exit(unix_time_ms())
         try:
-            if (
-                must_exit
-            ):  # the ticks may not have answered all requests, for example if the process was paused
+            if must_exit:  # the ticks may not have answered all requests, for example after a pause
                 self.answers.fail_overdue(math.inf)
             self.listener.close()
         finally:
