--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -160,9 +160,8 @@
         """
         self.cancelled = True
         if self.sock is not None:
-            with suppress(
-                OSError
-            ):  # if the message can't be sent, closing the connection cancels the call too
+            # If the message can't be sent, shutting the connection down cancels the call too.
+            with suppress(OSError):
                 self.sock.sendmsg(records_lines.cancel(request_id), [], socket.MSG_DONTWAIT)
             shut(self.sock)
 
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -56,7 +56,10 @@
                 controller.client_gone(self.clock.now_ms(), index)
 
     def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
-        """Reject the queued requests of a client whose requests the worker pool does not know."""
+        """Reject the queued requests of a client that is not trusted any more.
+
+        The worker pool did not know one of its requests, so they did not come through a load balancer.
+        """
         for index, entry in self.requests.unanswered():
             if entry.client is client and index in controller.workload.queued:
                 self.answers.reject(entry, True, 0.0, "rejected_distrusted")
