--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -1,4 +1,4 @@
-"""What the controller acts through; each adapter brings an implementation. No decisions."""
+"""The interface through which the controller acts on requests; each adapter implements it. No decisions."""
 
 from typing import Protocol
 
@@ -6,56 +6,56 @@
 
 
 class AdmissionActions(Protocol):
-    """Acts on requests by their small index; times and durations are milliseconds with fractions.
+    """Acts on requests by their index; times and durations are fractional milliseconds.
 
-    Called on the thread that delivered the event, before its method returns.
+    The methods are called on the thread that delivered the event, before the event's method returns.
     """
 
     def start(self, index: int) -> None:
-        """Run a queued request."""
+        """Start the run of a queued request."""
 
     def stop(self, index: int) -> None:
-        """Stop a run; not an answer. Only where the settings say how runs are stopped."""
+        """Stop a run without answering its request; only if the settings allow runs to be stopped."""
 
     def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Final answer: rejected, never run.
+        """Answer a request, finally, as rejected: it never ran.
 
         Args:
-            index: Of the request.
-            terminal: Not to be sent to another server.
-            retry_after_ms: Not to be retried for that long; 0: nothing is asked.
+            index: Index of the request.
+            terminal: Whether the client is asked not to try another server.
+            retry_after_ms: How long the client is asked to wait before a retry; 0 asks for no wait.
             reason: The rule that rejected it.
         """
 
     def fail(self, index: int) -> None:
-        """Final answer: an error, with no promise about effects."""
+        """Answer a request, finally, with an error; the request may or may not have taken effect."""
 
     def share(self, index: int) -> None:
-        """Answer a request with the result of the one it repeats, once there is one."""
+        """Answer a request with the result of the request that it repeats, once that result is known."""
 
     def call(self, index: int, cut_at_ms: float) -> None:
-        """Make the call that a request waits for, to be abandoned at the clock time `cut_at_ms`."""
+        """Make the dependency call that a request waits for, and abandon it at the clock time `cut_at_ms`."""
 
     def skip(self, index: int) -> None:
-        """Let a request that waits for a call go on without it."""
+        """Resume the run of a request without the dependency call that it waits for."""
 
     def remember(self, index: int, keep_for_ms: float) -> None:
-        """Keep the request's idempotency key for this long, so that a repeat is recognised."""
+        """Keep the request's idempotency key for `keep_for_ms`, so that a repeat is recognised."""
 
     def forget(self, index: int) -> None:
         """Drop the request's idempotency key."""
 
     def release(self, index: int) -> None:
-        """The index is not referred to again and may be reused."""
+        """Release the index: the controller does not use it again, so it may be reused."""
 
     def set_readiness(self, ready: bool) -> None:
-        """What health checks answer from now on."""
+        """Set the readiness that health checks report from now on."""
 
     def publish_load(self, value: float) -> None:
-        """The load value sent back with each answer from now on."""
+        """Set the load value that is sent with each answer from now on."""
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections that were idle for this long."""
+        """Close client connections that have been idle for `timeout_ms`."""
 
     def schedule_tick(self, delay_ms: float) -> None:
-        """Deliver one `on_tick` after this long; it can't be cancelled."""
+        """Deliver one `on_tick` event after `delay_ms`; it can't be cancelled."""
--- a/vetchford/admission/capacity.py
+++ b/vetchford/admission/capacity.py
@@ -1,6 +1,6 @@
-"""The interface by which the controller asks whose request may use which capacity. No decisions.
+"""The interface that tells the controller which requests may use slots, bytes and calls. No decisions.
 
-`shared_capacity.SharedCapacity` lets all requests share everything; `vetchford.bulkheads` divides it.
+`shared_capacity.SharedCapacity` lets all requests share all capacity; `vetchford.bulkheads` divides it.
 """
 
 from collections.abc import Sequence
@@ -11,82 +11,88 @@
 
 
 class Capacity(Protocol):
-    """Notified of each event of a request's life, and asked before the controller acts.
+    """Receives each event of a request, and answers the controller's queries before the controller acts.
 
-    Called on the thread that owns the controller only. A subclass that records no events inherits the methods
-    that notify, which do nothing.
+    Called only on the thread that owns the controller. A subclass that ignores events inherits the event
+    methods, which do nothing.
     """
 
     def attach(self, workload: Workload) -> None:
-        """Take the workload to answer for; called once, before any other method."""
+        """Set the workload that queries refer to; called once, before any other method."""
         return
 
     def arrived(self, request: Request) -> None:
-        """A request was read: its bytes are in memory and unanswered."""
+        """Record that a request was read: its bytes are in memory and unanswered."""
         return
 
     def answered(self, request: Request) -> None:
-        """A request got its final answer or its client has gone."""
+        """Record that a request got its final answer or that its client has gone."""
         return
 
     def released(self, request: Request) -> None:
-        """A request's memory is free."""
+        """Record that a request's memory is free."""
         return
 
     def run_started(self, now_ms: float, request: Request, slots: float) -> None:
-        """A queued request started to run, with so many slots for all."""
+        """Record that a queued request started to run; `slots` is the number of slots of the server."""
         return
 
     def run_resumed(self, now_ms: float, request: Request) -> None:
-        """A run that waited for a call is on the cores again."""
+        """Record that a run that had waited for a call is on the cores again."""
         return
 
     def run_blocked(self, now_ms: float, request: Request) -> None:
-        """A run left the cores for a call."""
+        """Record that a run left the cores to wait for a call."""
         return
 
     def run_ended(self, now_ms: float, request: Request) -> None:
-        """A run is over; `request.state` still says where it was."""
+        """Record that a run ended; `request.state` is still the state before the end."""
         return
 
     def call_started(self, now_ms: float, request: Request) -> None:
-        """A call to the dependency goes out."""
+        """Record that a dependency call starts."""
         return
 
     def call_ended(self, now_ms: float, request: Request, took_ms: float | None, rejected: bool) -> None:
-        """A call ended after `took_ms` (None: unanswered); `rejected`: the dependency did not run it."""
+        """Record that a call ended after `took_ms`, or without an answer (None).
+
+        `rejected` says that the dependency did not run the call.
+        """
         return
 
     def on_tick(self, now_ms: float) -> None:
-        """The periodic tick."""
+        """Update state that changes with time, at each tick."""
         return
 
     def queue_delay_ms(self, now_ms: float, request: Request) -> float:
-        """Expected wait of an arriving request for a slot, behind what is queued before it."""
+        """Return how long an arriving request is expected to wait for a slot behind queued requests."""
 
     def backlog_ms(self, request: Request) -> float:
-        """Expected time until the queue of a rejected request is empty."""
+        """Return how long until the queue of a rejected request is expected to be empty."""
 
     def has_room(self, request: Request) -> bool:
-        """Whether the unanswered bytes, those of this newest request included, are within their limit."""
+        """Return whether the unanswered bytes, which include this newest request, are within their limit."""
 
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
-        """Those of `queued`, and the arriving request, of which one is to make room; none: no need."""
+        """Return the requests, queued or arriving, of which one must be evicted; empty if none must be."""
 
     def memory_fits(self, request: Request, more_bytes: float) -> bool:
-        """Whether `more_bytes` more may be used for the request."""
+        """Return whether `more_bytes` of memory may be added for the request."""
 
     def startable(self, now_ms: float, slots: float, blocked: set[int]) -> Sequence[Request]:
-        """Queued requests of which the best may start now, none of a bulkhead in `blocked`."""
+        """Return queued requests, the first of which in dispatch order may start.
+
+        Requests of the bulkheads in `blocked` are left out.
+        """
 
     def callable(self, now_ms: float) -> Sequence[Request]:
-        """Waiting requests of which the best may call now."""
+        """Return waiting requests, the first of which in call order may make its call now."""
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
-        """Clock time at which its call is to be abandoned, if that is before all other limits."""
+        """Return the clock time at which the request's call is abandoned unless another limit is earlier."""
 
     def should_skip(self, request: Request) -> bool:
-        """Whether a waiting request that may skip its call is to skip it."""
+        """Return whether a waiting request that may skip its call is to skip it."""
 
     def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
-        """Expected time that the request's run will wait on calls."""
+        """Return how long the request's run is expected to wait for dependency calls."""
--- a/vetchford/admission/factory.py
+++ b/vetchford/admission/factory.py
@@ -24,11 +24,11 @@
     """Return the controller for these settings.
 
     Args:
-        actions: What it acts through.
-        seed: Of the jitter of retry-afters.
-        settings: What the server is told of itself.
-        cold: Whether the server's speed still rises from the start.
-        capacity: Bulkheads for these request classes, where there are to be any.
+        actions: The actions that the controller calls.
+        seed: Seed of the retry-after jitter.
+        settings: Settings of the server.
+        cold: Whether the server starts cold, so that its speed rises during the warm-up.
+        capacity: Capacity divided into bulkheads for these request classes; None: shared capacity.
     """
     workload = Workload(
         classes=[_request_class(each) for each in settings.request_classes],
