--- a/vetchford/admission/idle_timeout.py
+++ b/vetchford/admission/idle_timeout.py
@@ -1,73 +1,80 @@
-"""For how long idle client connections are kept open."""
+"""How long idle client connections are kept open."""
 
 from vetchford.admission.actions import AdmissionActions
 from vetchford.admission.traffic import RecentTraffic
 
 CONNECT_COST_S = 5.0
-"""Time for which an open connection costs as much as a new one."""
+"""Duration after which keeping a connection open has cost as much as opening a new one."""
 MIN_IDLE_TIMEOUT_MS = 10.0
 UNCHANGED_ABOVE = 0.8
 UNCHANGED_BELOW = 1.25
-"""Ratios of the wanted timeout to the one in force between which it is left as it is."""
-WASTED_WEIGHT = 0.02
-PRESSURE_FADE = 0.995
-"""Factor on the pressure with each tick: a full table opens over ten seconds."""
+"""The timeout is left as it is while the ratio of target to current timeout is between these."""
+WASTED_READING_WEIGHT = 0.02
+PRESSURE_DECAY = 0.995
+"""Factor on the table pressure with each tick: it subsides over ten seconds."""
 READ_DELAY_SLOPE = 2.0
 READ_DELAY_OFFSET = 0.2
-"""Pressure rises from a wait to be read of a tenth of the latency objective."""
-WASTED_SLOPE = 6.0
-WASTED_OFFSET = 3.6
-"""Pressure rises from six tenths of the cores that read what is rejected."""
+"""Table pressure rises once the read delay exceeds a tenth of the latency objective."""
+WASTED_READING_SLOPE = 6.0
+WASTED_READING_OFFSET = 3.6
+"""Table pressure rises once more than six tenths of the cores read requests that are rejected."""
 
 
 class IdleTimeout:
-    """Closes idle connections sooner the less often clients come.
+    """Closes idle connections sooner the less often clients send requests.
 
-    Idle connections of clients that seldom come only fill the connection table. A full table rejects new
-    connections unread, which helps while reading itself is the overload.
+    Idle connections of clients that seldom send requests only fill the connection table. But a full table
+    rejects new connections without reading them, which helps while reading causes the overload.
     """
 
     def __init__(
         self, actions: AdmissionActions, traffic: RecentTraffic, max_idle_timeout_ms: float, clients: int
     ) -> None:
-        """`max_idle_timeout_ms`: longest timeout, 0: none is closed; `clients`: that hold connections."""
+        """Start with the longest timeout.
+
+        Args:
+            actions: Actions that set the timeout.
+            traffic: Recent traffic of the server.
+            max_idle_timeout_ms: Longest timeout; 0: no connection is closed.
+            clients: Number of clients that hold connections.
+        """
         self.actions = actions
         self.traffic = traffic
         self.max_idle_timeout_ms = max_idle_timeout_ms
         self.clients = max(1, clients)
         self.idle_timeout_ms = max_idle_timeout_ms
-        """In force."""
+        """The timeout that was set last."""
         self.table_pressure = 0.0
-        """Fraction of the longest timeout for which connections are kept, however seldom clients come."""
-        self.wasted = 0.0
-        """Fraction of the cores that reads what is rejected."""
+        """Fraction of the longest timeout that is kept however seldom clients send requests."""
+        self.wasted_reading = 0.0
+        """Recent fraction of the cores that reads requests which are rejected."""
 
-    def update(self, read_delay_ratio: float, reading: float) -> None:
-        """Set the timeout, once a tick.
+    def update(self, read_delay_ratio: float, reading_fraction: float) -> None:
+        """Set the timeout; called once per tick.
 
         Args:
-            read_delay_ratio: Wait to be read over the latency objective.
-            reading: Fraction of the cores that reads.
+            read_delay_ratio: Time that requests wait unread over the latency objective.
+            reading_fraction: Fraction of the cores that reads requests.
         """
-        self._update_table_pressure(read_delay_ratio, reading)
-        timeout_ms = self._wanted_ms()
+        self._update_table_pressure(read_delay_ratio, reading_fraction)
+        timeout_ms = self._target_timeout_ms()
         if not self.max_idle_timeout_ms:
             return
         if not UNCHANGED_ABOVE < timeout_ms / self.idle_timeout_ms < UNCHANGED_BELOW:
             self.idle_timeout_ms = timeout_ms
             self.actions.set_idle_timeout(timeout_ms)
 
-    def _update_table_pressure(self, read_delay_ratio: float, reading: float) -> None:
-        """Let the connection table fill while reading comes too late or is mostly wasted."""
-        wasted = reading * self.traffic.rejections / max(1.0, self.traffic.arrivals)
-        self.wasted += WASTED_WEIGHT * (wasted - self.wasted)
+    def _update_table_pressure(self, read_delay_ratio: float, reading_fraction: float) -> None:
+        """Raise the table pressure while requests are read too late or mostly to be rejected."""
+        wasted_reading = reading_fraction * self.traffic.rejections / max(1.0, self.traffic.arrivals)
+        self.wasted_reading += WASTED_READING_WEIGHT * (wasted_reading - self.wasted_reading)
         self.table_pressure = max(
-            PRESSURE_FADE * self.table_pressure,
+            PRESSURE_DECAY * self.table_pressure,
             READ_DELAY_SLOPE * read_delay_ratio - READ_DELAY_OFFSET,
-            WASTED_SLOPE * self.wasted - WASTED_OFFSET,
+            WASTED_READING_SLOPE * self.wasted_reading - WASTED_READING_OFFSET,
         )
 
-    def _wanted_ms(self) -> float:
-        """Return the timeout by the square of how often a client comes in `CONNECT_COST_S`."""
+    def _target_timeout_ms(self) -> float:
+        """Return the timeout by the square of the mean number of requests per client in `CONNECT_COST_S`."""
         use = (CONNECT_COST_S * self.traffic.arrival_rate / self.clients) ** 2
         return max(MIN_IDLE_TIMEOUT_MS, self.max_idle_timeout_ms * min(1.0, max(self.table_pressure, use)))
--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -1,65 +1,73 @@
-"""The latency objective of an arriving request, by the age of its attempt."""
+"""The latency objective of an arriving request, reduced by the age of its attempt."""
 
 from vetchford.admission.queue_times import QueueTimeHistogram
 from vetchford.admission.request import AttemptTimes, RequestArrival, RequestClass
 from vetchford.admission.retry_after import RetryAfter
 
 RETRY_AGE_FRACTION = 0.05
-"""Part of the timeout up to which an attempt is young enough for a first one that tried another server."""
+"""Age up to which an attempt counts as a first attempt that tried another server, over the timeout."""
 BACKOFF_FRACTION = 0.5
-"""Part of the mean retry-after that a marked retry is taken to have waited: all of it, or nothing."""
-PATIENCE_FRACTION = 0.95
-"""Part of the most common wait of clients within which an answer still finds them."""
+"""Fraction of the mean retry-after that a retry is assumed to have waited: half, as it waited all or none."""
+CLIENT_WAIT_FRACTION = 0.95
+"""Fraction of the clients' most frequent wait within which an answer still reaches them."""
 
 
 class RetryObjective:
-    """Estimates the age of attempts: the latency objective runs from the first attempt of a request."""
+    """Estimates the age of attempts, as the latency objective counts from a request's first attempt."""
 
     def __init__(self, retry_after: RetryAfter) -> None:
-        """`retry_after`: what rejected clients were asked to wait."""
+        """Use the mean time that clients were asked to wait from `retry_after`."""
         self.retry_after = retry_after
         self.queue_times = QueueTimeHistogram()
 
     def client_left(self, now_ms: float, arrived_at_ms: float, timeout_ms: float) -> None:
-        """Take in that the client of a first attempt left unanswered."""
+        """Count the wait of a client that left before its first attempt was answered."""
         self.queue_times.add((now_ms - arrived_at_ms) / timeout_ms)
 
     def times(
-        self, now_ms: float, arrival: RequestArrival, kind: RequestClass, latest_deadline_ms: float
+        self, now_ms: float, arrival: RequestArrival, request_class: RequestClass, latest_deadline_ms: float
     ) -> AttemptTimes:
-        """Return the times of an arriving attempt; no deadline is after `latest_deadline_ms`."""
+        """Return the times of an arriving attempt, with no deadline after `latest_deadline_ms`."""
         arrived_at_ms = now_ms - arrival.queued_for_ms
         if arrival.deadline_ms is not None:
-            return self._with_deadline(arrival, kind, arrived_at_ms, arrival.deadline_ms, latest_deadline_ms)
-        return self._without_deadline(arrival, kind, arrived_at_ms, latest_deadline_ms)
+            return self._with_deadline(
+                arrival, request_class, arrived_at_ms, arrival.deadline_ms, latest_deadline_ms
+            )
+        return self._without_deadline(arrival, request_class, arrived_at_ms, latest_deadline_ms)
 
     def _with_deadline(
         self,
         arrival: RequestArrival,
-        kind: RequestClass,
+        request_class: RequestClass,
         arrived_at_ms: float,
-        given_ms: float,
+        client_deadline_ms: float,
         latest_deadline_ms: float,
     ) -> AttemptTimes:
-        """Judge the age by what is left until the client's deadline, shorter than first attempts have."""
-        patience_ms = kind.timeout_ms if given_ms else self._usual_patience_ms(kind)
-        objective_at_ms = arrived_at_ms + min(kind.latency_objective_ms, patience_ms)
-        age = self.queue_times.age((given_ms - arrived_at_ms) / kind.timeout_ms)
-        objective_at_ms -= age * kind.timeout_ms
-        deadline_ms = min(given_ms, latest_deadline_ms)
+        """Estimate the age from the time until the client's deadline, which is longer for first attempts."""
+        client_wait_ms = (
+            request_class.timeout_ms if client_deadline_ms else self._usual_client_wait_ms(request_class)
+        )
+        objective_at_ms = arrived_at_ms + min(request_class.latency_objective_ms, client_wait_ms)
+        age = self.queue_times.age((client_deadline_ms - arrived_at_ms) / request_class.timeout_ms)
+        objective_at_ms -= age * request_class.timeout_ms
+        deadline_ms = min(client_deadline_ms, latest_deadline_ms)
         is_retry = arrival.is_retry or age > RETRY_AGE_FRACTION
         return AttemptTimes(arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, is_retry)
 
     def _without_deadline(
-        self, arrival: RequestArrival, kind: RequestClass, arrived_at_ms: float, latest_deadline_ms: float
+        self,
+        arrival: RequestArrival,
+        request_class: RequestClass,
+        arrived_at_ms: float,
+        latest_deadline_ms: float,
     ) -> AttemptTimes:
-        """Take the most common wait for the client's patience, and a marked retry for one that backed off."""
-        objective_ms = min(kind.latency_objective_ms, self._usual_patience_ms(kind))
+        """Assume that the client waits as long as most, and that a retry waited for part of a retry-after."""
+        objective_ms = min(request_class.latency_objective_ms, self._usual_client_wait_ms(request_class))
         objective_at_ms = arrived_at_ms + objective_ms
         if arrival.is_retry:
             objective_at_ms -= BACKOFF_FRACTION * self.retry_after.mean_ms
-        deadline_ms = min(arrived_at_ms + kind.timeout_ms, latest_deadline_ms)
+        deadline_ms = min(arrived_at_ms + request_class.timeout_ms, latest_deadline_ms)
         return AttemptTimes(arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, arrival.is_retry)
 
-    def _usual_patience_ms(self, kind: RequestClass) -> float:
-        return PATIENCE_FRACTION * self.queue_times.most_common() * kind.timeout_ms
+    def _usual_client_wait_ms(self, request_class: RequestClass) -> float:
+        return CLIENT_WAIT_FRACTION * self.queue_times.most_common() * request_class.timeout_ms
--- a/vetchford/admission/tenant_quotas.py
+++ b/vetchford/admission/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of the tenants: what a tenant sends beyond its share of the fleet counts for less."""
+"""Quotas of the tenants: requests beyond a tenant's quota have a lower priority weight."""
 
 import math
 
@@ -7,32 +7,32 @@
 
 
 class TenantQuotas:
-    """Rates of the tenants' first attempts against their quotas. Rates are requests a millisecond."""
+    """Compares the rates of the tenants' first attempts with their quotas, in requests per millisecond."""
 
     def __init__(self, quotas: list[float], servers: int, over_quota_weight: float) -> None:
         """Divide the quotas evenly among the servers.
 
         Args:
-            quotas: First attempts a millisecond over the whole fleet, by tenant.
-            servers: Of the fleet.
-            over_quota_weight: Factor on the priority weight beyond the quota.
+            quotas: First attempts per millisecond over the whole fleet, by tenant.
+            servers: Number of servers in the fleet.
+            over_quota_weight: Factor on the priority weight of requests beyond the quota.
         """
         self.quotas = [quota / max(1, servers) for quota in quotas]
-        self.quotas.append(math.inf)  # at index -1: requests of no tenant
+        self.quotas.append(math.inf)  # index -1 is for requests without a tenant
         self.over_quota_weight = over_quota_weight
         self.rates = [0.0] * len(self.quotas)
         self.updated_at_ms = [0.0] * len(self.quotas)
 
     def count(self, now_ms: float, tenant: int) -> None:
         """Count a first attempt of the tenant."""
-        fade = math.exp((self.updated_at_ms[tenant] - now_ms) / RATE_WINDOW_MS)
-        self.rates[tenant] = self.rates[tenant] * fade + 1.0 / RATE_WINDOW_MS
+        decay = math.exp((self.updated_at_ms[tenant] - now_ms) / RATE_WINDOW_MS)
+        self.rates[tenant] = self.rates[tenant] * decay + 1.0 / RATE_WINDOW_MS
         self.updated_at_ms[tenant] = now_ms
 
     def weight(self, tenant: int) -> float:
         """Return the factor on the priority weight of the tenant's requests, 1 within its quota.
 
-        Requests within and beyond the quota are not told apart; all get their mean weight.
+        Requests within and beyond the quota are not distinguished: all get the mean weight.
         """
         within = min(1.0, self.quotas[tenant] / max(MIN_RATE_PER_MS, self.rates[tenant]))
         return within + (1.0 - within) * self.over_quota_weight
--- a/vetchford/admission/traffic.py
+++ b/vetchford/admission/traffic.py
@@ -1,25 +1,25 @@
-"""Counts of recent arrivals, retries and rejections, which fade with each tick."""
+"""Counts of recent arrivals, retries and rejections, which decay with each tick."""
 
-FADE_PER_TICK = 0.95
-"""Factor on the counts: they look back about a second."""
+DECAY_PER_TICK = 0.95
+"""Factor on the counts per tick, so that they cover about the last second."""
 RATE_TICKS = 100
-"""Ticks over which the arrivals are averaged: some five seconds."""
-RETRIES_ABOUND_ABOVE = 0.25
-"""Part of the arrivals that are retries, above which most servers reject."""
+"""Ticks over which the arrivals are averaged, about five seconds."""
+MANY_RETRIES_ABOVE = 0.25
+"""Fraction of retries among the arrivals above which most servers must be rejecting requests."""
 
 
 class RecentTraffic:
-    """What came in lately. Counts are of about a second."""
+    """Counts of about the last second."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with all counts at zero."""
         self.arrivals = 0.0
         self.retries = 0.0
         self.rejections = 0.0
         self.arrival_rate = 0.0
-        """Arrivals of about a second, averaged over `RATE_TICKS`."""
+        """Arrivals in about a second, averaged over `RATE_TICKS`."""
         self.ticks = 0
-        """Ticks so far, up to `RATE_TICKS`."""
+        """Number of ticks so far, up to `RATE_TICKS`."""
 
     def arrived(self, is_retry: bool) -> None:
         """Count an arrival."""
@@ -31,13 +31,13 @@
         return self.rejections / max(1.0, self.arrivals)
 
     def retries_abound(self) -> bool:
-        """Return whether so many arrivals are retries that other servers must be rejecting too."""
-        return self.retries > RETRIES_ABOUND_ABOVE * self.arrivals
+        """Return whether so many arrivals are retries that other servers must be rejecting requests too."""
+        return self.retries > MANY_RETRIES_ABOVE * self.arrivals
 
     def on_tick(self) -> None:
-        """Average the arrivals and let the counts fade."""
+        """Update the average of arrivals and decay the counts."""
         self.ticks = min(RATE_TICKS, self.ticks + 1)
         self.arrival_rate += (self.arrivals - self.arrival_rate) / self.ticks
-        self.arrivals *= FADE_PER_TICK
-        self.retries *= FADE_PER_TICK
-        self.rejections *= FADE_PER_TICK
+        self.arrivals *= DECAY_PER_TICK
+        self.retries *= DECAY_PER_TICK
+        self.rejections *= DECAY_PER_TICK
