--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -163,7 +163,7 @@
     )
     server.workload.dependency.base_time_ms.add(0.0, 40.0)
     server.workload.classes[0].dependency_wait_ms = 40.0
-    server.workload.classes[0].learnt_at_ms = 0.0
+    server.workload.classes[0].last_completed_at_ms = 0.0
     assert server.workload.dependency.may_call(0.0)
     server.apply_fleet_signals(1.0, 0.0, False, 1.0)  # dead
     assert not server.workload.dependency.may_call(0.0)
--- a/vetchford/admission/admission_checks.py
+++ b/vetchford/admission/admission_checks.py
@@ -1,4 +1,4 @@
-"""Whether an arriving request is admitted, and which one gives way where the server is full."""
+"""Whether an arriving request is admitted, and which request is evicted when the server is full."""
 
 from vetchford.admission.capacity import Capacity
 from vetchford.admission.completion_estimate import CompletionEstimate, due_before_next_tick
@@ -10,7 +10,7 @@
 
 
 class AdmissionChecks:
-    """The checks of an arriving request, in the order in which they are made."""
+    """The checks that an arriving request must pass, in order."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         estimate: CompletionEstimate,
         lifecycle: RequestLifecycle,
     ) -> None:
-        """Reject through `lifecycle`."""
+        """Use `lifecycle` to reject requests."""
         self.workload = workload
         self.capacity = capacity
         self.health = health
@@ -28,7 +28,7 @@
         self.lifecycle = lifecycle
 
     def reason_not_to_serve(self, now_ms: float, request: Request) -> RejectionReason | None:
-        """Return why the request is not served now, whatever it costs; None where it may be."""
+        """Return why the request can't be served whatever its size and run time; None if it may be served."""
         if self.health.is_past_drain_grace(request.arrived_at_ms):
             return RejectionReason.DRAINING
         if self.health.stalled:
@@ -38,7 +38,7 @@
         return None
 
     def admit(self, now_ms: float, request: Request) -> bool:
-        """Return whether the request may be queued; another one may have been rejected in its place."""
+        """Return whether the request may be queued; a queued request may have been evicted to make room."""
         queue_delay_ms = self.capacity.queue_delay_ms(now_ms, request)
         if not self.memory_fits(request):
             self.lifecycle.reject(request, RejectionReason.MEMORY)
@@ -49,19 +49,21 @@
         return self._within_byte_limits(request)
 
     def memory_fits(self, request: Request) -> bool:
-        """Return whether the run of the request would fit into memory, and its idempotency key if it has one.
+        """Return whether the request's run and its idempotency key, if it has one, would fit into memory.
 
-        Executing requests count at a multiple of their size, and kept keys count too (design).
+        Executing requests count at a multiple of their size, and kept keys count too (docs/design.md).
         """
         in_flight = self.workload.in_flight
         key_bytes = in_flight.key_size_bytes if request.has_key else 0.0
-        return self.capacity.memory_fits(request, key_bytes + request.size_bytes * in_flight.running_extra)
+        return self.capacity.memory_fits(
+            request, key_bytes + request.size_bytes * in_flight.running_extra_factor
+        )
 
     def _within_byte_limits(self, request: Request) -> bool:
-        """Check both counters of unanswered bytes; where one is over its limit, evict the lowest priority.
+        """Check both counters of unanswered bytes; if one is over its limit, evict the lowest priority.
 
-        A counter that is over its threshold is answered by a prompt rejection (design, after the paper's
-        THROW_ON_OVERLOAD). Room goes to the higher priority.
+        Return whether the arriving request stays. A request over a limit is rejected at once rather than
+        left waiting (docs/design.md, after the paper's THROW_ON_OVERLOAD).
         """
         over_client = self.workload.in_flight.over_client_limit(request.client, request.size_bytes)
         if self.capacity.has_room(request) and not over_client:
@@ -76,12 +78,12 @@
         return evicted is not request
 
     def lowest_priority(self, candidates: list[Request]) -> Request:
-        """Return whom to evict: the lowest priority; of equals the heaviest client's, then the newest."""
+        """Return the request to evict: of lowest priority, then of the client with most bytes, the newest."""
         priority = self.workload.priority
         bytes_by_client = self.workload.in_flight.bytes_by_client
 
         def eviction_order(request: Request) -> tuple[float, int, float, int]:
-            """Return what sorts the requests, the one to evict first."""
+            """Return the sort key; the smallest is evicted."""
             return (
                 priority(request),
                 -bytes_by_client[request.client],
--- a/vetchford/admission/concurrency_limits.py
+++ b/vetchford/admission/concurrency_limits.py
@@ -1,60 +1,63 @@
-"""Concurrency limits by measured latency: of executing requests and of calls to the dependency."""
+"""Concurrency limits that follow measured latency, for executing requests and for dependency calls.
+
+The base time of a run or a call is its time without contention.
+"""
 
 import math
 
 RUNS_BY_COUNT = 64
-"""First runs of a class that weigh alike in its base time."""
+"""Number of first runs of a class that weigh equally in the mean that is its base time."""
 CALLS_BY_COUNT = 16
-"""First calls that weigh alike in their base time."""
-BASE_WINDOW_MS = 60_000.0
+"""Number of first calls that weigh equally in the mean that is the base time of calls."""
+BASE_TIME_WINDOW_MS = 60_000.0
 GRADIENT_PERIOD_MS = 500.0
 MIN_SAMPLES = 4
-"""Samples that a period needs; fewer are carried on into the next."""
+"""Samples that a limit needs to move; with fewer, the period goes on."""
 STEP_FRACTION = 0.5
-"""Part of the way to its target that a limit moves in one step: one odd period moves it by half only."""
+"""Fraction of the distance to its target that a limit moves in one step, to damp outlier periods."""
 MIN_MEASURED_MS = 1e-9
 CALLS_PER_CORE = 2.0
-"""Share of concurrent calls for each core where the settings state none."""
-SOLE_CALL_SHARE = 1.0
-"""A share below this allows one call at a time, with rests between calls."""
+"""Share of concurrent calls for each core if the settings state no share."""
+SINGLE_CALL_SHARE = 1.0
+"""A share below this allows one call at a time, with pauses between calls."""
 HUNG_CALL_FRACTION = 0.5
-"""Part of the share, over its period, that a call which hangs may take."""
+"""Fraction of the share, over its period, that a call without an answer may use up."""
 MIN_CALL_LIMIT = 1.0
 IN_USE_MARGIN = 2
-"""Calls below its limit from which a limit counts as in use: the one that has just ended and the next."""
+"""A limit counts as in use when fewer calls than this are free: the call that just ended and the next."""
 
 
 class TimeWeightedAverage:
-    """Mean over `BASE_WINDOW_MS` by time; of the first samples, each counts alike.
+    """Mean over `BASE_TIME_WINDOW_MS`, weighted by the time between samples; the first samples weigh equally.
 
-    The long window keeps the base latency what it is without contention (design: "the mean of its runs over a
-    long window").
+    The window is long so that a period of contention hardly changes the base time (docs/design.md: "the mean
+    of its runs over a long window").
     """
 
-    def __init__(self, by_count: int) -> None:
-        """Weigh the first `by_count` samples alike."""
-        self.by_count = by_count
+    def __init__(self, equal_weight_samples: int) -> None:
+        """Weigh the first `equal_weight_samples` samples equally."""
+        self.equal_weight_samples = equal_weight_samples
         self.value = 0.0
         self.samples = 0
         self.updated_at_ms = 0.0
 
     def add(self, now_ms: float, sample: float) -> None:
-        """Take in a sample."""
+        """Add a sample to the mean."""
         self.samples += 1
-        if self.samples <= self.by_count:
+        if self.samples <= self.equal_weight_samples:
             weight = 1.0 / self.samples
         else:
-            weight = min(1.0, (now_ms - self.updated_at_ms) / BASE_WINDOW_MS)
+            weight = min(1.0, (now_ms - self.updated_at_ms) / BASE_TIME_WINDOW_MS)
         self.value += weight * (sample - self.value)
         self.updated_at_ms = now_ms
 
 
 class GradientConcurrencyLimit:
-    """A limit that follows the gradient of latency between a floor and a ceiling.
+    """A concurrency limit between a floor and a ceiling that follows the latency gradient.
 
-    Each `GRADIENT_PERIOD_MS` it moves towards limit * (base / measured) + sqrt(limit) (design: "a
-    latency-gradient limit"). The ratio is that of the sums, so that long runs count by their time: by count
-    the shortest runs rule it where no expected work is given.
+    Each `GRADIENT_PERIOD_MS` the limit moves towards limit * (base / measured) + sqrt(limit) (docs/design.md:
+    "a latency-gradient limit"). The ratio is that of the summed times, so that runs count by their duration:
+    if each run counted alike, the shortest would determine the limit where no expected work is given.
     """
 
     def __init__(self, floor: float, start: float) -> None:
@@ -63,25 +66,25 @@
         self.limit = start
         self.next_step_ms = 0.0
         self.in_use = False
-        """Whether the limit was reached in the period: it does not grow into room that nobody used."""
+        """Whether the limit was reached in this period; a limit that was not reached does not grow."""
         self.base_ms = 0.0
         self.measured_ms = 0.0
         self.samples = 0
 
     def observe(self, base_ms: float, measured_ms: float) -> None:
-        """Count one run or call: its time without contention, and its measured time."""
+        """Count one run or call by its base time and its measured time."""
         self.base_ms += base_ms
         self.measured_ms += measured_ms
         self.samples += 1
 
     def step(self, now_ms: float, ceiling: float, may_cut: bool, may_grow: bool) -> None:
-        """Move the limit where a period is over, and keep it between floor and ceiling.
+        """Move the limit if a period is over, and keep it between floor and ceiling.
 
         Args:
-            now_ms: The controller's clock.
+            now_ms: Time of the controller's clock.
             ceiling: Highest limit.
-            may_cut: Whether measured latency may lower it.
-            may_grow: Whether it may rise.
+            may_cut: Whether measured latency may lower the limit.
+            may_grow: Whether the limit may rise.
         """
         if now_ms >= self.next_step_ms and self.samples >= MIN_SAMPLES:
             self._follow_gradient(may_cut, may_grow)
@@ -103,74 +106,78 @@
 
 
 class DependencyConcurrencyLimit:
-    """Calls out and abandoned ones stay under this server's share of what the dependency survives.
+    """Limits dependency calls, abandoned ones included, to this server's share of the dependency's capacity.
 
-    Invariant: `in_flight` plus the abandoned calls that may still run never exceeds `limit()` when a call
-    goes out. Requests that wait on a call are not counted among the runs (design: "a bound of their own caps
-    them").
+    Invariant: when a call starts, `in_flight` plus the abandoned calls that may still run never exceeds
+    `limit()`. Requests that wait for a call are not counted among the runs (docs/design.md: "a bound of their
+    own caps them").
     """
 
     def __init__(self, share: float | None, share_period_ms: float, linger_ms: float, cores: int) -> None:
-        """Start with no call out.
+        """Start without calls in flight.
 
         Args:
-            share: Mean concurrent calls over `share_period_ms`; None where the settings state none.
+            share: Mean concurrent calls over `share_period_ms`; None if the settings state no share.
             share_period_ms: Period over which the share is averaged.
-            linger_ms: How long an abandoned call may go on to load the dependency.
-            cores: Of this server.
+            linger_ms: How long an abandoned call may continue to load the dependency.
+            cores: Cores of this server.
         """
         self.share = CALLS_PER_CORE * cores if share is None else share
         self.share_period_ms = share_period_ms
         self.linger_ms = linger_ms
-        self.rest_until_ms = 0.0
+        self.no_calls_until_ms = 0.0
         self.usable_fraction = 1.0
-        """Of the share, as the fleet measures; 0: no call may go out."""
+        """Fraction of the share that may be used, as the fleet measures; 0: no call may start."""
         self.min_call_time_ms = 0.0
-        """As the fleet measures; 0: nothing is known, infinite: calls are not answered."""
+        """Time of a call as the fleet measures; 0: no slowdown is known, infinite: calls are not answered."""
         self.max_call_time_ms = self._max_call_time_ms()
         self.gradient = GradientConcurrencyLimit(MIN_CALL_LIMIT, max(1.0, self.share))
         self.base_time_ms = TimeWeightedAverage(CALLS_BY_COUNT)
         self.in_flight = 0
-        self.lingering: list[float] = []
-        """Ends of abandoned calls (ms); emptied as they pass."""
+        self.abandoned_call_ends_ms: list[float] = []
+        """Times until which abandoned calls may still load the dependency; past times are removed."""
 
     def may_call(self, now_ms: float) -> bool:
-        """Return whether one more call may go out."""
-        self.lingering = [end_ms for end_ms in self.lingering if end_ms > now_ms]
-        if self.usable_fraction <= 0.0 or now_ms < self.rest_until_ms:
+        """Return whether one more call may start."""
+        self.abandoned_call_ends_ms = [end_ms for end_ms in self.abandoned_call_ends_ms if end_ms > now_ms]
+        if self.usable_fraction <= 0.0 or now_ms < self.no_calls_until_ms:
             return False
-        return self.in_flight + len(self.lingering) + 1 <= self.limit()
+        return self.in_flight + len(self.abandoned_call_ends_ms) + 1 <= self.limit()
 
     def limit(self) -> float:
-        """Return the highest number of concurrent calls, abandoned ones that linger included."""
+        """Return the highest number of concurrent calls, including abandoned calls that may still run."""
         return max(MIN_CALL_LIMIT, min(self.share * self.usable_fraction, self.gradient.limit))
 
-    def ended(self, now_ms: float, took_ms: float | None) -> None:
-        """Count a call back that was answered after `took_ms`, or abandoned (None)."""
+    def call_ended(self, now_ms: float, took_ms: float | None) -> None:
+        """Count a call as ended: answered after `took_ms`, or abandoned (None)."""
         self.in_flight -= 1
-        if self.share < SOLE_CALL_SHARE:
-            self._rest(now_ms, took_ms)
+        if self.share < SINGLE_CALL_SHARE:
+            self._delay_next_call(now_ms, took_ms)
         if took_ms is None:
-            self.lingering.append(now_ms + self.linger_ms)
+            self.abandoned_call_ends_ms.append(now_ms + self.linger_ms)
         else:
             self._adapt(now_ms, took_ms)
 
     def apply_fleet_signals(self, call_slowdown: float, call_capacity: float) -> None:
-        """Take what the fleet measures: time of a call over the usual one, usable part of the share."""
+        """Apply what the fleet measures: time of a call over its usual time, usable fraction of the share."""
         self.usable_fraction = call_capacity
         slow_ms = self.base_time_ms.value * call_slowdown if call_slowdown > 1.0 else 0.0
         self.min_call_time_ms = math.inf if call_capacity == 0.0 else slow_ms
 
     def _max_call_time_ms(self) -> float:
-        """Return how long a call may last: under a share of one call, one that hangs takes half the share."""
-        if self.share < SOLE_CALL_SHARE:
+        """Return the longest duration of a call.
+
+        Duration is limited only if the share is below one call, so that one call without an answer does not
+        use up the share.
+        """
+        if self.share < SINGLE_CALL_SHARE:
             return HUNG_CALL_FRACTION * self.share * self.share_period_ms
         return math.inf
 
-    def _rest(self, now_ms: float, took_ms: float | None) -> None:
-        """Make no call for so long that the mean of concurrent calls keeps to the share."""
-        rest_ms = self.share_period_ms if took_ms is None else took_ms / self.share
-        self.rest_until_ms = now_ms + rest_ms
+    def _delay_next_call(self, now_ms: float, took_ms: float | None) -> None:
+        """Allow no call for as long as keeps the mean of concurrent calls within the share."""
+        delay_ms = self.share_period_ms if took_ms is None else took_ms / self.share
+        self.no_calls_until_ms = now_ms + delay_ms
 
     def _adapt(self, now_ms: float, took_ms: float) -> None:
         self.base_time_ms.add(now_ms, took_ms)
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -1,4 +1,4 @@
-"""The events of one server's life, handed to the parts that decide (docs/design.md)."""
+"""Passes the events of one server to the modules that make the decisions (docs/design.md)."""
 
 import math
 
@@ -21,25 +21,25 @@
 from vetchford.admission.workload import Workload
 
 BUSY_UTILIZATION = 0.8
-"""Utilization of the cores above which the concurrency limit may be cut (the design's busy mark)."""
-ROOM_UTILIZATION = 0.5
-"""Utilization below which the limit may grow: more runs on busy cores only slow all."""
+"""Utilization of the cores above which the concurrency limit may be lowered (docs/design.md: busy mark)."""
+GROWTH_UTILIZATION = 0.5
+"""Utilization below which the limit may grow: on busy cores, more runs only slow each other down."""
 UNANSWERED_OUTCOMES = (Outcome.OVERDUE, Outcome.SEVERED)
-"""Of a call that may still have its effect."""
+"""Outcomes of a call that may still take effect."""
 NEVER_RAN_OUTCOMES = (Outcome.SATURATED, Outcome.REFUSED_CONNECTION)
-"""Of a call that the dependency did not run, so that it may be made again."""
+"""Outcomes of a call that the dependency did not run, so that the call may be made again."""
 
 
 class AdmissionController(AdmissionEvents):
-    """All admission decisions of one server; acts through `AdmissionActions`.
+    """Makes all admission decisions of one server, and acts through `AdmissionActions`.
 
-    Each event updates the counts, then lets `dependency_calls` and `scheduler` use what has become free.
+    Each event updates the counts; then `dependency_calls` and `scheduler` use the capacity that it freed.
     """
 
     def __init__(
         self, actions: AdmissionActions, workload: Workload, capacity: Capacity, advice: AdviceSettings
     ) -> None:
-        """Start with readiness published and the first tick scheduled; `capacity` is used by no other one."""
+        """Publish readiness and schedule the first tick; no other controller may use `capacity`."""
         self.actions = actions
         self.workload = workload
         self.capacity = capacity
@@ -62,7 +62,7 @@
         self.actions.schedule_tick(TICK_MS)
 
     def request_arrived(self, now_ms: float, arrival: RequestArrival) -> None:
-        """Admit an arriving request, reject it, or let a repeat share the result of its original."""
+        """Admit an arriving request, reject it, or answer a repeat with the result of its original."""
         request = self._count_arrival(now_ms, arrival)
         reason = self.checks.reason_not_to_serve(now_ms, request)
         original = arrival.original
@@ -80,47 +80,47 @@
     def apply_fleet_signals(
         self, call_slowdown: float, call_capacity: float, is_full: bool, retry_after_factor: float
     ) -> None:
-        """Take what many servers measure together."""
+        """Apply what the servers of the fleet measure together."""
         self.terminal_rejection.fleet_full = is_full
         self.retry_after.factor = retry_after_factor
         if self.workload.dependency is not None:
             self.workload.dependency.apply_fleet_signals(call_slowdown, call_capacity)
 
     def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
-        """Cut all deadlines, so that everything is answered by `answers_due_at_ms`."""
+        """Shorten all deadlines, so that every request is answered by `answers_due_at_ms`."""
         self.health.start_draining(now_ms, answers_due_at_ms)
         for request in self.workload.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.health.latest_deadline_ms)
 
     def client_gone(self, now_ms: float, index: int) -> None:
-        """Cancel a request that nobody waits for."""
+        """Cancel a request whose client no longer waits for an answer."""
         request = self.workload.requests[index]
         if request.answered:
             return
-        if not request.is_retry:  # a retry's client may leave for reasons of the first attempt
+        if not request.is_retry:  # when a retry's client leaves may depend on the first attempt
             self.retry_objective.client_left(now_ms, request.arrived_at_ms, request.request_class.timeout_ms)
         self.lifecycle.cancel(request)
         self.scheduler.dispatch(now_ms)
 
     def run_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
-        """Learn from a run that completed, and free what it held."""
+        """Update the measured means from a completed run, and free its slot and memory."""
         request = self.workload.requests[index]
         if request.state != RequestState.SHARING:
-            self._count_run_back(now_ms, request, outcome, took_ms)
+            self._release_run(now_ms, request, outcome, took_ms)
         if not request.answered:
-            self.lifecycle.settle(request)
+            self.lifecycle.mark_answered(request)
         self.lifecycle.finish(request)
         self.scheduler.dispatch(now_ms)
 
     def run_blocked(self, now_ms: float, index: int) -> None:
-        """Make the call that a run waits for, queue it, or let the run go on without it."""
+        """Make the call that a run waits for, queue the call, or resume the run without it."""
         request = self.workload.requests[index]
         self.workload.running -= 1
         self.capacity.run_blocked(now_ms, request)
-        self.health.run_left(now_ms)
+        self.health.run_left_cores(now_ms)
         request.state = RequestState.WAITING_FOR_CALL
         request.wait_started(now_ms)
-        if not request.answered:  # else it ends by itself
+        if not request.answered:  # the run of an answered request ends without its call
             self.workload.waiting[index] = request
             self.dependency_calls.start_calls(now_ms)
             if self.dependency_calls.should_skip(request):
@@ -128,23 +128,23 @@
         self.scheduler.dispatch(now_ms)
 
     def call_ended(self, now_ms: float, index: int, outcome: str, took_ms: float) -> None:
-        """Let the run go on, try its call again where it never ran, or fail the request."""
+        """Resume the run, queue its call again if the dependency never ran it, or fail the request."""
         request = self.workload.requests[index]
         answered_after_ms = None if outcome in UNANSWERED_OUTCOMES else took_ms
         never_ran = outcome in NEVER_RAN_OUTCOMES
-        self._count_call_back(now_ms, request, answered_after_ms, never_ran)
+        self._release_call(now_ms, request, answered_after_ms, never_ran)
         if outcome == Outcome.COMPLETED:
             self.dependency_calls.resume(now_ms, request)
-        elif not request.answered:  # one given up on while its call was out ends by itself
+        elif not request.answered:  # the run of an answered request ends without its call
             if never_ran and not _may_skip(request):
                 self.workload.waiting[index] = request
-                return  # its call may be made again, from the next tick on
+                return  # the call may be made again from the next tick on
             self._continue_without_call(now_ms, request)
         self.dependency_calls.start_calls(now_ms)
         self.scheduler.dispatch(now_ms)
 
     def on_tick(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
-        """Take in the gauges, answer what is due, and update what clients are advised."""
+        """Read the gauges, answer the requests that are due, and update the advice to clients."""
         self.actions.schedule_tick(TICK_MS)
         self.lifecycle.expire_keys(now_ms)
         self._update_workload(now_ms, utilization, on_cores)
@@ -156,77 +156,77 @@
         self.scheduler.dispatch(now_ms)
 
     def _count_arrival(self, now_ms: float, arrival: RequestArrival) -> Request:
-        kind = self.workload.classes[arrival.class_index]
-        times = self.retry_objective.times(now_ms, arrival, kind, self.health.latest_deadline_ms)
-        request = Request.of(arrival, kind, times)
+        request_class = self.workload.classes[arrival.class_index]
+        times = self.retry_objective.times(now_ms, arrival, request_class, self.health.latest_deadline_ms)
+        request = Request.from_arrival(arrival, request_class, times)
         self.workload.requests[request.index] = request
         self.workload.in_flight.add(request.client, request.size_bytes)
         self.capacity.arrived(request)
         self.traffic.arrived(request.is_retry)
         if not request.is_retry:
-            kind.offered += self.workload.value(request)
+            request_class.offered_weight += self.workload.value(request)
             self.workload.tenants.count(now_ms, request.tenant)
-        self.health.request_read(arrival.queued_for_ms, kind.latency_objective_ms)
+        self.health.request_read(arrival.queued_for_ms, request_class.latency_objective_ms)
         return request
 
-    def _count_run_back(self, now_ms: float, request: Request, outcome: str, took_ms: float) -> None:
-        load = self.workload
+    def _release_run(self, now_ms: float, request: Request, outcome: str, took_ms: float) -> None:
+        workload = self.workload
         self.capacity.run_ended(now_ms, request)
         if request.state == RequestState.EXECUTING:
-            load.running -= 1
+            workload.running -= 1
             if outcome == Outcome.COMPLETED:
-                load.learn(now_ms, request, took_ms)
-        elif request.state == RequestState.CALLING and load.dependency is not None:
-            load.dependency.ended(now_ms, None)
-        self.health.run_left(now_ms)
-        load.in_flight.used_bytes -= request.size_bytes * load.in_flight.running_extra
+                workload.add_completed_run(now_ms, request, took_ms)
+        elif request.state == RequestState.CALLING and workload.dependency is not None:
+            workload.dependency.call_ended(now_ms, None)
+        self.health.run_left_cores(now_ms)
+        workload.in_flight.used_bytes -= request.size_bytes * workload.in_flight.running_extra_factor
 
-    def _count_call_back(
+    def _release_call(
         self, now_ms: float, request: Request, answered_after_ms: float | None, never_ran: bool
     ) -> None:
-        """Free what a call held, and learn from it; `answered_after_ms` is None where no answer came."""
+        """Count a call as ended; `answered_after_ms` is None if no answer came."""
         if self.workload.dependency is not None:
-            self.workload.dependency.ended(now_ms, answered_after_ms)
+            self.workload.dependency.call_ended(now_ms, answered_after_ms)
         self.capacity.call_ended(now_ms, request, answered_after_ms, never_ran)
-        request.state = RequestState.WAITING_FOR_CALL  # whatever follows: its call is counted back once
+        request.state = RequestState.WAITING_FOR_CALL  # so that the call is counted as ended only once
 
     def _continue_without_call(self, now_ms: float, request: Request) -> None:
-        """Let a run go on without its call where its class allows that, or else give the request up."""
+        """Resume a run without its call if its class allows that; otherwise fail the request."""
         if _may_skip(request):
             self.dependency_calls.skip(now_ms, request)
         else:
-            self.lifecycle.give_up(request)
+            self.lifecycle.reject_or_fail(request)
 
     def _update_workload(self, now_ms: float, utilization: float | None, on_cores: float | None) -> None:
-        load = self.workload
+        workload = self.workload
         cores_busy = utilization is None or utilization > BUSY_UTILIZATION
         self.estimate.cores_busy = cores_busy
-        load.observe_on_cores(on_cores)
-        load.forget_contention_if_idle()
-        load.reweigh_classes()
-        load.update_ceiling(now_ms)
+        workload.observe_on_cores(on_cores)
+        workload.forget_contention_if_idle()
+        workload.update_queue_weights()
+        workload.update_ceiling(now_ms)
         self.capacity.on_tick(now_ms)
-        may_grow = utilization is not None and utilization < ROOM_UTILIZATION
-        load.limit.step(now_ms, load.ceiling, cores_busy, may_grow)
+        may_grow = utilization is not None and utilization < GROWTH_UTILIZATION
+        workload.limit.step(now_ms, workload.ceiling, cores_busy, may_grow)
 
     def _update_advice(self) -> None:
         read_delay_ratio = self.health.read_delay_ratio
         self.published_load.update_open_fraction(read_delay_ratio, self.traffic.rejected_fraction())
         self.traffic.on_tick()
         self.published_load.publish(self.workload.speed())
-        self.idle_timeout.update(read_delay_ratio, self.workload.reading / self.workload.cores)
+        self.idle_timeout.update(read_delay_ratio, self.workload.cores_reading / self.workload.cores)
 
     def _answer_if_due(self, now_ms: float, request: Request) -> None:
-        """Answer a request that has no chance any more, so that its client can act on it."""
+        """Answer a request that can no longer succeed, so that its client can act."""
         if due_before_next_tick(now_ms, request):
-            self.lifecycle.give_up(request)
+            self.lifecycle.reject_or_fail(request)
         elif request.state == RequestState.QUEUED:
-            self._reject_if_hopeless(now_ms, request)
+            self._reject_if_late_or_stalled(now_ms, request)
         elif request.index in self.workload.waiting and self.estimate.is_call_too_late(now_ms, request):
             self._continue_without_call(now_ms, request)
 
-    def _reject_if_hopeless(self, now_ms: float, request: Request) -> None:
-        """Reject a queued request; terminal only where it would be too late on any server."""
+    def _reject_if_late_or_stalled(self, now_ms: float, request: Request) -> None:
+        """Reject a queued request that would be late; terminal only if it would be late on any server."""
         if self.health.stalled:
             self.lifecycle.reject(request, RejectionReason.STALLED)
         elif not self.estimate.is_in_time(now_ms, request, 0.0):
--- a/vetchford/admission/health.py
+++ b/vetchford/admission/health.py
@@ -6,20 +6,20 @@
 from vetchford.admission.workload import Workload
 
 OVERLOADED_ABOVE = 0.8
-"""Wait to be read over the latency objective from which a ready server is overloaded."""
+"""Ratio of the read delay to the latency objective above which a ready server is overloaded."""
 RECOVERED_BELOW = 0.2
-"""The same ratio, down to which an overloaded server stays so."""
+"""The same ratio, at or below which an overloaded server is ready again."""
 STALL_AFTER_MS = 1500.0
 STALL_AFTER_RUNS = 4.0
-"""Mean run times without progress that a stall takes at least."""
+"""Minimum time without progress before a stall is declared, in mean run times."""
 DRAIN_MARGIN_MS = 20.0
-"""In a drain the last deadline is so long before all answers are due: several rounds of events."""
-READ_DELAY_FADE = 0.9
-"""Factor on the read delay for each tick without a backlog of reading."""
-READING_BACKLOG = 1.0
-"""Cores' worth of reading above which requests may wait unread."""
+"""Time between the last deadline and the time when all answers are due, for several rounds of events."""
+READ_DELAY_DECAY = 0.9
+"""Factor on the read delay ratio with each tick without a reading backlog."""
+READING_BACKLOG_CORES = 1.0
+"""Number of cores busy with reading requests above which requests may wait unread."""
 READ_DELAY_WEIGHT = 0.05
-"""Weight of an arrival in the recent read delay."""
+"""Weight of one arrival in the recent read delay ratio."""
 
 
 class Health:
@@ -29,33 +29,33 @@
     """
 
     def __init__(self, actions: AdmissionActions, workload: Workload) -> None:
-        """Start ready; `workload` says how many requests run."""
+        """Start as ready; `workload` has the number of runs."""
         self.actions = actions
         self.workload = workload
         self.stalled = False
-        """All slots are taken and no run makes progress."""
+        """Whether all slots are taken and no run makes progress."""
         self.ready = True
-        """As published last."""
+        """The readiness published last."""
         self.last_progress_at_ms = 0.0
         self.notice_at_ms = math.inf
-        """When the termination notice came."""
+        """Time of the termination notice; infinite before it."""
         self.latest_deadline_ms = math.inf
-        """Deadlines are cut to this time; infinite before the termination notice."""
+        """Latest deadline of any request; infinite before the termination notice."""
         self.read_delay_ratio = 0.0
-        """Recent wait to be read over the latency objective."""
+        """Recent read delay, the time that requests waited unread, over the latency objective."""
 
     def request_read(self, queued_for_ms: float, latency_objective_ms: float) -> None:
-        """Take in how long an arriving request had waited unread."""
+        """Count how long an arriving request had waited unread."""
         ratio = queued_for_ms / max(1.0, latency_objective_ms)
         self.read_delay_ratio += READ_DELAY_WEIGHT * (ratio - self.read_delay_ratio)
 
-    def run_joined(self, now_ms: float) -> None:
-        """Note that a run has come onto the cores; the first one starts the clock of a stall."""
+    def run_entered_cores(self, now_ms: float) -> None:
+        """Note that a run is on the cores; the time without progress starts with the first run."""
         if self.workload.running == 1:
             self.last_progress_at_ms = now_ms
 
-    def run_left(self, now_ms: float) -> None:
-        """Note that a run has left the cores, which ends a stall."""
+    def run_left_cores(self, now_ms: float) -> None:
+        """Note that a run has left the cores, which is progress and ends a stall."""
         self.last_progress_at_ms = now_ms
         self.stalled = False
         self.update_readiness()
@@ -67,40 +67,40 @@
         self.update_readiness()
 
     def on_tick(self, now_ms: float) -> None:
-        """Look for a stall, let the read delay fade and judge readiness."""
+        """Detect a stall, decay the read delay ratio and update readiness."""
         if self.makes_no_progress(now_ms):
             self.stalled = True
-        if self.workload.reading <= READING_BACKLOG:
-            self.read_delay_ratio *= READ_DELAY_FADE
+        if self.workload.cores_reading <= READING_BACKLOG_CORES:
+            self.read_delay_ratio *= READ_DELAY_DECAY
         self.update_readiness()
 
     def is_past_drain_grace(self, arrived_at_ms: float) -> bool:
-        """Return whether a request arrived too late in a drain to be admitted."""
+        """Return whether a request arrived after the grace period of a drain."""
         return arrived_at_ms > self.notice_at_ms + self.workload.settings.drain_grace_ms
 
     def makes_no_progress(self, now_ms: float) -> bool:
-        """Return whether all slots are taken and no run has left the cores for too long: a stall.
+        """Return whether the server is stalled: all slots are taken and no run left the cores for too long.
 
-        Queued requests then have no chance, and are better sent to another server at once. The runs are
-        compared with the concurrency limit, or with the cores where those are fewer, and not with
-        `Workload.slots`: what reading takes from the slots does not count here.
+        Queued requests can't start then, and are better sent to another server at once. The number of runs is
+        compared with the concurrency limit, or with the cores if those are fewer, rather than with
+        `Workload.slots`, which subtracts the cores that read requests.
         """
-        load = self.workload
-        patience_ms = max(STALL_AFTER_MS, STALL_AFTER_RUNS * load.mean_run_time_ms)
-        if now_ms - self.last_progress_at_ms <= patience_ms:
+        workload = self.workload
+        stall_after_ms = max(STALL_AFTER_MS, STALL_AFTER_RUNS * workload.mean_run_time_ms)
+        if now_ms - self.last_progress_at_ms <= stall_after_ms:
             return False
-        return load.running >= min(load.limit.limit, load.cores)
+        return workload.running >= min(workload.limit.limit, workload.cores)
 
     def is_overloaded(self) -> bool:
-        """Return whether requests are read too late for an answer in time.
+        """Return whether requests are read too late to be answered in time.
 
-        The two bounds lie apart, so that readiness does not flap.
+        The threshold for recovery is lower than that for overload, so that readiness does not flap.
         """
         bound = OVERLOADED_ABOVE if self.ready else RECOVERED_BELOW
         return self.read_delay_ratio > bound
 
     def update_readiness(self) -> None:
-        """Publish readiness where it has changed: not stalled, not overloaded and not draining."""
+        """Publish readiness if it has changed; a ready server is not stalled, overloaded or draining."""
         ready = not self.stalled and not self.is_overloaded() and self.notice_at_ms == math.inf
         if ready != self.ready:
             self.ready = ready
--- a/vetchford/admission/in_flight_bytes.py
+++ b/vetchford/admission/in_flight_bytes.py
@@ -1,38 +1,38 @@
-"""The design's two counters: bytes read but not answered, of the server and of each client."""
+"""The counters of unanswered bytes, of the server and of each client (docs/design.md)."""
 
 import math
 
 USABLE_MEMORY_FRACTION = 0.85
-"""Leaves room for what is read but not yet decided on."""
+"""The rest of the memory is for requests that are read but not yet admitted or rejected."""
 LENDING_FRACTION = 0.5
-"""Part of the node threshold below which spare room is lent to any client."""
-CLIENT_PARTS = 1.5
-"""Equal parts of the node threshold that one client may have."""
+"""Fraction of the node threshold below which a client may use bytes beyond its share."""
+CLIENT_SHARE_FACTOR = 1.5
+"""A client's share of the node threshold, in multiples of an equal share."""
 
 
 class InFlightBytes:
-    """Bytes in memory and bytes unanswered, against the server's memory and its measured answer rate."""
+    """Counts bytes in memory and unanswered bytes, and compares them with the server's limits."""
 
     def __init__(self, memory_bytes: float, running_multiple: float, key_size_bytes: float) -> None:
         """Start with nothing in memory.
 
         Args:
-            memory_bytes: Of the worker pool, for requests.
-            running_multiple: Memory of an executing request over that of a queued one.
+            memory_bytes: Memory of the worker pool for requests.
+            running_multiple: Memory of an executing request over that of a queued request.
             key_size_bytes: Memory that a kept idempotency key takes.
         """
         self.memory_bytes = memory_bytes
         self.key_size_bytes = key_size_bytes
         self.usable_bytes = USABLE_MEMORY_FRACTION * memory_bytes
-        self.running_extra = running_multiple - 1.0
-        """Memory of a request, over its size, that is added once it runs."""
+        self.running_extra_factor = running_multiple - 1.0
+        """Memory that a run adds to that of its queued request, over the request's size."""
         self.used_bytes = 0.0
-        """Of requests queued, of those executing at the multiple, and of kept keys."""
+        """Memory of queued requests, of executing requests at the multiple, and of kept idempotency keys."""
         self.unanswered_bytes = 0
         self.bytes_by_client: dict[int, int] = {}
-        """Unanswered; a client leaves when its last request is answered."""
+        """Unanswered bytes by client; a client is removed when its last request is answered."""
         self.clearable_bytes = math.inf
-        """The node threshold: what the answer rate clears within a latency objective."""
+        """The node threshold: bytes that can be answered within a latency objective at the recent rate."""
 
     def add(self, client: int, size_bytes: int) -> None:
         """Count a request that was read."""
@@ -41,36 +41,37 @@
         self.bytes_by_client[client] = self.bytes_by_client.get(client, 0) + size_bytes
 
     def answered(self, client: int, size_bytes: int) -> None:
-        """Count a request back that got its answer; its memory may still be used."""
+        """Count a request as answered; its memory may still be in use."""
         self.unanswered_bytes -= size_bytes
         self.bytes_by_client[client] -= size_bytes
         if not self.bytes_by_client[client]:
             del self.bytes_by_client[client]
 
     def over_node_limit(self) -> bool:
-        """Return whether the unanswered bytes exceed what the answer rate clears.
+        """Return whether the unanswered bytes exceed the node threshold.
 
-        The paper's native_transport_max_concurrent_requests_in_bytes, with a measured threshold.
+        The paper's `native_transport_max_concurrent_requests_in_bytes` (docs/design.md), except that the
+        threshold is computed from the measured answer rate.
         """
         return self.unanswered_bytes > self.clearable_bytes
 
     def over_client_limit(self, client: int, size_bytes: int) -> bool:
-        """Return whether the client exceeds its part of the node threshold.
+        """Return whether the client exceeds its share of the node threshold.
 
-        The paper's native_transport_max_concurrent_requests_in_bytes_per_ip. A client that is alone has no
-        limit. The limit binds above a fill level, below which spare room is lent (design). One request is
-        always within it: with many clients a part is less than a request, and priority weights would no
-        longer count.
+        The paper's `native_transport_max_concurrent_requests_in_bytes_per_ip` (docs/design.md). A sole client
+        has no limit, and the limit applies only above a fill level. One request is always within the limit:
+        with many clients a share is smaller than a request, and requests would be evicted regardless of their
+        priority.
 
         Args:
-            client: Whose request has arrived.
-            size_bytes: Of that request, which is counted already.
+            client: Client whose request has arrived.
+            size_bytes: Size of that request, which is already counted.
         """
         clients = len(self.bytes_by_client)
         if clients <= 1:
             return False
-        room_is_lent = self.unanswered_bytes < LENDING_FRACTION * self.clearable_bytes
-        if room_is_lent:
+        has_spare_bytes = self.unanswered_bytes < LENDING_FRACTION * self.clearable_bytes
+        if has_spare_bytes:
             return False
-        client_part_bytes = CLIENT_PARTS * self.clearable_bytes / clients
-        return self.bytes_by_client[client] > max(size_bytes, client_part_bytes)
+        client_share_bytes = CLIENT_SHARE_FACTOR * self.clearable_bytes / clients
+        return self.bytes_by_client[client] > max(size_bytes, client_share_bytes)
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -1,4 +1,4 @@
-"""Final answers, and what is freed with them: exactly one answer a request, by its deadline."""
+"""Final answers and the resources freed with them: exactly one answer per request, by its deadline."""
 
 import heapq
 
@@ -17,7 +17,8 @@
 class RequestLifecycle:
     """Answers requests and releases their bytes, idempotency keys and indices.
 
-    Invariant: an index is released once, after the final answer, the end of the run and the key's expiry.
+    Invariant: an index is released once, after the final answer, the end of the run and the expiry of the
+    idempotency key.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         retry_after: RetryAfter,
         terminal_rejection: TerminalRejection,
     ) -> None:
-        """Answer through `actions`."""
+        """Use `actions` to answer requests."""
         self.actions = actions
         self.workload = workload
         self.capacity = capacity
@@ -37,7 +38,7 @@
         self.retry_after = retry_after
         self.terminal_rejection = terminal_rejection
         self.key_expiries: list[tuple[float, int]] = []
-        """Heap of expiry (ms) and index, emptied as keys expire."""
+        """Heap of expiry time (ms) and request index; entries are removed as keys expire."""
 
     def reject(
         self,
@@ -46,23 +47,24 @@
         terminal: bool = False,
         retry_after_ms: float | None = None,
     ) -> None:
-        """Answer that a request never ran.
+        """Reject a request that never ran.
 
         Args:
-            request: Queued, or just arrived.
-            reason: The rule that rejects it.
-            terminal: Ask in any case that no other server be tried.
-            retry_after_ms: Asked of the client; None: until the queue is expected to be empty, with jitter.
+            request: A request that is queued or has just arrived.
+            reason: The rule that rejects the request.
+            terminal: Ask the client in any case not to try another server.
+            retry_after_ms: How long the client is asked to wait; None: until the queue is expected to be
+                empty, with jitter.
         """
         self.traffic.rejections += 1.0
-        self.settle(request)
+        self.mark_answered(request)
         if retry_after_ms is None:
             retry_after_ms = self.retry_after.draw_ms(self.capacity.backlog_ms(request))
         terminal = terminal or self.terminal_rejection.is_terminal(request)
         self.actions.reject(request.index, terminal, retry_after_ms, reason)
         self.finish(request)
 
-    def give_up(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         """Answer a request that can't be completed in time: rejected if it never ran, else failed."""
         if request.state == RequestState.QUEUED:
             self.reject(request, RejectionReason.DEADLINE, terminal=True)
@@ -71,19 +73,19 @@
             self.cancel(request)
 
     def cancel(self, request: Request) -> None:
-        """Note that no answer is needed any more; a run that may run again is stopped where that is possible.
+        """Note that a request needs no answer any more; stop an idempotent run if runs can be stopped.
 
-        The result of a run with an idempotency key may still be shared, so it goes on.
+        A run with an idempotency key goes on: its result may answer a repeat.
         """
-        self.settle(request)
+        self.mark_answered(request)
         can_stop = self.workload.settings.can_stop and request.request_class.effect == Effect.IDEMPOTENT
         if request.state in (RequestState.QUEUED, RequestState.SHARING):
             self.finish(request)
         elif request.state == RequestState.EXECUTING and can_stop:
             self.actions.stop(request.index)
 
-    def settle(self, request: Request) -> None:
-        """Count a request as answered, and take it out of the queues."""
+    def mark_answered(self, request: Request) -> None:
+        """Count a request as answered, and remove it from the queues."""
         request.answered = True
         self.workload.queued.pop(request.index, None)
         self.workload.waiting.pop(request.index, None)
@@ -101,20 +103,20 @@
         self._release_index(request)
 
     def keep_key(self, now_ms: float, request: Request, queued_for_ms: float) -> None:
-        """Keep the idempotency key for what is left of its window since the request arrived.
+        """Keep the idempotency key for the rest of its window, which began when the request arrived.
 
-        The index is kept for one timeout more: a repeat that arrives within the window may be read that much
-        later.
+        The index is kept for one timeout longer, because a repeat that arrives within the window may be read
+        that much later.
         """
-        kind = request.request_class
-        keep_for_ms = max(MIN_KEY_WINDOW_MS, kind.key_window_ms - queued_for_ms)
-        request.key_expires_at_ms = now_ms + keep_for_ms + kind.timeout_ms
+        request_class = request.request_class
+        keep_for_ms = max(MIN_KEY_WINDOW_MS, request_class.key_window_ms - queued_for_ms)
+        request.key_expires_at_ms = now_ms + keep_for_ms + request_class.timeout_ms
         self.workload.in_flight.used_bytes += self.workload.in_flight.key_size_bytes
         heapq.heappush(self.key_expiries, (request.key_expires_at_ms, request.index))
         self.actions.remember(request.index, keep_for_ms)
 
     def expire_keys(self, now_ms: float) -> None:
-        """Drop the keys whose time is over."""
+        """Drop the idempotency keys that have expired."""
         while self.key_expiries and self.key_expiries[0][0] <= now_ms:
             expires_at_ms, index = heapq.heappop(self.key_expiries)
             request = self.workload.requests.get(index)
@@ -123,25 +125,31 @@
                 self._release_index(request)
 
     def resolve_repeat(self, request: Request, original: int, not_served: bool) -> bool:
-        """Return True where a repeat is answered with the result of its original, and needs no admission.
+        """Return True if a repeat needs no admission: it shares its original's result, or is failed.
 
-        False where it takes the place of an original that is still queued, whose client has given up on it. A
-        repeat of an unknown original is failed, as that may have run.
+        Return False if the repeat takes the place of an original that is still queued: the client has given
+        up on the original, which is rejected. A repeat of an unknown original is failed, because the original
+        may have run.
 
         Args:
             request: The repeat.
             original: Index of the original, or `UNKNOWN_ORIGINAL`.
             not_served: Whether the repeat itself would be rejected.
         """
-        first = self.workload.requests.get(original)
-        if first and first.state == RequestState.QUEUED and not not_served and request.has_key:
-            self.reject(first, RejectionReason.SUPERSEDED, terminal=True, retry_after_ms=0.0)
+        original_request = self.workload.requests.get(original)
+        if (
+            original_request
+            and original_request.state == RequestState.QUEUED
+            and not not_served
+            and request.has_key
+        ):
+            self.reject(original_request, RejectionReason.SUPERSEDED, terminal=True, retry_after_ms=0.0)
             return False
         request.state = RequestState.SHARING
-        if first:
+        if original_request:
             self.actions.share(request.index)
         else:
-            self.give_up(request)
+            self.reject_or_fail(request)
         return True
 
     def _drop_key(self, request: Request) -> None:
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -12,11 +12,11 @@
 from vetchford.admission.settings import Effect, LoadSignal
 
 UNKNOWN_WORK_MS = 1.0
-"""Expected work of a request whose client gives none: the class's mean run time then stands for it."""
+"""Expected work of a request whose client gives none, so that the class's mean run time is expected."""
 UNKNOWN_ORIGINAL = -1
-"""In place of the index of the request that another repeats: this server does not hold it any more."""
-NOTHING_OFFERED = 1e-9
-"""Keeps the achieved part of what was offered defined before the first request."""
+"""Replaces the index of a repeat's original when this server no longer has the original."""
+MIN_OFFERED_WEIGHT = 1e-9
+"""Keeps the ratio of achieved to offered weight defined before the first request."""
 
 
 class RequestState(IntEnum):
@@ -25,10 +25,10 @@
     QUEUED = 0
     EXECUTING = 1
     WAITING_FOR_CALL = 2
-    """Its run is blocked on a call to the dependency that is not out."""
+    """The run is blocked on a dependency call that has not started."""
     CALLING = 3
     SHARING = 4
-    """It waits for the result of the request that it repeats."""
+    """The request waits for the result of the request that it repeats."""
     DONE = 5
 
 
@@ -46,73 +46,72 @@
 
 
 class RequestArrival(NamedTuple):
-    """One request as it was read from its client."""
+    """A request as it was read from its client."""
 
     request_index: int
-    """Small index that names the request until `AdmissionActions.release`."""
+    """Index that identifies the request until `AdmissionActions.release`."""
     class_index: int
     tenant: int
-    """Index of its tenant, or -1."""
+    """Index of the request's tenant, or -1 for none."""
     client: int
     deadline_ms: float | None
-    """Clock time after which the client no longer waits; None where it does not say."""
+    """Clock time after which the client no longer waits; None if the client gives no deadline."""
     work_ms: float | None
-    """Expected work in ms on a standard core; None where the client does not say."""
+    """Expected work in ms on a standard core; None if the client gives none."""
     size_bytes: int
-    """Bytes."""
     is_retry: bool
     queued_for_ms: float
-    """Time between its arrival at the machine and now."""
+    """Time between the request's arrival at the machine and its reading."""
     original: int | None
-    """Index of the request it repeats, or `UNKNOWN_ORIGINAL`; None for no repeat."""
+    """Index of the request that this one repeats, or `UNKNOWN_ORIGINAL`; None if it is no repeat."""
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """What the settings say of a class of requests, and what was measured of it."""
+    """The settings and measurements of a request class."""
 
     latency_objective_ms: float
     timeout_ms: float
     priority_weight: float
     late_fraction: float
-    """Fraction of the priority weight that an answer after the latency objective still earns."""
+    """Fraction of the priority weight credited to an answer after the latency objective."""
     effect: Effect
     key_window_ms: float
     """Duration within which a request that is idempotent by key may be repeated."""
     skip_fraction: float
-    """Fraction of the priority weight left when its call is skipped; 0: it may not be skipped."""
+    """Fraction of the priority weight that remains if the dependency call is skipped; 0: never skipped."""
     service_time_per_unit: TimeWeightedAverage = field(
         default_factory=lambda: TimeWeightedAverage(RUNS_BY_COUNT)
     )
-    """Run time over expected work, of runs that did not compete for the cores."""
+    """Mean run time over expected work, of runs that did not compete for the cores."""
     dependency_wait_ms: float = 0.0
-    """Recent time that a run waits on calls."""
-    learnt_at_ms: float = -math.inf
-    """When a run last completed."""
-    offered: float = NOTHING_OFFERED
+    """Recent mean time that a run waits for dependency calls."""
+    last_completed_at_ms: float = -math.inf
+    """Time at which a run last completed."""
+    offered_weight: float = MIN_OFFERED_WEIGHT
     """Priority weight of recent first attempts."""
-    achieved: float = 0.0
-    """Part of it that was answered within the latency objective."""
+    achieved_weight: float = 0.0
+    """Part of the offered weight that was answered within the latency objective."""
     queue_weight: float = 0.0
-    """Priority weight by which the queue is ordered."""
+    """Priority weight that orders the queue, including the bonus of the worst-served class."""
     mean_run_time_ms: float = 0.0
-    """Recent mean, for bulkheads."""
+    """Recent mean run time, by which derived bulkheads classify."""
     bulkhead: int = 0
 
 
 class AttemptTimes(NamedTuple):
-    """Until when an attempt is useful; times are milliseconds of the controller's clock."""
+    """The times of an attempt, in milliseconds of the controller's clock."""
 
     arrived_at_ms: float
     objective_at_ms: float
-    """Up to which an answer earns the full priority weight."""
+    """Time up to which an answer is credited with the full priority weight."""
     deadline_ms: float
     is_retry: bool
 
 
 @dataclass(slots=True)
 class Request:
-    """One request from its arrival until its index is released."""
+    """A request from its arrival until its index is released."""
 
     index: int
     request_class: RequestClass
@@ -128,37 +127,39 @@
     started: bool = False
     answered: bool = False
     concurrency_at_start: float = 0.0
-    """Runs and reads on the cores when its run started."""
+    """Runs and reads on the cores when the run started."""
     dependency_wait_ms: float = 0.0
-    """Time waited on calls; meaningful between waits only, see `wait_started`."""
+    """Time waited for dependency calls; valid only between waits, see `wait_started`."""
     key_expires_at_ms: float = 0.0
-    """When its idempotency key is dropped; 0: it has none."""
+    """Time at which the idempotency key is dropped; 0: no key is kept."""
     bulkhead: int = 0
-    """Bulkhead of its class when it arrived."""
+    """Bulkhead of the request class when the request arrived."""
 
     @property
     def has_key(self) -> bool:
-        """Whether repeats of it are recognised by their idempotency key."""
+        """Whether repeats of the request are recognised by their idempotency key."""
         return self.request_class.effect == Effect.IDEMPOTENT_BY_KEY
 
     def wait_started(self, now_ms: float) -> None:
-        """Begin to wait on a call.
+        """Begin a wait for a call.
 
-        While the wait lasts, `dependency_wait_ms` is the sum of earlier waits less this start.
+        During the wait, `dependency_wait_ms` is the sum of earlier waits minus the start of this one.
         """
         self.dependency_wait_ms -= now_ms
 
     def wait_ended(self, now_ms: float) -> None:
-        """End the wait that `wait_started` began, and add it to `dependency_wait_ms`."""
+        """End the wait that `wait_started` began, so that `dependency_wait_ms` includes it."""
         self.dependency_wait_ms += now_ms
 
     def has_waited(self) -> bool:
-        """Return whether it waits on a call or has waited on one; a wait that took no time is none."""
+        """Return whether the run waits or has waited for a call; a wait of zero duration does not count."""
         return self.dependency_wait_ms != 0.0
 
     @classmethod
-    def of(cls, arrival: RequestArrival, request_class: RequestClass, times: AttemptTimes) -> "Request":
-        """Return the request of an arrival, with the times that were decided for it."""
+    def from_arrival(
+        cls, arrival: RequestArrival, request_class: RequestClass, times: AttemptTimes
+    ) -> "Request":
+        """Return the request of an arrival, with the times that were computed for the attempt."""
         return cls(
             arrival.request_index,
             request_class,
@@ -176,35 +177,35 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Settings of the controller that belong to none of its parts."""
+    """Settings that several parts of the controller use."""
 
     cores: int
     survivable_concurrency: float
-    """Runs for each core that the server survives."""
+    """Concurrent runs per core that the server survives."""
     cold_fraction: float
-    """Fraction of the survivable concurrency above one run a core that a cold server survives."""
+    """Fraction of the survivable concurrency above one run per core that a cold server survives."""
     warm_up_ms: float
-    """Duration from the start after which the server is warm; 0: it is warm."""
+    """Duration from the start until the server is warm; 0: the server starts warm."""
     weight_by_work: bool
-    """Whether a request's value grows with its work."""
+    """Whether the weight of a request in the service goal grows with its work."""
     can_stop: bool
     """Whether a run can be stopped."""
     drain_grace_ms: float
-    """Duration after the termination notice in which arrivals are still admitted."""
+    """Duration after the termination notice within which arriving requests are still admitted."""
     worst_class_weight: float
     """Weight of the worst-served class in the service goal over that of the rest."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceSettings:
-    """Settings of what clients are advised: retry-after, published load, idle timeout."""
+    """Settings of the advice to clients: retry-after, published load, idle timeout."""
 
     seed: int
-    """Of the jitter of retry-afters."""
+    """Seed of the retry-after jitter."""
     signal: LoadSignal
     max_retry_after_ms: float
     clients: int
-    """That hold connections to this server."""
+    """Number of clients that hold connections to this server."""
     cores: int
     max_idle_timeout_ms: float
-    """Longest duration for which an idle connection is kept open; 0: nothing is closed."""
+    """Longest duration for which an idle connection is kept open; 0: no connection is closed."""
--- a/vetchford/admission/scheduler.py
+++ b/vetchford/admission/scheduler.py
@@ -22,7 +22,7 @@
         estimate: CompletionEstimate,
         lifecycle: RequestLifecycle,
     ) -> None:
-        """Start through `actions`, reject through `lifecycle`."""
+        """Use `actions` to start runs, and `lifecycle` to reject requests."""
         self.actions = actions
         self.workload = workload
         self.capacity = capacity
@@ -31,18 +31,20 @@
         self.lifecycle = lifecycle
 
     def dispatch(self, now_ms: float) -> None:
-        """Start what may start; what can't be answered in time any more is rejected for good."""
-        load = self.workload
+        """Start the requests that may start, and reject, as terminal, those that would be answered late."""
+        workload = self.workload
         blocked: set[int] = set()  # bulkheads whose next request does not fit into memory
-        while load.queued and not self.health.stalled:
-            slots = load.slots()
-            if load.slots_full(slots):
-                load.limit.in_use = True
+        while workload.queued and not self.health.stalled:
+            slots = workload.slots()
+            if workload.slots_full(slots):
+                workload.limit.in_use = True
             startable = self.capacity.startable(now_ms, slots, blocked)
             request = max(startable, default=None, key=self.dispatch_order)
             if request is None:
                 return
-            if not self.capacity.memory_fits(request, request.size_bytes * load.in_flight.running_extra):
+            if not self.capacity.memory_fits(
+                request, request.size_bytes * workload.in_flight.running_extra_factor
+            ):
                 blocked.add(request.bulkhead)
             elif self.estimate.is_in_time(now_ms, request, 0.0):
                 self._start(now_ms, request, slots)
@@ -50,17 +52,17 @@
                 self.lifecycle.reject(request, RejectionReason.LATENCY_OBJECTIVE, terminal=True)
 
     def dispatch_order(self, request: Request) -> tuple[float, float, int]:
-        """Return the order of starting: highest priority first, then the oldest."""
+        """Return the sort key of starts; the greatest starts first: the highest priority, then the oldest."""
         return self.workload.priority(request), -request.arrived_at_ms, -request.index
 
     def _start(self, now_ms: float, request: Request, slots: float) -> None:
-        load = self.workload
-        del load.queued[request.index]
-        load.in_flight.used_bytes += request.size_bytes * load.in_flight.running_extra
-        load.running += 1
+        workload = self.workload
+        del workload.queued[request.index]
+        workload.in_flight.used_bytes += request.size_bytes * workload.in_flight.running_extra_factor
+        workload.running += 1
         request.started = True
         request.state = RequestState.EXECUTING
-        request.concurrency_at_start = load.running + load.reading
+        request.concurrency_at_start = workload.running + workload.cores_reading
         self.capacity.run_started(now_ms, request, slots)
-        self.health.run_joined(now_ms)
+        self.health.run_entered_cores(now_ms)
         self.actions.start(request.index)
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -107,14 +107,14 @@
 
     def startable(self, now_ms: float, slots: float, blocked: set[int]) -> Sequence[Request]:
         """The queued requests of the bulkhead whose turn it is."""
-        load = self.workload
+        workload = self.workload
         return self.bulkheads.startable(
             now_ms,
-            load.queued.values(),
-            load.waiting.values(),
-            load.running,
+            workload.queued.values(),
+            workload.waiting.values(),
+            workload.running,
             slots,
-            load.ceiling,
+            workload.ceiling,
             blocked,
         )
 
@@ -135,7 +135,7 @@
         return self.bulkheads.calls.dependency_wait_ms(now_ms, request.bulkhead, self._queued_calls(request))
 
     def _extra_bytes(self, request: Request) -> float:
-        return request.size_bytes * self.workload.in_flight.running_extra
+        return request.size_bytes * self.workload.in_flight.running_extra_factor
 
     def _call_limit(self) -> float:
         return self.workload.dependency.limit() if self.workload.dependency is not None else 0.0
@@ -147,13 +147,13 @@
         return sum(other.bulkhead == request.bulkhead for other in self.workload.waiting.values())
 
     def _delay_behind(self, now_ms: float, request: Request, ahead: list[Request]) -> float:
-        load = self.workload
+        workload = self.workload
         return self.bulkheads.queue_delay_ms(
             now_ms,
             request.bulkhead,
-            sum(map(load.expected_run_time_ms, ahead)),
+            sum(map(workload.expected_run_time_ms, ahead)),
             len(ahead),
-            load.slots(),
-            {other.bulkhead for other in load.queued.values()},
+            workload.slots(),
+            {other.bulkhead for other in workload.queued.values()},
             self._queued_calls(request),
         )
