--- a/tests/admission/test_capacity_table.py
+++ b/tests/admission/test_capacity_table.py
@@ -1,18 +1,18 @@
-"""`docs/capacity.md` has the evidence of each constant of the decisions."""
+"""Checks that `docs/capacity.md` has a row for each constant of the admission decisions."""
 
 import ast
 
 from helpers import ROOT
 
 TABLE = ROOT / "docs/capacity.md"
-WITHOUT_VALUES = {"actions", "capacity", "events", "factory", "rejection", "settings"}
-"""Modules that hold no constants of decisions."""
+WITHOUT_CONSTANTS = {"actions", "capacity", "events", "factory", "rejection", "settings"}
+"""Modules without constants that decide anything."""
 
 
 def constants():
-    """Numbers, and what is computed of numbers, by the names that a reader finds them under."""
+    """Yield the dotted names of the module constants that are not tuples."""
     for path in sorted((ROOT / "vetchford/admission").glob("*.py")):
-        if path.stem in WITHOUT_VALUES:
+        if path.stem in WITHOUT_CONSTANTS:
             continue
         for node in ast.parse(path.read_text()).body:
             if isinstance(node, ast.Assign) and not isinstance(node.value, ast.Tuple):
@@ -41,5 +41,5 @@
             for node in ast.parse(path.read_text()).body
             if isinstance(node, ast.Assign)
         }
-        code = eval(compile(ast.Expression(assigned[constant]), name, "eval"))
-        assert code == eval(value.replace(",", "")), name
+        code_value = eval(compile(ast.Expression(assigned[constant]), name, "eval"))
+        assert code_value == eval(value.replace(",", "")), name
--- a/tests/admission/test_factory.py
+++ b/tests/admission/test_factory.py
@@ -1,4 +1,4 @@
-"""Controllers built from settings, beside each other."""
+"""Controllers built from settings in one process."""
 
 from helpers import SETTINGS, Recorder
 
@@ -8,12 +8,12 @@
 
 
 def test_two_controllers_with_different_settings_do_not_affect_each_other():
-    short = {"promise": 900_000_000, "deadline": 1_500_000_000}
-    told = {
+    short_times = {"promise": 900_000_000, "deadline": 1_500_000_000}
+    first_settings = {
         **SETTINGS,
-        "requestClasses": [{**entry, **short} for entry in SETTINGS["requestClasses"]],
+        "requestClasses": [{**entry, **short_times} for entry in SETTINGS["requestClasses"]],
     }
-    other = {
+    second_settings = {
         **SETTINGS,
         "requestClasses": [
             {
@@ -29,34 +29,34 @@
         "familyInfo": {"cores": 1, "ramKb": 300.0, "blowup": 2.0, "ownStats": ["core_use"]},
     }
 
-    takes = {2: 60.0, 1: 400.0}  # ms of a run, by the cores: what one learns is not what the other does
+    run_times_ms = {2: 60.0, 1: 400.0}  # by cores, so that the controllers measure different run times
 
-    def play(*tolds):
-        hosts = [Recorder() for _ in tolds]
-        nodes = [
-            factory.build(host, 7, platform_settings.decode(its), False)
-            for host, its in zip(hosts, tolds, strict=True)
+    def simulate(*all_settings):
+        recorders = [Recorder() for _ in all_settings]
+        controllers = [
+            factory.build(recorder, 7, platform_settings.decode(settings), False)
+            for recorder, settings in zip(recorders, all_settings, strict=True)
         ]
         for step in range(400):
-            now = 10.0 * step
-            for node in nodes:
-                deadline = now + node.workload.classes[step % 2].timeout_ms
-                node.request_arrived(
-                    now,
+            now_ms = 10.0 * step
+            for controller in controllers:
+                deadline = now_ms + controller.workload.classes[step % 2].timeout_ms
+                controller.request_arrived(
+                    now_ms,
                     RequestArrival(step, step % 2, -1, step % 3, deadline, 20.0, 20_480, False, 0.0, None),
                 )
-                runs = [
-                    q
-                    for q, request in node.workload.requests.items()
+                running = [
+                    index
+                    for index, request in controller.workload.requests.items()
                     if request.state == RequestState.EXECUTING
                 ]
-                for q in runs[: step % 3 == 0]:
-                    node.run_ended(now, q, "completed", takes[node.workload.cores])
+                for index in running[: step % 3 == 0]:
+                    controller.run_ended(now_ms, index, "completed", run_times_ms[controller.workload.cores])
                 if step % 5 == 0:
-                    node.on_tick(now, 0.9, 2.0)
-        return [host.acts for host in hosts]
+                    controller.on_tick(now_ms, 0.9, 2.0)
+        return [recorder.acts for recorder in recorders]
 
-    alone = [*play(told), *play(other)]
-    for acts in alone:  # enough is decided for a difference to show
+    alone = [*simulate(first_settings), *simulate(second_settings)]
+    for acts in alone:  # both kinds of decisions occur, so that a difference would show
         assert {"start", "reject"} <= {act[0] for act in acts}
-    assert play(told, other) == alone
+    assert simulate(first_settings, second_settings) == alone
--- a/tests/admission/test_policy_files.py
+++ b/tests/admission/test_policy_files.py
@@ -1,10 +1,10 @@
-"""The files with decisions are those that the deploy file lists under `policy`."""
+"""Checks that `deploy/balancer.toml` lists each module that makes decisions under `policy`."""
 
 import tomllib
 
 from helpers import ROOT
 
-WITHOUT_DECISIONS = {
+MODULES_WITHOUT_DECISIONS = {
     "__init__",
     "actions",
     "capacity",
@@ -23,4 +23,4 @@
 def test_every_module_of_the_admission_package_is_a_policy_file_or_has_no_decisions():
     modules = {path.stem for path in (ROOT / "vetchford/admission").glob("*.py")}
     listed = {path.stem for path in policy_files()}
-    assert modules == listed | WITHOUT_DECISIONS and not listed & WITHOUT_DECISIONS
+    assert modules == listed | MODULES_WITHOUT_DECISIONS and not listed & MODULES_WITHOUT_DECISIONS
--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -1,6 +1,7 @@
-"""Without bulkheads the controller acts as it did before there were any: digests of its acts, recorded then.
+"""Checks that the controller without bulkheads acts as it did before bulkheads were introduced.
 
-The histories are generated, with fixed seeds. A change of decisions on purpose records them anew and says so.
+Digests of its actions in simulations with fixed seeds were recorded then. A commit that changes decisions on
+purpose records new digests and says so.
 """
 
 import hashlib
@@ -12,7 +13,7 @@
 from vetchford.admission.request import RequestState
 from vetchford.admission.settings import Effect, LoadSignal
 
-# The digests were recorded when these acts had other names.
+# The names that these actions had when the digests were recorded.
 RECORDED_NAMES = {
     "fail": "abandon",
     "publish_load": "stamp",
@@ -36,14 +37,14 @@
 }
 
 
-def kept(value):
+def rounded(value):
     return round(value, 6) if isinstance(value, float) else value
 
 
 def digest_of_a_history(seed, crowded, bulkheads=None):
-    """One digest over each act, its arguments and its moment."""
-    chance, host, acts = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
-    stages = [
+    """Return a digest of the time, name and arguments of each action in a simulation."""
+    rng, actions, digest = random.Random(seed), Recorder(), hashlib.blake2b(digest_size=12)
+    classes = [
         request_class(skip_fraction=0.3),
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
         request_class(
@@ -54,9 +55,9 @@
             late_fraction=0.2,
         ),
     ]
-    server = new_controller(
-        host,
-        classes=stages,
+    controller = new_controller(
+        actions,
+        classes=classes,
         share=2.0 if crowded else None,
         memory=20_000.0 if crowded else 1e6,
         quotas=(0.01, 0.02),
@@ -65,67 +66,73 @@
         clients=4,
         bulkheads=bulkheads,
     )
-    count, told = 0, 0
+    arrival_count, action_count = 0, 0
     for step in range(3000):
-        host.now = now = step * 5.0
+        actions.now = now = step * 5.0
         if step == 2600:
-            server.start_draining(now, now + 2000.0)
-        arrivals = chance.choice((0, 0, 1, 2, 5) if crowded else (0, 0, 0, 0, 1))
+            controller.start_draining(now, now + 2000.0)
+        arrivals = rng.choice((0, 0, 1, 2, 5) if crowded else (0, 0, 0, 0, 1))
         for _ in range(arrivals if step < 2800 else 0):
-            kind, first = chance.randrange(3), None
-            if kind == 1 and chance.random() < 0.2:
-                first = next(
-                    (q for q, request in server.workload.requests.items() if request.key_expires_at_ms > now),
+            class_index, original = rng.randrange(3), None
+            if class_index == 1 and rng.random() < 0.2:
+                original = next(
+                    (
+                        index
+                        for index, request in controller.workload.requests.items()
+                        if request.key_expires_at_ms > now
+                    ),
                     None,
                 )
-            count += 1
-            limit_at = now + 0.5 * stages[kind].timeout_ms if chance.random() < 0.5 else None
+            arrival_count += 1
+            client_deadline = now + 0.5 * classes[class_index].timeout_ms if rng.random() < 0.5 else None
             send(
-                server,
+                controller,
                 now,
-                count,
-                kind,
-                client=chance.randrange(4),
-                tenant=chance.randrange(-1, 2),
-                deadline=limit_at,
-                work=chance.choice((None, 5.0, 40.0, 200.0)),
-                size=chance.randint(5, 60),
-                is_retry=chance.random() < 0.2,
-                queued_for=chance.choice((0.0, 3.0, 400.0)),
-                original=first,
+                arrival_count,
+                class_index,
+                client=rng.randrange(4),
+                tenant=rng.randrange(-1, 2),
+                deadline=client_deadline,
+                work=rng.choice((None, 5.0, 40.0, 200.0)),
+                size=rng.randint(5, 60),
+                is_retry=rng.random() < 0.2,
+                queued_for=rng.choice((0.0, 3.0, 400.0)),
+                original=original,
             )
-        for q, request in list(server.workload.requests.items()):
-            luck = chance.random()
-            if server.workload.requests.get(q) is not request:
+        for index, request in list(controller.workload.requests.items()):
+            draw = rng.random()
+            if controller.workload.requests.get(index) is not request:
                 continue
-            if request.state == RequestState.EXECUTING and luck < 0.05:
-                server.run_ended(now, q, chance.choice(("completed", "errored")), chance.uniform(5.0, 400.0))
-            elif request.state == RequestState.EXECUTING and luck < 0.08:
-                server.run_blocked(now, q)
-            elif request.state == RequestState.CALLING and luck < 0.05:
-                server.call_ended(
+            if request.state == RequestState.EXECUTING and draw < 0.05:
+                controller.run_ended(
+                    now, index, rng.choice(("completed", "errored")), rng.uniform(5.0, 400.0)
+                )
+            elif request.state == RequestState.EXECUTING and draw < 0.08:
+                controller.run_blocked(now, index)
+            elif request.state == RequestState.CALLING and draw < 0.05:
+                controller.call_ended(
                     now,
-                    q,
-                    chance.choice(("completed", "saturated", "overdue", "errored")),
-                    chance.uniform(5.0, 300.0),
+                    index,
+                    rng.choice(("completed", "saturated", "overdue", "errored")),
+                    rng.uniform(5.0, 300.0),
                 )
-            elif request.state == RequestState.SHARING and luck < 0.05:
-                server.run_ended(now, q, "completed", 0.0)
-            elif not request.answered and luck > 0.9995:
-                server.client_gone(now, q)
-        for at in sorted(at for at in host.timers if at <= now):
-            host.timers.remove(at)
-            server.on_tick(now, chance.random(), server.workload.running + chance.random())
-        for act in host.acts:
+            elif request.state == RequestState.SHARING and draw < 0.05:
+                controller.run_ended(now, index, "completed", 0.0)
+            elif not request.answered and draw > 0.9995:
+                controller.client_gone(now, index)
+        for tick_at in sorted(each for each in actions.timers if each <= now):
+            actions.timers.remove(tick_at)
+            controller.on_tick(now, rng.random(), controller.workload.running + rng.random())
+        for act in actions.acts:
             name, *arguments = act
             name = RECORDED_NAMES.get(name, name)
-            acts.update(repr((now, name, *map(kept, arguments))).encode())
-            told += 1
-        host.acts.clear()
-    assert told > 1000
-    return acts.hexdigest()
+            digest.update(repr((now, name, *map(rounded, arguments))).encode())
+            action_count += 1
+        actions.acts.clear()
+    assert action_count > 1000
+    return digest.hexdigest()
 
 
 @pytest.mark.parametrize(("seed", "crowded"), RECORDED)
-def test_without_bulkheads_every_act_is_as_recorded(seed, crowded):
+def test_without_bulkheads_every_action_is_as_recorded(seed, crowded):
     assert digest_of_a_history(seed, crowded) == RECORDED[seed, crowded]
--- a/tests/admission/test_rejection_reasons.py
+++ b/tests/admission/test_rejection_reasons.py
@@ -1,4 +1,4 @@
-"""Each rejection names the rule that gave it, and the on-call page leads from its counter to that rule."""
+"""Checks that each rejection names its rule, and that the on-call page maps counters to rules."""
 
 import importlib
 import re
@@ -10,12 +10,14 @@
 from vetchford.admission.settings import Effect
 from vetchford.server.server_actions import REASON_COUNTERS
 
-ROW = re.compile(r"^\| `(rejection_\w+)` \| `(\w+)` \| `([\w.]+)` \| ([^|]+) \| ([^|]+) \|$", re.MULTILINE)
+TABLE_ROW = re.compile(
+    r"^\| `(rejection_\w+)` \| `(\w+)` \| `([\w.]+)` \| ([^|]+) \| ([^|]+) \|$", re.MULTILINE
+)
 STATE_COUNTERS = {"rejected_at_door", "rejected_held", "rejected_stalled", "rejected_draining"}
 
 
 def resolve(path):
-    """The function below `vetchford` that a dotted path names."""
+    """Return the function that a dotted path below `vetchford` names."""
     parts = path.split(".")
     found = importlib.import_module("vetchford." + ".".join(parts[:2]))
     for name in parts[2:]:
@@ -24,84 +26,84 @@
 
 
 @pytest.mark.parametrize("reason", RejectionReason)
-def test_a_reason_names_a_function_that_exists_and_no_other_reason_does(reason):
+def test_each_reason_names_a_function_that_exists_and_that_no_other_reason_names(reason):
     assert callable(resolve(reason.value))
     assert [each for each in RejectionReason if each.value == reason.value] == [reason]
 
 
 def test_the_on_call_table_has_each_reason_with_its_counter_and_its_function():
-    rows = ROW.findall((ROOT / "docs/on-call.md").read_text())
-    told = {RejectionReason[name]: (counter, function) for counter, name, function, _, _ in rows}
+    rows = TABLE_ROW.findall((ROOT / "docs/on-call.md").read_text())
+    documented = {RejectionReason[name]: (counter, function) for counter, name, function, _, _ in rows}
     assert len(rows) == len(RejectionReason)
-    assert told == {reason: (REASON_COUNTERS[reason], reason.value) for reason in RejectionReason}
+    assert documented == {reason: (REASON_COUNTERS[reason], reason.value) for reason in RejectionReason}
     for row in rows:
         named = set(re.findall(r"`(\w+)`", row[3]))
         assert named and named <= STATE_COUNTERS
 
 
-def test_counters_of_reasons_are_apart_from_those_that_load_reports_add_up():
-    # What begins with `rejected_` is counted as one rejection each in the load reports of a fleet.
+def test_counters_of_reasons_are_not_among_those_that_load_reports_add_up():
+    # The load reports of a fleet add up all counters whose names begin with `rejected_`.
     assert not [name for name in REASON_COUNTERS.values() if name.startswith("rejected_")]
     assert len(set(REASON_COUNTERS.values())) == len(RejectionReason)
 
 
-def rejected_after_grace(server):
-    server.start_draining(0.0, 9000.0)
-    send(server, 2500.0, 0)
+def rejected_after_grace(controller):
+    controller.start_draining(0.0, 9000.0)
+    send(controller, 2500.0, 0)
 
 
-def rejected_by_deadline(server):
-    send(server, 0.0, 0, deadline=50.0)
+def rejected_by_deadline(controller):
+    send(controller, 0.0, 0, deadline=50.0)
 
 
-def rejected_by_deadline_in_the_queue(server):
-    server.workload.running = 100
-    send(server, 0.0, 0)
-    server.workload.requests[0].deadline_ms = 60.0
-    server.on_tick(50.0, None, None)
+def rejected_by_deadline_in_the_queue(controller):
+    controller.workload.running = 100
+    send(controller, 0.0, 0)
+    controller.workload.requests[0].deadline_ms = 60.0
+    controller.on_tick(50.0, None, None)
 
 
-def rejected_by_objective(server):
-    send(server, 0.0, 1)
-    server.run_ended(9000.0, 1, "completed", 9000.0)
-    send(server, 9100.0, 0)
+def rejected_by_latency_objective(controller):
+    send(controller, 0.0, 1)
+    controller.run_ended(9000.0, 1, "completed", 9000.0)
+    send(controller, 9100.0, 0)
 
 
-def rejected_by_objective_in_the_queue(server):
-    server.workload.running = 100
-    send(server, 0.0, 0)
-    server.health.last_progress_at_ms = 1900.0
-    server.on_tick(1900.0, None, None)
+def rejected_by_latency_objective_in_the_queue(controller):
+    controller.workload.running = 100
+    send(controller, 0.0, 0)
+    controller.health.last_progress_at_ms = 1900.0
+    controller.on_tick(1900.0, None, None)
 
 
-def rejected_by_memory(server):
-    send(server, 0.0, 0, size=90_000)
+def rejected_by_memory(controller):
+    send(controller, 0.0, 0, size=90_000)
 
 
-def rejected_by_stall(server):
-    server.health.stalled = True
-    send(server, 0.0, 0)
+def rejected_by_stall(controller):
+    controller.health.stalled = True
+    send(controller, 0.0, 0)
 
 
-def rejected_by_node_bytes(server):
-    server.workload.running = 100
-    server.workload.in_flight.clearable_bytes = 15.0
-    send(server, 0.0, 1, client=0)
-    send(server, 0.0, 0, client=0)
+def rejected_by_node_bytes(controller):
+    controller.workload.running = 100
+    controller.workload.in_flight.clearable_bytes = 15.0
+    send(controller, 0.0, 1, client=0)
+    send(controller, 0.0, 0, client=0)
 
 
-def rejected_by_client_bytes(server):
-    server.workload.running = 100
-    server.workload.in_flight.clearable_bytes = 40.0
-    send(server, 0.0, 1, client=1, size=2)
-    send(server, 0.0, 2, client=0, size=25)
-    send(server, 0.0, 0, client=0, size=10)
+def rejected_by_client_bytes(controller):
+    controller.workload.running = 100
+    controller.workload.in_flight.clearable_bytes = 40.0
+    send(controller, 0.0, 1, client=1, size=2)
+    send(controller, 0.0, 2, client=0, size=25)
+    send(controller, 0.0, 0, client=0, size=10)
 
 
-def rejected_for_its_repeat(server):
-    server.workload.running = 100
-    send(server, 0.0, 0, kind=1)
-    send(server, 10.0, 1, kind=1, original=0)
+def rejected_in_favour_of_a_repeat(controller):
+    controller.workload.running = 100
+    send(controller, 0.0, 0, kind=1)
+    send(controller, 10.0, 1, kind=1, original=0)
 
 
 CASES = [
@@ -109,12 +111,12 @@
     (rejected_by_stall, RejectionReason.STALLED),
     (rejected_by_deadline, RejectionReason.DEADLINE),
     (rejected_by_deadline_in_the_queue, RejectionReason.DEADLINE),
-    (rejected_by_objective, RejectionReason.LATENCY_OBJECTIVE),
-    (rejected_by_objective_in_the_queue, RejectionReason.LATENCY_OBJECTIVE),
+    (rejected_by_latency_objective, RejectionReason.LATENCY_OBJECTIVE),
+    (rejected_by_latency_objective_in_the_queue, RejectionReason.LATENCY_OBJECTIVE),
     (rejected_by_memory, RejectionReason.MEMORY),
     (rejected_by_node_bytes, RejectionReason.NODE_BYTES),
     (rejected_by_client_bytes, RejectionReason.CLIENT_BYTES),
-    (rejected_for_its_repeat, RejectionReason.SUPERSEDED),
+    (rejected_in_favour_of_a_repeat, RejectionReason.SUPERSEDED),
 ]
 
 
@@ -122,9 +124,9 @@
     assert {reason for _, reason in CASES} == set(RejectionReason)
 
 
-@pytest.mark.parametrize(("happen", "reason"), CASES)
-def test_a_rejection_names_the_rule_that_gave_it(happen, reason):
+@pytest.mark.parametrize(("cause_rejection", "reason"), CASES)
+def test_a_rejection_names_the_rule_that_gave_it(cause_rejection, reason):
     actions = Recorder()
     classes = [request_class(), request_class(effect=Effect.IDEMPOTENT_BY_KEY)]
-    happen(new_controller(actions, classes=classes))
+    cause_rejection(new_controller(actions, classes=classes))
     assert set(actions.reasons.values()) == {reason}
