--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -10,7 +10,7 @@
 import pytest
 
 from vetchford.bulkheads.bulkheads import BulkheadSet
-from vetchford.bulkheads.fair_share import MAX_CREDIT_MS, ROUNDING
+from vetchford.bulkheads.fair_share import MAX_CREDIT_MS, ROUNDING_TOLERANCE
 from vetchford.bulkheads.settings import BulkheadSettings
 
 SHARES = ((0.25, 0.25, 0.5), (0.125, 0.375, 0.5), (0.5, 0.5), (0.25, 0.75), (0.125, 0.125, 0.25, 0.5))
@@ -50,7 +50,7 @@
         for _, pool, step, whole in self.moments:
             if pool == p:
                 count += step
-                if step > 0 and count > max(1.0, self.shares[p] * whole) + ROUNDING:
+                if step > 0 and count > max(1.0, self.shares[p] * whole) + ROUNDING_TOLERANCE:
                     out += 1
                 elif step < 0 and out:
                     out -= 1
@@ -58,7 +58,7 @@
 
     def free_for(self, p, whole, settings):
         mine = self.in_use(p)
-        if mine + 1 <= max(1.0, self.shares[p] * whole) + ROUNDING:
+        if mine + 1 <= max(1.0, self.shares[p] * whole) + ROUNDING_TOLERANCE:
             return True
         if not settings[p].borrows:
             return False
@@ -68,7 +68,7 @@
             for o in range(len(settings))
             if o != p and not settings[o].lends
         )
-        return total + kept <= whole - ROUNDING
+        return total + kept <= whole - ROUNDING_TOLERANCE
 
     def next(self, now, candidates):
         clocks = self.clocks(now)
@@ -156,7 +156,7 @@
             taken = sum(slots.in_use(p) for p in range(len(shares)))
             main = (
                 [p for p in candidates if slots.free_for(p, whole, settings)]
-                if taken + ROUNDING <= whole
+                if taken + ROUNDING_TOLERANCE <= whole
                 else []
             )
             spare = (
@@ -208,7 +208,7 @@
             able = [
                 p
                 for p in sorted({o.bulkhead for o in must})
-                if calls.in_use(p) + 1 <= bulkheads.calls.limits[p].limit + ROUNDING
+                if calls.in_use(p) + 1 <= bulkheads.calls.limits[p].limit + ROUNDING_TOLERANCE
                 and calls.free_for(p, 4.0, settings)
             ]
             chosen = calls.next(now, able)
--- a/vetchford/bulkheads/__init__.py
+++ b/vetchford/bulkheads/__init__.py
@@ -1,5 +1,6 @@
-"""Bulkheads: request classes isolated by slots, bytes and calls of their own, lent while idle, and a reserve.
+"""Bulkheads isolate request classes: each has a share of slots, bytes and calls, and may reserve slots.
 
-`bulkheads` and its parts decide, without I/O; `builder` makes them from a declared record,
-`bulkhead_capacity` puts them under the admission controller. A server without bulkheads imports none of it.
+Idle shares are lent to other bulkheads. `bulkheads` and the modules that it uses make the decisions, without
+I/O; `builder` builds bulkheads from declared settings, and `bulkhead_capacity` connects them to the admission
+controller. A server without bulkheads imports nothing of this package.
 """
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -1,7 +1,7 @@
-"""The controller's `Capacity` where it is divided into bulkheads.
+"""The implementation of the controller's `Capacity` that divides it into bulkheads.
 
-Translates between requests and the bulkheads' indices and counts; `BulkheadSet` decides. Called on the thread
-that owns the controller; times are milliseconds.
+Translates requests into bulkhead indices and counts; `BulkheadSet` makes the decisions. Called only on the
+thread that owns the controller; times are milliseconds.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class BulkheadCapacity:
-    """Implements `vetchford.admission.capacity.Capacity`, which says what each method is for."""
+    """Implements `vetchford.admission.capacity.Capacity`, which documents the methods."""
 
     workload: Workload
 
@@ -26,31 +26,31 @@
         self.bulkheads.attach(workload.classes, workload.dependency)
 
     def arrived(self, request: Request) -> None:
-        """Count its bytes."""
+        """Count the request's bytes."""
         self.bulkheads.bytes.arrived(request.bulkhead, request.size_bytes)
 
     def answered(self, request: Request) -> None:
-        """Count its bytes as answered."""
+        """Count the request's bytes as answered."""
         self.bulkheads.bytes.answered(request.bulkhead, request.size_bytes)
 
     def released(self, request: Request) -> None:
-        """Count its memory as free."""
+        """Count the request's memory as free."""
         self.bulkheads.bytes.released(request.bulkhead, request.size_bytes)
 
     def run_started(self, now_ms: float, request: Request, slots: float) -> None:
-        """Take a slot, or a reserved one."""
+        """Take a shared slot, or a reserved slot of the request's bulkhead."""
         self.bulkheads.run_started(now_ms, request.bulkhead, slots, self._extra_bytes(request))
 
     def run_resumed(self, now_ms: float, request: Request) -> None:
-        """Take a slot, whether or not one is free."""
+        """Take a shared slot, whether or not one is free."""
         self.bulkheads.slots.run_resumed(now_ms, request.bulkhead, self.workload.slots())
 
     def run_blocked(self, now_ms: float, request: Request) -> None:
-        """Give the slot back."""
+        """Return the run's slot."""
         self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
 
     def run_ended(self, now_ms: float, request: Request) -> None:
-        """Give back its slot or its call, and its memory as an executing request."""
+        """Return the run's slot or end its call, and free the memory that the run added."""
         if request.state == RequestState.EXECUTING:
             self.bulkheads.slots.run_left_cores(now_ms, request.bulkhead)
         elif request.state == RequestState.CALLING:
@@ -62,36 +62,36 @@
         self.bulkheads.calls.call_started(now_ms, request.bulkhead, request.index, self._call_limit())
 
     def call_ended(self, now_ms: float, request: Request, took_ms: float | None, rejected: bool) -> None:
-        """Count the call back and adapt the bulkhead's limit."""
+        """Count the call as ended and update the bulkhead's limit."""
         self.bulkheads.calls.call_ended(now_ms, request.bulkhead, request.index, took_ms, rejected)
 
     def on_tick(self, now_ms: float) -> None:
-        """Regroup derived bulkheads where it is time."""
+        """Regroup derived bulkheads if it is time."""
         self.bulkheads.on_tick(now_ms)
 
     def queue_delay_ms(self, now_ms: float, request: Request) -> float:
-        """Behind the requests of its own bulkhead with the same priority or a higher one."""
+        """Return the wait behind requests of the same bulkhead with the same or a higher priority."""
         priority = self.workload.priority
         own = priority(request)
         ahead = [other for other in self._queued(request) if priority(other) >= own]
         return self._delay_behind(now_ms, request, ahead)
 
     def backlog_ms(self, request: Request) -> float:
-        """Behind all queued requests of its own bulkhead."""
-        # The question comes without a time. That at which the use of slots was last accounted for stands for
-        # it, and serves only to say for how long the oldest call is out.
+        """Return the wait behind all queued requests of the same bulkhead."""
+        # No time is given to this method. The time of the last slot accounting replaces it, and is used only
+        # to compute how long the oldest call has been in flight.
         accounted_at_ms = self.bulkheads.slots.fair_share.updated_at_ms
         return self._delay_behind(accounted_at_ms, request, self._queued(request))
 
     def has_room(self, request: Request) -> bool:
-        """By its bulkhead's part of the bytes, and what others lend."""
+        """Compare the unanswered bytes with the bulkhead's share, and with what other bulkheads lend."""
         in_flight = self.workload.in_flight
         return self.bulkheads.bytes.has_room(
             request.bulkhead, in_flight.unanswered_bytes, in_flight.clearable_bytes
         )
 
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
-        """Those of bulkheads beyond their part; the request itself only where its own is."""
+        """Return requests of bulkheads over their share; the arriving one only if its own is over."""
         sharing = self.bulkheads.bytes
         clearable_bytes = self.workload.in_flight.clearable_bytes
         is_within_share = sharing.is_within_share(request.bulkhead, clearable_bytes)
@@ -99,14 +99,14 @@
         return sharing.eviction_candidates(request.bulkhead, candidates, clearable_bytes)
 
     def memory_fits(self, request: Request, more_bytes: float) -> bool:
-        """By its bulkhead's part of the memory, and what others lend."""
+        """Compare the memory with the bulkhead's share, and with what other bulkheads lend."""
         in_flight = self.workload.in_flight
         return self.bulkheads.bytes.memory_fits(
             request.bulkhead, more_bytes, in_flight.used_bytes, in_flight.usable_bytes
         )
 
     def startable(self, now_ms: float, slots: float, blocked: set[int]) -> Sequence[Request]:
-        """The queued requests of the bulkhead whose turn it is."""
+        """Return the queued requests of the bulkhead that starts a run next."""
         workload = self.workload
         return self.bulkheads.startable(
             now_ms,
@@ -119,19 +119,19 @@
         )
 
     def callable(self, now_ms: float) -> Sequence[Request]:
-        """The waiting requests of the bulkhead whose turn it is."""
+        """Return the waiting requests of the bulkhead that makes a call next."""
         return self.bulkheads.calls.callable(now_ms, self.workload.waiting.values(), self._call_limit())
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
-        """By its bulkhead's call budget, or when an answer would come too late."""
+        """Return the end of the bulkhead's call budget, or the time when an answer would be too late."""
         return self.bulkheads.calls.call_cutoff_ms(now_ms, request)
 
     def should_skip(self, request: Request) -> bool:
-        """Where its bulkhead's queue for calls is long, or one that must call waits."""
+        """Skip if the bulkhead's queue for calls is long, or if a request waits that must call."""
         return self.bulkheads.calls.decide_skip(request.bulkhead, self.workload.waiting.values())
 
     def dependency_wait_ms(self, now_ms: float, request: Request) -> float:
-        """By the calls of its bulkhead."""
+        """Estimate the wait from the calls of the request's bulkhead."""
         return self.bulkheads.calls.dependency_wait_ms(now_ms, request.bulkhead, self._queued_calls(request))
 
     def _extra_bytes(self, request: Request) -> float:
--- a/vetchford/bulkheads/bulkhead_metrics.py
+++ b/vetchford/bulkheads/bulkhead_metrics.py
@@ -1,6 +1,6 @@
-"""What the bulkheads' limits did, as counts on the summary line and as log events.
+"""Counters on the summary line and log events for the bulkheads' limits.
 
-The names of the counts and events are the operators'.
+Operators rely on the names of the counters and events.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,13 +19,13 @@
 
 
 class BulkheadMetrics:
-    """Observes a `BulkheadSet`: counts by the bulkhead's name, of which there are 17 at most.
+    """Observes a `BulkheadSet` and counts by bulkhead name, of which there are at most 17.
 
-    For the thread that owns the controller.
+    Used only on the thread that owns the controller.
     """
 
     def __init__(self, metrics: Metrics, class_names: Sequence[str]) -> None:
-        """`class_names`: by class index; `names`, by bulkhead, is to be set before the first event."""
+        """Use `class_names`, by class index; set `names`, by bulkhead index, before the first event."""
         self.metrics = metrics
         self.class_names = class_names
         self.names: list[str] = []
@@ -34,23 +34,26 @@
         return self.metrics.increment(f"pool_{self.names[bulkhead]}_{event}")
 
     def borrowed(self, bulkhead: int, resource: Resource) -> None:
-        """Counted as `borrowed_...`."""
+        """Count the event as `borrowed_...`."""
         self._increment(bulkhead, f"borrowed_{resource}")
 
     def returned(self, bulkhead: int, resource: Resource) -> None:
-        """Counted as `returned_...`."""
+        """Count the event as `returned_...`."""
         self._increment(bulkhead, f"returned_{resource}")
 
     def reserve_used(self, bulkhead: int) -> None:
-        """Counted as `reserve_used`."""
+        """Count the event as `reserve_used`."""
         self._increment(bulkhead, "reserve_used")
 
     def limit_reached(self, bulkhead: int, resource: Resource) -> None:
-        """Counted as `bound_...`."""
+        """Count the event as `bound_...`."""
         self._increment(bulkhead, f"bound_{resource}")
 
     def call_limit_changed(self, bulkhead: int, reason: LimitChange, limit: float) -> None:
-        """Counted as `calls_...`; logged the 1st, 2nd, 4th ... time, as all that a peer can provoke."""
+        """Count the change as `calls_...`.
+
+        It is logged the 1st, 2nd, 4th ... time, like all events that a peer can provoke.
+        """
         count = self._increment(bulkhead, f"calls_{reason.value}")
         if count & (count - 1) == 0:
             log.info(
@@ -62,7 +65,7 @@
             )
 
     def regrouped(self, bulkhead_of_class: Sequence[int]) -> None:
-        """Logged."""
+        """Log the new bulkhead of each class."""
         pairs = zip(self.class_names, bulkhead_of_class, strict=True)
         log.info(
             "pools_regrouped", stages=",".join(f"{name}:{self.names[bulkhead]}" for name, bulkhead in pairs)
@@ -72,7 +75,7 @@
 def capacity(
     classes: Sequence[RequestClassSettings], declared: str | Mapping[str, Any], metrics: Metrics
 ) -> BulkheadCapacity | None:
-    """The divided capacity of a server with these request classes; None where it is not divided."""
+    """Return the capacity divided into the declared bulkheads; None if there are no bulkheads."""
     names = [each.name for each in classes]
     observer = BulkheadMetrics(metrics, names)
     effects = [each.effect for each in classes]
--- a/vetchford/bulkheads/bulkheads.py
+++ b/vetchford/bulkheads/bulkheads.py
@@ -1,13 +1,14 @@
-"""All bulkheads of one server. No I/O; times in ms, given by the caller.
+"""All bulkheads of one server. No I/O; the caller gives times, in milliseconds.
 
-Three resources are divided, each by the bulkheads' shares of it:
+Three resources are divided by the bulkheads' shares:
 
-  `SlotSharing`  The bulkhead that has used the least time for its share starts next; what one leaves idle
-                 others use, and it is next when it returns. On top, each may have a reserve.
-  `ByteSharing`  A bulkhead is always admitted up to its share, beyond it only into what others leave.
-  `CallSharing`  As the slots, and each bulkhead has a limit of its own that follows what is answered.
+  `SlotSharing`  The bulkhead that has used the least slot time for its share starts a run next. Other
+                 bulkheads use the slots that a bulkhead leaves idle; when it has requests again, it is next.
+                 Each bulkhead may also have reserved slots.
+  `ByteSharing`  A bulkhead may always use its share, and beyond its share what others leave.
+  `CallSharing`  Like slots; each bulkhead also has its own limit, which follows the answers to its calls.
 
-`BulkheadSet` distributes events to the three, and answers what concerns more than one of them.
+`BulkheadSet` passes events to the three, and decides what involves more than one of them.
 """
 
 import math
@@ -17,7 +18,7 @@
 from vetchford.admission.request import Request, RequestClass
 from vetchford.bulkheads.byte_sharing import ByteSharing
 from vetchford.bulkheads.call_sharing import CallSharing
-from vetchford.bulkheads.classification import regrouped
+from vetchford.bulkheads.classification import regroup
 from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings
 from vetchford.bulkheads.slot_sharing import SlotSharing
 
@@ -25,9 +26,9 @@
 
 
 class BulkheadSet:
-    """The bulkheads and what they use. The controller reports events to it and asks before it acts.
+    """The bulkheads and the resources that they use; the controller reports events and asks for decisions.
 
-    Not thread-safe: for the thread that owns the controller.
+    Used only on the thread that owns the controller.
     """
 
     def __init__(
@@ -37,13 +38,13 @@
         bulkhead_of_class: Sequence[int],
         derive: bool = False,
     ) -> None:
-        """Begin with no request.
+        """Start without requests.
 
         Args:
-            observer: Notified when a limit acts.
-            settings: Of each bulkhead; their index is the bulkhead's.
+            observer: Notified when a limit applies or changes.
+            settings: Settings of each bulkhead, by bulkhead index.
             bulkhead_of_class: The bulkhead of each request class, by class index.
-            derive: Whether classes move between bulkheads by what their runs turn out to be.
+            derive: Whether classes move between bulkheads according to their measured run times.
         """
         self.observer = observer
         self.settings = list(settings)
@@ -56,7 +57,7 @@
         self.classes: Sequence[RequestClass] = ()
 
     def attach(self, classes: Sequence[RequestClass], dependency: DependencyConcurrencyLimit | None) -> None:
-        """Assign the classes; the server's own gradient on calls is replaced by the bulkheads' limits."""
+        """Assign the classes; the bulkheads' limits replace the server's own gradient limit on calls."""
         self.classes = classes
         self._assign_classes()
         if dependency is not None:
@@ -66,21 +67,21 @@
     # -- events
 
     def run_started(self, now_ms: float, bulkhead: int, slots: float, extra_bytes: float) -> None:
-        """A run took a slot, or a reserved one; it uses so many bytes on top of its request."""
+        """Count a run that started: its slot, and the `extra_bytes` that it uses besides its request."""
         self.bytes.run_started(bulkhead, extra_bytes)
         self.slots.run_started(now_ms, bulkhead, slots)
 
     def run_ended(self, bulkhead: int, called: bool, extra_bytes: float) -> None:
-        """A run is over: its memory is free; `called`: it had asked for a call."""
+        """Count a run that ended, whose `extra_bytes` are free; `called`: whether it waited for a call."""
         self.bytes.run_ended(bulkhead, extra_bytes)
         self.calls.run_ended(bulkhead, called)
 
     def on_tick(self, now_ms: float) -> None:
-        """Move the classes of derived bulkheads where that is due; requests stay where they are."""
+        """Regroup the classes of derived bulkheads if it is time; requests keep their bulkhead."""
         if not self.derive or now_ms - self.regrouped_at_ms < REGROUP_INTERVAL_MS:
             return
         self.regrouped_at_ms = now_ms
-        bulkhead_of_class = regrouped(self.classes, self.bulkhead_of_class)
+        bulkhead_of_class = regroup(self.classes, self.bulkhead_of_class)
         if bulkhead_of_class != self.bulkhead_of_class:
             self.bulkhead_of_class = bulkhead_of_class
             self._assign_classes()
@@ -102,16 +103,16 @@
         max_running: float,
         blocked: set[int],
     ) -> list[Request]:
-        """The queued requests of the bulkhead that is to start one now; none where no bulkhead may.
+        """Return the queued requests of the bulkhead that starts a run next; empty if no bulkhead may.
 
         Args:
             now_ms: Time of the decision.
             queued: Requests that wait for a slot.
             waiting: Runs that wait for a dependency call.
-            running: Runs on the cores, reserves included.
-            slots: The server's own limit on them, without reserves.
-            max_running: How many the server survives, reserves included.
-            blocked: Bulkheads to be passed over.
+            running: Runs on the cores, including those on reserved slots.
+            slots: Number of shared slots.
+            max_running: Highest number of runs, including those on reserved slots.
+            blocked: Bulkheads to be left out.
         """
         candidates = self.calls.choose_startable(queued, waiting, blocked)
         bulkhead = self.slots.next_to_start(now_ms, candidates, running, slots, max_running)
@@ -127,15 +128,15 @@
         active: Iterable[int],
         queued_calls: int,
     ) -> float:
-        """How long until a request behind others of its bulkhead runs: the longer of their slots and calls.
+        """Return how long a request waits behind others of its bulkhead, for slots or calls if longer.
 
         Args:
-            now_ms: Time of the question.
-            bulkhead: Of the request.
-            work_ms: Run time of all those before it.
-            queued_runs: Their number.
-            slots: The server's own limit.
-            active: Bulkheads that have requests in the queue.
+            now_ms: Time of the estimate.
+            bulkhead: Bulkhead of the request.
+            work_ms: Total run time of the requests before it.
+            queued_runs: Number of requests before it.
+            slots: Number of shared slots.
+            active: Bulkheads that have queued requests.
             queued_calls: Runs of the bulkhead that wait for a call.
         """
         running_ms = work_ms / self.slots.available_slots(bulkhead, slots, active)
@@ -143,14 +144,14 @@
 
 
 class UnlimitedConcurrency(GradientConcurrencyLimit):
-    """Replaces the server's own gradient on calls: the limits of the bulkheads apply instead."""
+    """Replaces the server's gradient limit on calls, because the bulkheads' limits apply instead."""
 
     def __init__(self) -> None:
-        """Create a limit that never binds."""
+        """Create a limit that never applies."""
         super().__init__(math.inf, math.inf)
 
-    def observe(self, base: float, measured: float) -> None:
-        """Ignored: the limits of the bulkheads observe calls themselves."""
+    def observe(self, base_ms: float, measured_ms: float) -> None:
+        """Ignore the call: the bulkheads' limits count calls themselves."""
 
     def step(self, now_ms: float, ceiling: float, may_cut: bool, may_grow: bool) -> None:
-        """Never moves."""
+        """Leave the limit as it is."""
--- a/vetchford/bulkheads/byte_sharing.py
+++ b/vetchford/bulkheads/byte_sharing.py
@@ -1,7 +1,7 @@
-"""Whose request has room: unanswered bytes and memory, divided into bulkheads. No I/O.
+"""Divides unanswered bytes and memory into bulkheads. No I/O.
 
-A bulkhead is always admitted up to its share; beyond it only into what others leave, and whoever is beyond
-its share gives way first. `BulkheadSettings.keeps_bytes` says whose share stays free.
+A bulkhead may always use its share; beyond its share it may use what others leave, but its requests are
+evicted first. `BulkheadSettings.keeps_bytes` says whether an unused share stays free for its bulkhead.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,53 +11,53 @@
 
 
 class ByteSharing:
-    """Bytes in use by bulkhead. Not thread-safe: for the thread that owns the controller."""
+    """Bytes in use by each bulkhead. Used only on the thread that owns the controller."""
 
     def __init__(self, observer: BulkheadObserver, settings: Sequence[BulkheadSettings]) -> None:
-        """Begin with no request in memory."""
+        """Start without requests in memory."""
         self.observer = observer
         self.settings = settings
         total = sum(each.byte_share for each in settings)
         self.shares = [each.byte_share / total for each in settings]
         self.unanswered_bytes = [0] * len(settings)
-        self.used_bytes = [0.0] * len(settings)  # of memory, with what runs use on top
+        self.used_bytes = [0.0] * len(settings)  # memory of requests and their runs
 
     # -- events
 
     def arrived(self, bulkhead: int, size_bytes: int) -> None:
-        """A request was read."""
+        """Count a request that was read."""
         self.unanswered_bytes[bulkhead] += size_bytes
         self.used_bytes[bulkhead] += size_bytes
 
     def answered(self, bulkhead: int, size_bytes: int) -> None:
-        """A request needs no answer any more."""
+        """Count a request that needs no answer any more."""
         self.unanswered_bytes[bulkhead] -= size_bytes
 
     def released(self, bulkhead: int, size_bytes: float) -> None:
-        """The memory of a request is free."""
+        """Count the memory of a request as free."""
         self.used_bytes[bulkhead] -= size_bytes
 
     def run_started(self, bulkhead: int, extra_bytes: float) -> None:
-        """A run uses so much memory on top of its request."""
+        """Count the memory that a run uses besides its request."""
         self.used_bytes[bulkhead] += extra_bytes
 
     def run_ended(self, bulkhead: int, extra_bytes: float) -> None:
-        """A run gives back what it used on top."""
+        """Count the memory that a run used besides its request as free."""
         self.used_bytes[bulkhead] -= extra_bytes
 
     # -- rules
 
     def is_within_share(self, bulkhead: int, clearable_bytes: float) -> bool:
-        """Whether its unanswered bytes are within its share of those that the server clears in time."""
+        """Return whether the bulkhead's unanswered bytes are within its share of `clearable_bytes`."""
         return self.unanswered_bytes[bulkhead] <= self.shares[bulkhead] * clearable_bytes
 
     def has_room(self, bulkhead: int, unanswered_bytes: float, clearable_bytes: float) -> bool:
-        """Whether the newest request of a bulkhead has room; if not, an eviction candidate must go.
+        """Return whether the newest request of a bulkhead may stay; if not, a candidate must be evicted.
 
         Args:
-            bulkhead: Its bulkhead, in whose bytes it is counted already.
-            unanswered_bytes: Of all bulkheads.
-            clearable_bytes: Unanswered bytes that the server clears in time.
+            bulkhead: Bulkhead of the request, whose bytes already include the request.
+            unanswered_bytes: Unanswered bytes of all bulkheads.
+            clearable_bytes: Unanswered bytes that the server can answer in time.
         """
         if self.is_within_share(bulkhead, clearable_bytes):
             return unanswered_bytes <= clearable_bytes
@@ -70,9 +70,10 @@
     def eviction_candidates(
         self, bulkhead: int, queued: Iterable[Request], clearable_bytes: float
     ) -> list[Request]:
-        """The queued requests of which one makes room: of bulkheads beyond their share, its own first.
+        """Return the queued requests of which one is evicted: those of bulkheads over their share.
 
-        Empty where it is within its share and nobody else is beyond: it is admitted.
+        If the arriving request's own bulkhead is over its share, only its requests are returned. The result
+        is empty if no bulkhead is over its share; the request is then admitted.
         """
         if not self.is_within_share(bulkhead, clearable_bytes):
             self.observer.limit_reached(bulkhead, Resource.BYTES)
@@ -82,13 +83,13 @@
         return [request for request in queued if request.bulkhead in over_share]
 
     def memory_fits(self, bulkhead: int, more_bytes: float, used_bytes: float, memory_bytes: float) -> bool:
-        """Whether a bulkhead may use more memory: within its share, or into what no other keeps.
+        """Return whether a bulkhead may use more memory: within its share, or beyond if no other keeps it.
 
         Args:
-            bulkhead: That wants memory.
-            more_bytes: That it wants.
-            used_bytes: By all bulkheads.
-            memory_bytes: That all may use.
+            bulkhead: Bulkhead that requests memory.
+            more_bytes: Memory that it requests.
+            used_bytes: Memory in use by all bulkheads.
+            memory_bytes: Memory that all bulkheads may use.
         """
         if used_bytes + more_bytes > memory_bytes:
             return False
@@ -98,9 +99,9 @@
         return used_bytes + more_bytes + kept_bytes <= memory_bytes
 
     def _kept_by_others(self, bulkhead: int, total_bytes: float, taken_bytes: Sequence[float]) -> float:
-        """What others have of so many bytes, do not use and do not lend."""
+        """Return the unused bytes of the shares of `total_bytes` that stay free for other bulkheads."""
         return sum(
             max(0.0, self.shares[other] * total_bytes - taken_bytes[other])
-            for other, its in enumerate(self.settings)
-            if other != bulkhead and its.keeps_bytes()
+            for other, other_settings in enumerate(self.settings)
+            if other != bulkhead and other_settings.keeps_bytes()
         )
--- a/vetchford/bulkheads/call_sharing.py
+++ b/vetchford/bulkheads/call_sharing.py
@@ -1,6 +1,6 @@
-"""Whose dependency call goes out, and which is skipped: the calls, divided into bulkheads. No I/O.
+"""Divides dependency calls into bulkheads: which is made next, and which is skipped. No I/O.
 
-Each bulkhead has its share of the calls, and a limit of its own that follows what is answered
+Each bulkhead has a share of the concurrent calls, and its own limit that follows the answers to its calls
 (`AdaptiveLimit`).
 """
 
@@ -8,19 +8,22 @@
 
 from vetchford.admission.request import Request
 from vetchford.bulkheads.adaptive_limit import AdaptiveLimit, LimitChange
-from vetchford.bulkheads.fair_share import ROUNDING, FairShare
+from vetchford.bulkheads.fair_share import ROUNDING_TOLERANCE, FairShare
 from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings, Resource
 
-MIN_RUN_WEIGHT = 0.05  # of the newest run, in the mean of calls a run
-MIN_CALLS = 1.0  # that may be out, whatever the dependency's limit
-MIN_CALL_MS = 1.0  # for which a call that is late already is waited for
+MIN_RUN_WEIGHT = 0.05
+"""Lowest weight of the latest run in the mean of calls per run."""
+MIN_CALLS = 1.0
+"""Concurrent calls that are allowed whatever the dependency's limit."""
+MIN_CALL_MS = 1.0
+"""Shortest wait for a call whose answer is already late."""
 
 
 class CallSharing:
-    """Calls out by bulkhead. Not thread-safe: for the thread that owns the controller."""
+    """Calls in flight by bulkhead. Used only on the thread that owns the controller."""
 
     def __init__(self, observer: BulkheadObserver, settings: Sequence[BulkheadSettings]) -> None:
-        """Begin with no call out."""
+        """Start without calls in flight."""
         self.observer = observer
         self.settings = settings
         self.fair_share = FairShare([each.call_share for each in settings])
@@ -28,20 +31,20 @@
             AdaptiveLimit(float(each.max_calls), self._limit_observer(bulkhead))
             for bulkhead, each in enumerate(settings)
         ]
-        # Start times in ms of calls that are out, by request; emptied as they end.
+        # Start times of calls in flight, by request index; each is removed when its call ends.
         self.call_starts_ms: list[dict[int, float]] = [{} for _ in settings]
         self.calls_per_run = [0.0] * len(settings)  # recent mean
         self.runs_ended = [0] * len(settings)
 
     def cap_limits(self, maximum: float) -> None:
-        """Let no bulkhead have more calls out than the server may have."""
+        """Cap each bulkhead's limit at the `maximum` number of concurrent calls of the server."""
         for limit in self.limits:
             limit.cap(max(MIN_CALLS, maximum))
 
     # -- events
 
     def call_started(self, now_ms: float, bulkhead: int, index: int, calls: float) -> None:
-        """The call of the request `index` goes out, where so many may be out for all bulkheads."""
+        """Count a call that starts; `calls` is the limit on concurrent calls of all bulkheads."""
         self.call_starts_ms[bulkhead][index] = now_ms
         if self.fair_share.acquire(now_ms, bulkhead, calls):
             self.observer.borrowed(bulkhead, Resource.CALLS)
@@ -49,14 +52,14 @@
     def call_ended(
         self, now_ms: float, bulkhead: int, index: int, took_ms: float | None, rejected: bool
     ) -> None:
-        """A call ended, or is unanswered (`took_ms` None); `rejected`: the dependency did not run it."""
+        """Count a call that ended, or is unanswered (`took_ms` None); `rejected`: it never ran."""
         self.call_starts_ms[bulkhead].pop(index, None)
         if self.fair_share.release(now_ms, bulkhead):
             self.observer.returned(bulkhead, Resource.CALLS)
         self.limits[bulkhead].call_ended(now_ms, took_ms, rejected)
 
     def run_ended(self, bulkhead: int, called: bool) -> None:
-        """A run is over; `called`: it had asked for a call."""
+        """Count a run that ended; `called`: whether it waited for a call."""
         self.runs_ended[bulkhead] += 1
         weight = max(MIN_RUN_WEIGHT, 1.0 / self.runs_ended[bulkhead])
         self.calls_per_run[bulkhead] += weight * (called - self.calls_per_run[bulkhead])
@@ -66,10 +69,10 @@
     def choose_startable(
         self, queued: Iterable[Request], waiting: Iterable[Request], blocked: set[int]
     ) -> dict[int, list[Request]]:
-        """Choose the queued requests that may start, by bulkhead; `blocked` bulkheads are passed over.
+        """Return the queued requests that may start, by bulkhead, without `blocked` bulkheads.
 
-        What must call is not started into a queue as long as its bulkhead's limit: it would only wait. The
-        limit is told that it was reached.
+        A request that must call is left out if its bulkhead's queue for calls is as long as the limit, as its
+        run would only wait. The limit is notified that it was reached.
         """
         queued_calls = [0] * len(self.settings)
         for request in waiting:
@@ -87,15 +90,15 @@
         return startable
 
     def callable(self, now_ms: float, waiting: Iterable[Request], calls: float) -> list[Request]:
-        """The waiting requests of the bulkhead whose call goes out next; none where all are at their limits.
+        """Return the waiting requests of the bulkhead that calls next; empty if all are at their limits.
 
-        What may skip calls only while nothing waits that must, to which the dependency's time is worth more.
-        A limit that holds a call back is told so.
+        Requests that may skip their call are included only while no request waits that must call, because
+        the latter need the dependency more. A limit that makes a call wait is notified.
         """
         waiting = list(waiting)
-        first = [request for request in waiting if must_call(request)] or waiting
+        eligible = [request for request in waiting if must_call(request)] or waiting
         candidates: dict[int, list[Request]] = {}
-        for request in first:
+        for request in eligible:
             candidates.setdefault(request.bulkhead, []).append(request)
         self.fair_share.advance(now_ms)
         allowed = []
@@ -104,20 +107,20 @@
                 self._note_limit_reached(bulkhead)
             elif self.fair_share.may_acquire(bulkhead, max(MIN_CALLS, calls), self.settings):
                 allowed.append(bulkhead)
-        return candidates[self.fair_share.next(allowed)] if allowed else []
+        return candidates[self.fair_share.next_bulkhead(allowed)] if allowed else []
 
     def _is_at_limit(self, bulkhead: int) -> bool:
-        """Whether one more call would be beyond the bulkhead's own limit."""
-        return self.fair_share.in_use[bulkhead] + 1.0 > self.limits[bulkhead].limit + ROUNDING
+        """Return whether one more call would exceed the bulkhead's own limit."""
+        return self.fair_share.in_use[bulkhead] + 1.0 > self.limits[bulkhead].limit + ROUNDING_TOLERANCE
 
     def _note_limit_reached(self, bulkhead: int) -> None:
         self.limits[bulkhead].limit_reached()
         self.observer.limit_reached(bulkhead, Resource.CALLS)
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
-        """Clock time at which its call is abandoned: by the call budget, or when its answer would be late.
+        """Return when the request's call is abandoned: at the end of the call budget, or when too late.
 
-        A class that earns something for a late answer waits up to the deadline in place of the objective.
+        A call is too late after the latency objective, or after the deadline if late answers count.
         """
         useful_until_ms = max(request.objective_at_ms, now_ms + MIN_CALL_MS)
         if request.request_class.late_fraction:
@@ -125,9 +128,10 @@
         return min(now_ms + self.settings[request.bulkhead].call_budget_ms, useful_until_ms)
 
     def decide_skip(self, bulkhead: int, waiting: Iterable[Request]) -> bool:
-        """Decide whether a request that may skip its call does: more wait than may call, or one that must.
+        """Return whether a request that may skip its call skips it.
 
-        The observer is told where one that must call is the reason.
+        It does if more requests of its bulkhead wait than may call, or if any request waits that must call.
+        The observer is notified in the latter case.
         """
         waiting = list(waiting)
         if any(must_call(request) for request in waiting):
@@ -138,9 +142,10 @@
     # -- estimates
 
     def dependency_wait_ms(self, now_ms: float, bulkhead: int, queued_calls: int) -> float:
-        """How long a run of it will wait on calls: for its own, and for those queued before it.
+        """Return how long a run of the bulkhead will wait for calls: for its own, and for those before it.
 
-        Nothing where none of its calls is out: whatever was seen before, the next one tries anew.
+        The wait is 0 if no call of the bulkhead is in flight or queued, so that a next call is tried whatever
+        was measured before.
         """
         if not self.call_starts_ms[bulkhead] and not queued_calls:
             return 0.0
@@ -148,9 +153,9 @@
         return self.calls_per_run[bulkhead] * self._expected_call_ms(now_ms, bulkhead) * turns
 
     def queue_delay_ms(self, now_ms: float, bulkhead: int, queued_runs: int, queued_calls: int) -> float:
-        """How long until the calls of so many queued runs, and those queued already, are made.
+        """Return how long the calls of queued runs, and calls that are queued already, will take.
 
-        Nothing where none of its calls is out, as above.
+        The delay is 0 if no call of the bulkhead is in flight, for the reason given in `dependency_wait_ms`.
         """
         call_ms = self._expected_call_ms(now_ms, bulkhead)
         if not self.call_starts_ms[bulkhead]:
@@ -159,7 +164,7 @@
         return self.calls_per_run[bulkhead] * (queued_runs + queued_calls) * call_ms / limit
 
     def _expected_call_ms(self, now_ms: float, bulkhead: int) -> float:
-        """What a call takes just now; one that is out for longer tells more than those before it."""
+        """Return the recent call time, or the age of the oldest call in flight if that is longer."""
         oldest_start_ms = min(self.call_starts_ms[bulkhead].values(), default=now_ms)
         return max(self.limits[bulkhead].recent_time_ms, now_ms - oldest_start_ms)
 
@@ -168,5 +173,5 @@
 
 
 def must_call(request: Request) -> bool:
-    """Whether a run of the request needs its dependency call; the call of any other may be skipped."""
+    """Return whether a run of the request needs its dependency call and so may not skip it."""
     return not request.request_class.skip_fraction
--- a/vetchford/bulkheads/settings.py
+++ b/vetchford/bulkheads/settings.py
@@ -1,4 +1,4 @@
-"""Plain types of the bulkheads: what the operators set, and who is notified. No decisions."""
+"""Plain types of the bulkheads: settings, resources and the observer. No decisions."""
 
 import math
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class Resource(StrEnum):
-    """What is divided into bulkheads; the values are parts of the metrics' names."""
+    """The resources divided into bulkheads; the values are parts of metric names."""
 
     SLOTS = "slots"
     BYTES = "bytes"
@@ -20,44 +20,47 @@
 
 @dataclass(frozen=True, slots=True)
 class BulkheadSettings:
-    """One bulkhead. Shares count against the sum of all bulkheads' shares."""
+    """Settings of one bulkhead; a share is relative to the sum of all bulkheads' shares."""
 
     name: str
     slot_share: float
     byte_share: float
     call_share: float
     reserve: int = 0
-    """Slots beside the server's own limit, for this bulkhead alone."""
+    """Reserved slots: slots for this bulkhead alone, in addition to the shared slots."""
     lends: bool = True
-    """Whether others may use what it leaves idle."""
+    """Whether other bulkheads may use what this one leaves idle."""
     borrows: bool = True
-    """Whether it may use what others leave idle."""
+    """Whether this bulkhead may use what others leave idle."""
     max_calls: int = 64
     call_budget_ms: float = math.inf
     """Duration after which a call is abandoned."""
 
     def keeps_bytes(self) -> bool:
-        """Whether its share of the bytes stays free for it: it does not lend, or has a reserve to fill."""
+        """Return whether unused bytes of the share stay free for the bulkhead.
+
+        They do if the bulkhead does not lend, or if it has reserved slots, whose runs need memory.
+        """
         return not self.lends or self.reserve > 0
 
 
 class BulkheadObserver(Protocol):
-    """Notified when a limit of a bulkhead acted, on the thread that owns the controller."""
+    """Is notified of the limits of bulkheads, on the thread that owns the controller."""
 
     def borrowed(self, bulkhead: int, resource: Resource) -> None:
-        """It took more than its share."""
+        """Handle that a bulkhead took more than its share."""
 
     def returned(self, bulkhead: int, resource: Resource) -> None:
-        """It gave back what it had beyond its share."""
+        """Handle that a bulkhead gave back what it had taken beyond its share."""
 
     def reserve_used(self, bulkhead: int) -> None:
-        """A request started on a reserved slot."""
+        """Handle that a run started on a reserved slot."""
 
     def limit_reached(self, bulkhead: int, resource: Resource) -> None:
-        """A limit kept a request waiting, or made one skip its call or give way."""
+        """Handle that a limit made a request wait, skip its call or be evicted."""
 
     def call_limit_changed(self, bulkhead: int, reason: LimitChange, limit: float) -> None:
-        """Its limit on concurrent calls moved."""
+        """Handle that a bulkhead's limit on concurrent calls changed."""
 
     def regrouped(self, bulkhead_of_class: Sequence[int]) -> None:
-        """Request classes moved to other bulkheads."""
+        """Handle that request classes moved to other bulkheads."""
--- a/vetchford/bulkheads/slot_sharing.py
+++ b/vetchford/bulkheads/slot_sharing.py
@@ -1,18 +1,19 @@
-"""Whose request starts next: the slots, and the reserve beside them, divided into bulkheads. No I/O."""
+"""Divides slots into bulkheads: which starts a run next, on a shared or a reserved slot. No I/O."""
 
 from collections.abc import Iterable, Sequence
 
 from vetchford.bulkheads.fair_share import FairShare
 from vetchford.bulkheads.settings import BulkheadObserver, BulkheadSettings, Resource
 
-MIN_SLOTS = 0.05  # keeps estimates of delays finite
+MIN_SLOTS = 0.05
+"""Lowest number of slots in estimates, which keeps delays finite."""
 
 
 class SlotSharing:
-    """Slots in use by bulkhead. Not thread-safe: for the thread that owns the controller."""
+    """Slots in use by each bulkhead. Used only on the thread that owns the controller."""
 
     def __init__(self, observer: BulkheadObserver, settings: Sequence[BulkheadSettings]) -> None:
-        """Begin with all slots free."""
+        """Start with all slots free."""
         self.observer = observer
         self.settings = settings
         self.fair_share = FairShare([each.slot_share for each in settings])
@@ -21,7 +22,7 @@
     # -- events
 
     def run_started(self, now_ms: float, bulkhead: int, slots: float) -> None:
-        """A run takes one of so many slots where one is free for it, else one of its reserve."""
+        """Take one of `slots` shared slots for a run if its bulkhead may, else a reserved slot."""
         is_shared = self.fair_share.has_free(slots) and self.fair_share.may_acquire(
             bulkhead, slots, self.settings
         )
@@ -32,12 +33,12 @@
             self.run_resumed(now_ms, bulkhead, slots)
 
     def run_resumed(self, now_ms: float, bulkhead: int, slots: float) -> None:
-        """A run that had waited for a call is on the cores again, whether or not a slot is free."""
+        """Take a shared slot for a run that resumes after a call, whether or not one is free."""
         if self.fair_share.acquire(now_ms, bulkhead, slots):
             self.observer.borrowed(bulkhead, Resource.SLOTS)
 
     def run_left_cores(self, now_ms: float, bulkhead: int) -> None:
-        """A run gives its slot back; runs of a bulkhead are alike, so its reserve is free again first."""
+        """Free a slot of the bulkhead, a reserved slot first, as the bulkhead's runs are interchangeable."""
         if self.on_reserve[bulkhead]:
             self.on_reserve[bulkhead] -= 1
         elif self.fair_share.release(now_ms, bulkhead):
@@ -48,34 +49,34 @@
     def next_to_start(
         self, now_ms: float, candidates: Iterable[int], running: int, slots: float, max_running: float
     ) -> int | None:
-        """The bulkhead that starts a run now; None where none of the candidates may.
+        """Return the bulkhead that starts a run next; None if no candidate may.
 
-        The one furthest behind its share of the slots, else of those that have a reserve left: a reserve is
-        used only while the shared slots are taken.
+        That is the bulkhead with the lowest virtual time of those that may take a shared slot, else of those
+        with a free reserved slot. Reserved slots are used only while no shared slot can be taken.
 
         Args:
-            now_ms: Time by which the use of slots is accounted for.
+            now_ms: Time up to which the use of slots is accounted for.
             candidates: Bulkheads that have a request to start.
-            running: Runs on the cores, reserves included.
-            slots: The server's own limit on them, without reserves.
-            max_running: How many the server survives, reserves included.
+            running: Runs on the cores, including those on reserved slots.
+            slots: Number of shared slots.
+            max_running: Highest number of runs, including those on reserved slots.
         """
         candidates = list(candidates)
         self.fair_share.advance(now_ms)
         if self.fair_share.has_free(slots):
             allowed = [each for each in candidates if self.fair_share.may_acquire(each, slots, self.settings)]
             if allowed:
-                return self.fair_share.next(allowed)
+                return self.fair_share.next_bulkhead(allowed)
         if running + 1.0 <= max_running:
             with_reserve = [each for each in candidates if self._has_reserve(each)]
             if with_reserve:
-                return self.fair_share.next(with_reserve)
+                return self.fair_share.next_bulkhead(with_reserve)
         for bulkhead in candidates:
             self.observer.limit_reached(bulkhead, Resource.SLOTS)
         return None
 
     def available_slots(self, bulkhead: int, slots: float, active: Iterable[int]) -> float:
-        """Slots that it can count on while the `active` bulkheads want theirs; its reserve at least."""
+        """Return the slots of a bulkhead while the `active` bulkheads use theirs; at least its reserve."""
         shares = self.fair_share.shares
         active_share = sum(shares[other] for other in {bulkhead, *active})
         reserve = float(self.settings[bulkhead].reserve)
