--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -1,4 +1,4 @@
-"""The controller with bulkheads: whose request starts, has room, calls, and its retry delay."""
+"""The controller with bulkheads: which requests start, are evicted or call, and their retry-after."""
 
 import math
 
@@ -19,14 +19,14 @@
         self.events = []
 
     def __getattr__(self, name):
-        return lambda *given: self.events.append((name, *given))
+        return lambda *arguments: self.events.append((name, *arguments))
 
-    def count(self, *wanted):
-        return sum(entry[: len(wanted)] == wanted for entry in self.events)
+    def count(self, *event_start):
+        return sum(entry[: len(event_start)] == event_start for entry in self.events)
 
 
 def divided_controller(
-    actions, settings=None, observer=None, bulkhead_of_class=(0, 1, 2), classes=None, **given
+    actions, settings=None, observer=None, bulkhead_of_class=(0, 1, 2), classes=None, **arguments
 ):
     settings = settings or [
         BulkheadSettings("gate", 0.2, 0.2, 0.2, reserve=1),
@@ -42,55 +42,55 @@
         actions,
         classes=classes,
         bulkheads=BulkheadSet(observer or RecordingObserver(), settings, bulkhead_of_class),
-        **given,
+        **arguments,
     )
 
 
-def started(actions):
+def started_requests(actions):
     return [act[1] for act in actions.acts if act[0] == "start"]
 
 
-def test_a_request_starts_on_its_reserve_at_once_and_no_other_bulkhead_uses_it():
+def test_a_request_starts_on_a_reserved_slot_at_once_and_no_other_bulkhead_uses_that_slot():
     actions, observer = Recorder(), RecordingObserver()
-    server = divided_controller(actions, observer=observer)
-    server.workload.ceiling = 8.0
-    for q in range(6):
-        send(server, 0.0, q, kind=CHARGE)
-    assert started(actions) == [0, 1]
-    send(server, 1.0, 10, kind=CHECK)
-    assert started(actions) == [0, 1, 10] and observer.count("reserve_used", 0) == 1
-    send(server, 2.0, 11, kind=CHECK)
-    assert started(actions) == [0, 1, 10]  # one is its reserve
-    server.run_ended(30.0, 10, "completed", 28.0)
-    assert started(actions) == [0, 1, 10, 11]
-
-
-def test_a_bulkhead_alone_has_all_slots_and_their_owner_is_next_when_it_returns():
+    controller = divided_controller(actions, observer=observer)
+    controller.workload.ceiling = 8.0
+    for index in range(6):
+        send(controller, 0.0, index, kind=CHARGE)
+    assert started_requests(actions) == [0, 1]
+    send(controller, 1.0, 10, kind=CHECK)
+    assert started_requests(actions) == [0, 1, 10] and observer.count("reserve_used", 0) == 1
+    send(controller, 2.0, 11, kind=CHECK)
+    assert started_requests(actions) == [0, 1, 10]  # the bulkhead has one reserved slot
+    controller.run_ended(30.0, 10, "completed", 28.0)
+    assert started_requests(actions) == [0, 1, 10, 11]
+
+
+def test_a_sole_active_bulkhead_gets_all_slots_until_another_has_requests_again():
     actions, observer = Recorder(), RecordingObserver()
-    server = divided_controller(actions, observer=observer, cores=4)
-    for q in range(12):
-        send(server, 0.0, q, kind=CHARGE)
-    assert started(actions) == [0, 1, 2, 3] and observer.count("borrowed", 2, "slots") == 2
-    send(server, 100.0, 20, kind=QUOTE)
-    server.run_ended(100.0, 0, "completed", 100.0)
-    assert started(actions)[-1] == 20 and observer.count("returned", 2, "slots") == 1
+    controller = divided_controller(actions, observer=observer, cores=4)
+    for index in range(12):
+        send(controller, 0.0, index, kind=CHARGE)
+    assert started_requests(actions) == [0, 1, 2, 3] and observer.count("borrowed", 2, "slots") == 2
+    send(controller, 100.0, 20, kind=QUOTE)
+    controller.run_ended(100.0, 0, "completed", 100.0)
+    assert started_requests(actions)[-1] == 20 and observer.count("returned", 2, "slots") == 1
 
 
-def test_a_bulkhead_that_returns_as_a_borrowed_slot_is_freed_gets_it_in_either_order():
+def test_a_bulkhead_gets_a_borrowed_slot_that_is_freed_as_its_request_arrives_in_either_order():
     for first in ("arrival", "end"):
         actions = Recorder()
-        server = divided_controller(actions)
-        for q in range(4):
-            send(server, 0.0, q, kind=CHARGE)
+        controller = divided_controller(actions)
+        for index in range(4):
+            send(controller, 0.0, index, kind=CHARGE)
         if first == "arrival":
-            send(server, 50.0, 20, kind=QUOTE)
-            server.run_ended(50.0, 0, "completed", 50.0)
-            assert started(actions)[-1] == 20
-        else:  # the slot was lent again before it came: the next one is its
-            server.run_ended(50.0, 0, "completed", 50.0)
-            send(server, 50.0, 20, kind=QUOTE)
-            server.run_ended(50.0, 1, "completed", 50.0)
-            assert started(actions)[-1] == 20
+            send(controller, 50.0, 20, kind=QUOTE)
+            controller.run_ended(50.0, 0, "completed", 50.0)
+            assert started_requests(actions)[-1] == 20
+        else:  # the slot was lent again before the request arrived, so the next free slot is used
+            controller.run_ended(50.0, 0, "completed", 50.0)
+            send(controller, 50.0, 20, kind=QUOTE)
+            controller.run_ended(50.0, 1, "completed", 50.0)
+            assert started_requests(actions)[-1] == 20
 
 
 def test_two_busy_bulkheads_share_the_slots_by_their_shares_over_time():
@@ -100,82 +100,86 @@
         BulkheadSettings("quotes", 0.3, 0.5, 0.5),
         BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
-    server = divided_controller(actions, settings=settings, memory=1e9)
-    now, q, runs, used = 0.0, 0, [], [0, 0, 0]
+    controller = divided_controller(actions, settings=settings, memory=1e9)
+    now_ms, index, ends_and_indices, runs_by_bulkhead = 0.0, 0, [], [0, 0, 0]
     for _ in range(3000):
-        for kind in (QUOTE, CHARGE):
-            held = sum(request.bulkhead == kind for request in server.workload.queued.values())
-            if held < 2:
-                q += 1
-                send(server, now, q, kind=kind, deadline=now + 4000.0)
-        runs += [(now + 40.0, one) for one in started(actions)]
+        for class_index in (QUOTE, CHARGE):
+            queued_count = sum(
+                request.bulkhead == class_index for request in controller.workload.queued.values()
+            )
+            if queued_count < 2:
+                index += 1
+                send(controller, now_ms, index, kind=class_index, deadline=now_ms + 4000.0)
+        ends_and_indices += [(now_ms + 40.0, started_index) for started_index in started_requests(actions)]
         actions.acts.clear()
-        runs.sort()
-        now, one = runs.pop(0)
-        used[server.workload.requests[one].bulkhead] += 1
-        server.run_ended(now, one, "completed", 40.0)
-    assert used[QUOTE] / used[CHARGE] == pytest.approx(0.3 / 0.5, rel=0.05)
+        ends_and_indices.sort()
+        now_ms, started_index = ends_and_indices.pop(0)
+        runs_by_bulkhead[controller.workload.requests[started_index].bulkhead] += 1
+        controller.run_ended(now_ms, started_index, "completed", 40.0)
+    assert runs_by_bulkhead[QUOTE] / runs_by_bulkhead[CHARGE] == pytest.approx(0.3 / 0.5, rel=0.05)
 
 
 def test_a_bulkhead_that_does_not_lend_keeps_its_slot_free():
     actions = Recorder()
     settings = [BulkheadSettings("gate", 0.5, 0.2, 0.2, lends=False), BulkheadSettings("rest", 0.5, 0.8, 0.8)]
-    server = divided_controller(actions, settings=settings, bulkhead_of_class=(0, 1, 1))
-    for q in range(4):
-        send(server, 0.0, q, kind=CHARGE)
-    assert started(actions) == [0]  # the other slot is the gate's
-    send(server, 1.0, 10, kind=CHECK)
-    assert started(actions) == [0, 10]
+    controller = divided_controller(actions, settings=settings, bulkhead_of_class=(0, 1, 1))
+    for index in range(4):
+        send(controller, 0.0, index, kind=CHARGE)
+    assert started_requests(actions) == [0]  # the other slot is kept free for the bulkhead "gate"
+    send(controller, 1.0, 10, kind=CHECK)
+    assert started_requests(actions) == [0, 10]
 
 
-def test_requests_of_a_bulkhead_over_its_byte_share_are_evicted_for_one_within_its_share():
+def test_requests_of_a_bulkhead_over_its_byte_share_are_evicted_for_those_of_one_within_its_share():
     actions = Recorder()
-    server = divided_controller(actions)
-    server.workload.in_flight.clearable_bytes, server.workload.ceiling = 100.0, 8.0
-    for q in range(12):
-        send(server, 0.0, q, kind=CHARGE, client=q, size=10)
-    held = len(server.workload.queued)
-    send(server, 1.0, 30, kind=CHECK, client=30, size=10)
-    send(server, 1.0, 31, kind=CHECK, client=31, size=10)
-    assert not {30, 31} & set(
-        actions.answers
-    )  # let in, one by its reserve, and a charge went for what was too much
-    assert len(server.workload.queued) == held + 1 and server.workload.in_flight.unanswered_bytes == 100
-    before = set(actions.answers)
-    send(server, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its part: a charge goes for it
-    assert 40 in server.workload.queued and len(set(actions.answers) - before) == 1
-    assert server.workload.in_flight.unanswered_bytes == 100 and all(
+    controller = divided_controller(actions)
+    controller.workload.in_flight.clearable_bytes, controller.workload.ceiling = 100.0, 8.0
+    for index in range(12):
+        send(controller, 0.0, index, kind=CHARGE, client=index, size=10)
+    queued_before = len(controller.workload.queued)
+    send(controller, 1.0, 30, kind=CHECK, client=30, size=10)
+    send(controller, 1.0, 31, kind=CHECK, client=31, size=10)
+    # Both checks are admitted, one on the reserved slot; a charge is evicted for the excess bytes.
+    assert not {30, 31} & set(actions.answers)
+    assert (
+        len(controller.workload.queued) == queued_before + 1
+        and controller.workload.in_flight.unanswered_bytes == 100
+    )
+    rejected_before = set(actions.answers)
+    send(controller, 2.0, 40, kind=QUOTE, client=40, size=10)  # within its share: a charge is evicted
+    assert 40 in controller.workload.queued and len(set(actions.answers) - rejected_before) == 1
+    assert controller.workload.in_flight.unanswered_bytes == 100 and all(
         answer == "reject" for answer in actions.answers.values()
     )
 
 
 def test_requests_that_wait_for_an_unavailable_dependency_leave_the_memory_of_other_bulkheads_free():
     actions = Recorder()
-    server = divided_controller(actions, memory=2000.0, share=50.0)
-    now, q = 0.0, 0
-    for q in range(100):
-        send(server, now, q, kind=CHARGE, client=q, size=10)
-        for one in started(actions):
-            if server.workload.requests[one].state == RequestState.EXECUTING:
-                server.run_blocked(now, one)
-        now += 1.0
-    assert any(answer == "reject" for answer in actions.answers.values())  # full
-    send(server, now, 500, kind=CHECK, size=10)
-    assert 500 in started(actions)
-
-
-def test_a_request_that_must_call_is_not_started_while_its_queue_for_calls_is_full_and_others_are():
+    controller = divided_controller(actions, memory=2000.0, share=50.0)
+    now_ms, index = 0.0, 0
+    for index in range(100):
+        send(controller, now_ms, index, kind=CHARGE, client=index, size=10)
+        for started_index in started_requests(actions):
+            if controller.workload.requests[started_index].state == RequestState.EXECUTING:
+                controller.run_blocked(now_ms, started_index)
+        now_ms += 1.0
+    assert any(answer == "reject" for answer in actions.answers.values())  # the memory is full
+    send(controller, now_ms, 500, kind=CHECK, size=10)
+    assert 500 in started_requests(actions)
+
+
+def test_a_request_that_must_call_waits_while_its_queue_for_calls_is_full_and_others_start():
     actions = Recorder()
-    server = divided_controller(actions, share=1.0)
-    for q in range(8):
-        send(server, 0.0, q, kind=CHARGE)
-    for q in (0, 1, 2, 3):
-        if server.workload.requests[q].state == RequestState.EXECUTING:
-            server.run_blocked(10.0, q)
-    assert len(server.workload.waiting) <= 3 and server.workload.running < 2
-    before = server.workload.running
-    send(server, 20.0, 20, kind=CHECK)
-    assert server.workload.running == before + 1
+    controller = divided_controller(actions, share=1.0)
+    for index in range(8):
+        send(controller, 0.0, index, kind=CHARGE)
+    for index in (0, 1, 2, 3):
+        if controller.workload.requests[index].state == RequestState.EXECUTING:
+            controller.run_blocked(10.0, index)
+    assert len(controller.workload.waiting) <= 3 and controller.workload.running < 2
+    running_before = controller.workload.running
+    send(controller, 20.0, 20, kind=CHECK)
+    assert controller.workload.running == running_before + 1
 
 
 def test_a_call_past_the_call_budget_of_its_bulkhead_is_abandoned_and_its_run_skips_it():
@@ -185,71 +189,71 @@
         BulkheadSettings("quotes", 0.3, 0.3, 0.3, call_budget_ms=600.0),
         BulkheadSettings("charges", 0.5, 0.5, 0.5),
     ]
-    server = divided_controller(actions, settings=settings, share=4.0)
-    send(server, 0.0, 1, kind=QUOTE)
-    server.run_blocked(10.0, 1)
+    controller = divided_controller(actions, settings=settings, share=4.0)
+    send(controller, 0.0, 1, kind=QUOTE)
+    controller.run_blocked(10.0, 1)
     assert ("call", 1, 610.0) in actions.acts
-    server.call_ended(610.0, 1, "overdue", 600.0)
+    controller.call_ended(610.0, 1, "overdue", 600.0)
     assert ("skip", 1) in actions.acts
 
 
 def test_retry_after_is_the_backlog_of_the_request_s_own_bulkhead():
     actions = Recorder()
-    server = divided_controller(actions)
-    for q in range(200, 208):
-        send(server, 0.0, q, kind=CHARGE, work=300.0)
-        server.run_ended(0.0, q, "completed", 300.0)
-    for q in range(40):
-        send(server, 0.0, q, kind=CHARGE, work=300.0, client=q % 5)
-    events = {act[1]: act[3] for act in actions.acts if act[0] == "reject"}
-    assert events and min(events.values()) > 400.0
-    send(server, 1.0, 100, kind=QUOTE, size=200_000)  # more than the memory: nobody of its pool is in line
+    controller = divided_controller(actions)
+    for index in range(200, 208):
+        send(controller, 0.0, index, kind=CHARGE, work=300.0)
+        controller.run_ended(0.0, index, "completed", 300.0)
+    for index in range(40):
+        send(controller, 0.0, index, kind=CHARGE, work=300.0, client=index % 5)
+    retry_afters_ms = {act[1]: act[3] for act in actions.acts if act[0] == "reject"}
+    assert retry_afters_ms and min(retry_afters_ms.values()) > 400.0
+    send(controller, 1.0, 100, kind=QUOTE, size=200_000)  # exceeds the memory; its bulkhead has no queue
     assert ("reject", 100, False, 0.0) in actions.acts
 
 
 def test_a_repeat_of_a_charge_that_is_queued_in_a_full_bulkhead_takes_its_place_and_runs_once():
     actions = Recorder()
-    server = divided_controller(actions)
-    for q in range(6):
-        send(server, 0.0, q, kind=CHARGE)
-    waits = next(iter(server.workload.queued))
-    send(server, 50.0, 50, kind=CHARGE, original=waits)
-    assert actions.answers[waits] == "reject" and 50 in server.workload.queued
-    send(server, 60.0, 51, kind=CHARGE, original=0)
-    assert "share" in actions.names(51) and started(actions).count(0) == 1
+    controller = divided_controller(actions)
+    for index in range(6):
+        send(controller, 0.0, index, kind=CHARGE)
+    queued_index = next(iter(controller.workload.queued))
+    send(controller, 50.0, 50, kind=CHARGE, original=queued_index)
+    assert actions.answers[queued_index] == "reject" and 50 in controller.workload.queued
+    send(controller, 60.0, 51, kind=CHARGE, original=0)
+    assert "share" in actions.names(51) and started_requests(actions).count(0) == 1
 
 
-def test_after_unanswered_calls_a_bulkhead_admits_one_request_to_try_as_soon_as_no_call_is_out():
+def test_after_unanswered_calls_a_bulkhead_admits_a_request_once_no_call_is_in_flight():
     actions = Recorder()
-    server = divided_controller(actions, share=8.0)
-    now = 0.0
-    for q in range(30):
-        send(server, now, q, kind=CHARGE, deadline=now + 1800.0)
-        if q in started(actions):
-            server.run_blocked(now + 5.0, q)
-            server.call_ended(now + 1700.0, q, "overdue", 1695.0)
-        now += 2000.0
-    send(server, now, 99, kind=CHARGE)
-    assert 99 in started(actions)
-
-
-def test_draining_with_full_bulkheads_answers_everything_and_empties_every_table():
+    controller = divided_controller(actions, share=8.0)
+    now_ms = 0.0
+    for index in range(30):
+        send(controller, now_ms, index, kind=CHARGE, deadline=now_ms + 1800.0)
+        if index in started_requests(actions):
+            controller.run_blocked(now_ms + 5.0, index)
+            controller.call_ended(now_ms + 1700.0, index, "overdue", 1695.0)
+        now_ms += 2000.0
+    send(controller, now_ms, 99, kind=CHARGE)
+    assert 99 in started_requests(actions)
+
+
+def test_draining_with_full_bulkheads_answers_every_request_and_leaves_nothing_counted():
     actions = Recorder()
-    server = divided_controller(actions, share=2.0)
-    for q in range(30):
-        send(server, 0.0, q, kind=q % 3, client=q % 4)
-    for q in started(actions)[:2]:
-        server.run_blocked(20.0, q)
-    server.start_draining(100.0, 2100.0)
-    for at in range(150, 2100, 50):
-        server.on_tick(float(at), 1.0, 2.0)
-    for q in list(server.workload.requests):
-        request = server.workload.requests[q]
+    controller = divided_controller(actions, share=2.0)
+    for index in range(30):
+        send(controller, 0.0, index, kind=index % 3, client=index % 4)
+    for index in started_requests(actions)[:2]:
+        controller.run_blocked(20.0, index)
+    controller.start_draining(100.0, 2100.0)
+    for now_ms in range(150, 2100, 50):
+        controller.on_tick(float(now_ms), 1.0, 2.0)
+    for index in list(controller.workload.requests):
+        request = controller.workload.requests[index]
         if request.state in (RequestState.EXECUTING, RequestState.WAITING_FOR_CALL, RequestState.CALLING):
-            server.run_ended(2100.0, q, "recalled", 2000.0)
-    server.on_tick(40_000.0, 0.0, 0.0)
-    bulkheads = server.capacity.bulkheads
-    assert set(actions.answers) == set(range(30)) and not server.workload.requests
+            controller.run_ended(2100.0, index, "recalled", 2000.0)
+    controller.on_tick(40_000.0, 0.0, 0.0)
+    bulkheads = controller.capacity.bulkheads
+    assert set(actions.answers) == set(range(30)) and not controller.workload.requests
     assert bulkheads.bytes.unanswered_bytes == [0, 0, 0] and bulkheads.bytes.used_bytes == [0.0, 0.0, 0.0]
     in_use = [
         bulkheads.slots.fair_share.in_use,
@@ -260,7 +264,7 @@
     assert not any(bulkheads.calls.call_starts_ms)
 
 
-def test_classes_that_no_bulkhead_names_share_the_rest_and_always_have_a_share():
+def test_classes_that_no_bulkhead_names_share_the_rest_bulkhead_which_always_has_a_share():
     bulkheads = builder.build(
         RecordingObserver(),
         {
@@ -277,12 +281,16 @@
         [0, 0, 1],
         [1.0, 2.0, 3.0],
     )
-    assert [bulkheads.settings[p].name for p in bulkheads.bulkhead_of_class] == ["gate", "rest", "rest"]
+    assert [bulkheads.settings[bulkhead].name for bulkhead in bulkheads.bulkhead_of_class] == [
+        "gate",
+        "rest",
+        "rest",
+    ]
     assert bulkheads.slots.fair_share.shares[1] > 0.05 and bulkheads.settings[0].call_budget_ms == math.inf
     assert builder.build(RecordingObserver(), "none", ["check"], [0], [1.0]) is None
 
 
-def test_derived_bulkheads_find_the_light_class_by_its_runs_and_keep_to_it():
+def test_derived_bulkheads_find_the_light_class_by_its_run_times_and_follow_their_change():
     actions, observer = Recorder(), RecordingObserver()
     classes = [
         request_class(),
@@ -290,17 +298,17 @@
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
     bulkheads = builder.derived(observer, [0, 0, 1], [1.0, 2.0, 3.0])
-    server = new_controller(actions, classes=classes, bulkheads=bulkheads)
-    assert [kind.bulkhead for kind in classes] == [2, 2, 1]  # nothing measured yet
-    now = 0.0
-    for q in range(90):
-        send(server, now, q, kind=q % 3)
-        server.run_ended(now + 5.0, q, "completed", (6.0, 40.0, 60.0)[q % 3])
-        now += 10.0
-    server.on_tick(6000.0, 1.0, 0.0)
-    assert [kind.bulkhead for kind in classes] == [0, 2, 1] and observer.count("regrouped") == 1
-    for q in range(100, 190):  # now all are dear: none is light
-        send(server, 7000.0 + q, q, kind=q % 3)
-        server.run_ended(7005.0 + q, q, "completed", 60.0)
-    server.on_tick(12_000.0, 1.0, 0.0)
-    assert [kind.bulkhead for kind in classes] == [2, 2, 1]
+    controller = new_controller(actions, classes=classes, bulkheads=bulkheads)
+    assert [each.bulkhead for each in classes] == [2, 2, 1]  # no runs are measured yet
+    now_ms = 0.0
+    for index in range(90):
+        send(controller, now_ms, index, kind=index % 3)
+        controller.run_ended(now_ms + 5.0, index, "completed", (6.0, 40.0, 60.0)[index % 3])
+        now_ms += 10.0
+    controller.on_tick(6000.0, 1.0, 0.0)
+    assert [each.bulkhead for each in classes] == [0, 2, 1] and observer.count("regrouped") == 1
+    for index in range(100, 190):  # all classes have long runs now, so none is light
+        send(controller, 7000.0 + index, index, kind=index % 3)
+        controller.run_ended(7005.0 + index, index, "completed", 60.0)
+    controller.on_tick(12_000.0, 1.0, 0.0)
+    assert [each.bulkhead for each in classes] == [2, 2, 1]
--- a/tests/bulkheads/test_recorded_bulkhead_decisions.py
+++ b/tests/bulkheads/test_recorded_bulkhead_decisions.py
@@ -1,7 +1,7 @@
-"""With bulkheads the controller acts as it did before they were split by resource: digests, recorded then.
+"""Checks that the controller with bulkheads acts as it did before bulkheads were split by resource.
 
-The histories are those of `tests/admission/test_recorded_decisions.py`. A change of decisions on purpose
-records them anew and says so.
+The digests were recorded then, in the simulations of `tests/admission/test_recorded_decisions.py`. A commit
+that changes decisions on purpose records new digests and says so.
 """
 
 import pytest
@@ -29,11 +29,11 @@
 
 class IgnoringObserver:
     def __getattr__(self, name):
-        return lambda *given: None
+        return lambda *arguments: None
 
 
 def make_bulkheads(seed):
-    """Derived ones, or three that differ in reserve, lending and borrowing."""
+    """Return derived bulkheads, or three that differ in reserve, lending and borrowing."""
     observer = IgnoringObserver()
     if seed % 3 == 2:
         return builder.derived(observer, [0, 1, 2], [1.0, 3.0, 2.0])
@@ -46,5 +46,5 @@
 
 
 @pytest.mark.parametrize(("seed", "crowded"), RECORDED)
-def test_with_bulkheads_every_act_is_as_recorded(seed, crowded):
+def test_with_bulkheads_every_action_is_as_recorded(seed, crowded):
     assert digest_of_a_history(seed, crowded, make_bulkheads(seed)) == RECORDED[seed, crowded]
