--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -1,8 +1,8 @@
 """Compares the bulkheads with a slow, plain model in random simulations.
 
 The model keeps every change and computes each result anew, millisecond by millisecond: which bulkhead is
-next, which requests have room and which are evicted. Times are whole milliseconds and shares are halves, quarters
-and eighths, so that both compute exactly the same numbers.
+next, which requests have room and which are evicted. Times are whole milliseconds and shares are halves,
+quarters and eighths, so that both compute exactly the same numbers.
 """
 
 import random
