--- a/tests/bulkheads/test_controller_with_bulkheads.py
+++ b/tests/bulkheads/test_controller_with_bulkheads.py
@@ -297,7 +297,7 @@
         request_class(priority_weight=2.0),
         request_class(priority_weight=3.0, effect=Effect.IDEMPOTENT_BY_KEY),
     ]
-    bulkheads = builder.derived(observer, [0, 0, 1], [1.0, 2.0, 3.0])
+    bulkheads = builder.build_derived(observer, [0, 0, 1], [1.0, 2.0, 3.0])
     controller = new_controller(actions, classes=classes, bulkheads=bulkheads)
     assert [each.bulkhead for each in classes] == [2, 2, 1]  # no runs are measured yet
     now_ms = 0.0
--- a/tests/bulkheads/test_recorded_bulkhead_decisions.py
+++ b/tests/bulkheads/test_recorded_bulkhead_decisions.py
@@ -36,7 +36,7 @@
     """Return derived bulkheads, or three that differ in reserve, lending and borrowing."""
     observer = IgnoringObserver()
     if seed % 3 == 2:
-        return builder.derived(observer, [0, 1, 2], [1.0, 3.0, 2.0])
+        return builder.build_derived(observer, [0, 1, 2], [1.0, 3.0, 2.0])
     settings = [
         BulkheadSettings("a", 0.2, 0.3, 0.2, reserve=seed % 2, lends=seed % 4 != 1),
         BulkheadSettings("b", 0.3, 0.3, 0.3, max_calls=6, call_budget_ms=300.0),
--- a/vetchford/admission/queue_times.py
+++ b/vetchford/admission/queue_times.py
@@ -9,7 +9,7 @@
 """Fraction of all waits above which a bucket counts as a usual wait of first attempts."""
 
 
-class QueueTimeHistogram:
+class ClientWaitHistogram:
     """Histogram of waits, as fractions of the class's timeout.
 
     A wait is the time until the deadline that a client gives, or until a client leaves.
--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -1,6 +1,6 @@
 """The latency objective of an arriving request, reduced by the age of its attempt."""
 
-from vetchford.admission.queue_times import QueueTimeHistogram
+from vetchford.admission.queue_times import ClientWaitHistogram
 from vetchford.admission.request import AttemptTimes, RequestArrival, RequestClass
 from vetchford.admission.retry_after import RetryAfter
 
@@ -18,11 +18,11 @@
     def __init__(self, retry_after: RetryAfter) -> None:
         """Use the mean time that clients were asked to wait from `retry_after`."""
         self.retry_after = retry_after
-        self.queue_times = QueueTimeHistogram()
+        self.client_waits = ClientWaitHistogram()
 
     def client_left(self, now_ms: float, arrived_at_ms: float, timeout_ms: float) -> None:
         """Count the wait of a client that left before its first attempt was answered."""
-        self.queue_times.add((now_ms - arrived_at_ms) / timeout_ms)
+        self.client_waits.add((now_ms - arrived_at_ms) / timeout_ms)
 
     def times(
         self, now_ms: float, arrival: RequestArrival, request_class: RequestClass, latest_deadline_ms: float
@@ -48,7 +48,7 @@
             request_class.timeout_ms if client_deadline_ms else self._usual_client_wait_ms(request_class)
         )
         objective_at_ms = arrived_at_ms + min(request_class.latency_objective_ms, client_wait_ms)
-        age = self.queue_times.age((client_deadline_ms - arrived_at_ms) / request_class.timeout_ms)
+        age = self.client_waits.age((client_deadline_ms - arrived_at_ms) / request_class.timeout_ms)
         objective_at_ms -= age * request_class.timeout_ms
         deadline_ms = min(client_deadline_ms, latest_deadline_ms)
         is_retry = arrival.is_retry or age > RETRY_AGE_FRACTION
@@ -70,4 +70,4 @@
         return AttemptTimes(arrived_at_ms, min(objective_at_ms, deadline_ms), deadline_ms, arrival.is_retry)
 
     def _usual_client_wait_ms(self, request_class: RequestClass) -> float:
-        return CLIENT_WAIT_FRACTION * self.queue_times.most_common() * request_class.timeout_ms
+        return CLIENT_WAIT_FRACTION * self.client_waits.most_common() * request_class.timeout_ms
--- a/vetchford/bulkheads/builder.py
+++ b/vetchford/bulkheads/builder.py
@@ -51,7 +51,7 @@
     if declared == NO_BULKHEADS or not declared:
         return None
     if isinstance(declared, str):
-        return derived(observer, effects, weights)
+        return build_derived(observer, effects, weights)
     settings = [_declared_settings(name, declared_fields) for name, declared_fields in declared.items()]
     bulkhead_by_class_name = {
         class_name: bulkhead
@@ -88,7 +88,9 @@
     return max(MIN_REST_SHARE, 1.0 - sum(shares))
 
 
-def derived(observer: BulkheadObserver, effects: Sequence[int], weights: Sequence[float]) -> BulkheadSet:
+def build_derived(
+    observer: BulkheadObserver, effects: Sequence[int], weights: Sequence[float]
+) -> BulkheadSet:
     """Return derived bulkheads: light classes, classes with an effect, and the rest.
 
     All classes without an effect start in the rest; runs show which classes are light.
