--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -76,7 +76,7 @@
         )
         return total + kept_by_others <= total_units - ROUNDING_TOLERANCE
 
-    def next(self, now, candidates):
+    def next_bulkhead(self, now, candidates):
         virtual_times = self.virtual_times(now)
         return min(candidates, key=lambda bulkhead: (virtual_times[bulkhead], bulkhead), default=None)
 
@@ -185,7 +185,7 @@
                 if len(running) + 1 <= 8
                 else []
             )
-            chosen = slots.next(now, shared_candidates or reserve_candidates)
+            chosen = slots.next_bulkhead(now, shared_candidates or reserve_candidates)
             startable = bulkheads.startable(
                 float(now), queued, waiting, len(running), total_units, 8.0, set()
             )
@@ -239,7 +239,7 @@
                 if calls.in_use(bulkhead) + 1 <= bulkheads.calls.limits[bulkhead].limit + ROUNDING_TOLERANCE
                 and calls.may_acquire(bulkhead, 4.0, settings)
             ]
-            chosen = calls.next(now, eligible)
+            chosen = calls.next_bulkhead(now, eligible)
             callable_requests = bulkheads.calls.callable(float(now), waiting, 4.0)
             assert callable_requests == [other for other in preferred if other.bulkhead == chosen]
             if callable_requests and len(calling) < 4:
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -201,8 +201,8 @@
         workload = self.workload
         cores_busy = utilization is None or utilization > BUSY_UTILIZATION
         self.estimate.cores_busy = cores_busy
-        workload.observe_on_cores(on_cores)
-        workload.forget_contention_if_idle()
+        workload.update_cores_reading(on_cores)
+        workload.decay_slowdown_if_idle()
         workload.update_queue_weights()
         workload.update_ceiling(now_ms)
         self.capacity.on_tick(now_ms)
--- a/vetchford/admission/idle_timeout.py
+++ b/vetchford/admission/idle_timeout.py
@@ -76,5 +76,5 @@
 
     def _target_timeout_ms(self) -> float:
         """Return the timeout by the square of the mean number of requests per client in `CONNECT_COST_S`."""
-        use = (CONNECT_COST_S * self.traffic.arrival_rate / self.clients) ** 2
-        return max(MIN_IDLE_TIMEOUT_MS, self.max_idle_timeout_ms * min(1.0, max(self.table_pressure, use)))
+        usage = (CONNECT_COST_S * self.traffic.arrival_rate / self.clients) ** 2
+        return max(MIN_IDLE_TIMEOUT_MS, self.max_idle_timeout_ms * min(1.0, max(self.table_pressure, usage)))
--- a/vetchford/admission/lifecycle.py
+++ b/vetchford/admission/lifecycle.py
@@ -124,7 +124,7 @@
                 self._drop_key(request)
                 self._release_index(request)
 
-    def resolve_repeat(self, request: Request, original: int, not_served: bool) -> bool:
+    def resolve_repeat(self, request: Request, original: int, would_be_rejected: bool) -> bool:
         """Return True if a repeat needs no admission: it shares its original's result, or is failed.
 
         Return False if the repeat takes the place of an original that is still queued: the client has given
@@ -134,13 +134,13 @@
         Args:
             request: The repeat.
             original: Index of the original, or `UNKNOWN_ORIGINAL`.
-            not_served: Whether the repeat itself would be rejected.
+            would_be_rejected: Whether the repeat itself would be rejected.
         """
         original_request = self.workload.requests.get(original)
         if (
             original_request
             and original_request.state == RequestState.QUEUED
-            and not not_served
+            and not would_be_rejected
             and request.has_key
         ):
             self.reject(original_request, RejectionReason.SUPERSEDED, terminal=True, retry_after_ms=0.0)
--- a/vetchford/admission/shared_capacity.py
+++ b/vetchford/admission/shared_capacity.py
@@ -26,11 +26,11 @@
         if not workload.slots_full(workload.slots()):
             return 0.0
         priority = workload.priority
-        own = priority(request)
+        own_priority = priority(request)
         ahead_ms = sum(
             workload.expected_run_time_ms(other)
             for other in workload.queued.values()
-            if priority(other) >= own
+            if priority(other) >= own_priority
         )
         running_ms = REMAINING_RUN_FRACTION * workload.mean_run_time_ms * workload.running
         return (ahead_ms + running_ms) / max(1.0, workload.limit.limit)
--- a/vetchford/admission/slow_start.py
+++ b/vetchford/admission/slow_start.py
@@ -13,11 +13,11 @@
 
     def __init__(self, settings: AdmissionSettings) -> None:
         """Compute the ceilings of a cold and of a warm server."""
-        survived = settings.survivable_concurrency
-        cold = 1.0 + (survived - 1.0) * settings.cold_fraction
+        survivable = settings.survivable_concurrency
+        cold_survivable = 1.0 + (survivable - 1.0) * settings.cold_fraction
         self.warm_up_ms = settings.warm_up_ms
-        self.warm_ceiling = max(MIN_CEILING, SURVIVABLE_FRACTION * settings.cores * survived)
-        self.cold_ceiling = max(MIN_CEILING, SURVIVABLE_FRACTION * settings.cores * cold)
+        self.warm_ceiling = max(MIN_CEILING, SURVIVABLE_FRACTION * settings.cores * survivable)
+        self.cold_ceiling = max(MIN_CEILING, SURVIVABLE_FRACTION * settings.cores * cold_survivable)
 
     def ceiling(self, now_ms: float) -> float:
         """Return the highest number of concurrent runs, which rises linearly until the server is warm.
@@ -25,5 +25,5 @@
         The concurrency that a server survives is a ceiling and not a target (docs/design.md), and is lower
         while the server is cold.
         """
-        warm = min(1.0, now_ms / max(MIN_WARM_UP_MS, self.warm_up_ms))
-        return self.cold_ceiling + (self.warm_ceiling - self.cold_ceiling) * warm
+        warm_fraction = min(1.0, now_ms / max(MIN_WARM_UP_MS, self.warm_up_ms))
+        return self.cold_ceiling + (self.warm_ceiling - self.cold_ceiling) * warm_fraction
--- a/vetchford/admission/tenant_quotas.py
+++ b/vetchford/admission/tenant_quotas.py
@@ -34,5 +34,5 @@
 
         Requests within and beyond the quota are not distinguished: all get the mean weight.
         """
-        within = min(1.0, self.quotas[tenant] / max(MIN_RATE_PER_MS, self.rates[tenant]))
-        return within + (1.0 - within) * self.over_quota_weight
+        within_quota = min(1.0, self.quotas[tenant] / max(MIN_RATE_PER_MS, self.rates[tenant]))
+        return within_quota + (1.0 - within_quota) * self.over_quota_weight
--- a/vetchford/admission/workload.py
+++ b/vetchford/admission/workload.py
@@ -121,12 +121,12 @@
         self._update_floor()
         self._update_node_threshold()
 
-    def observe_on_cores(self, on_cores: float | None) -> None:
+    def update_cores_reading(self, on_cores: float | None) -> None:
         """Update the cores that read from the gauge of tasks on or waiting for cores, less the runs."""
-        beside_runs = max(0.0, (on_cores or 0.0) - self.running)
-        self.cores_reading += READING_WEIGHT * (min(beside_runs, self.cores) - self.cores_reading)
+        tasks_besides_runs = max(0.0, (on_cores or 0.0) - self.running)
+        self.cores_reading += READING_WEIGHT * (min(tasks_besides_runs, self.cores) - self.cores_reading)
 
-    def forget_contention_if_idle(self) -> None:
+    def decay_slowdown_if_idle(self) -> None:
         """Decay the slowdown while nothing runs, because no run would show that contention has passed."""
         if not self.running:
             self.slowdown += RECENT_WEIGHT * (1.0 - self.slowdown)
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -72,8 +72,8 @@
     def queue_delay_ms(self, now_ms: float, request: Request) -> float:
         """Return the wait behind requests of the same bulkhead with the same or a higher priority."""
         priority = self.workload.priority
-        own = priority(request)
-        ahead = [other for other in self._queued(request) if priority(other) >= own]
+        own_priority = priority(request)
+        ahead = [other for other in self._queued(request) if priority(other) >= own_priority]
         return self._delay_behind(now_ms, request, ahead)
 
     def backlog_ms(self, request: Request) -> float:
@@ -92,11 +92,11 @@
 
     def eviction_candidates(self, request: Request, queued: list[Request]) -> list[Request]:
         """Return requests of bulkheads over their share; the arriving one only if its own is over."""
-        sharing = self.bulkheads.bytes
+        byte_sharing = self.bulkheads.bytes
         clearable_bytes = self.workload.in_flight.clearable_bytes
-        is_within_share = sharing.is_within_share(request.bulkhead, clearable_bytes)
+        is_within_share = byte_sharing.is_within_share(request.bulkhead, clearable_bytes)
         candidates = queued if is_within_share else [*queued, request]
-        return sharing.eviction_candidates(request.bulkhead, candidates, clearable_bytes)
+        return byte_sharing.eviction_candidates(request.bulkhead, candidates, clearable_bytes)
 
     def memory_fits(self, request: Request, more_bytes: float) -> bool:
         """Compare the memory with the bulkhead's share, and with what other bulkheads lend."""
