--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -7,7 +7,7 @@
 RETRY_AGE_FRACTION = 0.05
 """Age up to which an attempt counts as a first attempt that tried another server, over the timeout."""
 BACKOFF_FRACTION = 0.5
-"""Fraction of the mean retry-after that a retry is assumed to have waited: half, as it waited all or none."""
+"""Fraction of the mean retry-after that a retry is assumed to have waited; retries wait all or none of it."""
 CLIENT_WAIT_FRACTION = 0.95
 """Fraction of the clients' most frequent wait within which an answer still reaches them."""
 
--- a/vetchford/admission/shared_capacity.py
+++ b/vetchford/admission/shared_capacity.py
@@ -58,7 +58,7 @@
         """Return all queued requests while slots are free.
 
         A request that must make a dependency call is left out while the queue for calls is full: its run
-        would only wait.
+        would only wait there and age.
         """
         workload = self.workload
         if blocked or workload.slots_full(slots):
--- a/vetchford/bulkheads/fair_share.py
+++ b/vetchford/bulkheads/fair_share.py
@@ -9,7 +9,7 @@
 from vetchford.bulkheads.settings import BulkheadSettings
 
 MAX_CREDIT_MS = 500.0
-"""Greatest lag of an idle bulkhead's virtual time, which is use scaled to the whole resource."""
+"""Greatest lag of a bulkhead's virtual time behind the highest; both are scaled to the whole resource."""
 ROUNDING_TOLERANCE = 0.2
 """Fraction of a unit that may be missing when a unit is taken."""
 MIN_ENTITLEMENT = 1.0
--- a/vetchford/bulkheads/settings.py
+++ b/vetchford/bulkheads/settings.py
@@ -45,7 +45,7 @@
 
 
 class BulkheadObserver(Protocol):
-    """Is notified of the limits of bulkheads, on the thread that owns the controller."""
+    """Receives events of the bulkheads' limits, on the thread that owns the controller."""
 
     def borrowed(self, bulkhead: int, resource: Resource) -> None:
         """Handle that a bulkhead took more than its share."""
