--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""The encoded form of lease messages: words and their order are those of the protocol's first version."""
+"""The encoded form of lease messages: keys and their order are those of the protocol's first version."""
 
 import msgspec
 import pytest
@@ -20,7 +20,7 @@
 )
 from vetchford.transport.framing import MALFORMED
 
-FORMS = [
+ENCODED_MESSAGES = [
     (VoteRequest(term=7, sequence=3), {"do": "vote", "term": 7, "number": 3}),
     (VoteDenied(term=9, requested_term=7), {"do": "no_vote", "term": 9, "asked": 7}),
     (VoteGranted(term=7, sequence=3), {"do": "voted", "term": 7, "number": 3}),
@@ -90,14 +90,16 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "form"), FORMS, ids=[form["do"] for _, form in FORMS])
-def test_each_message_has_the_bytes_of_the_first_version_and_decodes_to_itself(message, form):
+@pytest.mark.parametrize(
+    ("message", "wire_map"), ENCODED_MESSAGES, ids=[wire_map["do"] for _, wire_map in ENCODED_MESSAGES]
+)
+def test_each_message_is_encoded_as_in_the_first_version_and_decodes_to_itself(message, wire_map):
     encoded = msgspec.msgpack.encode(messages.encode(message))
-    assert encoded == msgspec.msgpack.encode(form)
+    assert encoded == msgspec.msgpack.encode(wire_map)
     assert messages.decode(msgspec.msgpack.decode(encoded)) == message
 
 
-def test_a_message_of_a_later_version_is_read_without_its_new_keys_and_an_unknown_kind_is_ignored():
+def test_unknown_keys_and_unknown_kinds_of_a_later_version_are_ignored():
     assert messages.decode({"do": "leads", "term": 7, "surprise": 1}) == LeaderAnnouncement(term=7)
     assert messages.decode({"do": "surprise", "turn": "deep"}) is None
 
@@ -107,6 +109,6 @@
     [None, 5, [], {}, {"do": "leads"}, {"do": "leads", "term": "7"}, "leads"],
     ids=str,
 )
-def test_a_malformed_message_raises_what_the_actor_catches(body):
+def test_a_malformed_message_raises_an_error_that_the_actor_catches(body):
     with pytest.raises(MALFORMED):
         messages.decode(body)
--- a/vetchford/leases/actions.py
+++ b/vetchford/leases/actions.py
@@ -1,4 +1,4 @@
-"""The protocol class that lease servers and clients act through."""
+"""The interface through which lease servers and clients send messages and log events."""
 
 from typing import Any, Protocol
 
@@ -6,10 +6,10 @@
 
 
 class LeaseActions(Protocol):
-    """What lease servers and clients act through."""
+    """The actions of lease servers and clients."""
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
-        """Sends a datagram, also to this process; it may be lost, late or duplicated."""
+        """Send a datagram to a process, which may be this one; it may be lost, delayed or duplicated."""
 
     def log_event(self, event: str, **fields: Any) -> None:
-        """Counts and logs an event."""
+        """Count and log an event."""
--- a/vetchford/leases/leader_election.py
+++ b/vetchford/leases/leader_election.py
@@ -1,7 +1,7 @@
-"""Which lease server leads: the votes, terms and leader lease of one server. No I/O; times in ms.
+"""Election of the lease server that leads: votes, terms and leader lease of one server. No I/O; times in ms.
 
-Leader leases as of Gray and Cheriton (1989). The four steps of the protocol are in the docstring of the
-package; this module is the first. Sections: timers, the voter, the candidate and leader, the follower.
+Implements rule 1 of the protocol in the docstring of the package: leader leases as described by Gray and
+Cheriton (1989).
 """
 
 import zlib
@@ -27,12 +27,12 @@
     RENEWAL_INTERVAL_MS,
     STEP_DOWN_JITTER_MS,
     TERMS_PER_ROUND,
-    VOTE_MS,
+    VOTE_VALIDITY_MS,
 )
 
 
 class Role(StrEnum):
-    """What a server is in the current term."""
+    """The role of a server in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -40,28 +40,31 @@
 
 
 class ElectionActions(Protocol):
-    """What the election acts through."""
+    """The actions of the election."""
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
-        """Sends a datagram to another server or to this one; it may be lost, late or duplicated."""
+        """Send a datagram to a server, which may be this one; it may be lost, delayed or duplicated."""
 
     def on_elected(self, now_ms: float, term: int) -> None:
-        """This server leads from now on."""
+        """Handle the election of this server as the leader under `term`."""
 
     def on_stepped_down(self, term: int, reason: str) -> None:
-        """This server led under `term` and leads no more."""
+        """Handle the loss of the leadership that this server had under `term`."""
 
 
 @dataclass(slots=True)
 class Ballot:
     """One round of vote requests."""
 
-    asked_at_ms: float
+    requested_at_ms: float
     voters: set[str] = field(default_factory=set)
 
 
 class LeaderElection:
-    """The vote and the candidacy of one server. Not thread-safe: for one actor's thread."""
+    """The votes and the candidacy of one server.
+
+    Not thread-safe: only for the thread of the actor that owns it.
+    """
 
     def __init__(
         self,
@@ -72,31 +75,31 @@
         epoch: int,
         now_ms: float,
     ) -> None:
-        """Starts as a follower that gives no vote yet.
+        """Start as a follower that does not vote yet.
 
         Args:
-            actions: What it acts through.
-            name: Of this server, one of `servers`.
-            servers: All lease servers; the same on all of them.
-            seed: With `name` it chooses when the server stands for election.
-            epoch: Tenths of a second of the time of day, from which terms are counted. A server stands for
-                election less often than that, so terms grow also when all servers restart.
+            actions: Sends messages and is notified of the leadership of this server.
+            name: Name of this server, one of `servers`.
+            servers: Names of all lease servers; the same on each of them.
+            seed: Seed of the jitter of elections, together with `name`.
+            epoch: Time of day in tenths of a second, at which terms start. Candidacies are less frequent than
+                epochs, so terms increase even if all servers restart.
             now_ms: Monotonic time of this server.
         """
         self.actions = actions
         self.name = name
         self.servers = sorted(servers)
         self.seed = seed
-        self.draws = 0
-        self.highest_term = epoch * TERMS_PER_ROUND  # that was seen
-        self.no_vote_until_ms = now_ms + VOTE_MS  # a vote given before our start may still bind
+        self.draw_count = 0
+        self.highest_term = epoch * TERMS_PER_ROUND  # seen so far
+        self.may_vote_from_ms = now_ms + VOTE_VALIDITY_MS  # an earlier vote may still be valid
         self.voted_for = ""
         self.vote_expires_at_ms = 0.0
-        self.leader = ""  # as last announced by another
+        self.leader = ""  # another server, by its latest announcement
         self.leader_term = 0
-        self.term = 0  # of our own candidacy or lead; 0: follower
-        self.leads_until_ms = 0.0  # of our leader lease; 0: not elected
-        self.ballots: dict[int, Ballot] = {}  # by sequence; dropped with age
+        self.term = 0  # of this server as candidate or leader; 0: follower
+        self.leads_until_ms = 0.0  # expiry of the leader lease of this server; 0: not elected
+        self.ballots: dict[int, Ballot] = {}  # by sequence; old ones are removed
         self.sequence = 0
         self.next_ballot_at_ms = now_ms
         self.last_leader_contact_ms = now_ms
@@ -105,17 +108,17 @@
 
     @property
     def role(self) -> Role:
-        """The role, whether or not a leader lease has expired since the last tick; see `leads`."""
+        """The role as of the last tick; the leader lease may have expired since, see `leads`."""
         if not self.term:
             return Role.FOLLOWER
         return Role.LEADER if self.leads_until_ms else Role.CANDIDATE
 
     def leads(self, now_ms: float) -> bool:
-        """Whether this server holds the leader lease now. To be asked before each act as the leader."""
+        """Return whether this server holds the leader lease now; check it before acting as the leader."""
         return self.role is Role.LEADER and now_ms < self.leads_until_ms
 
     def receive(self, now_ms: float, sender: str, message: ElectionMessage) -> None:
-        """Handles a message of another server, or of this one to itself."""
+        """Handle a message from a server, which may be this one."""
         match message:
             case VoteRequest():
                 self.on_vote_request(now_ms, sender, message)
@@ -129,72 +132,74 @@
     # -- timers
 
     def tick(self, now_ms: float) -> None:
-        """Handles timers; to be called several times a second."""
+        """Handle timers; call this several times a second."""
         self._drop_old_ballots(now_ms)
         if self.role is Role.LEADER and now_ms >= self.leads_until_ms:
-            self._step_down(now_ms, "its leader lease expired")
+            self._step_down(now_ms, "leader lease expired without a majority of votes")
         if self.role is Role.CANDIDATE and now_ms - self.last_leader_contact_ms > ELECTION_TIMEOUT_MS:
-            self._step_down(now_ms, "not elected")
+            self._step_down(now_ms, "no majority of votes before the election timeout")
         if self.role is not Role.FOLLOWER:
             if now_ms >= self.next_ballot_at_ms:
                 self._request_votes(now_ms)
         elif self._is_election_due(now_ms):
-            self._stand(now_ms)
+            self._become_candidate(now_ms)
 
     def _is_election_due(self, now_ms: float) -> bool:
-        """Whether a follower stands for election: no leader for long enough, and its own vote is free."""
+        """Return whether a follower becomes a candidate: the election delay has passed and it may vote."""
         no_leader_for_ms = now_ms - self.last_leader_contact_ms
-        return no_leader_for_ms >= self.election_delay_ms and now_ms >= self.no_vote_until_ms
+        return no_leader_for_ms >= self.election_delay_ms and now_ms >= self.may_vote_from_ms
 
     def _restart_election_timer(self, now_ms: float, jitter_ms: float) -> None:
-        """Waits for the expiry of the last vote, and for a random time, so that two seldom stand at once."""
+        """Delay the candidacy past the expiry of the last vote; jitter makes competing candidates rare."""
         self.last_leader_contact_ms = now_ms
-        self.election_delay_ms = VOTE_MS + ELECTION_DELAY_MS + self._draw_ms(jitter_ms)
+        self.election_delay_ms = VOTE_VALIDITY_MS + ELECTION_DELAY_MS + self._random_delay_ms(jitter_ms)
 
-    def _draw_ms(self, maximum_ms: float) -> float:
-        """A reproducible pseudo-random time from 0 to `maximum_ms`."""
-        self.draws += 1
-        drawn = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws))
-        return drawn % JITTER_STEPS / JITTER_STEPS * maximum_ms
+    def _random_delay_ms(self, maximum_ms: float) -> float:
+        """Return a reproducible pseudo-random time from 0 to `maximum_ms`."""
+        self.draw_count += 1
+        checksum = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draw_count))
+        return checksum % JITTER_STEPS / JITTER_STEPS * maximum_ms
 
-    # -- the voter
+    # -- voter
 
     def on_vote_request(self, now_ms: float, sender: str, request: VoteRequest) -> None:
-        """Votes for `sender`, or denies it the vote."""
+        """Vote for `sender`, or deny it the vote."""
         if not self._may_vote_for(now_ms, sender, request.term):
             denial = VoteDenied(term=self.highest_term, requested_term=request.term)
             self.actions.send_lease_message(sender, denial)
             return
         if self.term and request.term > self.term:
-            self._step_down(now_ms, f"{sender} stands for a higher term")
+            self._step_down(now_ms, f"{sender} is a candidate for term {request.term}, which is higher")
         self.highest_term = request.term
         self.voted_for = sender
-        self.vote_expires_at_ms = now_ms + VOTE_MS
+        self.vote_expires_at_ms = now_ms + VOTE_VALIDITY_MS
         if sender != self.name:
             self._restart_election_timer(now_ms, ELECTION_JITTER_MS)
         granted = VoteGranted(term=request.term, sequence=request.sequence)
         self.actions.send_lease_message(sender, granted)
 
     def _may_vote_for(self, now_ms: float, candidate: str, term: int) -> bool:
-        """Whether a vote may be given: to one server at a time, and for no term below one that was seen.
+        """Return whether to vote: for one server at a time, and for no term below the highest one seen.
 
-        A vote binds for `VOTE_MS`, by which time the leader lease that rests on it has expired. After a start
-        none is given for as long, as one that was given before may still bind.
+        A vote is valid for `VOTE_VALIDITY_MS`; by then the leader lease based on it has expired. After its
+        start a server does not vote for that time either, because an earlier vote may still be valid.
         """
-        is_free = not self.voted_for or now_ms >= self.vote_expires_at_ms or self.voted_for == candidate
-        is_listed = candidate in self.servers
-        return is_listed and is_free and term >= self.highest_term and now_ms >= self.no_vote_until_ms
+        is_vote_free = not self.voted_for or now_ms >= self.vote_expires_at_ms or self.voted_for == candidate
+        is_lease_server = candidate in self.servers
+        return (
+            is_lease_server and is_vote_free and term >= self.highest_term and now_ms >= self.may_vote_from_ms
+        )
 
-    # -- the candidate and leader
+    # -- candidate and leader
 
     def on_vote_denied(self, now_ms: float, sender: str, denial: VoteDenied) -> None:
-        """Steps down where the voter has seen a higher term than ours."""
+        """Step down if the voter has seen a higher term than that of this server."""
         self.highest_term = max(self.highest_term, denial.term)
         if self.term and denial.requested_term == self.term and denial.term > self.term:
-            self._step_down(now_ms, f"{sender} knows a higher term")
+            self._step_down(now_ms, f"{sender} has seen term {denial.term}, which is higher")
 
     def on_vote_granted(self, now_ms: float, sender: str, granted: VoteGranted) -> None:
-        """Counts a vote; a majority begins or extends our leader lease."""
+        """Count a vote; a majority starts or extends the leader lease of this server."""
         ballot = self.ballots.get(granted.sequence)
         if ballot is None or granted.term != self.term or sender not in self.servers:
             return
@@ -202,7 +207,7 @@
         majority = len(self.servers) // 2 + 1
         if len(ballot.voters) < majority:
             return
-        expires_at_ms = ballot.asked_at_ms + LEADER_LEASE_MS  # from when we asked: no vote was given earlier
+        expires_at_ms = ballot.requested_at_ms + LEADER_LEASE_MS  # votes are given after the request
         if self.role is Role.CANDIDATE:
             if now_ms >= expires_at_ms:
                 return
@@ -212,8 +217,8 @@
         if len(ballot.voters) == majority:
             self._announce()
 
-    def _stand(self, now_ms: float) -> None:
-        """Becomes a candidate under a term that no other server uses."""
+    def _become_candidate(self, now_ms: float) -> None:
+        """Become a candidate under a term that no other server uses."""
         round_number = self.highest_term // TERMS_PER_ROUND + 1
         self.highest_term = round_number * TERMS_PER_ROUND + self.servers.index(self.name)
         self.term = self.highest_term
@@ -233,9 +238,9 @@
                 self.actions.send_lease_message(server, LeaderAnnouncement(term=self.term))
 
     def _step_down(self, now_ms: float, reason: str) -> None:
-        """Becomes a follower, which waits past the expiry of its voters' votes, its own among them.
+        """Become a follower that does not become a candidate again before the votes for it have expired.
 
-        Servers that stood again while those bind would only block each other.
+        Servers that compete again while these votes are valid would only block each other.
         """
         was_leader = self.role is Role.LEADER
         term = self.term
@@ -250,13 +255,13 @@
         self.ballots = {
             sequence: ballot
             for sequence, ballot in self.ballots.items()
-            if now_ms - ballot.asked_at_ms <= LEADER_LEASE_MS
+            if now_ms - ballot.requested_at_ms <= LEADER_LEASE_MS
         }
 
-    # -- the follower
+    # -- follower
 
     def on_leader_announcement(self, now_ms: float, sender: str, announcement: LeaderAnnouncement) -> None:
-        """Remembers who leads, to refer clients to it."""
+        """Store the leader, to refer clients to it."""
         if announcement.term >= self.leader_term and sender in self.servers:
             self.leader = sender
             self.leader_term = announcement.term
--- a/vetchford/leases/messages.py
+++ b/vetchford/leases/messages.py
@@ -1,8 +1,8 @@
-"""Messages of the lease protocol, and the one place that knows their encoded form.
+"""Messages of the lease protocol and their encoded form.
 
-Each message is a MessagePack map. Its keys are the words of the protocol's first version, in the order of the
-fields below; `WIRE_KEYS` gives the word of each field that has another name here. Processes of two versions
-talk to each other in a rolling upgrade, so neither words nor order may change.
+Each message is encoded as a MessagePack map with the keys of the protocol's first version, in the order of
+the fields below; `WIRE_KEYS` has the key of each field whose name differs from it. During a rolling upgrade
+processes of two versions exchange messages, so neither keys nor their order may change.
 """
 
 from typing import Any, Literal, NamedTuple, TypeAlias
@@ -23,18 +23,18 @@
 
 
 class RequestId(NamedTuple):
-    """Which request of a client a lease belongs to; a later request does not own what an earlier one got."""
+    """The request of a client that a lease was granted for; a later request does not own this lease."""
 
     incarnation: int
     request_number: int
 
 
 class _Message(msgspec.Struct, frozen=True, rename=WIRE_KEYS):
-    """Base of all messages. `sequence` is chosen by the sender of a request and echoed in the answer."""
+    """Base of all messages; `sequence` is set by the sender of a request and echoed in the answer."""
 
 
 class VoteRequest(_Message, frozen=True, kw_only=True):
-    """A server asks to lead under `term`, or to go on leading."""
+    """Request of a server to become or remain the leader under `term`."""
 
     kind: Literal["vote"] = "vote"
     term: int
@@ -42,7 +42,7 @@
 
 
 class VoteDenied(_Message, frozen=True, kw_only=True):
-    """Answer to a vote request; `term` is the highest that the voter has seen."""
+    """Answer to a vote request: no vote; `term` is the highest term that the voter has seen."""
 
     kind: Literal["no_vote"] = "no_vote"
     term: int
@@ -50,7 +50,7 @@
 
 
 class VoteGranted(_Message, frozen=True, kw_only=True):
-    """Answer to a vote request: the voter votes for nobody else until the leader lease has expired."""
+    """Answer to a vote request: the voter votes for no other server until the leader lease has expired."""
 
     kind: Literal["voted"] = "voted"
     term: int
@@ -58,14 +58,14 @@
 
 
 class LeaderAnnouncement(_Message, frozen=True, kw_only=True):
-    """The sender leads under `term`."""
+    """Notice that the sender is the leader under `term`."""
 
     kind: Literal["leads"] = "leads"
     term: int
 
 
 class _LeaseRequest(_Message, frozen=True, kw_only=True):
-    """Base of the requests of a client that are answered."""
+    """Base of the client requests that a server answers."""
 
     lease_name: str
     incarnation: int
@@ -75,18 +75,18 @@
 
     @property
     def request_id(self) -> RequestId:
-        """Which request of the client it belongs to."""
+        """The identifier of the client's request for the lease."""
         return RequestId(self.incarnation, self.request_number)
 
 
 class AcquireRequest(_LeaseRequest, frozen=True, kw_only=True):
-    """A client asks for a lease, or for its place in the queue."""
+    """Request of a client for a lease; repeated while the client waits in the queue."""
 
     kind: Literal["want"] = "want"
 
 
 class RenewRequest(_LeaseRequest, frozen=True, kw_only=True):
-    """A client asks to keep a lease that was granted under `term`."""
+    """Request of a client to extend its lease; `term` is that of the leader it is sent to."""
 
     kind: Literal["renew"] = "renew"
     slot: int
@@ -95,7 +95,7 @@
 
 
 class ReleaseNotice(_Message, frozen=True, kw_only=True):
-    """A client no longer holds or wants a lease; `fencing_token` is 0 where it held none. Not answered."""
+    """Unanswered notice that a client gives up its lease or queue position; `fencing_token` 0: no lease."""
 
     kind: Literal["done"] = "done"
     lease_name: str
@@ -105,12 +105,12 @@
 
     @property
     def request_id(self) -> RequestId:
-        """Which request of the client it ends."""
+        """The identifier of the client's request that ends."""
         return RequestId(self.incarnation, self.request_number)
 
 
 class LeaseGranted(_Message, frozen=True, kw_only=True):
-    """Answer to an acquire or renew request."""
+    """Answer to an acquire or renew request: the lease is granted or extended."""
 
     kind: Literal["yours"] = "yours"
     lease_name: str
@@ -122,7 +122,7 @@
 
 
 class QueuePosition(_Message, frozen=True, kw_only=True):
-    """Answer to an acquire request that has to wait; `queue_position` clients are before it."""
+    """Answer to an acquire request that has to wait; `queue_position` is the number of clients before it."""
 
     kind: Literal["wait"] = "wait"
     lease_name: str
@@ -132,7 +132,7 @@
 
 
 class LeaderReferral(_Message, frozen=True, kw_only=True):
-    """Answer of a server that does not grant this lease: who leads, as far as it knows; empty: unknown."""
+    """Answer of a server that does not grant the lease: the leader it knows; empty if unknown."""
 
     kind: Literal["led_by"] = "led_by"
     lease_name: str
@@ -142,7 +142,7 @@
 
 
 class LeaseRevoked(_Message, frozen=True, kw_only=True):
-    """Answer to a renewal of a lease that the leader no longer knows."""
+    """Answer to a renewal: the leader has no such lease."""
 
     kind: Literal["over"] = "over"
     lease_name: str
@@ -151,8 +151,8 @@
 
 ElectionMessage: TypeAlias = VoteRequest | VoteDenied | VoteGranted | LeaderAnnouncement
 ClientRequest: TypeAlias = AcquireRequest | RenewRequest | ReleaseNotice
-ServerMessage: TypeAlias = ElectionMessage | ClientRequest  # what a lease server receives
-ClientMessage: TypeAlias = LeaseGranted | QueuePosition | LeaderReferral | LeaseRevoked
+ServerMessage: TypeAlias = ElectionMessage | ClientRequest  # received by a lease server
+ClientMessage: TypeAlias = LeaseGranted | QueuePosition | LeaderReferral | LeaseRevoked  # by a client
 LeaseMessage: TypeAlias = ServerMessage | ClientMessage
 
 _TYPES: dict[str, type[LeaseMessage]] = {
@@ -171,15 +171,15 @@
 
 
 def encode(message: LeaseMessage) -> dict[str, Any]:
-    """The map that is sent, its keys in their order."""
+    """Return the map to send, with its keys in wire order."""
     encoded: dict[str, Any] = msgspec.to_builtins(message)
     return encoded
 
 
 def decode(body: Any) -> LeaseMessage | None:
-    """The message of a decoded map; None for a kind of another version, which is ignored.
+    """Return the message in a decoded map; None for an unknown kind, which a newer version may send.
 
-    Raises KeyError, TypeError or ValueError (msgspec.ValidationError) where the map is malformed.
+    Raises KeyError, TypeError or ValueError (msgspec.ValidationError) if the map is malformed.
     """
     message_type = _TYPES.get(str(body["do"]))
     return None if message_type is None else msgspec.convert(body, message_type)
