--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -1,6 +1,6 @@
-"""Load gossip under loss, duplication, splits, liars and departures; what a server concludes from it.
+"""Load gossip under loss, duplication, partitions, false reports and departures; the signals derived from it.
 
-Reports are written here in their encoded form and go through the codec.
+The reports of the tests are in their encoded form and pass through the codec.
 """
 
 import random
@@ -17,10 +17,12 @@
 
 
 class RecordedActions:
+    """Records the messages sent, the events and whether the probe lease is requested."""
+
     def __init__(self):
         self.sent = []
         self.events = []
-        self.wants_lease = False
+        self.is_lease_requested = False
         self.holds_lease = False
 
     def send_load_reports(self, to, reports):
@@ -30,59 +32,59 @@
         self.events.append((event, fields))
 
     def request_probe_lease(self):
-        self.wants_lease = True
+        self.is_lease_requested = True
 
     def release_probe_lease(self):
-        self.wants_lease = self.holds_lease = False
+        self.is_lease_requested = self.holds_lease = False
 
     def holds_probe_lease(self):
         return self.holds_lease
 
 
-FULL = (MetricDefinition("full", 1.0),)
+FULL_METRIC = (MetricDefinition("full", 1.0),)
 
 
-def receive(gossip, now, sender, reports):
-    """Delivers a message in its encoded form, as `FleetMember` does."""
-    gossip.receive(now, sender, decode_reports(reports, len(gossip.metrics)))
+def deliver(load_gossip, now, sender, reports):
+    """Deliver a message in its encoded form, as `FleetMember` does."""
+    load_gossip.receive(now, sender, decode_reports(reports, len(load_gossip.metrics)))
 
 
-def samples(gossip, now, metric):
-    return [(sample.value, sample.age_ms) for sample in gossip.samples(now, metric)]
+def sample_values(load_gossip, now, metric):
+    return [(sample.value, sample.age_ms) for sample in load_gossip.samples(now, metric)]
 
 
-def make_gossip(names, name="a", metrics=FULL):
+def make_gossip(names, name="a", metrics=FULL_METRIC):
     actions = RecordedActions()
     load_gossip = LoadGossip(actions, name, 1, metrics, 3)
     load_gossip.set_members(names, names[:3])
     return load_gossip, actions
 
 
-def test_a_report_counts_once_by_incarnation_and_sequence_and_expires():
+def test_only_the_newest_report_of_an_origin_by_incarnation_and_sequence_counts_until_it_expires():
     load_gossip, _ = make_gossip(["b", "c", "d"])
-    receive(load_gossip, 0.0, "b", [["b", 1, 5, 100, [500]]])
-    receive(load_gossip, 1.0, "c", [["b", 1, 4, 0, [900]]])  # late
-    receive(load_gossip, 2.0, "c", [["b", 1, 5, 0, [900]]])  # duplicate
-    assert samples(load_gossip, 2.0, "full") == [(0.5, 102.0)]
-    receive(load_gossip, 3.0, "c", [["b", 2, 1, 50, [700]]])  # a new incarnation
-    assert samples(load_gossip, 3.0, "full") == [(0.7, 50.0)]
-    receive(load_gossip, 4.0, "b", [["b", 1, 99, 0, [100]]])
-    assert samples(load_gossip, 4.0, "full")[0][0] == 0.7
-    assert samples(load_gossip, 3.0 + REPORT_LIFETIME_MS, "full") == []
-    receive(
+    deliver(load_gossip, 0.0, "b", [["b", 1, 5, 100, [500]]])
+    deliver(load_gossip, 1.0, "c", [["b", 1, 4, 0, [900]]])  # late
+    deliver(load_gossip, 2.0, "c", [["b", 1, 5, 0, [900]]])  # duplicate
+    assert sample_values(load_gossip, 2.0, "full") == [(0.5, 102.0)]
+    deliver(load_gossip, 3.0, "c", [["b", 2, 1, 50, [700]]])  # a new incarnation
+    assert sample_values(load_gossip, 3.0, "full") == [(0.7, 50.0)]
+    deliver(load_gossip, 4.0, "b", [["b", 1, 99, 0, [100]]])
+    assert sample_values(load_gossip, 4.0, "full")[0][0] == 0.7
+    assert sample_values(load_gossip, 3.0 + REPORT_LIFETIME_MS, "full") == []
+    deliver(
         load_gossip,
         5.0,
         "b",
         [["c", 1, 1, REPORT_LIFETIME_MS, [100]], ["a", 1, 9, 0, [100]], ["stranger", 1, 1, 0, [100]]],
     )
-    assert len(samples(load_gossip, 5.0, "full")) == 1  # too old, our own name, not of the fleet
+    assert len(sample_values(load_gossip, 5.0, "full")) == 1  # expired, own name, not a member
 
 
-def test_reports_of_members_that_left_are_dropped_and_table_and_message_are_bounded():
+def test_reports_of_members_that_left_are_dropped_and_the_table_and_messages_are_bounded():
     names = [f"n{n:03}" for n in range(400)]
     load_gossip, actions = make_gossip(names)
-    for at, name in enumerate(names):
-        receive(load_gossip, float(at), name, [[name, 1, 1, 0, [10]]])
+    for index, name in enumerate(names):
+        deliver(load_gossip, float(index), name, [[name, 1, 1, 0, [10]]])
     assert (
         len(load_gossip.reports) == MAX_REPORTS
         and "n399" in load_gossip.reports
@@ -93,7 +95,7 @@
     assert len(actions.sent) == 2 and all(
         len(reports) == MAX_REPORTS_PER_MESSAGE and reports[0][0] == "a" for _, reports in actions.sent
     )
-    assert actions.sent[0][1][0][4] == [1000]  # bounded
+    assert actions.sent[0][1][0][4] == [1000]  # clamped
     load_gossip.set_members(names[:390], names[:3])
     assert not {"n390", "n399"} & set(load_gossip.reports)
     load_gossip.report_own(401.0, {"full": float("nan")})
@@ -115,45 +117,47 @@
 def test_a_malformed_report_is_rejected(reports):
     load_gossip, _ = make_gossip(["b"])
     with pytest.raises((ValueError, TypeError)):
-        receive(load_gossip, 0.0, "b", reports)
+        deliver(load_gossip, 0.0, "b", reports)
     assert not load_gossip.reports
 
 
-def test_false_reports_do_not_move_an_aggregate_past_what_honest_servers_report():
-    chance = random.Random(5)
+def test_false_reports_do_not_move_an_aggregate_out_of_the_range_of_correct_reports():
+    rng = random.Random(5)
     for _ in range(300):
-        count = chance.randint(3, 40)
-        liars = (count - 1) // 6 if count > 6 else 1
+        count = rng.randint(3, 40)
+        false_count = (count - 1) // 6 if count > 6 else 1
         names = [f"n{n}" for n in range(count)]
         load_gossip, _ = make_gossip(names)
-        honest = []
-        for at, name in enumerate(names):
-            value = chance.choice((0, 1000)) if at < liars else chance.randint(200, 400)
-            honest += [value / 1000.0] if at >= liars else []
-            receive(load_gossip, 0.0, name, [[name, 1, 1, chance.randint(0, 900), [value]]])
+        correct_values = []
+        for index, name in enumerate(names):
+            value = rng.choice((0, 1000)) if index < false_count else rng.randint(200, 400)
+            correct_values += [value / 1000.0] if index >= false_count else []
+            deliver(load_gossip, 0.0, name, [[name, 1, 1, rng.randint(0, 900), [value]]])
         aggregate = load_gossip.aggregate(0.0, "full")
-        assert min(honest) <= aggregate.value <= max(honest) and aggregate.report_count == count
+        assert (
+            min(correct_values) <= aggregate.value <= max(correct_values) and aggregate.report_count == count
+        )
     load_gossip, _ = make_gossip(["b", "c"])
-    receive(load_gossip, 0.0, "b", [["b", 1, 1, 0, [1000]], ["c", 1, 1, 0, [1000]]])
-    assert load_gossip.aggregate(0.0, "full") is None  # two say too little
+    deliver(load_gossip, 0.0, "b", [["b", 1, 1, 0, [1000]], ["c", 1, 1, 0, [1000]]])
+    assert load_gossip.aggregate(0.0, "full") is None  # fewer than MIN_REPORTS
 
 
 @pytest.mark.parametrize(("count", "loss"), [(3, 0.2), (10, 0.05), (60, 0.2)])
 def test_a_change_reaches_all_servers_within_seconds_in_messages_of_bounded_size(count, loss):
-    found = gossip.measure_fleet(count, loss)
-    assert found["error"] < 0.05 and 0.0 < found["jump_ms"] <= 6000.0 and found["with_liars"] < 0.1
-    assert found["bytes_per_s"] < 2500 and found["age_ms"] < 2500
+    measured = gossip.measure_fleet(count, loss)
+    assert measured["error"] < 0.05 and 0.0 < measured["jump_ms"] <= 6000.0 and measured["with_liars"] < 0.1
+    assert measured["bytes_per_s"] < 2500 and measured["age_ms"] < 2500
 
 
-def test_a_partition_leaves_each_side_its_own_reports_and_healing_brings_the_others():
+def test_each_side_of_a_partition_keeps_only_its_own_reports_until_the_partition_heals():
     world = gossip.make_world(12, 0.05, False, lambda now: 0.2)
     world.run(5_000.0)
     half = sorted(world.programs)[:6]
     world.split(half)
     world.run(5_000.0 + REPORT_LIFETIME_MS + 3_000.0)
     for name, program in world.programs.items():
-        side = {origin in half for origin in program.gossip.reports}
-        assert side == {name in half}
+        sides = {origin in half for origin in program.gossip.reports}
+        assert sides == {name in half}
     world.heal()
     world.run(world.now + 5_000.0)
     assert all(len(program.gossip.reports) >= 11 for program in world.programs.values())
@@ -166,13 +170,13 @@
 
 
 def report_from_all(load_gossip, now_ms, sequence, **values):
-    """All other servers report the same."""
+    """Deliver a report with the same values from each other server."""
     for name in load_gossip.members:
         quantized = [-1] * len(METRICS)
         for metric, value in values.items():
-            index = [known.name for known in METRICS].index(metric)
+            index = [definition.name for definition in METRICS].index(metric)
             quantized[index] = round(1000 * min(value, METRICS[index].maximum) / METRICS[index].maximum)
-        receive(load_gossip, now_ms, name, [[name, 1, sequence, 0, quantized]])
+        deliver(load_gossip, now_ms, name, [[name, 1, sequence, 0, quantized]])
 
 
 def test_a_server_that_has_not_called_yet_acts_on_the_slowdown_that_others_report():
@@ -180,11 +184,11 @@
     assert policy.update(0.0) == policy.update(1.0) and policy.update(2.0).call_slowdown == 1.0
     report_from_all(load_gossip, 100.0, 1, pace=10.0, lost=0.2, well=0.0)
     assert policy.update(100.0).call_slowdown == pytest.approx(10.0, 0.01)
-    assert policy.records.state is RecordsState.SLOW
+    assert policy.records_health.state is RecordsState.SLOW
     report_from_all(load_gossip, 200.0, 2, pace=2.0, lost=0.0, well=0.0)
-    assert policy.update(200.0).call_slowdown == pytest.approx(2.0, 0.02)  # not yet usual
+    assert policy.update(200.0).call_slowdown == pytest.approx(2.0, 0.02)  # still slower than usual
     report_from_all(load_gossip, 300.0, 3, pace=1.2, lost=0.0, well=0.0)
-    assert policy.update(300.0).call_slowdown == 1.0 and policy.records.state is RecordsState.HEALTHY
+    assert policy.update(300.0).call_slowdown == 1.0 and policy.records_health.state is RecordsState.HEALTHY
 
 
 def test_without_live_reports_the_signals_are_those_of_a_server_without_a_fleet():
@@ -194,13 +198,13 @@
     assert policy.update(REPORT_LIFETIME_MS + 1.0) == FleetSignals(1.0, 1.0, False, 1.0)
 
 
-def test_an_unavailable_service_is_called_by_holders_of_the_probe_lease_and_by_all_once_it_answers():
+def test_only_holders_of_the_probe_lease_call_an_unavailable_service_and_all_servers_once_it_answers():
     load_gossip, policy, actions = make_policy()
     report_from_all(load_gossip, 0.0, 1, lost=1.0, well=400.0)
-    assert policy.update(0.0).call_capacity == 1.0  # a call was answered just now
+    assert policy.update(0.0).call_capacity == 1.0  # a call was answered recently
     report_from_all(load_gossip, 1000.0, 2, lost=1.0, well=1400.0)
-    assert policy.update(1000.0).call_capacity == 0.0 and actions.wants_lease
-    assert policy.records.state == "unavailable"  # as it is logged
+    assert policy.update(1000.0).call_capacity == 0.0 and actions.is_lease_requested
+    assert policy.records_health.state == "unavailable"  # the value in the log
     actions.holds_lease = True
     assert 0.0 < policy.update(1100.0).call_capacity < 0.01
     actions.holds_lease = False
@@ -208,41 +212,41 @@
     assert policy.update(2000.0).call_capacity == 0.0
     report_from_all(load_gossip, 2500.0, 4, lost=0.5, well=10.0)
     policy.update(2500.0)
-    assert policy.records.state is RecordsState.RECOVERING and not actions.wants_lease
+    assert policy.records_health.state is RecordsState.RECOVERING and not actions.is_lease_requested
     capacities = []
     for now_ms in range(2500, 2600, 5):
         report_from_all(load_gossip, float(now_ms), now_ms, lost=0.0, well=1.0)
         capacities.append(policy.update(float(now_ms)).call_capacity)
     assert capacities == sorted(capacities) and capacities[0] < 0.5 and capacities[-1] == 1.0
-    assert policy.records.state is RecordsState.HEALTHY
+    assert policy.records_health.state is RecordsState.HEALTHY
 
 
-def test_where_no_server_reports_a_probe_a_server_calls_by_itself():
+def test_a_server_tests_the_service_itself_if_no_server_reports_a_probe():
     load_gossip, policy, _ = make_policy()
     report_from_all(load_gossip, 0.0, 1, lost=1.0, well=2000.0)
     assert policy.update(0.0).call_capacity == 0.0
     assert policy.update(PROBE_TIMEOUT_MS - 1.0).call_capacity == 0.0
     policy.update(PROBE_TIMEOUT_MS + 1.0)
-    assert policy.records.state is RecordsState.RECOVERING
+    assert policy.records_health.state is RecordsState.RECOVERING
 
 
 def test_a_full_fleet_is_signalled_with_hysteresis_and_its_retry_after_factor_is_bounded():
     load_gossip, policy, _ = make_policy()
     report_from_all(load_gossip, 0.0, 1, full=0.4)
     assert not policy.update(0.0).is_full
-    for at, (share, factor) in enumerate(((0.6, 2.5), (0.4, 1.67), (0.99, MAX_RETRY_AFTER_FACTOR)), 2):
-        report_from_all(load_gossip, float(at), at, full=share)
-        signals = policy.update(float(at))
+    for index, (share, factor) in enumerate(((0.6, 2.5), (0.4, 1.67), (0.99, MAX_RETRY_AFTER_FACTOR)), 2):
+        report_from_all(load_gossip, float(index), index, full=share)
+        signals = policy.update(float(index))
         assert signals.is_full and signals.retry_after_factor == pytest.approx(factor, 0.02)
     report_from_all(load_gossip, 9.0, 9, full=0.1)
     assert not policy.update(9.0).is_full
 
 
-def test_servers_begin_to_recover_at_different_times_by_their_names():
+def test_servers_resume_calls_to_a_recovering_service_at_different_times():
     delays = set()
     for name in ("s1", "s2", "s3", "s11", "s12"):
         load_gossip = LoadGossip(RecordedActions(), name, 1, METRICS, 3)
         load_gossip.set_members([f"n{n}" for n in range(200)], [])
         policy = FleetSignalPolicy(RecordedActions(), name, 1, load_gossip)
-        delays.add(round(policy.records.start_delay_ms()))
+        delays.add(round(policy.records_health.start_delay_ms()))
     assert len(delays) == 5 and max(delays) <= 402
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -150,7 +150,9 @@
     member.request_probe_lease()
     assert PROBE_LEASE_NAME in member.lease_client.requests
     member.leave()
-    member.signal_policy.records.set_state(member.now(), RecordsState.UNAVAILABLE, "its calls are lost")
+    member.signal_policy.records_health.set_state(
+        member.now(), RecordsState.UNAVAILABLE, "its calls are lost"
+    )
     assert not member.lease_client.requests
 
 
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -147,7 +147,7 @@
             self._log_summary(now_ms)
 
     def _survey_interval_ms(self) -> float:
-        if self.signal_policy.records.state is RecordsState.UNAVAILABLE:
+        if self.signal_policy.records_health.state is RecordsState.UNAVAILABLE:
             return SURVEY_INTERVAL_WHILE_UNAVAILABLE_MS
         return SURVEY_INTERVAL_MS
 
@@ -183,7 +183,7 @@
         log.info(
             "together",
             there=sum(member.state == MemberState.ALIVE for member in members),
-            records=self.signal_policy.records.state,
+            records=self.signal_policy.records_health.state,
             **self.admission_signals.summary(now_ms),
             room=round(self.admission_signals.signals.call_capacity, LOGGED_DIGITS),
             bytes_sent=self.transport.bytes_sent,
--- a/vetchford/gossip/aggregation.py
+++ b/vetchford/gossip/aggregation.py
@@ -1,20 +1,21 @@
-"""The mean of a metric over many servers, which a few false reports can't move far. No I/O.
+"""The mean of a metric over many servers, robust against a few false reports. No I/O.
 
-A trimmed mean: the highest and the lowest sixth of the values are left out. With one value for each server,
-false reports from fewer than a sixth of the servers can't move it past what honest servers report.
+This is a trimmed mean: the highest and the lowest sixth of the values are left out. With one value for each
+server, false reports from fewer than a sixth of the servers can't move the mean out of the range of the
+correct reports.
 """
 
 import math
 from dataclasses import dataclass
 
-MIN_REPORTS = 3  # for an aggregate
-TRIM_FRACTION = 1.0 / 6.0  # of the values, at each end
-MIN_TRIMMED_REPORTS = 3  # from which values are left out
+MIN_REPORTS = 3  # with fewer there is no aggregate
+TRIM_FRACTION = 1.0 / 6.0  # of the values, left out at each end
+MIN_REPORTS_TO_TRIM = 3  # with fewer no value is left out
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What one server reported."""
+    """One server's value of a metric."""
 
     age_ms: float
     value: float
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Aggregate:
-    """What many servers reported."""
+    """The mean of a metric over servers."""
 
     value: float
     report_count: int
@@ -30,11 +31,11 @@
 
 
 def trimmed_mean(samples: list[Sample], min_reports: int = MIN_REPORTS) -> Aggregate | None:
-    """The aggregate of the samples; None where there are fewer than `min_reports`."""
+    """Return the trimmed mean of the samples; None if there are fewer than `min_reports`."""
     count = len(samples)
     if count < min_reports:
         return None
-    trimmed = math.ceil(TRIM_FRACTION * count) if count >= MIN_TRIMMED_REPORTS else 0
-    kept = sorted(sample.value for sample in samples)[trimmed : count - trimmed]
+    trim_count = math.ceil(TRIM_FRACTION * count) if count >= MIN_REPORTS_TO_TRIM else 0
+    remaining_values = sorted(sample.value for sample in samples)[trim_count : count - trim_count]
     mean_age_ms = sum(sample.age_ms for sample in samples) / count
-    return Aggregate(sum(kept) / len(kept), count, mean_age_ms)
+    return Aggregate(sum(remaining_values) / len(remaining_values), count, mean_age_ms)
--- a/vetchford/gossip/messages.py
+++ b/vetchford/gossip/messages.py
@@ -1,4 +1,7 @@
-"""Load reports as they are sent: MessagePack arrays, whose form may not change in a rolling upgrade."""
+"""Load reports and their codec: MessagePack arrays.
+
+During a rolling upgrade servers of two versions exchange them, so the form may not change.
+"""
 
 from collections.abc import Iterator
 from typing import Annotated, Any
@@ -9,42 +12,44 @@
 from vetchford.gossip.metrics import RESOLUTION, UNKNOWN
 
 MAX_REPORTS_PER_MESSAGE = 12
-MAX_AGE_MS = 1e9  # of a report that is read at all
+MAX_REPORT_AGE_MS = 1e9  # exclusive; a report with a higher age is malformed
 
-Quantized = Annotated[int, msgspec.Meta(ge=UNKNOWN, le=RESOLUTION)]
-AgeMs = Annotated[float, msgspec.Meta(ge=0, lt=MAX_AGE_MS)]
+QuantizedValue = Annotated[int, msgspec.Meta(ge=UNKNOWN, le=RESOLUTION)]
+AgeMs = Annotated[float, msgspec.Meta(ge=0, lt=MAX_REPORT_AGE_MS)]
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The metrics of one server at one time."""
+    """The metrics of one server at one time, measured `age_ms` before the message was sent."""
 
     origin: str
     incarnation: int  # of the origin
-    sequence: int  # grows with each report of the incarnation
-    age_ms: AgeMs  # since it was measured; each holder adds the time that it held the report
-    values: list[Quantized]  # see `MetricDefinition.quantize`; UNKNOWN: not reported
+    sequence: int  # increases with each report of the incarnation
+    age_ms: AgeMs  # each server that passes the report on adds the time since it received it
+    values: list[QuantizedValue]  # see `MetricDefinition.quantize`; UNKNOWN: not reported
 
 
-class OtherMetricsError(MalformedInputError, ValueError):
-    """A report with more or fewer values than there are metrics: of another version.
+class MetricCountMismatchError(MalformedInputError, ValueError):
+    """A report whose number of values differs from the number of metrics, as another version may send it.
 
     Attributes: `value_count` of the report, `metric_count` of this process.
     """
 
     def __init__(self, value_count: int, metric_count: int) -> None:
-        """Makes the message of the counts."""
-        super().__init__(f"a report of {value_count} values for {metric_count} metrics")
+        """Build the error text from the two counts."""
+        super().__init__(
+            f"load report has {value_count} values, expected {metric_count}: the sender runs another version"
+        )
         self.value_count = value_count
         self.metric_count = metric_count
 
 
 def decode_reports(body: Any, metric_count: int) -> Iterator[LoadReport]:
-    """The reports of a decoded message, one by one: those before a malformed one count.
+    """Yield the reports of a decoded message; reports before a malformed one are valid.
 
-    Raises TypeError or ValueError (msgspec.ValidationError, OtherMetricsError) at a malformed one.
+    Raises TypeError or ValueError (msgspec.ValidationError, OtherMetricsError) at a malformed report.
     """
     for encoded in body[:MAX_REPORTS_PER_MESSAGE]:
         report = msgspec.convert(encoded, LoadReport)
         if len(report.values) != metric_count:
-            raise OtherMetricsError(len(report.values), metric_count)
+            raise MetricCountMismatchError(len(report.values), metric_count)
         yield report
--- a/vetchford/gossip/metrics.py
+++ b/vetchford/gossip/metrics.py
@@ -1,40 +1,40 @@
-"""What a server reports of itself: the same list of metrics on all servers."""
+"""The metrics that a server reports of itself; the same list on all servers."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-RESOLUTION = 1000  # a value is sent in thousandths of its maximum
-UNKNOWN = -1  # in place of a value that a server does not report
+RESOLUTION = 1000  # steps: a value is sent in thousandths of its maximum
+UNKNOWN = -1  # sent in place of a value that a server does not report
 
 
 @dataclass(frozen=True, slots=True)
 class MetricDefinition:
-    """One metric, from 0 to `maximum`."""
+    """A metric with values from 0 to `maximum`."""
 
     name: str
     maximum: float
 
     def quantize(self, value: float) -> int:
-        """The value as it is sent; values out of range are clamped."""
+        """Return the encoded form of a value, which is clamped to the range of the metric."""
         return round(RESOLUTION * min(max(0.0, value), self.maximum) / self.maximum)
 
-    def value_of(self, quantized: int) -> float:
-        """The value of what was sent."""
+    def dequantize(self, quantized: int) -> float:
+        """Return the value of its encoded form."""
         return quantized * self.maximum / RESOLUTION
 
 
 class Metric(StrEnum):
-    """The metrics of a server; the values are the names of the log's fields."""
+    """The metrics of a server; the values are names of log fields."""
 
-    CALL_SLOWDOWN = "pace"  # recent time of a call over the usual one
-    LOST_CALLS = "lost"  # share of calls that were cut off, refused or broken off
-    SINCE_LAST_ANSWER = "well"  # ms since a call was last answered
+    CALL_SLOWDOWN = "pace"  # recent duration of a call, as a multiple of the usual one
+    LOST_CALLS = "lost"  # share of calls that timed out, were refused or failed
+    SINCE_LAST_ANSWER = "well"  # ms since the last answer to a call
     REJECTED_REQUESTS = "full"  # share of requests that were rejected
-    MEMORY = "memory"  # share of the limit
-    REQUEST_RATE = "rate"  # requests read a second
+    MEMORY = "memory"  # used share of the memory limit
+    REQUEST_RATE = "rate"  # requests read per second
 
 
-METRICS = (  # their order is the one on the wire
+METRICS = (  # in wire order
     MetricDefinition(Metric.CALL_SLOWDOWN, 64.0),
     MetricDefinition(Metric.LOST_CALLS, 1.0),
     MetricDefinition(Metric.SINCE_LAST_ANSWER, 10_000.0),
