--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -1,4 +1,4 @@
-"""Races of the transport and the fleet member, with real sockets on loopback. Rows: docs/crossings.md."""
+"""Races of the transport and the fleet member, with sockets on loopback; docs/crossings.md lists them."""
 
 import math
 import queue
@@ -23,15 +23,15 @@
 from vetchford.transport.peers import Identity, LinkState
 
 
-class Side:
-    """One process "a" that lists the peer "b": its transport, an actor and its datagrams."""
+class LocalProcess:
+    """The process "a" with the peer "b": its transport, its actor and the datagrams that it received."""
 
     def __init__(self):
         self.metrics = Metrics()
         self.datagrams = queue.Queue()
         self.actor = Actor("a", self.metrics)
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = free.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as free_port:
+            self.port = free_port.getsockname()[1]
         self.transport = Transport(
             self.actor,
             self,
@@ -47,89 +47,97 @@
 
     def on_link_state(self, peer, state): ...
 
-    def on_peer_incarnation(self, peer, life, nonce): ...
+    def on_peer_incarnation(self, peer, incarnation, nonce): ...
 
     def start(self):
         self.actor.start()
         self.transport.start()
 
-    def send_to_it(self, data):
+    def receive_bytes(self, data):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.sendto(data, ("127.0.0.1", self.port))
 
 
 @pytest.fixture
-def side():
-    one = Side()
-    yield one
-    one.transport.endpoint.close()
+def local():
+    process = LocalProcess()
+    yield process
+    process.transport.endpoint.close()
 
 
 def envelope_of(sequence, kind="news", body="word"):
     return Envelope("pay", "b", 1, 7, sequence, kind, body)
 
 
-def test_a_connection_of_ours_reset_before_its_option_is_set_is_attempted_again(side):
-    """It stands, and breaks before the actor has taken it over."""
-    peers = side.transport.sessions
-    number = peers.peers["b"].link = peers.link_table.add(0.0, "b", LinkState.CONNECTING)
-    peers.link_table.set_state("b", LinkState.CONNECTING)
-    mine, _ = socket.socketpair()
+def test_a_connection_of_ours_reset_before_its_option_is_set_is_attempted_again(local):
+    """The connection is established, and reset before the actor has started its stream."""
+    sessions = local.transport.sessions
+    link_number = sessions.peers["b"].link = sessions.link_table.add(0.0, "b", LinkState.CONNECTING)
+    sessions.link_table.set_state("b", LinkState.CONNECTING)
+    local_socket, _ = socket.socketpair()
 
-    def refuses(*given):
+    def fail_to_set_option(*arguments):
         raise OSError(22, "Invalid argument")
 
-    side.transport.on_connected(number, Wrapped(mine, setsockopt=refuses))
-    assert not peers.links and peers.peers["b"].state is LinkState.OFF
-    dialled = []
-    side.transport.connect = lambda peer, link: dialled.append(peer)
-    peers.tick(1e12)
-    assert dialled == ["b"]
-
-
-def test_a_closed_connection_keeps_its_descriptor_until_its_reader_is_done(side):
-    """The reader is just about to read; closed now, its number could be the next connection's."""
-    peers, gate, closed = side.transport.sessions, Checkpoint(), threading.Event()
-    mine, _ = socket.socketpair()
-    wrapped = Wrapped(mine, recv=gate.before(mine.recv), close=closed.set, setsockopt=lambda *given: None)
-    number = peers.on_accepted(0.0, "127.0.0.1")
-    side.transport.start_stream(number, wrapped)
-    gate.wait()
-    side.transport.close_link(number)
+    local.transport.on_connected(link_number, Wrapped(local_socket, setsockopt=fail_to_set_option))
+    assert not sessions.links and sessions.peers["b"].state is LinkState.OFF
+    connected_peers = []
+    local.transport.connect = lambda peer, link: connected_peers.append(peer)
+    sessions.tick(1e12)
+    assert connected_peers == ["b"]
+
+
+def test_a_closed_connection_keeps_its_descriptor_until_its_reader_is_done(local):
+    """Closed while the reader is about to read, its descriptor could be reused by the next connection."""
+    sessions, read_checkpoint, closed = local.transport.sessions, Checkpoint(), threading.Event()
+    local_socket, _ = socket.socketpair()
+    wrapped = Wrapped(
+        local_socket,
+        recv=read_checkpoint.before(local_socket.recv),
+        close=closed.set,
+        setsockopt=lambda *arguments: None,
+    )
+    link_number = sessions.on_accepted(0.0, "127.0.0.1")
+    local.transport.start_stream(link_number, wrapped)
+    read_checkpoint.wait()
+    local.transport.close_link(link_number)
     assert not closed.wait(SHORT)
-    gate.open()
+    read_checkpoint.open()
     assert closed.wait(WAIT_TIMEOUT_S)
-    mine.close()
+    local_socket.close()
 
 
 def with_invalid_text(envelope):
-    """The same with a name that is no UTF-8, and a checksum that fits it."""
+    """Return the frame with a kind that is not UTF-8 and a checksum that matches."""
     body = msgspec.msgpack.encode(envelope).replace(b"news", b"\xff\xfe\xfd\xfc")
     return HEADER.pack(MAGIC, VERSION, 0, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         with_invalid_text(envelope_of(1)),
         framing.encode_frame(envelope_of(1, "life", [math.inf, 1])),
         framing.encode_frame(envelope_of(1, "life", {"life": 1})),
     ],
-    ids=["no UTF-8", "an infinite incarnation", "no list"],
+    ids=["not UTF-8", "an infinite incarnation", "not a list"],
 )
-def test_after_a_malformed_datagram_the_next_one_is_read(side, bad):
-    side.start()
-    side.send_to_it(bad)
-    wait_until(lambda: any("malformed" in name for name in side.metrics.by_name), "it is refused and counted")
-    side.send_to_it(framing.encode_frame(envelope_of(2)))
-    assert side.datagrams.get(timeout=WAIT_TIMEOUT_S) == ("b", "word")
+def test_after_a_malformed_datagram_the_next_one_is_read(local, malformed):
+    local.start()
+    local.receive_bytes(malformed)
+    wait_until(
+        lambda: any("malformed" in name for name in local.metrics.by_name),
+        "the malformed datagram was not counted",
+    )
+    local.receive_bytes(framing.encode_frame(envelope_of(2)))
+    assert local.datagrams.get(timeout=WAIT_TIMEOUT_S) == ("b", "word")
 
 
 def make_fleet_member():
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port = free.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as free_port:
+        port = free_port.getsockname()[1]
     servers = {"a": f"127.0.0.1:{port}", "b": "127.0.0.1:9"}
-    told = {
+    settings_record = {
         "name": "a",
         "fleet": "pay",
         "listen": servers["a"],
@@ -141,11 +149,11 @@
         "records": True,
         "full": True,
     }
-    return FleetMember(told, 1, Metrics(), lambda tell: None, lambda numbers: None)
+    return FleetMember(settings_record, 1, Metrics(), lambda report: None, lambda signals: None)
 
 
-def test_a_service_found_unavailable_during_shutdown_makes_it_ask_for_no_probe_lease():
-    """All leases are released at the notice; then the records service is found unavailable."""
+def test_a_service_found_unavailable_during_shutdown_causes_no_request_for_the_probe_lease():
+    """All leases are released when the shutdown starts; then the records service becomes unavailable."""
     member = make_fleet_member()
     member.request_probe_lease()
     assert PROBE_LEASE_NAME in member.lease_client.requests
--- a/vetchford/transport/endpoint.py
+++ b/vetchford/transport/endpoint.py
@@ -1,6 +1,6 @@
-"""One port for streams and datagrams: its sockets, and the threads that accept, connect and read datagrams.
+"""The sockets of one port for streams and datagrams, and the threads that accept, connect and read datagrams.
 
-Nothing is decided here; `Transport` is told what came.
+The endpoint makes no decisions; it passes all events to `Transport`.
 """
 
 import socket
@@ -16,35 +16,35 @@
 Address = tuple[str, int]
 
 CONNECT_TIMEOUT_S = 1.0
-ACCEPT_RETRY_S = 0.1  # after an error, mostly for want of descriptors
+ACCEPT_RETRY_S = 0.1  # after an error; mostly the process is out of file descriptors
 READ_RETRY_S = 0.01  # after an error of the datagram socket
 LISTEN_BACKLOG = 64
 
 
 class EndpointEvents(Protocol):
-    """What an endpoint tells, each on the thread on which it happens."""
+    """Callbacks of an endpoint, each called on the thread on which the event happens."""
 
     def stream_accepted(self, sock: socket.socket, host: str) -> None:
-        """Somebody connected to us; the callee owns the socket."""
+        """Handle an accepted connection; the callee owns the socket."""
 
     def stream_connected(self, link: int, sock: socket.socket) -> None:
-        """The connection that was asked for under this number stands; the callee owns the socket."""
+        """Handle the established connection of a link; the callee owns the socket."""
 
     def connect_failed(self, link: int, problem: Exception) -> None:
-        """The connection that was asked for under this number could not be made."""
+        """Handle the failure to connect a link."""
 
     def datagram_received(self, host: str, envelope: Envelope) -> None:
-        """A datagram came."""
+        """Handle a decoded datagram."""
 
     def datagram_refused(self, fault: FrameFault) -> None:
-        """A datagram came that can't be read."""
+        """Handle a datagram that can't be decoded."""
 
 
 class Endpoint:
-    """The sockets of one address, which it owns until `close`."""
+    """The sockets bound to one address, which the endpoint owns until `close`."""
 
     def __init__(self, address: Address, events: EndpointEvents, metrics: Metrics) -> None:
-        """Binds the address. Raises OSError where that fails."""
+        """Bind the address; raise OSError if that fails."""
         self.address = address
         self.events = events
         self.metrics = metrics
@@ -57,28 +57,28 @@
             raise
 
     def start(self) -> None:
-        """Begins to accept connections and to read datagrams, on two threads that end with the process."""
+        """Start accepting connections and reading datagrams, on two threads that end with the process."""
         start_thread(self._accept, "transport-accept", self.metrics)
         start_thread(self._read_datagrams, "transport-datagrams", self.metrics)
 
     def close(self) -> None:
-        """Closes both sockets, of an endpoint that was not started."""
+        """Close both sockets of an endpoint that was not started."""
         self.listener.close()
         self.datagram_socket.close()
 
     def connect(self, link: int, address: Address) -> None:
-        """Connects to an address on a thread of its own; `link` comes back with the result."""
+        """Connect to an address on a new thread; `link` is passed to the callback with the result."""
         start_thread(lambda: self._connect(link, address), "transport-connect", self.metrics)
 
     def send_datagram(self, data: bytes, address: Address) -> None:
-        """Sends without blocking. Raises OSError where nobody is there or the socket's buffer is full."""
+        """Send without blocking; raise OSError if the address is unreachable or the socket buffer is full."""
         self.datagram_socket.sendto(data, socket.MSG_DONTWAIT, address)
 
     def _accept(self) -> None:
         while True:
             try:
                 sock, (host, _) = self.listener.accept()
-            except OSError as problem:  # out of descriptors: connections wait in the backlog
+            except OSError as problem:  # out of file descriptors: connections wait in the backlog
                 self.metrics.log_sampled("accept_failed", problem=str(problem))
                 time.sleep(ACCEPT_RETRY_S)
                 continue
@@ -89,7 +89,7 @@
             any_port = (self.address[0], 0)
             sock = socket.create_connection(address, CONNECT_TIMEOUT_S, any_port)
             sock.settimeout(None)
-        except Exception as problem:  # whatever it is: unreported, no attempt would be made again
+        except Exception as problem:  # any error must be reported, or the link is never retried
             self.events.connect_failed(link, problem)
             return
         self.events.stream_connected(link, sock)
@@ -101,12 +101,12 @@
                 self.events.datagram_received(host, framing.decode_datagram(data))
             except FrameError as problem:
                 self.events.datagram_refused(problem.fault)
-            except OSError as problem:  # an ICMP answer to a datagram that we sent to nobody
+            except OSError as problem:  # an ICMP error for a datagram sent to a closed port
                 self.metrics.log_sampled("datagram_not_read", problem=str(problem))
                 time.sleep(READ_RETRY_S)
 
 
 def parse_address(address: str) -> Address:
-    """Host and port of "host:port". Raises ValueError where the port is no number."""
+    """Return host and port of "host:port"; raise ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/vetchford/transport/faults.py
+++ b/vetchford/transport/faults.py
@@ -1,23 +1,23 @@
-"""Why frames, connections and peers are refused or given up.
+"""Reasons for which frames are rejected, connections refused and links closed.
 
-The values are those of the tool's replies and of errors, which do not change; `log_term` is the one of the
-log and of counters.
+The values appear in replies to the command-line tool and in errors, and do not change; logs and counters use
+`log_term`.
 """
 
 from enum import StrEnum
 
 
 class LoggedReason(StrEnum):
-    """A reason that is logged by a term of its own."""
+    """A reason whose term in the log differs from its value."""
 
     @property
     def log_term(self) -> str:
-        """The term under which it is logged and counted."""
+        """The term of the reason in logs and counters."""
         return self.name.lower()
 
 
 class FrameFault(LoggedReason):
-    """What is wrong with a frame."""
+    """Why a frame can't be decoded or encoded."""
 
     NOT_A_FRAME = "no_frame"
     OTHER_VERSION = "other_version"
@@ -40,22 +40,22 @@
 
 
 class IncarnationFault(LoggedReason):
-    """Why the sender of a frame is not who it claims."""
+    """Why the incarnation of a frame's sender is rejected."""
 
     STALE_INCARNATION = "earlier_life"
-    DUPLICATE_IDENTITY = "twin"  # two processes by one name: the later one has to begin a new incarnation
+    DUPLICATE_IDENTITY = "twin"  # two processes have one name: the later one must begin a new incarnation
 
 
 class SequenceFault(LoggedReason):
-    """What is wrong with a sequence number."""
+    """Why a sequence number is not the expected one."""
 
     LATE = "late"
     DUPLICATE = "doubled"
-    GAP = "gap"  # numbers before it were skipped; only streams, where the message is taken nevertheless
+    GAP = "gap"  # numbers before it were skipped; only in streams, which accept the message
 
 
 class LinkFailure(LoggedReason):
-    """Why this process gave up a connection that still stood."""
+    """Why this process closed a connection that the peer had not closed."""
 
     NO_HANDSHAKE = "connected, and no word came"
     UNRESPONSIVE = "accepts and says nothing"
--- a/vetchford/transport/framing.py
+++ b/vetchford/transport/framing.py
@@ -1,8 +1,8 @@
-"""Codec of frames: a header of 16 bytes and a body in MessagePack (msgspec), checked by XXH3 (xxhash).
+"""Codec of frames: a header of 16 bytes and a body in MessagePack (msgspec) with an XXH3 checksum (xxhash).
 
     2 bytes "vf", version, reserved, length of the body (4, big-endian), checksum of the body (8)
 
-The form is the same for datagrams (one frame each) and for streams. No state but the unread rest of a stream.
+Datagrams (one frame each) and streams use the same form. The only state is the undecoded rest of a stream.
 """
 
 import struct
@@ -18,29 +18,29 @@
 VERSION = 1
 HEADER = struct.Struct(">2sBBIQ")
 MAX_BODY_BYTES = 1 << 20
-MAX_DATAGRAM_BYTES = 1400  # fits into an Ethernet frame, so that none is fragmented
+MAX_DATAGRAM_BYTES = 1400  # fits into an Ethernet frame, so it is not fragmented
 
-# What taking a body of the wrong form apart raises; OverflowError comes from an infinity as a number.
+# Errors that decoding a malformed body may raise; OverflowError comes from converting an infinity.
 MALFORMED = (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError)
 
 
 class FrameError(VetchfordError):
-    """A frame that can't be read or written; `fault` says why."""
+    """A frame that can't be decoded or encoded; `fault` is the reason."""
 
     def __init__(self, fault: FrameFault) -> None:
-        """Makes the message of the fault."""
+        """Use the value of the fault as the error text."""
         super().__init__(fault.value)
         self.fault = fault
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The content of a frame: its sender, its place in the sequence, and a message."""
+    """The content of a frame: its sender, its sequence number and a message."""
 
     fleet: str
     sender: str
-    incarnation: int  # of the sender; higher at each of its starts
-    nonce: int  # drawn at each start: tells apart two processes that claim one incarnation
-    sequence: int  # from 1 on; for each connection, and for all datagrams of an incarnation
+    incarnation: int  # of the sender; higher at each start
+    nonce: int  # random at each start; distinguishes processes with the same incarnation
+    sequence: int  # from 1, per connection, or per incarnation for its datagrams
     kind: str
     body: Any
 
@@ -50,7 +50,7 @@
 
 
 def encode_frame(envelope: Envelope) -> bytes:
-    """The frame of an envelope. Raises FrameError where it is longer than any reader takes."""
+    """Return the frame of an envelope; raise FrameError if its body exceeds `MAX_BODY_BYTES`."""
     body = _encoder.encode(envelope)
     if len(body) > MAX_BODY_BYTES:
         raise FrameError(FrameFault.TOO_LONG)
@@ -58,7 +58,7 @@
 
 
 def decode_datagram(data: bytes) -> Envelope:
-    """The envelope of a datagram, which is one whole frame. Raises FrameError."""
+    """Return the envelope of a datagram, which must be exactly one frame; raise FrameError otherwise."""
     if len(data) < HEADER.size:
         raise FrameError(FrameFault.NOT_A_FRAME)
     length, checksum = _parse_header(data)
@@ -68,14 +68,14 @@
 
 
 class StreamDecoder:
-    """Turns the bytes of one connection into envelopes; keeps at most one frame beside what was just read."""
+    """Decodes the bytes of one connection into envelopes; buffers at most one incomplete frame."""
 
     def __init__(self) -> None:
-        """Begins with nothing read."""
+        """Start with an empty buffer."""
         self.unread = bytearray()
 
     def feed(self, data: bytes) -> list[Envelope]:
-        """The envelopes that `data` completes. Raises FrameError: the rest of the stream is unreadable."""
+        """Return the envelopes that `data` completes; after a FrameError the rest can't be decoded."""
         self.unread += data
         envelopes = []
         while len(self.unread) >= HEADER.size:
@@ -89,7 +89,7 @@
 
 
 def _parse_header(data: bytes | bytearray) -> tuple[int, int]:
-    """Length and checksum of the body."""
+    """Return the length and the checksum of the body."""
     magic, version, _, length, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise FrameError(FrameFault.NOT_A_FRAME)
--- a/vetchford/transport/handshake.py
+++ b/vetchford/transport/handshake.py
@@ -1,27 +1,27 @@
-"""Codec of the handshake, the first message of each side of a stream; its encoded form may not change."""
+"""Codec of the handshake, the first message from each end of a stream; the encoded form may not change."""
 
 from dataclasses import dataclass
 from typing import Any
 
-KIND = "hello"  # of its envelope
-KNOWN_PARTS = 2  # incarnation and nonce
+KIND = "hello"  # kind of its envelope
+KNOWN_INCARNATION_LENGTH = 2  # incarnation and nonce
 
 
 @dataclass(frozen=True, slots=True)
 class Handshake:
-    """Whom its sender addresses, and which incarnation of that peer it knows."""
+    """The recipient of a handshake, and the incarnation of the recipient that the sender knows."""
 
     recipient: str
-    known_incarnation: tuple[int, int] | None  # incarnation and nonce; None where they are unreadable
+    known_incarnation: tuple[int, int] | None  # incarnation and nonce; None if malformed
 
 
 def encode(recipient: str, incarnation: int, nonce: int) -> dict[str, Any]:
-    """The body of a handshake."""
+    """Return the body of a handshake."""
     return {"to": recipient, "knows": [incarnation, nonce]}
 
 
 def decode(body: Any) -> Handshake | None:
-    """The handshake of a body; None where it is none."""
+    """Return the handshake in a body; None if the body is not a handshake."""
     if not isinstance(body, dict):
         return None
     recipient = body.get("to")
@@ -31,7 +31,7 @@
 
 
 def _known_incarnation(value: Any) -> tuple[int, int] | None:
-    if not isinstance(value, list) or len(value) != KNOWN_PARTS:
+    if not isinstance(value, list) or len(value) != KNOWN_INCARNATION_LENGTH:
         return None
     if not all(isinstance(part, int) for part in value):
         return None
--- a/vetchford/transport/link_table.py
+++ b/vetchford/transport/link_table.py
@@ -1,8 +1,8 @@
-"""The connections of one process: made, accepted, timed out and dropped. No I/O; times in ms, monotonic.
+"""The links of one process: connecting, accepting, timeouts and closing. No I/O; times in ms, monotonic.
 
-A connection in HANDSHAKING is given up after HANDSHAKE_TIMEOUT_MS, a SILENT one after GIVE_UP_TIMEOUT_MS:
-such peers are frozen or cut off in one direction. Peers that refuse connections are gone; `LinkFailure` tells
-the two apart.
+A link in HANDSHAKING is closed after HANDSHAKE_TIMEOUT_MS, a SILENT one after GIVE_UP_TIMEOUT_MS: the peer is
+suspended or unreachable in one direction, which `LinkFailure` reports. A peer that refuses connections has no
+running process.
 """
 
 import zlib
@@ -22,37 +22,37 @@
 
 
 class LinkTable:
-    """The links by number, and the state in which each peer's link is seen. Not thread-safe."""
+    """All links by number, and the link state of each peer. Not thread-safe."""
 
     def __init__(
-        self, actions: SessionActions, peers: PeerTable, name: str, seed: int, streams: bool
+        self, actions: SessionActions, peer_table: PeerTable, name: str, seed: int, streams: bool
     ) -> None:
-        """`name` of this process and `seed` choose the jitter; without `streams` there are no links."""
+        """Start without links; jitter depends on `seed` and `name`; without `streams` no link is opened."""
         self.actions = actions
-        self.peers = peers
+        self.peer_table = peer_table
         self.name = name
         self.streams = streams
         self.seed = seed
-        self.draws = 0
-        self.links: dict[int, Link] = {}  # by number; removed as connections end
-        self.last_number = 0
+        self.draw_count = 0
+        self.links: dict[int, Link] = {}  # by number; removed when their connections end
+        self.last_link_number = 0
 
-    # -- made and accepted
+    # -- connecting and accepting
 
     def connect_due(self, now_ms: float) -> None:
-        """Begins the connections that are due."""
-        for name, peer in self.peers.by_name.items():
+        """Connect to each peer whose connection is due."""
+        for name, peer in self.peer_table.by_name.items():
             if self._is_connection_due(now_ms, name, peer):
                 peer.link = self.add(now_ms, name, LinkState.CONNECTING)
                 self.set_state(name, LinkState.CONNECTING)
                 self.actions.connect(name, peer.link)
 
     def connects_to(self, peer: str) -> bool:
-        """Whether we are the side that connects: the one whose name is first in order."""
+        """Return whether this process connects to a peer: the process whose name sorts first does."""
         return self.streams and self.name < peer
 
     def accept(self, now_ms: float, address: str) -> int:
-        """The number of the link of an accepted connection; 0 where it is to be closed at once."""
+        """Return the number of the link of an accepted connection; 0 if it is to be closed at once."""
         refusal = self._refuse_connection(address)
         if refusal is not None:
             self.actions.count_event("peer_refused", why=refusal.log_term, address=address)
@@ -60,94 +60,96 @@
         return self.add(now_ms, "", LinkState.HANDSHAKING)
 
     def add(self, now_ms: float, peer: str, state: LinkState) -> int:
-        """Adds a link; returns its number."""
-        self.last_number += 1
-        self.links[self.last_number] = Link(peer, now_ms, state, now_ms, now_ms)
-        return self.last_number
+        """Add a link and return its number."""
+        self.last_link_number += 1
+        self.links[self.last_link_number] = Link(peer, now_ms, state, now_ms, now_ms)
+        return self.last_link_number
 
     def set_state(self, name: str, state: LinkState) -> None:
-        """Sets the state that a peer's link is seen in, and tells of a change."""
-        peer = self.peers.by_name[name]
+        """Set the link state of a peer, and report a change."""
+        peer = self.peer_table.by_name[name]
         if peer.state is not state:
             peer.state = state
             self.actions.on_link_state(name, state)
 
     def _is_connection_due(self, now_ms: float, name: str, peer: Peer) -> bool:
-        """Whether we are the side that connects to a peer, it is off and its backoff has passed."""
-        return peer.state is LinkState.OFF and self.connects_to(name) and now_ms >= peer.next_attempt_at_ms
+        """Return whether this process connects to a peer whose link is OFF and whose backoff has passed."""
+        return peer.state is LinkState.OFF and self.connects_to(name) and now_ms >= peer.next_contact_at_ms
 
     def _refuse_connection(self, address: str) -> Refusal | None:
-        """Why a connection from this host is not accepted; None where it is."""
-        if not self.peers.has_address(address):
+        """Return why a connection from this host is refused; None if it is accepted."""
+        if not self.peer_table.has_address(address):
             return Refusal.UNKNOWN_PEER
-        if not self.streams:  # each connection would hold a descriptor that is needed elsewhere
+        if not self.streams:  # each connection would occupy a file descriptor needed elsewhere
             return Refusal.DATAGRAMS_ONLY
         pending = sum(not link.peer for link in self.links.values())
-        if pending >= MAX_PENDING_PER_PEER * len(self.peers.by_name):
+        if pending >= MAX_PENDING_PER_PEER * len(self.peer_table.by_name):
             return Refusal.TOO_MANY_CONNECTIONS
         return None
 
-    # -- timed out and dropped
+    # -- timeouts and closing
 
     def compensate_suspension(self, passed_ms: float) -> None:
-        """Moves the times of all links on where this process was suspended: no peer is late because of it.
+        """Shift the times of all links if this process was suspended, so that no peer times out.
 
-        `passed_ms`: since the tick before.
+        `passed_ms`: time since the previous tick.
         """
         suspended_ms = passed_ms - SUSPENDED_AFTER_MS
         if suspended_ms <= 0.0:
             return
         for link in self.links.values():
-            link.since_ms += suspended_ms
+            link.state_since_ms += suspended_ms
             link.last_received_at_ms += suspended_ms
             link.last_sent_at_ms += suspended_ms
 
-    def check_timeouts(self, now_ms: float, number: int, link: Link) -> None:
-        """Gives a link up that has waited too long, and finds one that is silent."""
-        if link.state is LinkState.HANDSHAKING and now_ms - link.since_ms >= HANDSHAKE_TIMEOUT_MS:
-            self.give_up(now_ms, number, LinkFailure.NO_HANDSHAKE)
+    def check_timeouts(self, now_ms: float, link_number: int, link: Link) -> None:
+        """Close a link that has timed out, and mark a link without recent messages as SILENT."""
+        if link.state is LinkState.HANDSHAKING and now_ms - link.state_since_ms >= HANDSHAKE_TIMEOUT_MS:
+            self.give_up(now_ms, link_number, LinkFailure.NO_HANDSHAKE)
         if not link.is_established():
             return
         silent_for_ms = now_ms - link.last_received_at_ms
         if silent_for_ms >= GIVE_UP_TIMEOUT_MS:
-            self.give_up(now_ms, number, LinkFailure.UNRESPONSIVE)
+            self.give_up(now_ms, link_number, LinkFailure.UNRESPONSIVE)
         elif silent_for_ms >= SILENCE_TIMEOUT_MS and link.state is LinkState.UP:
             link.state = LinkState.SILENT
             self.actions.count_event("peer_silent", peer=link.peer)
             self.set_state(link.peer, LinkState.SILENT)
 
-    def give_up(self, now_ms: float, number: int, failure: LinkFailure) -> None:
-        """Closes a link that still stands, and counts that."""
-        self.drop(now_ms, number, failure, counted_as=failure)
+    def give_up(self, now_ms: float, link_number: int, failure: LinkFailure) -> None:
+        """Close a link because of a failure that this process detected, and count the failure."""
+        self.drop(now_ms, link_number, failure, counted_as=failure)
 
-    def drop(self, now_ms: float, number: int, reason: str, counted_as: LoggedReason | None = None) -> None:
-        """Closes a link; its peer is off until the backoff has passed.
+    def drop(
+        self, now_ms: float, link_number: int, reason: str, counted_as: LoggedReason | None = None
+    ) -> None:
+        """Close a link; its peer is OFF until the backoff has passed.
 
         Args:
-            now_ms: Time of the end.
-            number: Of the link; one that is gone already is ignored.
-            reason: For the tool's replies.
-            counted_as: For the log; None where the event that led to it was counted already, or is none.
+            now_ms: Monotonic time.
+            link_number: Number of the link; a link that has been removed is ignored.
+            reason: Reason for the replies to the command-line tool.
+            counted_as: Reason for the log; None if its cause was counted already or is not an error.
         """
-        link = self.links.pop(number, None)
+        link = self.links.pop(link_number, None)
         if link is None:
             return
-        self.actions.close_link(number)
+        self.actions.close_link(link_number)
         if counted_as is not None:
             self.actions.count_event("peer_dropped", peer=link.peer or "?", why=counted_as.log_term)
-        peer = self.peers.by_name.get(link.peer)
-        if peer is None or peer.link != number:
+        peer = self.peer_table.by_name.get(link.peer)
+        if peer is None or peer.link != link_number:
             return
         peer.link = 0
         peer.last_failure = str(reason)
         if peer.up_since_ms and now_ms - peer.up_since_ms >= STABLE_AFTER_MS:
-            peer.attempts = 0
+            peer.connect_attempts = 0
         peer.up_since_ms = 0.0
-        peer.next_attempt_at_ms = now_ms + backoff_ms(peer.attempts, self._draw(JITTER_STEPS))
-        peer.attempts += 1
+        peer.next_contact_at_ms = now_ms + backoff_ms(peer.connect_attempts, self._random_below(JITTER_STEPS))
+        peer.connect_attempts += 1
         self.set_state(link.peer, LinkState.OFF)
 
-    def _draw(self, count: int) -> int:
-        """A reproducible pseudo-random number below `count`."""
-        self.draws += 1
-        return zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % count
+    def _random_below(self, count: int) -> int:
+        """Return a reproducible pseudo-random number below `count`."""
+        self.draw_count += 1
+        return zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draw_count)) % count
--- a/vetchford/transport/outbox.py
+++ b/vetchford/transport/outbox.py
@@ -1,21 +1,21 @@
-"""Messages that wait to be written to one stream: bounded by number and bytes."""
+"""The queue of messages to be written to one stream, bounded by number and bytes."""
 
 from collections import deque
 
-MAX_MESSAGES = 512  # for one peer
-MAX_BYTES = 4 << 20  # of them
-# Kinds that are sent again anyway: the oldest of them is dropped first.
+MAX_QUEUED_MESSAGES = 512  # in the queue of one peer
+MAX_QUEUED_BYTES = 4 << 20  # in the queue of one peer
+# Kinds that are sent again periodically: the oldest message of these is dropped first.
 REPEATED_KINDS = frozenset(("beat", "look", "seen", "news"))
 
 
 class Outbox:
-    """A queue that drops its oldest repeated message where it is full, or its oldest where none is repeated.
+    """A queue that, when full, drops its oldest message of a repeated kind, or else its oldest message.
 
     Not thread-safe: `StreamConnection` guards it with a condition.
     """
 
-    def __init__(self, max_messages: int = MAX_MESSAGES, max_bytes: int = MAX_BYTES) -> None:
-        """Begins empty."""
+    def __init__(self, max_messages: int = MAX_QUEUED_MESSAGES, max_bytes: int = MAX_QUEUED_BYTES) -> None:
+        """Start with an empty queue."""
         self.max_messages = max_messages
         self.max_bytes = max_bytes
         self.bytes = 0
@@ -23,7 +23,7 @@
         self.dropped = 0
 
     def put(self, kind: str, frame: bytes) -> int:
-        """Adds a frame; returns how many were dropped for it. The last one is never dropped."""
+        """Add a frame; return how many older ones were dropped. The added frame itself is never dropped."""
         self.messages.append((kind, frame))
         self.bytes += len(frame)
         before = self.dropped
@@ -32,7 +32,7 @@
         return self.dropped - before
 
     def take(self) -> bytes | None:
-        """Removes and returns the next frame; None where there is none."""
+        """Remove and return the next frame; None if the queue is empty."""
         if not self.messages:
             return None
         _, frame = self.messages.popleft()
--- a/vetchford/transport/peers.py
+++ b/vetchford/transport/peers.py
@@ -1,4 +1,4 @@
-"""What is known of this process and of the peers that it talks to, and whether a frame is one of theirs.
+"""The identity of this process, the state of its peers and links, and checks of a frame's sender.
 
 No I/O; times in ms, monotonic.
 """
@@ -13,31 +13,31 @@
 
 
 class LinkState(StrEnum):
-    """The state of the link to one peer; the values are those of the tool's replies."""
+    """The state of the link to one peer; the values appear in replies to the command-line tool."""
 
-    OFF = "off"  # no connection; the next attempt is due after a backoff
+    OFF = "off"  # no connection; the next attempt follows after a backoff
     CONNECTING = "calling"
-    HANDSHAKING = "greeting"  # connected; the other side's handshake has not come yet
+    HANDSHAKING = "greeting"  # connected; the peer's handshake has not been received yet
     UP = "up"
-    SILENT = "silent"  # connected, and nothing was received for SILENCE_TIMEOUT_MS
+    SILENT = "silent"  # connected; nothing was received for SILENCE_TIMEOUT_MS
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Under which name and incarnation a process talks to its peers."""
+    """The fleet, name and incarnation of a process, which its peers identify it by."""
 
     fleet: str
     name: str
     incarnation: int  # higher at each start
-    nonce: int  # drawn at each start: tells apart two processes that claim one incarnation
+    nonce: int  # random at each start; distinguishes processes with the same incarnation
 
 
 @dataclass(slots=True)
 class Link:
-    """One connection, from its beginning to its end."""
+    """One connection, from the attempt to connect until it is closed."""
 
-    peer: str  # empty until the other side's handshake has come
-    since_ms: float  # when the state began
+    peer: str  # empty until the handshake of an accepted connection is received
+    state_since_ms: float  # start of the state
     state: LinkState
     last_received_at_ms: float
     last_sent_at_ms: float
@@ -45,7 +45,7 @@
     received_sequence: int = 0
 
     def is_established(self) -> bool:
-        """Whether both sides' handshakes have come."""
+        """Return whether the handshake is complete."""
         return self.state in (LinkState.UP, LinkState.SILENT)
 
 
@@ -53,20 +53,20 @@
 class Peer:
     """One listed peer."""
 
-    address: str  # its host
+    address: str  # host
     state: LinkState = LinkState.OFF
-    incarnation: int = 0  # the newest that was seen; 0: none
+    incarnation: int = 0  # the highest one seen; 0: none
     nonce: int = 0
-    link: int = 0  # number of its connection; 0: none
-    attempts: int = 0  # to connect, since the backoff began anew
-    next_attempt_at_ms: float = 0.0
+    link: int = 0  # number of its link; 0: none
+    connect_attempts: int = 0  # to connect, since the backoff was reset
+    next_contact_at_ms: float = 0.0  # of a connection; with datagrams only, of an incarnation notice
     up_since_ms: float = 0.0
-    window: ReplayWindow = field(default_factory=ReplayWindow)
-    last_failure: str = "not tried yet"  # why there is no link
+    replay_window: ReplayWindow = field(default_factory=ReplayWindow)
+    last_failure: str = "no connection attempted yet"  # why there is no link
 
 
 class PeerTable:
-    """The listed peers by name; frames of anybody else are refused."""
+    """The listed peers by name; frames from any other sender are refused."""
 
     def __init__(
         self,
@@ -74,23 +74,23 @@
         addresses: Mapping[str, str],
         on_peer_incarnation: Callable[[str, int, int], None],
     ) -> None:
-        """`on_peer_incarnation`: called with name, incarnation and nonce where a peer begins a new one."""
+        """Start with all peers OFF; `on_peer_incarnation` gets name, incarnation and nonce of a new one."""
         self.fleet = fleet
         self.on_peer_incarnation = on_peer_incarnation
         self.by_name = {name: Peer(address) for name, address in addresses.items()}
 
     def has_address(self, address: str) -> bool:
-        """Whether some peer is listed under this host."""
+        """Return whether a peer with this host is listed."""
         return any(peer.address == address for peer in self.by_name.values())
 
     def refuse_sender(self, envelope: Envelope) -> Refusal | None:
-        """Why the sender is not heard; None where it is a listed peer."""
+        """Return why a frame is refused because of its sender; None if that is a listed peer."""
         if envelope.fleet != self.fleet:
             return Refusal.OTHER_FLEET
         return None if envelope.sender in self.by_name else Refusal.UNKNOWN_PEER
 
     def check_incarnation(self, envelope: Envelope) -> IncarnationFault | None:
-        """Takes in a newer incarnation of a listed peer; returns what is wrong with any other."""
+        """Return the fault of the sender's incarnation, or None; store a newer incarnation."""
         peer = self.by_name[envelope.sender]
         if envelope.incarnation < peer.incarnation:
             return IncarnationFault.STALE_INCARNATION
@@ -99,6 +99,6 @@
         if envelope.incarnation > peer.incarnation:
             peer.incarnation = envelope.incarnation
             peer.nonce = envelope.nonce
-            peer.window = ReplayWindow()
+            peer.replay_window = ReplayWindow()
             self.on_peer_incarnation(envelope.sender, envelope.incarnation, envelope.nonce)
         return None
--- a/vetchford/transport/replay_window.py
+++ b/vetchford/transport/replay_window.py
@@ -1,35 +1,37 @@
-"""Sequence numbers of datagrams: each is taken once, the newest WINDOW_SIZE of them in any order.
+"""Detection of duplicate datagrams: each number is accepted once, the newest WINDOW_SIZE in any order.
 
 The sliding window is that of IPsec (RFC 4303, section 3.4.3).
 """
 
 from vetchford.transport.faults import SequenceFault
 
-WINDOW_SIZE = 64  # datagrams that may overtake each other; older ones are refused unseen
+WINDOW_SIZE = 64  # datagrams that may arrive out of order; older ones are refused
 
 
 class ReplayWindow:
-    """The numbers that were seen from one incarnation of a peer."""
+    """The sequence numbers received from one incarnation of a peer."""
 
     def __init__(self) -> None:
-        """Begins with no number seen; numbers count from 1."""
-        self.newest = 0
-        self.seen = 0  # bit n: newest - n was seen
+        """Start without received numbers; the first number is 1."""
+        self.newest_sequence = 0
+        self.received_bits = 0  # bit n: number newest - n was received
 
-    def take(self, sequence: int) -> SequenceFault | None:
-        """Marks a number as seen; returns why it is refused, or None."""
-        if sequence > self.newest:
+    def check_and_mark(self, sequence: int) -> SequenceFault | None:
+        """Mark a number as received; return why it is refused, or None."""
+        if sequence > self.newest_sequence:
             self._advance(sequence)
-        elif self.newest - sequence >= WINDOW_SIZE:
+        elif self.newest_sequence - sequence >= WINDOW_SIZE:
             return SequenceFault.LATE
-        bit = 1 << (self.newest - sequence)
-        if self.seen & bit:
+        bit = 1 << (self.newest_sequence - sequence)
+        if self.received_bits & bit:
             return SequenceFault.DUPLICATE
-        self.seen |= bit
+        self.received_bits |= bit
         return None
 
     def _advance(self, sequence: int) -> None:
-        step = sequence - self.newest
-        kept = (self.seen << step) & ((1 << WINDOW_SIZE) - 1) if step < WINDOW_SIZE else 0
-        self.newest = sequence
-        self.seen = kept
+        advance = sequence - self.newest_sequence
+        bits_in_window = (
+            (self.received_bits << advance) & ((1 << WINDOW_SIZE) - 1) if advance < WINDOW_SIZE else 0
+        )
+        self.newest_sequence = sequence
+        self.received_bits = bits_in_window
--- a/vetchford/transport/session_actions.py
+++ b/vetchford/transport/session_actions.py
@@ -1,4 +1,4 @@
-"""The protocol class that the session manager acts through."""
+"""The interface through which the session manager acts."""
 
 from typing import Any, Protocol
 
@@ -6,34 +6,34 @@
 
 
 class SessionActions(Protocol):
-    """What the session manager acts through."""
+    """The actions of the session manager."""
 
     def connect(self, peer: str, link: int) -> None:
-        """Begins a connection; `on_connected` or `on_closed` tells what came of it."""
+        """Start to connect a link; the result is reported by `on_connected` or `on_closed`."""
 
     def write(self, link: int, kind: str, body: Any, sequence: int) -> bool:
-        """Puts a message into the link's outbox, without blocking; returns whether it could be."""
+        """Put a message into the link's outbox, without blocking; return whether that succeeded."""
 
     def close_link(self, link: int) -> None:
-        """Closes a connection."""
+        """Close the connection of a link."""
 
     def deliver(self, peer: str, kind: str, body: Any) -> None:
-        """Passes on a message of a peer."""
+        """Pass on a message from a peer."""
 
     def on_link_state(self, peer: str, state: LinkState) -> None:
-        """The state of a peer's link has changed."""
+        """Handle a change of the state of a peer's link."""
 
     def on_peer_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
-        """A peer began a new incarnation; to be kept, so that earlier ones stay known as such."""
+        """Handle a new incarnation of a peer; store it, so that earlier ones remain recognizable."""
 
     def on_later_incarnation(self, incarnation: int, nonce: int) -> None:
-        """A peer knows an incarnation of our name that is neither ours nor earlier.
+        """Handle an incarnation of this process, known to a peer, that this process did not begin.
 
-        Our store is old, or two processes have this name.
+        Either the store of this process is outdated, or two processes have the same name.
         """
 
     def send_known_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
-        """Tells a peer by datagram which incarnation of it we know; it calls `compare_incarnation`."""
+        """Send a peer its known incarnation by datagram; the peer passes it to `compare_incarnation`."""
 
     def count_event(self, name: str, **fields: Any) -> None:
-        """Counts and logs an event; `why` is its reason."""
+        """Count and log an event; the field `why` is its reason."""
--- a/vetchford/transport/stream_connection.py
+++ b/vetchford/transport/stream_connection.py
@@ -1,6 +1,6 @@
-"""One TCP stream: its socket, what waits to be written, and what its reader and writer threads do.
+"""One TCP stream: its socket, its outbox, and the functions of its reader and writer threads.
 
-The actor that owns the transport calls `put` and `close`; one thread runs `read` and one `write`.
+The actor that owns the transport calls `put` and `close`; one thread runs `read`, another `write`.
 """
 
 import contextlib
@@ -11,37 +11,37 @@
 from vetchford.transport.framing import Envelope, StreamDecoder
 from vetchford.transport.outbox import Outbox
 
-READ_BYTES = 64 * 1024  # in one call
+READ_BYTES = 64 * 1024  # per system call
 
 
 class StreamConnection:
-    """A stream with a thread to read and one to write: a stalled peer delays its own writer alone."""
+    """A stream with a reader and a writer thread, so a stalled peer delays only its own writer."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Takes over a connected socket; the owner starts the threads."""
+        """Take ownership of a connected socket; the owner of the stream starts the threads."""
         self.sock = sock
         self.outbox = Outbox()
         self.is_open = True
-        self.changed = threading.Condition()  # guards `outbox` and `is_open`
+        self.outbox_changed = threading.Condition()  # guards `outbox` and `is_open`
         self.reader_done = threading.Event()
 
     def put(self, kind: str, frame: bytes) -> int:
-        """Queues a frame without blocking; returns how many older ones were dropped for it."""
-        with self.changed:
+        """Queue a frame without blocking; return how many older ones were dropped for it."""
+        with self.outbox_changed:
             dropped = self.outbox.put(kind, frame)
-            self.changed.notify()
+            self.outbox_changed.notify()
         return dropped
 
     def close(self) -> None:
-        """Ends both threads; the writer closes the socket."""
-        with self.changed:
+        """End both threads; the writer closes the socket."""
+        with self.outbox_changed:
             self.is_open = False
-            self.changed.notify()
-        with contextlib.suppress(OSError):  # the other side closed first
+            self.outbox_changed.notify()
+        with contextlib.suppress(OSError):  # the peer closed first
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def read(self, deliver: Callable[[Envelope], None]) -> None:
-        """Reads until the other side closes. Raises OSError, and FrameError where it can't be followed."""
+        """Read until the peer closes; raise OSError, or FrameError if the stream can't be decoded."""
         decoder = StreamDecoder()
         try:
             while data := self.sock.recv(READ_BYTES):
@@ -51,22 +51,23 @@
             self.reader_done.set()
 
     def write(self) -> None:
-        """Writes what is queued until `close`. Raises OSError."""
+        """Write queued frames until `close`; raise OSError if the connection fails."""
         while (frame := self._next_frame()) is not None:
             self.sock.sendall(frame)
 
     def finish(self) -> None:
-        """Closes the socket, once the reader is done with it.
+        """Close the socket once the reader has ended.
 
-        Closed under the reader, its descriptor could be another connection's as it reads on.
+        If it were closed earlier, its file descriptor could be reused, and the reader would read from another
+        connection.
         """
         self.close()
         self.reader_done.wait()
         self.sock.close()
 
     def _next_frame(self) -> bytes | None:
-        """Waits for a frame; None after `close`."""
-        with self.changed:
+        """Wait for and return the next frame; None after `close`."""
+        with self.outbox_changed:
             while self.is_open and not self.outbox.messages:
-                self.changed.wait()
+                self.outbox_changed.wait()
             return self.outbox.take() if self.is_open else None
