--- a/vetchford/coordination/__init__.py
+++ b/vetchford/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""A server's part in its fleet: carries membership, load reports and leases over datagrams.
+"""A server's membership in its fleet: failure detection, load reports and leases over datagrams.
 
-Modules: `settings`, `datagrams` (codec), `load_sampler` (what the server reports of itself), `incarnation`,
-`fleet_member` (the actor). A server that is not told of a fleet imports none of them.
+Modules: `settings`, `datagrams` (codec), `load_sampler` (the metrics that the server reports), `incarnation`,
+`admission_signals`, `fleet_member` (the actor). A server without a configured fleet imports none of them.
 """
--- a/vetchford/coordination/datagrams.py
+++ b/vetchford/coordination/datagrams.py
@@ -1,6 +1,6 @@
-"""Codec of the datagrams between the servers of a fleet: arrays that begin with their kind.
+"""Codec of the datagrams between the servers of a fleet: arrays whose first element is their kind.
 
-The form may not change in a rolling upgrade.
+During a rolling upgrade servers of two versions exchange them, so the form may not change.
 """
 
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 class Kind(StrEnum):
-    """The first element of each datagram."""
+    """The kind of a datagram, its first element."""
 
     MEMBERSHIP = "view"
     LOAD_REPORTS = "rows"
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipDatagram:
-    """A message of the failure detector."""
+    """A message of the failure detector; `about` names the target of a ping request."""
 
     kind: str
     number: int
     about: str
-    news: list[MembershipUpdate]
+    updates: list[MembershipUpdate]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReportsDatagram:
-    """Load reports; they are decoded as they are iterated, which raises what `decode` does."""
+    """Load reports; they are decoded during iteration, which raises the same errors as `decode`."""
 
     reports: Iterator[LoadReport]
 
@@ -51,38 +51,38 @@
 Datagram: TypeAlias = MembershipDatagram | LoadReportsDatagram | LeaseDatagram
 
 
-def encode_membership(kind: str, number: int, about: str, news: list[MembershipUpdate]) -> list[Any]:
-    """The body of a message of the failure detector."""
-    return [Kind.MEMBERSHIP, kind, number, about, news]
+def encode_membership(kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> list[Any]:
+    """Return the body of a message of the failure detector."""
+    return [Kind.MEMBERSHIP, kind, number, about, updates]
 
 
 def encode_load_reports(reports: list[LoadReport]) -> list[Any]:
-    """The body of load reports."""
+    """Return the body of a datagram with load reports."""
     return [Kind.LOAD_REPORTS, reports]
 
 
 def encode_lease(message: LeaseMessage) -> list[Any]:
-    """The body of a message of the lease protocol."""
+    """Return the body of a message of the lease protocol."""
     return [Kind.LEASE, lease_messages.encode(message)]
 
 
 def decode(body: Any) -> Datagram | None:
-    """The datagram of a body; None for a kind of another version, which is ignored.
+    """Return the datagram in a body; None for an unknown kind, which a newer version may send.
 
-    Raises one of `transport.framing.MALFORMED` where the body is malformed.
+    Raises one of `transport.framing.MALFORMED` if the body is malformed.
     """
-    kind, *rest = body
+    kind, *fields = body
     if kind == Kind.MEMBERSHIP:
-        return _decode_membership(rest)
+        return _decode_membership(fields)
     if kind == Kind.LOAD_REPORTS:
-        return LoadReportsDatagram(gossip_messages.decode_reports(rest[0], len(METRICS)))
+        return LoadReportsDatagram(gossip_messages.decode_reports(fields[0], len(METRICS)))
     if kind == Kind.LEASE:
-        message = lease_messages.decode(rest[0])
+        message = lease_messages.decode(fields[0])
         return None if message is None else LeaseDatagram(message)
     return None
 
 
 def _decode_membership(fields: list[Any]) -> MembershipDatagram:
-    kind, number, about, news = fields
-    pieces = [(str(name), str(state), int(incarnation)) for name, state, incarnation in news]
-    return MembershipDatagram(str(kind), int(number), str(about), pieces)
+    kind, number, about, updates = fields
+    decoded_updates = [(str(name), str(state), int(incarnation)) for name, state, incarnation in updates]
+    return MembershipDatagram(str(kind), int(number), str(about), decoded_updates)
--- a/vetchford/coordination/incarnation.py
+++ b/vetchford/coordination/incarnation.py
@@ -1,7 +1,7 @@
-"""The incarnation of a server in its fleet: begun at its start, and raised where others know a later one.
+"""The incarnation of a server in its fleet: set at its start, and raised if another server knows a later one.
 
-Others know a later one where the time of day went back, or where two servers have one name. In the latter
-case both would raise theirs for ever, so this is done a few times a minute only.
+Another server knows a later incarnation if the time of day went back, or if two servers have the same name.
+In the latter case both would raise their incarnations forever, so the number of raises per minute is limited.
 """
 
 import time
@@ -15,19 +15,19 @@
 
 
 class IncarnationCounter:
-    """The incarnation and nonce of this process; from start to start the former grows with the time of day.
+    """The incarnation and nonce of this process; incarnations increase with the time of day.
 
-    Not thread-safe: for one actor's thread.
+    Not thread-safe: only for the thread of the actor that owns it.
     """
 
     def __init__(self) -> None:
-        """Begins a new incarnation."""
+        """Begin a new incarnation."""
         self.incarnation = int(clock.day() * MS_PER_S)
         self.nonce = _draw_nonce()
         self.raised_at_ms: list[float] = []
 
     def raise_above(self, now_ms: float, known: int) -> bool:
-        """Begins an incarnation above `known`; False where this happens too often: the name is disputed."""
+        """Begin an incarnation above `known`; return False after too many raises: the name is disputed."""
         self.raised_at_ms = [at_ms for at_ms in self.raised_at_ms if now_ms - at_ms < RAISE_WINDOW_MS]
         if len(self.raised_at_ms) >= MAX_RAISES:
             return False
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -1,6 +1,6 @@
-"""What one server reports of itself: metrics of the last seconds.
+"""Sampling of the metrics that a server reports: calls and requests of the last seconds.
 
-Lives on the thread of the admission actor; times in ms.
+For the thread of the admission actor; times in ms.
 """
 
 import math
@@ -11,17 +11,17 @@
 from vetchford.gossip.metrics import Metric
 from vetchford.runtime.units import MS_PER_S
 
-WINDOW_MS = 2000.0  # that metrics are taken over
-MIN_WINDOW_FRACTION = 0.25  # that must have passed before rates are reported
-MAX_CALLS = 512  # ended calls that are kept; the oldest go first
+WINDOW_MS = 2000.0  # time that the metrics cover
+MIN_WINDOW_FRACTION = 0.25  # of WINDOW_MS must have passed before rates are reported
+MAX_CALLS = 512  # ended calls kept; the oldest are dropped first
 MAX_COUNTER_SAMPLES = 64
-MIN_CALLS = 8  # from which the usual duration of a call is known
-STUCK_FACTOR = 12.0  # times the usual duration that the oldest call is out
-MIN_STUCK_MS = 1000.0
+MIN_CALLS = 8  # answered calls from which the usual duration is reliable
+STUCK_FACTOR = 12.0  # multiple of the usual duration after which a call in flight counts as stuck
+MIN_STUCK_MS = 1000.0  # minimum time in flight of a stuck call
 
-# Values of `vetchford.admission.request.Outcome`, which coordination does not import.
+# Values of `vetchford.admission.request.Outcome`, which this package does not import.
 COMPLETED = "completed"
-CUT_OFF = "overdue"
+OVERDUE = "overdue"
 
 # Counters of the server.
 REQUESTS_READ = "read"
@@ -38,20 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedCall:
-    """One call to the records service that ended."""
+    """A call to the records service that has ended."""
 
     at_ms: float
     duration_ms: float
-    outcome: str  # an `Outcome`; `COMPLETED` and `CUT_OFF` are told apart here
+    outcome: str  # value of `Outcome`; only `COMPLETED` and `OVERDUE` are distinguished
 
     def is_lost(self) -> bool:
-        """Whether it was not answered."""
+        """Return whether the call was not answered."""
         return self.outcome != COMPLETED
 
 
 @dataclass(frozen=True, slots=True)
 class CounterSample:
-    """Counters of admission at one time, since the start."""
+    """Counters of requests since the start of the server, at one time."""
 
     at_ms: float
     read: int
@@ -59,28 +59,28 @@
 
 
 class LoadSampler:
-    """Told of each call by `call_ended`; asked for the metrics by `figures` a few times a second.
+    """Collects ended calls by `call_ended`, and returns the metrics by `figures` a few times a second.
 
-    Not thread-safe: for the admission actor's thread.
+    Not thread-safe: only for the thread of the admission actor.
     """
 
     def __init__(self) -> None:
-        """Begins with no calls known."""
+        """Start without calls."""
         self.calls: deque[EndedCall] = deque(maxlen=MAX_CALLS)
-        self.cut_off: deque[EndedCall] = deque(maxlen=MAX_CALLS)  # those cut off took at least so long
+        self.overdue_calls: deque[EndedCall] = deque(maxlen=MAX_CALLS)  # their durations are lower bounds
         self.counters: deque[CounterSample] = deque(maxlen=MAX_COUNTER_SAMPLES)
         self.answered = 0
         self.last_answer_at_ms = -math.inf
 
     def call_ended(self, now_ms: float, outcome: str, duration_ms: float) -> None:
-        """A call to the records service ended, `duration_ms` after it started."""
+        """Add a call to the records service that ended `duration_ms` after its start."""
         call = EndedCall(now_ms, duration_ms, outcome)
         if not call.is_lost():
             self.answered += 1
             self.last_answer_at_ms = now_ms
         self.calls.append(call)
-        if outcome == CUT_OFF:
-            self.cut_off.append(call)
+        if outcome == OVERDUE:
+            self.overdue_calls.append(call)
 
     def figures(
         self,
@@ -91,18 +91,18 @@
         used_bytes: float,
         memory_bytes: float,
     ) -> dict[str, float]:
-        """The metrics by name; without recent calls there are none of the service.
+        """Return the metrics by name; without recent calls there are no metrics of the records service.
 
         Args:
             now_ms: Monotonic time.
-            started_at_ms: When the calls started that are out now.
-            usual_ms: Duration of a call by the long window; 0: not known.
-            counts: Counters of admission.
+            started_at_ms: Start times of the calls in flight.
+            usual_ms: Usual duration of a call, by the long window; 0: unknown.
+            counts: Counters of the server.
             used_bytes: Memory in use.
-            memory_bytes: Its limit.
+            memory_bytes: Memory limit.
         """
         _drop_old(self.calls, now_ms)
-        _drop_old(self.cut_off, now_ms)
+        _drop_old(self.overdue_calls, now_ms)
         metrics: dict[str, float] = {}
         if self.answered:
             metrics[Metric.SINCE_LAST_ANSWER] = now_ms - self.last_answer_at_ms
@@ -114,7 +114,7 @@
         return metrics
 
     def _service_metrics(self, oldest_ms: float, usual_ms: float) -> dict[str, float]:
-        """What is seen of the records service; `oldest_ms`: for how long the oldest call is out."""
+        """Return the metrics of the records service; the oldest call is in flight for `oldest_ms`."""
         is_usual_known = self.answered >= MIN_CALLS and usual_ms > 0.0
         if is_usual_known and self._is_stuck(oldest_ms, usual_ms):
             return {Metric.CALL_SLOWDOWN: oldest_ms / usual_ms, Metric.LOST_CALLS: 1.0}
@@ -122,20 +122,20 @@
             return {}
         lost = sum(call.is_lost() for call in self.calls)
         metrics: dict[str, float] = {Metric.LOST_CALLS: lost / len(self.calls)}
-        # Without those that were cut off only the quick calls would be counted.
+        # Without the calls that timed out, only the fast calls would be counted.
         durations = [call.duration_ms for call in self.calls if not call.is_lost()]
-        durations += [call.duration_ms for call in self.cut_off]
+        durations += [call.duration_ms for call in self.overdue_calls]
         if is_usual_known and durations:
             metrics[Metric.CALL_SLOWDOWN] = sum(durations) / len(durations) / usual_ms
         return metrics
 
     def _is_stuck(self, oldest_ms: float, usual_ms: float) -> bool:
-        """Whether all calls count as lost: one is out far longer than usual, and none was answered lately."""
+        """Return whether all calls count as lost: the oldest is overlong, and none was answered recently."""
         is_overlong = oldest_ms > max(MIN_STUCK_MS, STUCK_FACTOR * usual_ms)
         return is_overlong and all(call.is_lost() for call in self.calls)
 
     def _request_metrics(self, now_ms: float, counts: Mapping[str, int]) -> dict[str, float]:
-        """The rate of requests, and the share of them that was rejected."""
+        """Return the rate of requests and their rejected share."""
         rejected = sum(counts.get(name, 0) for name in REJECTED_COUNTERS)
         self.counters.append(CounterSample(now_ms, counts.get(REQUESTS_READ, 0), rejected))
         while len(self.counters) > 1 and now_ms - self.counters[0].at_ms > WINDOW_MS:
--- a/vetchford/coordination/settings.py
+++ b/vetchford/coordination/settings.py
@@ -1,4 +1,4 @@
-"""The record `together` of the settings, in the terms of the code."""
+"""Typed form of the record `together` of the settings."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMemberSettings:
-    """What a server is told of its fleet; the settings reader has checked it."""
+    """A server's settings of its fleet, which the settings reader has validated."""
 
     fleet: str
     name: str
     listen: str  # "host:port"
     servers: dict[str, str]  # address of each server, by name
     lease_servers: list[str]  # names
-    lease_capacities: dict[str, int]  # how many may hold a lease at once, by lease name
+    lease_capacities: dict[str, int]  # maximum number of leases held at a time, by lease name
     zone: str
-    acts_on_records: bool  # on the state of the records service as the fleet sees it
-    acts_on_full: bool  # on the share of requests that the fleet rejects
+    acts_on_records: bool  # whether admission uses the state of the records service in the fleet
+    acts_on_full: bool  # whether admission uses the share of requests that the fleet rejects
 
     @classmethod
     def from_record(cls, record: Mapping[str, Any]) -> "FleetMemberSettings":
-        """The settings of a record."""
+        """Return the settings in a record."""
         return cls(
             fleet=record["fleet"],
             name=record["name"],
@@ -37,5 +37,5 @@
         )
 
     def reloaded(self, record: Mapping[str, Any]) -> "FleetMemberSettings":
-        """The settings with what a running server takes over from a record that was read anew."""
+        """Return these settings with those of a reloaded record that a running server can change."""
         return replace(self, acts_on_records=record["records"], acts_on_full=record["full"])
