--- a/vetchford/subsetting/__init__.py
+++ b/vetchford/subsetting/__init__.py
@@ -1,4 +1,4 @@
-"""Deterministic subsets: shards, owners and gossip partners that follow from a view of the fleet alone.
+"""Deterministic subsets: shards, owners and gossip partners, computed from a view of the fleet only.
 
-A server that does not use it imports none of it.
+A server that does not use this package does not import it.
 """
--- a/vetchford/subsetting/subsets.py
+++ b/vetchford/subsetting/subsets.py
@@ -1,13 +1,13 @@
-"""Which servers deal with which: shards of tenants, owners of keys with bounded load, partners of gossip.
+"""Assignment of servers: shards of tenants, owners of keys with bounded load, gossip partners.
 
-No I/O. All of it follows from a view of the fleet (a set of names), a seed that the fleet shares and nothing
-else: whoever has the same view has the same answer, in whatever order the names came and whatever was asked
-before. Where views differ by d of n names, answers differ where one of the d is or was among those chosen;
-each method says how far.
+No I/O. All results depend only on a view of the fleet (a set of names) and a seed shared by the fleet:
+servers with the same view compute the same results, regardless of the order of the names and of earlier
+calls. If two views differ in d of n names, results differ where one of the d names is among the selected ones
+in either view; each method states by how much.
 
-Weights are XXH3 of seed, name and key (xxhash), so names that differ by one character are as far apart as
-any. Rendezvous hashing: Thaler and Ravishankar, 1998. Shuffle sharding: MacCarthaigh, 2014. Bounded loads:
-after Mirrokni, Thorup and Zadimoghaddam, 2016, by deferred acceptance (Gale and Shapley, 1962) in place of
+Weights are XXH3 hashes of seed, name and key (xxhash), so the weights of similar names are unrelated.
+Rendezvous hashing: Thaler and Ravishankar, 1998. Shuffle sharding: MacCarthaigh, 2014. Bounded loads: after
+Mirrokni, Thorup and Zadimoghaddam, 2016, with deferred acceptance (Gale and Shapley, 1962) in place of
 probing.
 """
 
@@ -17,88 +17,89 @@
 
 import xxhash
 
-MAX_LOAD_FACTOR = 1.15  # of the mean, that the fullest owner has
-FIRST_CHOICES = 8  # that are ranked at once; more only for keys that are rejected that often
+MAX_LOAD_FACTOR = 1.15  # maximum number of keys of an owner, as a multiple of the mean
+FIRST_CHOICES = 8  # names ranked per key at first; all are ranked for a key that these reject
 
 
 class MembershipView:
-    """A set of names and what follows from it; made anew when the set changes. May be read by any thread."""
+    """A fixed set of names and the assignments computed from it; any thread may read it."""
 
     def __init__(self, names: Iterable[str], seed: str, zones: Mapping[str, str] | None = None) -> None:
-        """Takes the names in any order.
+        """Accept the names in any order.
 
         Args:
-            names: The fleet as it is seen.
-            seed: Shared by the fleet.
-            zones: The zone of each name where it is known; shards are spread over them.
+            names: Known servers of the fleet.
+            seed: Seed shared by the fleet.
+            zones: Zone of each name, if known; shards are spread over zones.
         """
         self.names = sorted(set(names))
         self.seed = seed
         self.zones = dict(zones or {})
 
     def weight(self, name: str, key: str) -> int:
-        """The weight of a name for a key, of 64 bits; lengths separate the parts that are hashed."""
+        """Return the 64-bit weight of a name for a key; lengths separate the hashed parts."""
         return xxhash.xxh3_64_intdigest(f"{len(self.seed)}:{self.seed}{len(name)}:{name}{key}")
 
     def ranked(self, key: str, limit: int | None = None) -> list[str]:
-        """The names by their weight for a key, the heaviest first; equal weights by name.
+        """Return the names by decreasing weight for a key; equal weights are ordered by name.
 
-        A name that joins or leaves changes the order of no two others.
+        A name that joins or leaves does not change the order of the others.
         """
-        scored = ((-self.weight(name, key), name) for name in self.names)
+        weighted_names = ((-self.weight(name, key), name) for name in self.names)
         if limit is None:
-            return [name for _, name in sorted(scored)]
-        return [name for _, name in heapq.nsmallest(limit, scored)]
+            return [name for _, name in sorted(weighted_names)]
+        return [name for _, name in heapq.nsmallest(limit, weighted_names)]
 
     def shard(self, tenant: str, size: int) -> list[str]:
-        """The servers of one tenant: of as many zones as there are, then the heaviest.
+        """Return the servers of one tenant: from as many zones as possible, then by weight.
 
-        Two tenants share all of theirs in one of C(n, size) cases. A name that joins or leaves changes one
-        place of a shard at most without zones, and is in size / n of the shards.
+        Two tenants have the same shard with a probability of 1 / C(n, size). Without zones, a name that joins
+        or leaves replaces at most one server of a shard, and only in size / n of the shards.
         """
         ranked = self.ranked(tenant)
         if not self.zones or size >= len(ranked):
             return ranked[:size]
-        return self._one_of_each_zone_in_turn(ranked)[:size]
+        return self._interleave_zones(ranked)[:size]
 
     def owners(
         self, keys: Mapping[str, float] | Iterable[str], max_load_factor: float = MAX_LOAD_FACTOR
     ) -> dict[str, str]:
-        """An owner for each key; none owns more than `max_load_factor` times the mean, by count.
+        """Return an owner for each key; none owns more than `max_load_factor` times the mean number of keys.
 
-        Keys apply by their rank, servers accept the heaviest that apply. The outcome is the same in whatever
-        order they do. A name that joins takes from all alike; one that leaves is shared out among all. Beyond
-        these only those keys move that a fuller server rejects.
+        Keys apply to servers by rank, and servers accept the applications with the highest weight; the result
+        does not depend on the order of applications. A name that joins takes keys from all servers equally,
+        and the keys of one that leaves are distributed over all. Other keys move only if a fuller server
+        rejects them.
         """
-        wanted = sorted(keys)
+        sorted_keys = sorted(keys)
         if not self.names:
             return {}
-        capacity = max(1, math.ceil(max_load_factor * len(wanted) / len(self.names)))
-        choices = {key: self.ranked(key, FIRST_CHOICES) for key in wanted}
-        applications = dict.fromkeys(wanted, 0)  # made so far
+        capacity = max(1, math.ceil(max_load_factor * len(sorted_keys) / len(self.names)))
+        choices = {key: self.ranked(key, FIRST_CHOICES) for key in sorted_keys}
+        applications = dict.fromkeys(sorted_keys, 0)  # number made so far
         accepted: dict[str, list[tuple[int, str]]] = {
             name: [] for name in self.names
-        }  # heaps, lightest first
-        unplaced = list(reversed(wanted))
-        while unplaced:
-            key = unplaced.pop()
+        }  # heaps, lowest weight first
+        unassigned = list(reversed(sorted_keys))
+        while unassigned:
+            key = unassigned.pop()
             if applications[key] == len(choices[key]):
-                choices[key] = self._all_choices(key, choices[key])
+                choices[key] = self._rank_all_servers(key, choices[key])
             name = choices[key][applications[key]]
             applications[key] += 1
             heapq.heappush(accepted[name], (self.weight(name, key), key))
             if len(accepted[name]) > capacity:
-                _, rejected = heapq.heappop(accepted[name])
-                unplaced.append(rejected)
+                _, rejected_key = heapq.heappop(accepted[name])
+                unassigned.append(rejected_key)
         return {key: name for name, owned in accepted.items() for _, key in owned}
 
     def ring_successors(self, count: int) -> dict[str, list[str]]:
-        """For each name its next in `count` rings of all names, each ring in an order of its own.
+        """Return the successors of each name in `count` rings of all names, each with its own order.
 
-        Each is the successor of `count` others and has as many (fewer where two rings agree), so nobody is a
-        hub. A name that joins or leaves changes two places in each ring. With three rings what one knows
-        reaches all in about log2(n) steps; with any 10 % gone, those left still reach each other but for one
-        in a few thousand.
+        Each name has `count` successors and is a successor of `count` others (fewer if two rings agree), so
+        no name is a hub. A name that joins or leaves changes two places in each ring. With three rings,
+        information from one server reaches all in about log2(n) steps; if any 10 % of the servers are
+        missing, the others still reach each other, except for one in a few thousand.
         """
         successors: dict[str, list[str]] = {name: [] for name in self.names}
         for ring in range(count):
@@ -109,15 +110,17 @@
                     successors[name].append(successor)
         return successors
 
-    def _one_of_each_zone_in_turn(self, ranked: list[str]) -> list[str]:
-        """The names, one of each zone in each round; zones in the order of their heaviest."""
-        by_zone: dict[str, list[str]] = {}
+    def _interleave_zones(self, ranked: list[str]) -> list[str]:
+        """Return the names, one of each zone per round; zones are ordered by their highest-ranked name."""
+        names_by_zone: dict[str, list[str]] = {}
         for name in ranked:
-            by_zone.setdefault(self.zones.get(name, ""), []).append(name)
-        rounds = range(max(map(len, by_zone.values())))
-        return [names[index] for index in rounds for names in by_zone.values() if index < len(names)]
+            names_by_zone.setdefault(self.zones.get(name, ""), []).append(name)
+        rounds = range(max(map(len, names_by_zone.values())))
+        return [names[index] for index in rounds for names in names_by_zone.values() if index < len(names)]
 
-    def _all_choices(self, key: str, rejected_by: list[str]) -> list[str]:
+    def _rank_all_servers(self, key: str, rejected_by: list[str]) -> list[str]:
         if len(rejected_by) == len(self.names):
-            raise ValueError("more keys than capacity")  # can't occur: capacity * n >= keys
+            raise ValueError(
+                f"no server has capacity left for key {key}"
+            )  # can't occur: capacity * n >= keys
         return self.ranked(key)
