--- a/tests/coordination/test_server_cluster.py
+++ b/tests/coordination/test_server_cluster.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory):
-    """One fleet for all tests of this module but one; each test leaves it complete and connected."""
+    """Start one fleet for all tests of this module but one; each test leaves it complete and connected."""
     folder = tmp_path_factory.mktemp("fleet")
     fleet_settings = {"probes": 1, "turns": {"deep": 1}}
     with ServerCluster(
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -70,7 +70,7 @@
 
 
 def test_a_connection_of_ours_reset_before_its_option_is_set_is_attempted_again(local):
-    """The connection is established, and reset before the actor has started its stream."""
+    """Reset a connection before the actor has started its stream: the link must not stay CONNECTING."""
     sessions = local.transport.sessions
     link_number = sessions.peers["b"].link = sessions.link_table.add(0.0, "b", LinkState.CONNECTING)
     sessions.link_table.set_state("b", LinkState.CONNECTING)
@@ -88,7 +88,7 @@
 
 
 def test_a_closed_connection_keeps_its_descriptor_until_its_reader_is_done(local):
-    """Closed while the reader is about to read, its descriptor could be reused by the next connection."""
+    """Close a link whose reader is about to read: its descriptor must stay open until the reader ends."""
     sessions, read_checkpoint, closed = local.transport.sessions, Checkpoint(), threading.Event()
     local_socket, _ = socket.socketpair()
     wrapped = Wrapped(
@@ -153,7 +153,7 @@
 
 
 def test_a_service_found_unavailable_during_shutdown_causes_no_request_for_the_probe_lease():
-    """All leases are released when the shutdown starts; then the records service becomes unavailable."""
+    """Release all leases as the shutdown starts, and then let the records service become unavailable."""
     member = make_fleet_member()
     member.request_probe_lease()
     assert PROBE_LEASE_NAME in member.lease_client.requests
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -28,7 +28,7 @@
 DATAGRAM_KIND = "news"  # of all other datagrams
 
 
-class Owner(Protocol):
+class TransportEvents(Protocol):
     """Callbacks of the transport, on the thread of its actor."""
 
     def on_message(self, peer: str, kind: str, body: Any) -> None:
@@ -57,7 +57,7 @@
     def __init__(
         self,
         actor: Actor,
-        owner: Owner,
+        owner: TransportEvents,
         metrics: Metrics,
         identity: Identity,
         listen: str,
