--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -136,7 +136,7 @@
             data = self._encode(sequence, kind, body)
         except FrameError:
             self.metrics.log_sampled("peer_message_too_long", kind=kind)
-            self.actor.post(self.on_connection_ended, link, "outgoing message exceeds the maximum frame size")
+            self.actor.post(self.on_connection_ended, link, "a message of ours was too long")
             return False
         self.bytes_sent += len(data)
         if stream.put(kind, data):  # an older message was dropped: the peer counts a gap
@@ -243,7 +243,7 @@
 
     def connect_failed(self, link: int, problem: Exception) -> None:
         """Post the failure to connect to the actor."""
-        self.actor.post(self.on_connection_ended, link, f"failed to connect: {_describe_error(problem)}")
+        self.actor.post(self.on_connection_ended, link, f"no connection: {_describe_error(problem)}")
 
     def datagram_received(self, host: str, envelope: Envelope) -> None:
         """Post a datagram to the actor."""
@@ -256,12 +256,12 @@
     # -- threads of one stream
 
     def _read(self, link: int, stream: StreamConnection) -> None:
-        reason = "closed by the peer"
+        reason = "closed by the other side"
         try:
             stream.read(lambda envelope: self.actor.post_when_room(self.on_envelope, link, envelope))
         except FrameError as problem:
             self.count_event("peer_refused", why=problem.fault.log_term)
-            reason = f"received a frame that can't be decoded: {problem.fault}"
+            reason = f"an unreadable message: {problem.fault}"
         except OSError as problem:
             reason = _describe_error(problem)
         self.actor.post(self.on_connection_ended, link, reason)
--- a/vetchford/transport/peers.py
+++ b/vetchford/transport/peers.py
@@ -62,7 +62,7 @@
     next_contact_at_ms: float = 0.0  # of a connection; with datagrams only, of an incarnation notice
     up_since_ms: float = 0.0
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
-    last_failure: str = "no connection attempted yet"  # why there is no link
+    last_failure: str = "not tried yet"  # why there is no link
 
 
 class PeerTable:
