--- a/vetchford/gossip/records_health.py
+++ b/vetchford/gossip/records_health.py
@@ -86,9 +86,7 @@
         if self.state is RecordsState.UNAVAILABLE:
             self._leave_unavailable(now_ms)
         elif lost_calls is not None and is_unavailable(lost_calls, self._since_last_answer_ms(now_ms)):
-            reason = (
-                f"{lost_calls.value:.2f} of the calls reported by {lost_calls.report_count} servers are lost"
-            )
+            reason = f"{lost_calls.value:.2f} of the calls of {lost_calls.report_count} servers are lost"
             self.set_state(now_ms, RecordsState.UNAVAILABLE, reason)
         elif self.state is RecordsState.RECOVERING:
             self._leave_recovering(now_ms)
@@ -130,20 +128,18 @@
 
     def _leave_healthy(self, now_ms: float, slowdown: Aggregate | None) -> None:
         if slowdown is not None and is_slow(slowdown):
-            reason = (
-                f"calls of {slowdown.report_count} servers take {slowdown.value:.1f} times as long as usual"
-            )
+            reason = f"calls of {slowdown.report_count} servers take {slowdown.value:.1f} times the usual"
             self.set_state(now_ms, RecordsState.SLOW, reason)
 
     def _leave_slow(self, now_ms: float, slowdown: Aggregate | None) -> None:
         if slowdown is None:
-            self.set_state(now_ms, RecordsState.HEALTHY, "too few servers report the slowdown of calls")
+            self.set_state(now_ms, RecordsState.HEALTHY, "too few servers report")
         elif is_no_longer_slow(slowdown):
-            self.set_state(now_ms, RecordsState.HEALTHY, "calls take about as long as usual")
+            self.set_state(now_ms, RecordsState.HEALTHY, "calls take the usual time")
 
     def _leave_recovering(self, now_ms: float) -> None:
         if now_ms - self.state_since_ms >= self.start_delay_ms() + self.ramp_duration_ms():
-            self.set_state(now_ms, RecordsState.HEALTHY, "ramp of calls completed")
+            self.set_state(now_ms, RecordsState.HEALTHY, "ramp completed")
 
     def _leave_unavailable(self, now_ms: float) -> None:
         """Enter RECOVERING once a call was answered, or if no server reports any call.
@@ -158,9 +154,7 @@
         elif is_probed(self.reports.samples(now_ms, Metric.LOST_CALLS), unavailable_for_ms):
             self.last_probe_at_ms = now_ms
         elif now_ms - max(self.state_since_ms, self.last_probe_at_ms) >= PROBE_TIMEOUT_MS:
-            self.set_state(
-                now_ms, RecordsState.RECOVERING, "no server has reported a call before the timeout"
-            )
+            self.set_state(now_ms, RecordsState.RECOVERING, "no server reports a probe")
 
     def _since_last_answer_ms(self, now_ms: float) -> float:
         """Return the time since the last answer to any server that this server knows of."""
--- a/vetchford/leases/leader_election.py
+++ b/vetchford/leases/leader_election.py
@@ -135,9 +135,9 @@
         """Handle timers; call this several times a second."""
         self._drop_old_ballots(now_ms)
         if self.role is Role.LEADER and now_ms >= self.leads_until_ms:
-            self._step_down(now_ms, "leader lease expired without a majority of votes")
+            self._step_down(now_ms, "its leader lease expired")
         if self.role is Role.CANDIDATE and now_ms - self.last_leader_contact_ms > ELECTION_TIMEOUT_MS:
-            self._step_down(now_ms, "no majority of votes before the election timeout")
+            self._step_down(now_ms, "not elected")
         if self.role is not Role.FOLLOWER:
             if now_ms >= self.next_ballot_at_ms:
                 self._request_votes(now_ms)
@@ -169,7 +169,7 @@
             self.actions.send_lease_message(sender, denial)
             return
         if self.term and request.term > self.term:
-            self._step_down(now_ms, f"{sender} is a candidate for term {request.term}, which is higher")
+            self._step_down(now_ms, f"{sender} stands for a higher term")
         self.highest_term = request.term
         self.voted_for = sender
         self.vote_expires_at_ms = now_ms + VOTE_VALIDITY_MS
@@ -196,7 +196,7 @@
         """Step down if the voter has seen a higher term than that of this server."""
         self.highest_term = max(self.highest_term, denial.term)
         if self.term and denial.requested_term == self.term and denial.term > self.term:
-            self._step_down(now_ms, f"{sender} has seen term {denial.term}, which is higher")
+            self._step_down(now_ms, f"{sender} knows a higher term")
 
     def on_vote_granted(self, now_ms: float, sender: str, granted: VoteGranted) -> None:
         """Count a vote; a majority starts or extends the leader lease of this server."""
