--- a/vetchford/fleet/__init__.py
+++ b/vetchford/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many instances on a machine, changed together: `decide.py` decides, `agent.py` owns the processes."""
+"""Agents that manage server instances on one or several machines, and rollouts over them."""
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -1,4 +1,4 @@
-"""Runs an agent as a process: from the checked settings to the exit status."""
+"""The process of an agent, from the validated settings to the exit status."""
 
 import contextlib
 import signal
@@ -15,14 +15,14 @@
 
 log = structlog.get_logger()
 
-TERMINATION_POLL_INTERVAL_S = 0.2  # a signal handler runs in the waiting thread, between two waits
-THREAD_STACK_BYTES = 512 * 1024  # there are a few threads for each peer; the store's calls nest deepest
+TERMINATION_POLL_INTERVAL_S = 0.2  # Python runs signal handlers on the main thread, between waits
+THREAD_STACK_BYTES = 512 * 1024  # small, as each peer takes a few threads; store calls nest deepest
 
 
 def serve(record: dict[str, Any]) -> int:
-    """Run an agent until SIGTERM or SIGINT; the instances keep running. Returns the exit status.
+    """Run an agent until SIGTERM or SIGINT and return the exit status; instances keep running.
 
-    `record`: the checked settings. Called on the main thread.
+    `record`: the validated settings. Must be called on the main thread.
     """
     settings = AgentSettings.from_record(record)
     threading.stack_size(THREAD_STACK_BYTES)
@@ -47,16 +47,16 @@
 def handle_termination() -> threading.Event:
     """Return an event that SIGTERM and SIGINT set.
 
-    Handled and not blocked: instances would inherit the blocked signals, and never drain.
+    The signals are handled, not blocked: instances would inherit blocked signals and never drain.
     """
     terminated = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *given: terminated.set())
+        signal.signal(number, lambda *_: terminated.set())
     return terminated
 
 
 def log_started(agent: Agent) -> None:
-    """Log that an agent serves, and the fleet that it is part of."""
+    """Log that an agent has started, and the fleet that it has joined."""
     settings = agent.settings
     log.info(
         "agent_started",
--- a/vetchford/fleet/agent_settings.py
+++ b/vetchford/fleet/agent_settings.py
@@ -1,6 +1,6 @@
-"""The agent's settings as typed values; made from the checked record of the settings file.
+"""The agent's settings as typed values, read from the validated record of the settings file.
 
-The names are those of the file (docs/operate/settings.md), durations are in ms there and here.
+Field names are those of the settings file (docs/operate/settings.md); durations are in ms.
 """
 
 from dataclasses import dataclass, fields
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceDefinition:
-    """One instance: what to start, where its health check goes, and its limits."""
+    """One instance: its command, the address for health checks, and its limits."""
 
     command: list[str]
     listen: str  # address and port
-    version: str  # that `command` starts
+    version: str  # the version that `command` starts
     group: str
     labels: list[str]
     stop_ms: float
@@ -31,8 +31,8 @@
         """Read the part of the settings record that describes one instance."""
         return cls(**{field.name: record[field.name] for field in fields(cls)})
 
-    def for_decisions(self) -> InstanceSettings:
-        """Return the part that the decisions need."""
+    def instance_settings(self) -> InstanceSettings:
+        """Return the settings that the rollout controller needs."""
         return InstanceSettings(self.group, self.stop_ms, self.ready_ms, self.restart)
 
 
@@ -43,7 +43,7 @@
     fleet: str
     name: str  # of this agent
     listen: str  # address and port that other agents connect to
-    agents: dict[str, str]  # addresses of all agents of the fleet by name, this one too
+    agents: dict[str, str]  # addresses of all agents of the fleet by name, including this one
 
     @classmethod
     def from_record(cls, record: dict[str, Any]) -> "PeerSettings":
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """All that the settings file says to an agent."""
+    """All settings of an agent."""
 
     socket: str  # path of the Unix socket that tools connect to
     store: str  # path of the store
-    logs: str  # folder of the instances' output
+    logs: str  # directory of the instances' log files
     instances: dict[str, InstanceDefinition]
-    versions: dict[str, list[str]]  # commands of the versions that a roll may go to
-    peers: PeerSettings | None  # None: the agent is alone
+    versions: dict[str, list[str]]  # commands by version, for rollouts of kind roll
+    peers: PeerSettings | None  # None: the agent is in no fleet
 
     @classmethod
     def from_record(cls, record: dict[str, Any]) -> "AgentSettings":
@@ -80,7 +80,7 @@
         )
 
     def command_of(self, name: str, version: str) -> list[str] | None:
-        """Return the command that starts this version of an instance; None if there is none."""
+        """Return the command that starts a version of an instance; None if the settings have none."""
         definition = self.instances[name]
         command = definition.command if version == definition.version else self.versions.get(version)
         if command is None:
--- a/vetchford/fleet/health_checker.py
+++ b/vetchford/fleet/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: asks each running instance, several times a second, whether it serves."""
+"""Health checks: each running instance is asked several times a second whether it is serving."""
 
 import re
 import socket
@@ -11,17 +11,17 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
 
-CHECK_INTERVAL_S = 0.2  # between the checks of one instance: three failures take as long as a drain's notice
-CHECK_TIMEOUT_S = 1.0  # a server that is only busy answers in a few ms
-MAX_CHECK_THREADS = 8  # one check that hangs holds up an eighth of them for a second
+CHECK_INTERVAL_S = 0.2  # per instance; three failures span the notice period of a drain
+CHECK_TIMEOUT_S = 1.0  # a busy server replies within a few ms
+MAX_CHECK_THREADS = 8  # a check without a reply blocks an eighth of them for a second
 MAX_REPLY_BYTES = 4096
 REQUEST_BODY = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
 REQUEST = b"Content-Length: %d\r\n\r\n%b" % (len(REQUEST_BODY), REQUEST_BODY)
-SERVING_FIELD = re.compile(rb'"serving":\s*(true|false)')  # complete values: a part of one is no answer yet
+SERVING_FIELD = re.compile(rb'"serving":\s*(true|false)')  # complete values only: replies arrive in parts
 
 
 class HealthChecker:
-    """A thread that hands the checks to a pool; at most one check of an instance is in progress."""
+    """A thread that submits checks to a pool; at most one check per instance is in progress."""
 
     def __init__(
         self,
@@ -29,19 +29,19 @@
         processes: Mapping[str, Process],
         check: Callable[[str, Process], None],
     ) -> None:
-        """Take the table of processes, which the agent's thread changes, and what a pool thread calls."""
+        """Check `processes`, which the agent's thread changes; `check` is called on a pool thread."""
         self.metrics = metrics
         self.processes = processes
         self.check = check
-        self.in_progress: set[str] = set()  # names; emptied by the ends of the checks
+        self.in_progress: set[str] = set()  # names of instances that are being checked
 
     def start(self) -> None:
-        """Begin the checks; they continue until the agent ends."""
+        """Start the thread of the health checks, which runs until the agent ends."""
         threading.Thread(target=self.run, name="health checks", daemon=True).start()
 
     def run(self) -> None:
-        """Check all instances again and again."""
-        # A pool of our own: if the system has no thread to give, a check waits for one that is busy.
+        """Check all instances periodically until the agent ends."""
+        # The project's own thread pool: if no thread can be created, a check waits for a busy one.
         pool = ThreadPool(self.metrics, MAX_CHECK_THREADS)
         pool.start()
         while True:
@@ -59,7 +59,7 @@
 
 
 def is_ready(address: str) -> bool:
-    """Return whether the server at `address` ("host:port") says within CHECK_TIMEOUT_S that it serves."""
+    """Return whether the server at `address` ("host:port") replies in CHECK_TIMEOUT_S that it is serving."""
     host, _, port = address.rpartition(":")
     deadline_s = time.monotonic() + CHECK_TIMEOUT_S
     try:
@@ -71,15 +71,15 @@
 
 
 def _read_serving(sock: socket.socket, deadline_s: float) -> bool:
-    """Read until the answer is complete, in however many pieces it arrives."""
+    """Return the `serving` field of the reply, which may arrive in several parts."""
     received = b""
     while len(received) < MAX_REPLY_BYTES and (remaining_s := deadline_s - time.monotonic()) > 0.0:
-        sock.settimeout(remaining_s)  # for the whole answer: a byte a second must not hold up a thread
+        sock.settimeout(remaining_s)  # of the whole reply: a slow sender must not block the thread
         data = sock.recv(MAX_REPLY_BYTES)
         if not data:
             return False
         received += data
-        answer = SERVING_FIELD.search(received)
-        if answer is not None:
-            return answer[1] == b"true"
+        field = SERVING_FIELD.search(received)
+        if field is not None:
+            return field[1] == b"true"
     return False
--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -1,7 +1,8 @@
-"""What outlives the agent: the newest record of each kind and name, and a bounded history, in SQLite.
+"""The agent's persistent store in SQLite: the newest record of each kind and name, and a bounded history.
 
-Every record has a checksum, the file a version. A store that is damaged, of another version or full is
-reported and never repaired by guessing: `StoreError` names the file and what to do. One thread uses a store.
+Each record has a checksum and the file a schema version. A store that is damaged, full or of another version
+is reported and never repaired automatically: `StoreError` names the file and the remedy. A store is used by
+one thread.
 """
 
 import json
@@ -15,10 +16,10 @@
 from vetchford.runtime.clock import clock
 
 SCHEMA_VERSION = 1
-MAX_HISTORY_ENTRIES = 10_000  # a roll over a hundred instances writes some five hundred
-PRUNE_INTERVAL = 500  # writes between two deletions of the oldest entries, so that not every write deletes
-BUSY_TIMEOUT_S = 2.0  # to wait for a lock that another process holds, such as an operator's sqlite3
-RESTORE_ADVICE = "move it away to begin anew, or restore a copy"
+MAX_HISTORY_ENTRIES = 10_000  # a roll over 100 instances writes about 500
+PRUNE_INTERVAL_WRITES = 500  # between deletions of the oldest entries, so that not every write deletes
+BUSY_TIMEOUT_S = 2.0  # wait for a lock of another process, such as an operator's sqlite3
+RESTORE_ADVICE = "move the file away to start with an empty store, or restore a backup"
 TABLES = """
 CREATE TABLE meta (version INTEGER NOT NULL);
 CREATE TABLE newest
@@ -28,20 +29,20 @@
 
 
 class StoreError(VetchfordError):
-    """The store at `path` cannot be used as it is, for `reason`, which says what to do."""
+    """The store at `path` cannot be used; `reason` says why and names the remedy."""
 
     def __init__(self, path: str, reason: str) -> None:
-        """`path`: of the store's file."""
+        """Initialize the error; `path`: of the store's file."""
         super().__init__(f"store {path}: {reason}")
         self.path = path
         self.reason = reason
 
 
 class StoreAccessError(VetchfordError, OSError):
-    """One reading or writing of the store at `path` failed with `problem`; the store holds what it held."""
+    """A read or write of the store at `path` failed with `problem`; its contents are unchanged."""
 
     def __init__(self, path: str, problem: sqlite3.Error) -> None:
-        """`path`: of the store's file; `problem`: what SQLite raised."""
+        """Initialize the error; `path`: of the store's file; `problem`: the exception of SQLite."""
         super().__init__(f"store {path}: {problem}")
         self.path = path
         self.problem = problem
@@ -56,10 +57,10 @@
 
 
 class Store:
-    """A record is durable when `put` returns: write-ahead log, synchronous=FULL."""
+    """The store; a record is durable when `put` returns (write-ahead log, synchronous=FULL)."""
 
     def __init__(self, path: str) -> None:
-        """Open the file, or make a new one. Raises StoreError."""
+        """Open the file, or create it. Raises StoreError."""
         self.path = path
         self.history_writes = 0
         is_new = not Path(path).exists() or Path(path).stat().st_size == 0
@@ -79,20 +80,20 @@
         self.connection.executescript(f"BEGIN; {TABLES} INSERT INTO meta VALUES ({SCHEMA_VERSION}); COMMIT;")
 
     def _check(self) -> None:
-        """Raise StoreError if the file is of another version or damaged."""
+        """Raise StoreError if the file is damaged or has another schema version."""
         version = self.connection.execute("SELECT version FROM meta").fetchone()
         check_result = self.connection.execute("PRAGMA quick_check").fetchone()
         if version is None or version[0] != SCHEMA_VERSION:
             found = "none" if version is None else version[0]
-            reason = f"version {found}, this program reads {SCHEMA_VERSION}; use the one that wrote it"
+            reason = f"schema version {found}, expected {SCHEMA_VERSION}; use the release that wrote it"
             raise StoreError(self.path, reason)
         if check_result != ("ok",):
-            raise StoreError(self.path, f"torn ({check_result[0]}); {RESTORE_ADVICE}")
+            raise StoreError(self.path, f"damaged ({check_result[0]}); {RESTORE_ADVICE}")
 
     def put(self, kind: str, name: str, body: dict[str, Any] | None, history: bool = True) -> None:
-        """Write a record; None deletes it. `history`: whether to append it to the history, too.
+        """Write a record; None deletes it. `history`: whether to append it to the history as well.
 
-        Raises StoreAccessError, an OSError, if the disk is full or fails; then nothing of it is kept.
+        Raises StoreAccessError, an OSError, if the disk is full or fails; the write is then rolled back.
         """
         text = json.dumps(body, sort_keys=True)
         try:
@@ -114,14 +115,14 @@
         row = (clock.day(), kind, name, text)
         self.connection.execute("INSERT INTO history VALUES (?, ?, ?, ?)", row)
         self.history_writes += 1
-        if self.history_writes % PRUNE_INTERVAL == 0:
+        if self.history_writes % PRUNE_INTERVAL_WRITES == 0:
             oldest_kept = "(SELECT max(rowid) FROM history) - ?"
             self.connection.execute(
                 f"DELETE FROM history WHERE rowid <= {oldest_kept}", (MAX_HISTORY_ENTRIES,)
             )
 
     def records(self) -> list[StoredRecord]:
-        """Return the newest record of each kind and name, in the order of the table. Raises StoreError."""
+        """Return the newest record of each kind and name, in the order of writing. Raises StoreError."""
         query = "SELECT kind, name, body, sum FROM newest ORDER BY rowid"
         try:
             rows = self.connection.execute(query).fetchall()
@@ -130,15 +131,17 @@
         records = []
         for kind, name, text, stored_checksum in rows:
             if checksum(text) != stored_checksum:
-                reason = f"the record of {kind} {name} is not what was written; "
-                raise StoreError(self.path, reason + "move the store away to begin anew, or restore a copy")
+                reason = f"checksum mismatch in the record of {kind} {name}; "
+                raise StoreError(
+                    self.path, reason + "move the file away to start with an empty store, or restore a backup"
+                )
             records.append(StoredRecord(kind, name, json.loads(text)))
         return records
 
     def history(self, count: int) -> list[HistoryEntry]:
-        """Return the last entries, the newest first.
+        """Return the last `count` entries, the newest first.
 
-        Raises StoreAccessError if the disk fails: only the request of a tool fails then.
+        Raises StoreAccessError, not StoreError, if the disk fails, so that only the tool's request fails.
         """
         query = "SELECT at, kind, name, body FROM history ORDER BY rowid DESC LIMIT ?"
         try:
@@ -148,7 +151,7 @@
         return [HistoryEntry(at_s, kind, name, json.loads(body)) for at_s, kind, name, body in rows]
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database connection."""
         self.connection.close()
 
 
--- a/vetchford/fleet/process_table.py
+++ b/vetchford/fleet/process_table.py
@@ -1,12 +1,12 @@
-"""Reads facts about a process from /proc."""
+"""Process attributes read from /proc."""
 
 import os
 
-START_TIME_FIELD = 19  # of /proc/PID/stat behind the command's name, from 0; in clock ticks
+START_TIME_FIELD = 19  # index in /proc/PID/stat after the command name; the value is in clock ticks
 
 
 def read_start_time(pid: int) -> str | None:
-    """Return the start time of the process that has this number now; None if there is none."""
+    """Return the start time of the process that has this pid now; None if there is none."""
     try:
         with open(f"/proc/{pid}/stat", encoding="utf-8", errors="replace") as file:
             return file.read().rpartition(")")[2].split()[START_TIME_FIELD]
@@ -15,7 +15,7 @@
 
 
 def read_environment(pid: int) -> dict[str, str]:
-    """Return a process's environment; empty if it cannot be read, as that of another user."""
+    """Return the environment of a process; empty if it cannot be read, as for another user's process."""
     try:
         with open(f"/proc/{pid}/environ", "rb") as file:
             entries = file.read().split(b"\0")
@@ -26,7 +26,7 @@
 
 
 def read_memory_kb(pid: int) -> int:
-    """Return the resident memory of a process; 0 if it cannot be read."""
+    """Return the resident memory of a process in kB; 0 if it cannot be read."""
     try:
         with open(f"/proc/{pid}/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
--- a/vetchford/fleet/process_watcher.py
+++ b/vetchford/fleet/process_watcher.py
@@ -1,4 +1,4 @@
-"""Waits for the ends of processes."""
+"""Detection of exits of processes."""
 
 import os
 import select
@@ -7,31 +7,31 @@
 
 from vetchford.fleet.supervisor import Process
 
-POLL_TIMEOUT_MS = 1000  # then the table is read again, in case a wake-up was missed
-REPORTED_POLL_TIMEOUT_MS = 20  # while an end that was reported has not been taken out of the table
+POLL_TIMEOUT_MS = 1000  # the process table is read again after this, in case a wake-up was missed
+REPORTED_POLL_TIMEOUT_MS = 20  # while a process whose exit was reported is still in the table
 WAKE_READ_BYTES = 4096
 
 
 class ProcessWatcher:
-    """A thread that reports each process of a table once, as it has ended."""
+    """A thread that reports the exit of each process in a table once."""
 
     def __init__(self, processes: Mapping[str, Process], on_exit: Callable[[str, Process], None]) -> None:
-        """Take the table of processes, which the agent's thread changes, and what the watcher calls."""
+        """Watch `processes`, which the agent's thread changes; `on_exit` runs on the watcher's thread."""
         self.processes = processes
         self.on_exit = on_exit
         self.wake_read, self.wake_write = os.pipe()
-        self.reported: set[int] = set()  # ids of objects in the table; emptied as the agent removes them
+        self.reported: set[int] = set()  # `id()` of reported processes that are still in the table
 
     def start(self) -> None:
-        """Begin to watch; it continues until the agent ends."""
+        """Start the watcher's thread, which runs until the agent ends."""
         threading.Thread(target=self.run, name="process watcher", daemon=True).start()
 
     def wake(self) -> None:
-        """Have the table read again: a process was added. Any thread may call it."""
+        """Make the watcher read the table again after a process was added. Any thread may call this."""
         os.write(self.wake_write, b"x")
 
     def run(self) -> None:
-        """Watch for good."""
+        """Report exits until the agent ends."""
         while True:
             self._wait_once()
 
--- a/vetchford/fleet/supervisor.py
+++ b/vetchford/fleet/supervisor.py
@@ -1,8 +1,8 @@
-"""The processes of an agent's instances: started, found again after a restart, signalled, reaped.
+"""Processes of an agent's instances: start, find again after a restart of the agent, signal and reap.
 
-A process is ours if its environment holds the instance's name and the agent's token, and its start time is
-the one that was seen: never by its number alone, which the system hands out anew. The agent's thread alone
-starts, signals and reaps; any thread may read a `Process`.
+A process belongs to the agent if its environment holds an instance's name and the agent's token. A process is
+identified by pid and start time, never by its pid alone, which the system reuses. Only the agent's thread
+starts, signals and reaps processes; any thread may read a `Process`.
 """
 
 import contextlib
@@ -21,7 +21,7 @@
 
 log = structlog.get_logger()
 
-# Environment variables that mark a process as ours.
+# Environment variables that identify a process as an instance of an agent.
 TOKEN_VARIABLE = "VETCHFORD_TOKEN"
 NAME_VARIABLE = "VETCHFORD_INSTANCE"
 VERSION_VARIABLE = "VETCHFORD_VERSION"
@@ -29,37 +29,37 @@
 
 @dataclass(slots=True)
 class Process:
-    """A process of an instance, which leads a session of its own."""
+    """A process of an instance; it leads its own session."""
 
     pid: int
-    start_time: str  # of the process that had this number when it was seen, in clock ticks
-    pidfd: int  # readable once it has ended; names this process even after its number is reused
-    child: subprocess.Popen[bytes] | None  # None: adopted, so its status is not ours to read
+    start_time: str  # in clock ticks, as read when the process was started or found
+    pidfd: int  # readable once the process has exited; refers to it even if its pid is reused
+    child: subprocess.Popen[bytes] | None  # None: adopted, so its exit status cannot be read
 
     def signal(self, number: int) -> None:
-        """Send a signal to it alone; nothing happens if it has ended."""
+        """Send a signal to this process alone; do nothing if it has exited."""
         with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.pidfd, number)
 
     def kill(self) -> None:
-        """Send SIGKILL to its whole session, or to itself alone if its number is another's by now.
+        """Send SIGKILL to the whole session, or to the process alone if its pid was reused.
 
-        An adopted one may be gone from the process table before its end is read here, and its number given to
-        the leader of another session. What is left of its own session keeps the number from being given out.
+        An adopted process may leave the process table before its exit is noticed here, and its pid may be
+        given to the leader of another session. While its own session has processes, the pid is not reused.
         """
         if read_start_time(self.pid) in (self.start_time, None):
-            with contextlib.suppress(OSError):  # it leads no session any more
+            with contextlib.suppress(OSError):  # no process of the session is left
                 os.killpg(self.pid, signal.SIGKILL)
         self.signal(signal.SIGKILL)
 
     def reap(self) -> int | None:
-        """Release what is held of it, and return its exit status; None if it was adopted."""
+        """Close the pidfd and return the exit status; None for an adopted process."""
         os.close(self.pidfd)
         return self.child.wait() if self.child is not None else None
 
 
 class FoundProcess(NamedTuple):
-    """A process that an earlier run of the agent started."""
+    """A process that an earlier agent process started."""
 
     process: Process
     version: str
@@ -67,27 +67,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOptions:
-    """What a process is started with, besides its command."""
+    """Options for starting a process, besides its command."""
 
-    token: str  # the agent's
-    environment: dict[str, str]  # in addition to the agent's own
-    log: str  # path that its output is appended to
-    descriptors: int | None = None  # limit on open files; None: the agent's own
+    token: str  # of the agent
+    environment: dict[str, str]  # added to the agent's environment
+    log: str  # path of the file that its output is appended to
+    descriptors: int | None = None  # limit on open files; None: the agent's limit
 
 
 def start_process(command: list[str], name: str, version: str, options: StartOptions) -> Process:
-    """Start an instance in a session of its own: a signal to the agent's terminal does not reach it.
+    """Start an instance in its own session, so that signals from the agent's terminal do not reach it.
 
-    Raises OSError if it cannot be started or cannot be watched.
+    Raises OSError if the process cannot be started or no pidfd can be opened for it.
     """
-    marks = {TOKEN_VARIABLE: options.token, NAME_VARIABLE: name, VERSION_VARIABLE: version}
+    identity = {TOKEN_VARIABLE: options.token, NAME_VARIABLE: name, VERSION_VARIABLE: version}
     with open(options.log, "ab") as file:
         child = subprocess.Popen(
             command,
             stdin=subprocess.DEVNULL,
             stdout=file,
             stderr=file,
-            env={**os.environ, **options.environment, **marks},
+            env={**os.environ, **options.environment, **identity},
             start_new_session=True,
         )
     try:
@@ -95,16 +95,16 @@
             limits = (options.descriptors, options.descriptors)
             resource.prlimit(child.pid, resource.RLIMIT_NOFILE, limits)
         return Process(child.pid, read_start_time(child.pid) or "", os.pidfd_open(child.pid), child)
-    except OSError:  # no descriptor left: a process that cannot be watched must not run
+    except OSError:  # out of descriptors: without a pidfd its exit would go unnoticed
         child.kill()
         child.wait()
         raise
 
 
 def find_processes(token: str) -> dict[str, list[FoundProcess]]:
-    """Return all processes with this agent's token, by instance. Each holds an open pidfd.
+    """Return all processes with this agent's token, by instance name. Each holds an open pidfd.
 
-    Only session leaders: the children of an instance inherit its environment.
+    Only session leaders are returned, as the children of an instance inherit its environment.
     """
     found: dict[str, list[FoundProcess]] = {}
     for entry in os.listdir("/proc"):
@@ -123,9 +123,9 @@
 
 
 def _open_session_leader(pid: int, start_time: str) -> Process | None:
-    """Return a process by its number, or None if it leads no session or has ended.
+    """Return the process with this pid and start time; None if it leads no session or has exited.
 
-    Raises OSError if it cannot be opened for another reason: one that runs must not be overlooked.
+    Raises OSError if a running process cannot be opened, as it must not be overlooked.
     """
     try:
         if os.getsid(pid) != pid:
@@ -133,22 +133,22 @@
         pidfd = os.pidfd_open(pid)
     except ProcessLookupError:
         return None
-    if read_start_time(pid) != start_time:  # the number is another's since
+    if read_start_time(pid) != start_time:  # the pid was reused meanwhile
         os.close(pidfd)
         return None
     return Process(pid, start_time, pidfd, None)
 
 
 def adopt_processes(token: str, names: Container[str]) -> dict[str, FoundProcess]:
-    """Return the process that runs of each instance; strays are sent SIGTERM.
+    """Return one running process of each instance in `names`; send SIGTERM to all stray processes.
 
-    A stray is a second process of an instance, or one of an instance that is not in `names`.
+    A stray process is a second process of an instance, or one of an instance that is not in `names`.
     """
     adopted: dict[str, FoundProcess] = {}
-    for name, strays in find_processes(token).items():
+    for name, processes in find_processes(token).items():
         if name in names:
-            adopted[name] = strays.pop(0)
-        for stray, _ in strays:
+            adopted[name] = processes.pop(0)
+        for stray, _ in processes:
             log.warning("stray_process_terminated", instance=name, pid=stray.pid)
             stray.signal(signal.SIGTERM)
             stray.reap()
@@ -156,15 +156,15 @@
 
 
 def rotate_log(path: str, max_bytes: int) -> bool:
-    """Move what a log holds to `path`.1 once it is longer than `max_bytes`; return whether it was.
+    """Move the contents of a log over `max_bytes` to `path`.1; return whether the log was rotated.
 
-    Its writer appends, and so continues at the start of the emptied file.
+    The instance opened the log for appending, so it continues at the start of the emptied file.
     """
     try:
         if os.path.getsize(path) <= max_bytes:
             return False
         shutil.copyfile(path, path + ".1")
         os.truncate(path, 0)
-    except OSError:  # not there yet, or no room for the copy: tried again next time
+    except OSError:  # no log yet, or no space for the copy: retried at the next check
         return False
     return True
