--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -208,7 +208,7 @@
 def test_status_reports_an_unreachable_agent_as_unknown_without_delaying_the_others(tmp_path):
     with AgentUnderTest(tmp_path, ["good"]) as agent:
         completed = agent.run_tool("--socket", str(tmp_path / "nobody"), "status", check=False)
-        assert completed.returncode == 4 and "what it does is unknown" in completed.stderr
+        assert completed.returncode == 4 and "the agent's state is unknown" in completed.stderr
         assert {"unknown", "instances"} <= {
             key for reply in json.loads(completed.stdout).values() for key in reply
         }
--- a/tests/fleet/test_agent_messages.py
+++ b/tests/fleet/test_agent_messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies of agent and tool: which fields are read, and how a malformed request is refused."""
+"""Requests and replies between tools and agents: decoding of fields, refusal of malformed requests."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 from vetchford.fleet.rollout import RefusedError
 
 
-def test_a_field_that_is_missing_is_named_by_its_encoded_name():
+def test_the_error_for_a_missing_field_names_its_encoded_key():
     with pytest.raises(KeyError, match="'floor'"):
         decode_rollout_request(
             {
@@ -40,23 +40,23 @@
         )
 
 
-def test_an_optional_field_has_its_default_and_unknown_fields_are_ignored():
+def test_an_optional_field_defaults_and_unknown_fields_are_ignored():
     assert decode_request("history", {"ask": "history", "colour": "red"}) == HistoryRequest(50)
     assert decode_request("history", {"ask": "history", "most": 3}) == HistoryRequest(3)
 
 
-def test_values_are_taken_as_they_are():
+def test_decoding_does_not_check_the_types_of_values():
     assert read_fields(FindRequest, {"id": 5}).id == 5
 
 
-def test_the_text_of_a_malformed_request_names_the_kind_of_problem():
+def test_the_refusal_of_a_malformed_request_names_the_exception_type():
     problem = KeyError("id")
     refusal = MalformedRequestError(problem)
-    assert str(refusal) == "a malformed command: KeyError: 'id'"
+    assert str(refusal) == "malformed request: KeyError: 'id'"
     assert refusal.problem is problem and isinstance(refusal, RefusedError)
 
 
-def test_kinds_of_requests_to_an_agent_are_unchanged():
+def test_encoded_kinds_of_requests_to_an_agent_are_unchanged():
     assert REQUEST_KINDS == (
         "status",
         "change",
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("encoded", "local", "leader"),
+    ("encoded", "local_request", "leader_request"),
     [
         ({"ask": "pause", "id": "r1"}, PauseRequest("r1"), None),
         ({"ask": "find", "id": "r1"}, FindRequest("r1"), None),
@@ -80,15 +80,17 @@
         ({"ask": "admit", "name": "east", "by": "ann"}, None, AdmitRequest("east", "ann")),
     ],
 )
-def test_requests_to_a_fleet_are_answered_by_any_agent_or_by_the_leader(encoded, local, leader):
-    assert decode_local_request(encoded) == local
-    assert encode(local or leader) == encoded
-    if leader is not None:
-        assert decode_leader_request(encoded) == leader
+def test_requests_to_a_fleet_are_answered_by_any_agent_or_by_the_leader(
+    encoded, local_request, leader_request
+):
+    assert decode_local_request(encoded) == local_request
+    assert encode(local_request or leader_request) == encoded
+    if leader_request is not None:
+        assert decode_leader_request(encoded) == leader_request
 
 
 @pytest.mark.parametrize("kind", ["sing", 7, None, ["all"]])
-def test_a_kind_that_no_version_sends_is_refused_by_the_leader(kind):
+def test_an_unknown_kind_of_request_is_refused_by_the_leader(kind):
     assert decode_local_request({"ask": kind}) is None
-    with pytest.raises(RefusedError, match="is none that is known"):
+    with pytest.raises(RefusedError, match="unknown kind of request: '"):
         decode_leader_request({"ask": kind})
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -130,7 +130,9 @@
     began = time.monotonic()
     shown = tool(rig, "status")  # it holds up nobody
     assert (
-        time.monotonic() - began < 8.0 and shown.returncode == 4 and "what it does is unknown" in shown.stderr
+        time.monotonic() - began < 8.0
+        and shown.returncode == 4
+        and "the agent's state is unknown" in shown.stderr
     )
     assert shown.stdout.count("NAME") == 2  # each table once
     rig.thaw(frozen)
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the tool that need no agent: usage, selection, and what is said while a rollout is followed."""
+"""`vetchford fleet` without an agent process: usage, selection, requests, and output while waiting."""
 
 import json
 import os
@@ -11,11 +11,11 @@
 import pytest
 from helpers import ROOT
 
-from vetchford.fleet.agent_client import Answer, UnreachableError, decode_answer
+from vetchford.fleet.agent_client import ReceivedReply, UnreachableError, decode_reply
 from vetchford.fleet.agent_messages import InstanceStatus, RolloutRequest, encode, submit_request
 from vetchford.fleet.commands import command_line, rollout_commands
 from vetchford.fleet.commands.exit_status import ExitStatus
-from vetchford.fleet.commands.rollout_commands import Follower
+from vetchford.fleet.commands.rollout_commands import RolloutWaiter
 from vetchford.fleet.commands.selection import select_of_agent, select_of_fleet
 from vetchford.fleet.fleet_client import fleet_request
 from vetchford.fleet.fleet_messages import FleetInstanceStatus, FleetRolloutStatus, FleetSubmitRequest
@@ -25,7 +25,7 @@
 WEB = {"group": "web", "labels": []}
 
 
-def instance_of_agent(name, group, labels):
+def agent_instance(name, group, labels):
     return InstanceStatus(
         name=name,
         state="serving",
@@ -43,17 +43,17 @@
     )
 
 
-def instance_of_fleet(group, labels):
+def fleet_instance(group, labels):
     return FleetInstanceStatus(
         state="serving", group=group, reason="ready", version="1", labels=labels, rollout_id=""
     )
 
 
-OF_NO_FLEET = "this agent is of no fleet: its settings have no 'peers'"
+NO_FLEET_REFUSAL = "this agent is in no fleet: its settings have no 'peers'"
 
 
 class FakeAgent:
-    """Gives the same reply to each request; one connection a request, as the tool makes them."""
+    """Sends the same reply to each request; serves one request per connection."""
 
     def __init__(self, path, reply):
         self.path = str(path)
@@ -67,19 +67,19 @@
     def serve(self):
         while True:
             connection = self.sock.accept()[0]
-            with connection, connection.makefile("rwb") as lines:
-                self.requests.append(lines.readline())
-                lines.write(json.dumps(self.reply).encode() + b"\n")
+            with connection, connection.makefile("rwb") as stream:
+                self.requests.append(stream.readline())
+                stream.write(json.dumps(self.reply).encode() + b"\n")
 
 
 @pytest.fixture
-def agent_of_no_fleet(tmp_path):
-    return FakeAgent(tmp_path / "agent.sock", {"refused": OF_NO_FLEET})
+def agent_without_fleet(tmp_path):
+    return FakeAgent(tmp_path / "agent.sock", {"refused": NO_FLEET_REFUSAL})
 
 
 @pytest.fixture
-def agent_of_fleet(tmp_path):
-    """One that answers a request for peers."""
+def agent_in_fleet(tmp_path):
+    """Return a fake agent that replies to a request for peers."""
     peer = {
         "name": "west",
         "link": "up",
@@ -107,7 +107,7 @@
             ["--socket", "x", "--batch", "many", "start", "all"],
             "wrong usage; `vetchford fleet --help` tells how",
         ),
-        (["status"], "--socket names no agent"),
+        (["status"], "--socket is missing: name the socket of at least one agent"),
     ],
 )
 def test_wrong_usage_is_one_line_and_exit_status_two(arguments, message, capsys):
@@ -115,18 +115,18 @@
     assert capsys.readouterr().err == f"vetchford: {message}\n"
 
 
-def test_an_agent_that_does_not_reply_is_unknown(tmp_path, capsys):
+def test_an_agent_that_does_not_reply_is_reported_as_unknown(tmp_path, capsys):
     path = str(tmp_path / "nobody")
     assert command_line.main(["--socket", path, "--json", "pause", "r1"]) == 4
     captured = capsys.readouterr()
     assert captured.err.startswith(f"vetchford: {path}: ") and captured.err.endswith(
-        "what it does is unknown\n"
+        "the agent's state is unknown\n"
     )
     assert captured.out.startswith('{"unknown": ')
 
 
 @pytest.mark.parametrize(
-    ("words", "selected"),
+    ("selectors", "selected"),
     [
         (["all"], ["n0", "n1", "m0"]),
         (["n*"], ["n0", "n1"]),
@@ -138,17 +138,17 @@
         ([], []),
     ],
 )
-def test_selection_on_one_agent(words, selected):
+def test_selection_on_one_agent(selectors, selected):
     instances = [
-        instance_of_agent("n0", **PAY),
-        instance_of_agent("n1", **WEB),
-        instance_of_agent("m0", **PAY),
+        agent_instance("n0", **PAY),
+        agent_instance("n1", **WEB),
+        agent_instance("m0", **PAY),
     ]
-    assert select_of_agent(instances, words) == selected
+    assert select_of_agent(instances, selectors) == selected
 
 
 @pytest.mark.parametrize(
-    ("words", "selected"),
+    ("selectors", "selected"),
     [
         (["all"], ["n0@east", "n0@west", "n1@west"]),
         (["n0"], ["n0@east", "n0@west"]),
@@ -158,16 +158,16 @@
         (["label=canary"], ["n0@east", "n0@west"]),
     ],
 )
-def test_selection_over_a_fleet(words, selected):
+def test_selection_over_a_fleet(selectors, selected):
     instances = {
-        "n0@east": instance_of_fleet(**PAY),
-        "n0@west": instance_of_fleet(**PAY),
-        "n1@west": instance_of_fleet(**WEB),
+        "n0@east": fleet_instance(**PAY),
+        "n0@west": fleet_instance(**PAY),
+        "n1@west": fleet_instance(**WEB),
     }
-    assert select_of_fleet(instances, words) == selected
+    assert select_of_fleet(instances, selectors) == selected
 
 
-def answer(state, waits_for="", **steps):
+def rollout_reply(state, waits_for="", **steps):
     rollout = FleetRolloutStatus(
         id="r1",
         kind="roll",
@@ -184,53 +184,53 @@
         revision=2,
         replied_by="east",
     )
-    return Answer(rollout, {"state": state, "steps": steps})
+    return ReceivedReply(rollout, {"state": state, "steps": steps})
 
 
-def follower(answers, patience_s=60.0, **changed):
-    """Follows a rollout whose states come from a list; an exception in it is raised."""
-    replies = iter(answers)
+def rollout_waiter(replies, patience_s=60.0, **arguments):
+    """Return a waiter that receives the given replies in order; an exception among them is raised."""
+    remaining_replies = iter(replies)
 
     def find():
-        reply = next(replies)
+        reply = next(remaining_replies)
         if isinstance(reply, Exception):
             raise reply
         return reply
 
-    options = SimpleNamespace(plain=True, patience_s=patience_s)
-    return Follower("r1", options, find, poll_interval_s=0.0, unreachable_timeout_s=60.0, **changed)
+    options = SimpleNamespace(prints_text=True, patience_s=patience_s)
+    return RolloutWaiter("r1", options, find, poll_interval_s=0.0, unreachable_timeout_s=60.0, **arguments)
 
 
 def test_each_step_is_printed_once_and_the_end_with_the_killed_instances(monkeypatch, capsys):
     monkeypatch.setattr(rollout_commands, "RETRY_INTERVAL_S", 0.0)
-    answers = [
-        answer("running", n0="pending", n1="out"),
+    replies = [
+        rollout_reply("running", n0="pending", n1="out"),
         UnreachableError("east.sock", "the agent is restarted"),
-        answer("running", n0="out", n1="out"),
-        answer("finished", n0="done", n1="done"),
+        rollout_reply("running", n0="out", n1="out"),
+        rollout_reply("finished", n0="done", n1="done"),
     ]
-    last, status = follower(answers).follow()
-    assert (last["state"], status) == ("finished", ExitStatus.DONE)
+    last_reply, status = rollout_waiter(replies).wait()
+    assert (last_reply["state"], status) == ("finished", ExitStatus.DONE)
     assert capsys.readouterr().out.splitlines() == [
         "n1 out",
         "n0 out",
         "n0 done",
         "n1 done",
-        "change r1 finished: all done; killed at their stop time: n1",
+        "change r1 finished: all done; killed at their stop timeout: n1",
     ]
 
 
-def test_a_reason_to_wait_is_printed_when_it_changes(capsys):
-    answers = [answer("running", waits_for=reason) for reason in ("floor", "floor", "", "floor")]
-    answers.append(answer("paused"))
-    _, status = follower(answers, reason_to_wait=lambda rollout: rollout.waits_for).follow()
+def test_the_reason_why_a_rollout_waits_is_printed_when_it_changes(capsys):
+    replies = [rollout_reply("running", waits_for=reason) for reason in ("floor", "floor", "", "floor")]
+    replies.append(rollout_reply("paused"))
+    _, status = rollout_waiter(replies, wait_reason=lambda rollout: rollout.waits_for).wait()
     assert status == ExitStatus.FAILED
     assert capsys.readouterr().out.splitlines()[:-1] == ["waits: floor", "waits: floor"]
 
 
 @pytest.mark.parametrize(("state", "status"), [("finished", 0), ("paused", 1), ("broken", 3), ("aborted", 3)])
-def test_final_states_end_the_waiting_with_their_exit_status(state, status):
-    assert follower([answer(state)]).follow()[1] == status
+def test_final_states_end_the_wait_with_their_exit_status(state, status):
+    assert rollout_waiter([rollout_reply(state)]).wait()[1] == status
 
 
 @pytest.mark.parametrize(
@@ -250,32 +250,34 @@
         ("watch",),
     ],
 )
-def test_a_refusal_is_one_line_and_exit_status_two(agent_of_no_fleet, command, capsys):
-    assert command_line.main(["--socket", agent_of_no_fleet.path, *command]) == 2
+def test_a_refusal_is_one_line_and_exit_status_two(agent_without_fleet, command, capsys):
+    assert command_line.main(["--socket", agent_without_fleet.path, *command]) == 2
     captured = capsys.readouterr()
-    assert captured.err == f"vetchford: {OF_NO_FLEET}\n"
+    assert captured.err == f"vetchford: {NO_FLEET_REFUSAL}\n"
     assert captured.out == ""
 
 
-def test_a_refusal_as_json_is_the_reply(agent_of_no_fleet, capsys):
-    assert command_line.main(["--socket", agent_of_no_fleet.path, "--json", "wait", "r1"]) == 2
-    assert json.loads(capsys.readouterr().out) == {"refused": OF_NO_FLEET}
+def test_a_refusal_as_json_is_the_reply(agent_without_fleet, capsys):
+    assert command_line.main(["--socket", agent_without_fleet.path, "--json", "wait", "r1"]) == 2
+    assert json.loads(capsys.readouterr().out) == {"refused": NO_FLEET_REFUSAL}
 
 
-def test_history_of_a_whole_fleet_is_refused_in_one_line(agent_of_fleet, capsys):
-    assert command_line.main(["--socket", agent_of_fleet.path, "--across", "history"]) == 2
-    assert capsys.readouterr().err == "vetchford: history is of single agents; leave --across out\n"
-    assert agent_of_fleet.requests == []
+def test_history_of_a_whole_fleet_is_refused_in_one_line(agent_in_fleet, capsys):
+    assert command_line.main(["--socket", agent_in_fleet.path, "--across", "history"]) == 2
+    assert (
+        capsys.readouterr().err == "vetchford: --across cannot be used with history: each agent has its own\n"
+    )
+    assert agent_in_fleet.requests == []
 
 
-def test_a_reply_of_another_form_is_one_line_and_exit_status_one(tmp_path, capsys):
+def test_a_malformed_reply_is_one_line_and_exit_status_one(tmp_path, capsys):
     agent = FakeAgent(tmp_path / "agent.sock", {"instances": 3})
     assert command_line.main(["--socket", agent.path, "status"]) == 1
-    assert capsys.readouterr().err.startswith("vetchford: a reply that cannot be read: TypeError")
+    assert capsys.readouterr().err.startswith("vetchford: malformed reply from an agent: TypeError")
 
 
-def test_peers_are_shown_with_their_view_and_link(agent_of_fleet, capsys):
-    assert command_line.main(["--socket", agent_of_fleet.path, "peers"]) == 0
+def test_peers_are_shown_with_their_view_and_link(agent_in_fleet, capsys):
+    assert command_line.main(["--socket", agent_in_fleet.path, "peers"]) == 0
     assert capsys.readouterr().out.splitlines() == [
         "east of pay, life 1: follows west",
         "PEER  VIEW   LINK  LIFE  MEMBER  VOTER  WHY",
@@ -287,19 +289,25 @@
     ("command", "status", "message"),
     [
         (["peers"], 1, "vetchford: standard output was closed before all of it was written\n"),
-        (["--patience", "30", "watch"], 0, ""),  # an operator's way to end it
+        (["--patience", "30", "watch"], 0, ""),  # closing the pipe is a normal way to end `watch`
     ],
 )
-def test_a_reader_of_the_output_that_is_gone_ends_the_command(command, status, message, agent_of_fleet):
-    agent_of_fleet.reply |= {"instances": {}, "unknown": ["west"], "spans": []}  # what `watch` reads
+def test_a_closed_standard_output_ends_the_command(command, status, message, agent_in_fleet):
+    agent_in_fleet.reply |= {
+        "instances": {},
+        "unknown": ["west"],
+        "spans": [],
+    }  # the fields that `watch` reads
     reader, writer = os.pipe()
     os.close(reader)
-    tool = [sys.executable, "-m", "vetchford", "fleet", "--socket", agent_of_fleet.path, *command]
+    arguments = [sys.executable, "-m", "vetchford", "fleet", "--socket", agent_in_fleet.path, *command]
     try:
-        ran = subprocess.run(tool, cwd=ROOT, stdout=writer, stderr=subprocess.PIPE, text=True, timeout=60)
+        completed = subprocess.run(
+            arguments, cwd=ROOT, stdout=writer, stderr=subprocess.PIPE, text=True, timeout=60
+        )
     finally:
         os.close(writer)
-    assert (ran.returncode, ran.stderr) == (status, message)
+    assert (completed.returncode, completed.stderr) == (status, message)
 
 
 @pytest.mark.parametrize(
@@ -319,9 +327,9 @@
         ),
     ],
 )
-def test_requests_on_the_socket_keep_their_bytes(agent_of_no_fleet, arguments, request_line):
-    command_line.main(["--socket", agent_of_no_fleet.path, *arguments])
-    assert agent_of_no_fleet.requests == [request_line]
+def test_requests_on_the_socket_keep_their_bytes(agent_without_fleet, arguments, request_line):
+    command_line.main(["--socket", agent_without_fleet.path, *arguments])
+    assert agent_without_fleet.requests == [request_line]
 
 
 def test_a_request_for_a_rollout_keeps_its_bytes():
@@ -343,17 +351,17 @@
     assert json.dumps(encode(submit_request(rollout))) == '{"ask": "change", ' + fields + "}"
     dry_run = encode(submit_request(rollout, dry_run=True))
     assert json.dumps(dry_run) == '{"ask": "change", ' + fields + ', "dry_run": true}'
-    of_fleet = encode(fleet_request(FleetSubmitRequest(encode(rollout))))
-    assert json.dumps(of_fleet) == (
+    fleet_submission = encode(fleet_request(FleetSubmitRequest(encode(rollout))))
+    assert json.dumps(fleet_submission) == (
         '{"ask": "across", "request": {"ask": "span", "change": {' + fields + "}}}"
     )
 
 
 def test_a_refusal_in_a_reply_is_raised():
     with pytest.raises(RefusedError, match="no change r1"):
-        decode_answer({"refused": "no change r1"}, lambda encoded: encoded)
+        decode_reply({"refused": "no change r1"}, lambda encoded: encoded)
 
 
-def test_patience_that_has_run_out_is_one_line_and_exit_status_one(capsys):
-    assert follower([answer("running")], patience_s=-1.0).follow()[1] == ExitStatus.FAILED
-    assert capsys.readouterr().err == "vetchford: change r1 is still running\n"
+def test_a_wait_that_exceeds_its_patience_is_one_line_and_exit_status_one(capsys):
+    assert rollout_waiter([rollout_reply("running")], patience_s=-1.0).wait()[1] == ExitStatus.FAILED
+    assert capsys.readouterr().err == "vetchford: timed out: change r1 is still running\n"
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -109,7 +109,11 @@
         """Start the process of an instance."""
         command = self.settings.command_of(name, version)
         if command is None:
-            self.post(self.on_spawn_failed, name, f"'versions' in the settings has no '{version}'")
+            self.post(
+                self.on_spawn_failed,
+                name,
+                f"no command for version '{version}': add it to 'versions' in the settings",
+            )
             return
         definition = self.settings.instances[name]
         options = supervisor.StartOptions(
--- a/vetchford/fleet/agent_messages.py
+++ b/vetchford/fleet/agent_messages.py
@@ -1,8 +1,8 @@
-"""Requests of tools to one agent and its replies: typed, and in the encoded form of its socket.
+"""Requests of tools to one agent and its replies, as typed values and as encoded on the agent's socket.
 
-There, each is one JSON object a line. Agents and tools of different versions communicate, so the encoded
-words and the order of the fields do not change. Values are not checked as they are decoded: one of a wrong
-type is refused where it is used.
+On the socket, each message is one line with a JSON object. As agents and tools of different versions
+communicate, the encoded names and the order of the fields do not change. Decoding does not check the types
+of values; a value of a wrong type is refused where it is used.
 """
 
 from typing import Any, TypeAlias
@@ -12,37 +12,39 @@
 from vetchford.fleet.decoding import read_fields
 from vetchford.fleet.rollout import RefusedError
 
-ENCODED_KIND = "ask"  # the field that holds the kind of a request
-ENCODED_REFUSAL = "refused"  # the field by which a refusal is known
+ENCODED_KIND = "ask"  # the field that holds a request's kind
+ENCODED_REFUSAL = "refused"  # the field that only a refusal has
 DEFAULT_HISTORY_ENTRIES = 50
 
 EncodedRequest: TypeAlias = dict[str, Any]
 EncodedReply: TypeAlias = dict[str, Any]
 
-# What is raised where a request lacks a field, or a value is of a type that cannot be used.
+# Exceptions raised for a request that lacks a field or holds a value of a wrong type.
 MALFORMED = (TypeError, KeyError, ValueError, AttributeError)
 
 
 class MalformedRequestError(RefusedError):
-    """A request that lacks a field or holds a value of a wrong type; `problem` is what that raised."""
+    """A request lacks a field or holds a value of a wrong type; `problem` is the exception raised."""
 
     def __init__(self, problem: Exception) -> None:
-        """`problem`: one of `MALFORMED`."""
-        super().__init__(f"a malformed command: {type(problem).__name__}: {problem}")
+        """Initialize the error; `problem`: one of `MALFORMED`."""
+        super().__init__(f"malformed request: {type(problem).__name__}: {problem}")
         self.problem = problem
 
 
 class RolloutRequest(msgspec.Struct, frozen=True):
-    """The rollout that a tool asks for."""
+    """The rollout that a tool requests."""
 
     id: str
-    kind: str  # a RolloutKind, once it is validated
-    targets: list[str]  # instances by name, in a fleet by key ("n1@east")
-    version: str  # to roll to; empty for the other kinds
-    start_interval_ms: float = msgspec.field(name="spacing")  # between the starts of two instances
-    minimum_ready_ms: float = msgspec.field(name="soak")  # that one serves before its step is done
-    on_failure: str  # a FailurePolicy, once it is validated
-    batch: int  # instances in progress at once
+    kind: str  # a RolloutKind, not validated yet
+    targets: list[str]  # names of instances; in a fleet their keys ("n1@east")
+    version: str  # the new version of a roll; empty for other kinds
+    start_interval_ms: float = msgspec.field(name="spacing")  # between starts of instances
+    minimum_ready_ms: float = msgspec.field(
+        name="soak"
+    )  # for which an instance serves before its step is done
+    on_failure: str  # a FailurePolicy, not validated yet
+    batch: int  # maximum of instances in progress at once
     minimum_available: int = msgspec.field(name="floor")
 
 
@@ -50,19 +52,19 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="status"):
-    """All instances and rollouts of the agent."""
+    """Return all instances and rollouts of the agent."""
 
 
 class SubmitRequest(
     RolloutRequest, frozen=True, tag_field=ENCODED_KIND, tag="change", omit_defaults=True
-):  # as tools send it; agents read it by `Rollout.from_request`, which knows the defaults
-    """Begin a rollout, or with `dry_run` say what would be begun."""
+):  # encoded by tools; agents decode it with `Rollout.from_request`, which has the defaults
+    """Start a rollout, or return its plan if `dry_run` is set."""
 
     dry_run: bool = False
 
 
 class PauseRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="pause"):
-    """Begin nothing more for a rollout until it is resumed."""
+    """Start no further steps of a rollout until it is resumed."""
 
     id: str
 
@@ -74,49 +76,51 @@
 
 
 class AbortRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="abort"):
-    """End a rollout where it is."""
+    """End a rollout without completing or reverting it."""
 
     id: str
 
 
 class HistoryRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="history", omit_defaults=True):
-    """The newest records of the agent's store."""
+    """Return the newest entries of the history in the agent's store."""
 
     max_entries: int = msgspec.field(name="most", default=DEFAULT_HISTORY_ENTRIES)
 
 
 class ExplainRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="explain"):
-    """Why an instance is in its state."""
+    """Return why an instance is in its state."""
 
     instance: str = msgspec.field(name="name")
 
 
 class FindRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="find"):
-    """One rollout."""
+    """Return the status of one rollout."""
 
     id: str
 
 
 class FleetRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="across"):
-    """Passed on to the agents of the fleet together; `request` is one of `fleet_messages`, encoded."""
+    """Carry out a request to the whole fleet; `request` is an encoded request of `fleet_messages`."""
 
     request: EncodedRequest
 
 
 ControlRequest: TypeAlias = PauseRequest | ResumeRequest | AbortRequest
-DecodedByFields: TypeAlias = StatusRequest | ControlRequest | HistoryRequest | ExplainRequest | FindRequest
-AgentRequest: TypeAlias = DecodedByFields | SubmitRequest | FleetRequest
+FieldDecodedRequest: TypeAlias = (
+    StatusRequest | ControlRequest | HistoryRequest | ExplainRequest | FindRequest
+)
+AgentRequest: TypeAlias = FieldDecodedRequest | SubmitRequest | FleetRequest
 
 
-def kind_of(request_type: type[msgspec.Struct]) -> str:
-    """Return the encoded kind of a type of request."""
+def encoded_kind(request_type: type[msgspec.Struct]) -> str:
+    """Return the encoded kind of a request type."""
     return str(request_type.__struct_config__.tag)
 
 
-FLEET_KIND = kind_of(FleetRequest)
-SUBMIT_KIND = kind_of(SubmitRequest)
-REQUEST_TYPES: dict[str, type[DecodedByFields]] = {
-    kind_of(request_type): request_type
+FLEET_KIND = encoded_kind(FleetRequest)
+SUBMIT_KIND = encoded_kind(SubmitRequest)
+REQUEST_TYPES: dict[str, type[FieldDecodedRequest]] = {
+    encoded_kind(request_type): request_type
     for request_type in (
         StatusRequest,
         PauseRequest,
@@ -127,8 +131,8 @@
         FindRequest,
     )
 }
-# In the order in which a refusal names them.
-REQUEST_KINDS = (kind_of(StatusRequest), SUBMIT_KIND, *list(REQUEST_TYPES)[1:])
+# In the order in which the refusal of an unknown kind lists them.
+REQUEST_KINDS = (encoded_kind(StatusRequest), SUBMIT_KIND, *list(REQUEST_TYPES)[1:])
 
 
 # -- replies
@@ -140,27 +144,27 @@
     name: str
     state: str  # an InstanceState of the agent's version
     version: str
-    reason: str = msgspec.field(name="why")  # of its last transition
+    reason: str = msgspec.field(name="why")  # for the last transition
     group: str
     labels: list[str]
     wanted: bool
     state_age_ms: int = msgspec.field(name="for_ms")
     restarts: int
     kill_count: int = msgspec.field(name="killed")
-    pid: int  # 0: no process
+    pid: int  # 0 if there is no process
     memory_kb: int
-    rollout_id: str = msgspec.field(name="change")  # that it is part of; empty: none
+    rollout_id: str = msgspec.field(name="change")  # of its active rollout; empty if there is none
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """The reply to requests that begin, find, pause, resume or abort a rollout."""
+    """The reply to requests that start, find, pause, resume or abort a rollout."""
 
     id: str
     kind: str
     state: str  # a RolloutState of the agent's version
-    reason: str = msgspec.field(name="why")  # of the last transition
-    steps: dict[str, str]  # a StepState by instance
-    killed: list[str]  # instances that outlived their stop timeout
+    reason: str = msgspec.field(name="why")  # for the last transition
+    steps: dict[str, str]  # StepState by instance name
+    killed: list[str]  # names of instances that were killed at their stop timeout
 
 
 class StatusReply(msgspec.Struct, frozen=True):
@@ -179,12 +183,12 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
-    """One record of the store's history."""
+    """One entry of the store's history."""
 
     at_s: float = msgspec.field(name="at")  # Unix time
     kind: str
     name: str
-    body: dict[str, Any] | None  # None: it was dropped
+    body: dict[str, Any] | None  # None: the record was deleted
 
 
 class HistoryReply(msgspec.Struct, frozen=True):
@@ -201,13 +205,13 @@
 
 
 class RefusedReply(msgspec.Struct, frozen=True):
-    """The reply to any request that was not carried out."""
+    """The reply to a request that was refused."""
 
     reason: str = msgspec.field(name=ENCODED_REFUSAL)
 
 
 class UnknownReply(msgspec.Struct, frozen=True):
-    """What a tool shows in the place of the reply of an agent that did not reply."""
+    """Shown by a tool in place of the reply of an agent that did not reply."""
 
     reason: str = msgspec.field(name="unknown")
 
@@ -225,17 +229,17 @@
 
 
 def submit_request(rollout: RolloutRequest, dry_run: bool = False) -> SubmitRequest:
-    """Return the request that begins a rollout, or that says what would be begun."""
+    """Return the request that starts a rollout, or that asks for its plan."""
     return SubmitRequest(**msgspec.structs.asdict(rollout), dry_run=dry_run)
 
 
-def decode_request(kind: str, encoded: EncodedRequest) -> DecodedByFields:
-    """Return a request of a kind in `REQUEST_TYPES`. Raises KeyError for a field that is missing."""
+def decode_request(kind: str, encoded: EncodedRequest) -> FieldDecodedRequest:
+    """Decode a request of a kind in `REQUEST_TYPES`. Raises KeyError for a missing field."""
     return read_fields(REQUEST_TYPES[kind], encoded)
 
 
 def decode_status(encoded: EncodedReply) -> StatusReply:
-    """Return the reply to a `StatusRequest`. Raises KeyError for a field that is missing."""
+    """Decode the reply to a `StatusRequest`. Raises KeyError for a missing field."""
     return StatusReply(
         instances=[read_fields(InstanceStatus, instance) for instance in encoded["instances"]],
         rollouts=[decode_rollout(rollout) for rollout in encoded["changes"]],
@@ -243,20 +247,20 @@
 
 
 def decode_rollout(encoded: EncodedReply) -> RolloutStatus:
-    """Return a rollout in a reply. Raises KeyError for a field that is missing."""
+    """Decode a rollout in a reply. Raises KeyError for a missing field."""
     return read_fields(RolloutStatus, encoded)
 
 
 def decode_plan(encoded: EncodedReply) -> PlanReply:
-    """Return the reply to a dry run. Raises KeyError for a field that is missing."""
+    """Decode the reply to a dry run. Raises KeyError for a missing field."""
     return read_fields(PlanReply, encoded)
 
 
 def decode_history(encoded: EncodedReply) -> HistoryReply:
-    """Return the reply to a `HistoryRequest`. Raises KeyError for a field that is missing."""
+    """Decode the reply to a `HistoryRequest`. Raises KeyError for a missing field."""
     return HistoryReply([read_fields(HistoryEntry, entry) for entry in encoded["history"]])
 
 
 def decode_explanation(encoded: EncodedReply) -> ExplainReply:
-    """Return the reply to an `ExplainRequest`. Raises KeyError for a field that is missing."""
+    """Decode the reply to an `ExplainRequest`. Raises KeyError for a missing field."""
     return ExplainReply(encoded["said"], decode_history(encoded).entries)
--- a/vetchford/fleet/agent_requests.py
+++ b/vetchford/fleet/agent_requests.py
@@ -1,4 +1,4 @@
-"""Answers the requests of tools, on the agent's thread."""
+"""The agent's replies to requests of tools, on the agent's thread."""
 
 import uuid
 from collections.abc import Callable
@@ -12,11 +12,11 @@
     SUBMIT_KIND,
     AbortRequest,
     AgentReply,
-    DecodedByFields,
     EncodedReply,
     EncodedRequest,
     ExplainReply,
     ExplainRequest,
+    FieldDecodedRequest,
     FindRequest,
     HistoryReply,
     HistoryRequest,
@@ -40,19 +40,19 @@
 from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.fleet.supervisor import Process
 
-MAX_HISTORY_REPLY = 1000  # entries: about a MB of JSON
-EXPLAIN_HISTORY = 20  # entries
+MAX_HISTORY_ENTRIES = 1000  # per reply: about 1 MB of JSON
+EXPLAIN_HISTORY_ENTRIES = 20
 
 
 class FleetCoordination(Protocol):
-    """The agent's part in a fleet of agents, as far as tools reach it."""
+    """The agent's coordinator, as far as requests of tools need it."""
 
     def request(self, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
-        """Answer by calling `reply` once, now or later. Raises RefusedError."""
+        """Answer a request by calling `reply` once, now or later. Raises RefusedError."""
 
 
 class RequestHandler:
-    """Carries requests out and makes the replies. Used by the agent's thread alone."""
+    """Carries out requests and creates their replies. Used by the agent's thread only."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         processes: dict[str, Process],
         now: Callable[[], float],
     ) -> None:
-        """`now`: ms, on the clock of the controller. `coordination` is set for an agent of a fleet."""
+        """Initialize the handler; `now`: in ms, the controller's clock. `coordination` is set in a fleet."""
         self.settings = settings
         self.controller = controller
         self.store = store
@@ -71,7 +71,7 @@
         self.coordination: FleetCoordination | None = None
 
     def handle(self, request: Any, reply: Callable[[EncodedReply], None]) -> None:
-        """Answer one decoded line, whatever it holds, by calling `reply` once."""
+        """Answer one decoded line, which may be malformed, by calling `reply` once."""
         try:
             self._dispatch(request, reply)
         except (RefusedError, OSError) as problem:
@@ -82,7 +82,7 @@
     def _dispatch(self, request: Any, reply: Callable[[EncodedReply], None]) -> None:
         kind = request.get(ENCODED_KIND) if isinstance(request, dict) else None
         if kind == FLEET_KIND:
-            self._pass_to_fleet(request, reply)
+            self._forward_to_fleet(request, reply)
         elif kind == SUBMIT_KIND:
             reply(encode(self._submit(request)))
         elif kind in REQUEST_KINDS:
@@ -90,12 +90,12 @@
         else:
             raise RefusedError(f"'{ENCODED_KIND}' must be one of {', '.join(REQUEST_KINDS)}")
 
-    def _pass_to_fleet(self, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
+    def _forward_to_fleet(self, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
         if self.coordination is None:
-            raise RefusedError("this agent is of no fleet: its settings have no 'peers'")
+            raise RefusedError("this agent is in no fleet: its settings have no 'peers'")
         self.coordination.request(request["request"], reply)
 
-    def _answer(self, request: DecodedByFields) -> AgentReply:
+    def _answer(self, request: FieldDecodedRequest) -> AgentReply:
         controller = self.controller
         match request:
             case StatusRequest():
@@ -118,7 +118,9 @@
     def _status(self) -> StatusReply:
         now_ms = self.now()
         return StatusReply(
-            instances=[self._instance_status(now_ms, one) for one in self.controller.instances.values()],
+            instances=[
+                self._instance_status(now_ms, instance) for instance in self.controller.instances.values()
+            ],
             rollouts=[rollout_status(rollout) for rollout in self.controller.rollouts.values()],
         )
 
@@ -153,7 +155,7 @@
         return rollout_status(self.controller.submit(self.now(), rollout))
 
     def _check_version(self, rollout: Rollout) -> None:
-        """Refuse a roll to a version that some target has no command for."""
+        """Refuse a roll to a version for which a target has no command."""
         if rollout.kind != RolloutKind.ROLL:
             return
         definitions = self.settings.instances
@@ -161,12 +163,14 @@
             name in definitions and definitions[name].version != rollout.version for name in rollout.targets
         )
         if needs_command and rollout.version not in self.settings.versions:
-            raise RefusedError(f"no command for version '{rollout.version}' in the settings")
+            raise RefusedError(
+                f"no command for version '{rollout.version}': add it to 'versions' in the settings"
+            )
 
     # -- history
 
     def _history(self, request: HistoryRequest) -> HistoryReply:
-        count = min(MAX_HISTORY_REPLY, int(request.max_entries))
+        count = min(MAX_HISTORY_ENTRIES, int(request.max_entries))
         return HistoryReply(self.store.history(count))
 
     def _explain(self, request: ExplainRequest) -> ExplainReply:
@@ -175,15 +179,15 @@
             raise RefusedError(f"no such instance: {name}")
         entries = [
             entry
-            for entry in self.store.history(MAX_HISTORY_REPLY)
+            for entry in self.store.history(MAX_HISTORY_ENTRIES)
             if entry.name == name or name in (entry.body or {}).get("steps", {})
         ]
         instance = self.controller.instances[name]
-        return ExplainReply(explanation(instance, self.now()), entries[:EXPLAIN_HISTORY])
+        return ExplainReply(explanation(instance, self.now()), entries[:EXPLAIN_HISTORY_ENTRIES])
 
 
 def rollout_status(rollout: Rollout) -> RolloutStatus:
-    """Return what tools see of a rollout."""
+    """Return the status of a rollout as tools receive it."""
     return RolloutStatus(
         id=rollout.id,
         kind=rollout.kind,
@@ -195,11 +199,11 @@
 
 
 def explanation(instance: Instance, now_ms: float) -> str:
-    """Return one sentence on the state of an instance and what follows; `now_ms`: monotonic."""
+    """Describe the state of an instance and its next start in one sentence; `now_ms`: monotonic."""
     text = f"{instance.name} is {instance.state} ({instance.reason}); "
     text += f"it is{'' if instance.wanted else ' not'} wanted"
     if instance.restart_at_ms:
-        text += f"; started again in {max(0, round(instance.restart_at_ms - now_ms))} ms"
+        text += f"; will be restarted in {max(0, round(instance.restart_at_ms - now_ms))} ms"
     if instance.wanted and not instance.has_process and not instance.restart_at_ms:
-        text += "; nothing will start it until somebody does"
+        text += "; it will not be started automatically"
     return text
--- a/vetchford/fleet/commands/command_line.py
+++ b/vetchford/fleet/commands/command_line.py
@@ -50,18 +50,18 @@
 
 
 def main(argv: list[str]) -> int:
-    """Carry out `vetchford fleet` with these arguments; return the exit status."""
+    """Run `vetchford fleet` with these arguments; return the exit status."""
     try:
         options = Options.from_arguments(docopt(__doc__, ["fleet", *argv]))
     except (DocoptExit, ValueError):
         return refuse("wrong usage; `vetchford fleet --help` tells how")
     if not options.sockets:
-        return refuse("--socket names no agent")
+        return refuse("--socket is missing: name the socket of at least one agent")
     if options.across and options.command == Command.HISTORY:
-        return refuse("history is of single agents; leave --across out")
+        return refuse("--across cannot be used with history: each agent has its own")
     try:
         status = run(options)
-        sys.stdout.flush()  # here, and not as Python ends: that its reader is gone must be seen
+        sys.stdout.flush()  # here, not at exit, to report a closed standard output
     except MalformedReplyError as problem:
         print_error(str(problem))
         return ExitStatus.FAILED
@@ -73,11 +73,11 @@
 
 
 def run(options: Options) -> ExitStatus:
-    """Carry out one command; return the exit status. Raises MalformedReplyError."""
-    if options.of_whole_fleet:
-        from vetchford.fleet.commands import whole_fleet
+    """Run one command; return the exit status. Raises MalformedReplyError."""
+    if options.is_fleet_command:
+        from vetchford.fleet.commands import fleet_commands
 
-        return whole_fleet.run(options)
-    from vetchford.fleet.commands import machine
+        return fleet_commands.run(options)
+    from vetchford.fleet.commands import agent_commands
 
-    return machine.run(options)
+    return agent_commands.run(options)
--- a/vetchford/fleet/commands/exit_status.py
+++ b/vetchford/fleet/commands/exit_status.py
@@ -1,4 +1,4 @@
-"""What the exit status of `vetchford fleet` says; operators' scripts depend on the numbers."""
+"""Exit statuses of `vetchford fleet`; operators' scripts depend on the numbers."""
 
 from enum import IntEnum
 
@@ -6,16 +6,16 @@
 
 
 class ExitStatus(IntEnum):
-    """The greater of two is reported where several agents were asked."""
+    """The exit status; of several agents' results the greatest is reported."""
 
     DONE = 0
-    FAILED = 1  # at run time, or paused
-    REFUSED = 2  # or wrong usage
+    FAILED = 1  # failure at run time, or a rollout was paused
+    REFUSED = 2  # by an agent, or wrong usage
     PARTLY_DONE = 3
-    UNKNOWN = 4  # an agent cannot be reached
+    UNKNOWN = 4  # an agent could not be reached
 
 
-# Of a rollout that a command waited for: the states that end the waiting.
+# For a command that waits for a rollout, by the rollout states that end the wait.
 ROLLOUT_EXIT_STATUS = {
     RolloutState.FINISHED: ExitStatus.DONE,
     RolloutState.FAILED: ExitStatus.PARTLY_DONE,
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -1,9 +1,9 @@
-"""What the commands over a whole fleet show: instances, rollouts, the agents and how they see each other."""
+"""Output of fleet commands: instances, rollouts, and how the agents see each other."""
 
 import time
 from typing import TYPE_CHECKING
 
-from vetchford.fleet.agent_client import UnreachableError, ask_all, decode_answer
+from vetchford.fleet.agent_client import UnreachableError, decode_reply, send_request_to_all
 from vetchford.fleet.agent_messages import EncodedReply
 from vetchford.fleet.commands.exit_status import ExitStatus
 from vetchford.fleet.commands.options import Options
@@ -32,13 +32,13 @@
 if TYPE_CHECKING:
     from blessed import Terminal
 
-WATCH_INTERVAL_S = 0.4  # between two looks
-DEFAULT_HEIGHT = 24  # lines, if the terminal does not report its size
-DEFAULT_WIDTH = 80  # characters, likewise
+WATCH_INTERVAL_S = 0.4  # between requests for the status
+DEFAULT_HEIGHT = 24  # lines, for a terminal that does not report its size
+DEFAULT_WIDTH = 80  # characters, for the same case
 STATUS_HEADINGS = ("NAME", "STATE", "VERSION", "CHANGE", "WHY")
 PEER_HEADINGS = ("PEER", "VIEW", "LINK", "LIFE", "MEMBER", "VOTER", "WHY")
-COMPARED_COLUMNS = 4  # all but WHY: a reason alone is no change worth a line
-ALL_INSTANCES = ["all"]  # of SELECT, where it names none
+COMPARED_COLUMNS = 4  # all but WHY: a new reason alone is not printed
+ALL_INSTANCES = ["all"]  # default of SELECT
 
 Row = tuple[str, ...]
 
@@ -47,33 +47,35 @@
 
 
 def show_status(client: FleetClient, options: Options) -> CommandResult:
-    """Print the instances of all agents, and the rollouts that have not ended.
+    """Print the instances of all agents and the unfinished rollouts.
 
     Raises UnreachableError, RefusedError.
     """
-    answer = client.status()
-    if options.plain:
-        print_columns(status_rows(answer.reply, options.select))
-        print_unended_rollouts(answer.reply.rollouts)
+    reply = client.status()
+    if options.prints_text:
+        print_columns(status_rows(reply.decoded, options.select))
+        print_unfinished_rollouts(reply.decoded.rollouts)
     else:
-        keys = set(select_of_fleet(answer.reply.instances, options.select or ALL_INSTANCES))
-        instances = answer.encoded["instances"]
-        answer.encoded["instances"] = {key: one for key, one in instances.items() if key in keys}
-    status = ExitStatus.UNKNOWN if answer.reply.unseen_agents else ExitStatus.DONE
-    return CommandResult(answer.encoded, status)
+        keys = set(select_of_fleet(reply.decoded.instances, options.select or ALL_INSTANCES))
+        instances = reply.encoded["instances"]
+        reply.encoded["instances"] = {key: instance for key, instance in instances.items() if key in keys}
+    status = ExitStatus.UNKNOWN if reply.decoded.unseen_agents else ExitStatus.DONE
+    return CommandResult(reply.encoded, status)
 
 
-def status_rows(status: FleetStatus, words: list[str]) -> list[Row]:
-    """Return the table of the instances that the words of SELECT name, with its headings."""
+def status_rows(status: FleetStatus, selectors: list[str]) -> list[Row]:
+    """Return the rows of the table of selected instances, with its headings."""
     rows: list[Row] = [STATUS_HEADINGS]
-    for key in select_of_fleet(status.instances, words or ALL_INSTANCES):
-        one = status.instances[key]
-        rows.append((key, one.state, one.version, one.rollout_id or "-", one.reason))
-    rows += [(f"*@{agent}", "unknown", "-", "-", "its agent is not seen") for agent in status.unseen_agents]
+    for key in select_of_fleet(status.instances, selectors or ALL_INSTANCES):
+        instance = status.instances[key]
+        rows.append((key, instance.state, instance.version, instance.rollout_id or "-", instance.reason))
+    rows += [
+        (f"*@{agent}", "unknown", "-", "-", "no report from its agent") for agent in status.unseen_agents
+    ]
     return rows
 
 
-def print_unended_rollouts(rollouts: list[RolloutSummary]) -> None:
+def print_unfinished_rollouts(rollouts: list[RolloutSummary]) -> None:
     """Print a line for each rollout that is running or paused."""
     for rollout in rollouts:
         if rollout.state in (RolloutState.RUNNING, RolloutState.PAUSED):
@@ -83,24 +85,24 @@
 
 
 def print_rollout(rollout: FleetRolloutStatus) -> None:
-    """Print one rollout: its steps, its leader, and what it waits for."""
-    by_step: dict[str, list[str]] = {}
+    """Print one rollout: its steps, the leader, and what the rollout waits for."""
+    keys_by_step: dict[str, list[str]] = {}
     for key, step in rollout.steps.items():
-        by_step.setdefault(step, []).append(key)
+        keys_by_step.setdefault(step, []).append(key)
     reason = f": {rollout.reason}" if rollout.reason else ""
     print(
         f"change {rollout.id} ({rollout.kind}, batch {rollout.batch}, floor {rollout.minimum_available}) "
         f"is {rollout.state}{reason}"
     )
-    for step, keys in sorted(by_step.items()):
+    for step, keys in sorted(keys_by_step.items()):
         print(f"  {step}: {', '.join(keys)}")
     if rollout.waits_for:
         print(f"  waits: {rollout.waits_for}")
     silence_ms = rollout.leader_silence_ms
-    heard = f"heard of {silence_ms / 1000:.1f} s ago" if silence_ms else "asked itself"
+    heard = f"last heard {silence_ms / 1000:.1f} s ago" if silence_ms else "replied itself"
     print(
-        f"  driven by {rollout.leader or 'nobody that is seen'} ({heard}), "
-        f"record {rollout.term}.{rollout.revision} as {rollout.replied_by} holds it"
+        f"  leader {rollout.leader or 'unknown'} ({heard}), "
+        f"record {rollout.term}.{rollout.revision} on {rollout.replied_by}"
     )
 
 
@@ -108,37 +110,37 @@
 
 
 def show_peers(options: Options) -> ExitStatus:
-    """Print what each named agent sees of the others; all are asked at once."""
-    answers: dict[str, EncodedReply] = {}
+    """Print how each named agent sees the others; the agents are asked in parallel."""
+    replies: dict[str, EncodedReply] = {}
     worst = ExitStatus.DONE
-    for path, encoded in ask_all(options.sockets, fleet_request(PeersRequest())).items():
-        answers[path], status = show_peers_of_agent(encoded, options)
+    for path, encoded in send_request_to_all(options.sockets, fleet_request(PeersRequest())).items():
+        replies[path], status = show_peers_of_agent(encoded, options)
         worst = max(worst, status)
     if options.json:
-        print_json(answers)
+        print_json(replies)
     return worst
 
 
 def show_peers_of_agent(encoded: EncodedReply | UnreachableError, options: Options) -> CommandResult:
-    """Print what one agent sees of the others."""
+    """Print how one agent sees the others."""
     if isinstance(encoded, UnreachableError):
-        return report_unreachable(encoded, "what it sees is unknown")
+        return report_unreachable(encoded, "the agent's view of the fleet is unknown")
     try:
-        answer = decode_answer(encoded, decode_peers)
+        reply = decode_reply(encoded, decode_peers)
     except RefusedError as problem:
         return report_refusal(problem)
-    if options.plain:
-        print_peers(answer.reply)
+    if options.prints_text:
+        print_peers(reply.decoded)
     return CommandResult(encoded, ExitStatus.DONE)
 
 
 def print_peers(reply: PeersReply) -> None:
-    """Print one agent's part in its fleet, and its view of the others."""
+    """Print an agent's role in its fleet and its view of the others."""
     record = reply.record
     leader = record.leader if record.role == Role.FOLLOWER else ""
-    part = f"{record.role} {leader}".rstrip()
-    votes = "" if record.counted else "; its word does not count until it is listed anew"
-    print(f"{reply.name} of {reply.fleet}, life {reply.incarnation}: {part}{votes}")
+    role = f"{record.role} {leader}".rstrip()
+    vote = "" if record.counted else "; its vote does not count until the record lists its new store"
+    print(f"{reply.name} of {reply.fleet}, life {reply.incarnation}: {role}{vote}")
     rows: list[Row] = [PEER_HEADINGS]
     for peer in reply.peers:
         rows.append(
@@ -159,44 +161,46 @@
 
 
 def watch(client: FleetClient, options: Options) -> ExitStatus:
-    """Show a live table on a terminal; into a pipe, a line for each thing that changes."""
-    from blessed import Terminal  # only here: no other command draws
+    """Show a live table on a terminal; otherwise print a line for each change of an instance."""
+    from blessed import Terminal  # imported only for this command
 
     terminal = Terminal()
     deadline_s = time.monotonic() + options.patience_s
     try:
         if terminal.is_a_tty:
-            draw_until(deadline_s, terminal, client, options.select)
+            draw_table_until(deadline_s, terminal, client, options.select)
         else:
             print_changes_until(deadline_s, client, options.select)
     except KeyboardInterrupt:
-        pass  # the operator ends it
-    except BrokenPipeError:  # so does this, with `head`
+        pass  # the operator interrupts the command
+    except BrokenPipeError:  # the reader of the pipe is closed, for example `head`
         discard_output()
     return ExitStatus.DONE
 
 
-def current_rows(client: FleetClient, words: list[str]) -> list[Row]:
-    """Return the table of instances, also while no agent can be reached."""
+def current_rows(client: FleetClient, selectors: list[str]) -> list[Row]:
+    """Return the rows of the instance table; one row with the error if no agent can be reached."""
     try:
-        status = client.status().reply
+        status = client.status().decoded
     except UnreachableError as problem:
         return [STATUS_HEADINGS, ("*", "unknown", "-", "-", str(problem))]
-    return status_rows(status, words)
+    return status_rows(status, selectors)
 
 
-def draw_until(deadline_s: float, terminal: "Terminal", client: FleetClient, words: list[str]) -> None:
-    """Draw the table again and again; `deadline_s`: monotonic."""
+def draw_table_until(
+    deadline_s: float, terminal: "Terminal", client: FleetClient, selectors: list[str]
+) -> None:
+    """Redraw the table periodically; `deadline_s`: monotonic."""
     with terminal.fullscreen(), terminal.hidden_cursor():
         while time.monotonic() < deadline_s:
             lines: list[str] = []
-            print_columns(current_rows(client, words), lines.append)
-            draw(terminal, lines)
+            print_columns(current_rows(client, selectors), lines.append)
+            draw_lines(terminal, lines)
             time.sleep(WATCH_INTERVAL_S)
 
 
-def draw(terminal: "Terminal", lines: list[str]) -> None:
-    """Draw the lines that fit, the first in bold."""
+def draw_lines(terminal: "Terminal", lines: list[str]) -> None:
+    """Draw the lines that fit the terminal, the first one in bold."""
     height = terminal.height or DEFAULT_HEIGHT
     width = terminal.width or DEFAULT_WIDTH
     for number, line in enumerate(lines[: height - 1]):
@@ -206,11 +210,11 @@
     print(terminal.clear_eos, end="", flush=True)
 
 
-def print_changes_until(deadline_s: float, client: FleetClient, words: list[str]) -> None:
+def print_changes_until(deadline_s: float, client: FleetClient, selectors: list[str]) -> None:
     """Print a line for each instance whose state, version or rollout changes; `deadline_s`: monotonic."""
     previous: dict[str, Row] = {}
     while time.monotonic() < deadline_s:
-        rows = {row[0]: row for row in current_rows(client, words)[1:]}
+        rows = {row[0]: row for row in current_rows(client, selectors)[1:]}
         for key, row in rows.items():
             if previous.get(key, ())[:COMPARED_COLUMNS] != row[:COMPARED_COLUMNS]:
                 print(" ".join((time.strftime("%H:%M:%S"), *row)).rstrip(), flush=True)
--- a/vetchford/fleet/commands/options.py
+++ b/vetchford/fleet/commands/options.py
@@ -1,4 +1,4 @@
-"""The command line as typed values; made from what docopt returns."""
+"""The command line as typed values, converted from the result of docopt."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """One call of the tool."""
+    """The options and arguments of one command."""
 
     command: Command
     sockets: list[str]
     across: bool
-    select: list[str]  # the words SELECT
-    rollout_id: str  # ID; empty where the command has none
-    requested_id: str  # --id; empty: one is made up
+    select: list[str]  # the SELECT arguments
+    rollout_id: str  # ID; empty if the command has none
+    requested_id: str  # --id; empty: an id is generated
     instance: str
     agent: str
     operator: str  # --by
@@ -65,10 +65,10 @@
 
     @classmethod
     def from_arguments(cls, arguments: dict[str, Any]) -> "Options":
-        """Read docopt's dictionary. Raises ValueError for a number that is none."""
+        """Convert the dictionary of docopt. Raises ValueError for an invalid number."""
         return cls(
             command=next(command for command in Command if arguments[command]),
-            sockets=list(dict.fromkeys(arguments["--socket"])),  # docopt repeats a repeated option
+            sockets=list(dict.fromkeys(arguments["--socket"])),  # docopt repeats values of a repeated option
             across=bool(arguments["--across"]),
             select=arguments["SELECT"],
             rollout_id=arguments["ID"] or "",
@@ -89,11 +89,11 @@
         )
 
     @property
-    def plain(self) -> bool:
-        """Whether a person reads the output."""
+    def prints_text(self) -> bool:
+        """Whether the output is text for a person and not JSON."""
         return not self.json
 
     @property
-    def of_whole_fleet(self) -> bool:
-        """Whether the command is sent to all agents of a fleet together."""
+    def is_fleet_command(self) -> bool:
+        """Whether the command is for a whole fleet and not for single agents."""
         return self.across or self.command in FLEET_COMMANDS
--- a/vetchford/fleet/commands/output.py
+++ b/vetchford/fleet/commands/output.py
@@ -1,4 +1,4 @@
-"""What all commands print: tables, JSON and one line on standard error for what went wrong."""
+"""Output of all commands: tables, JSON, and one line on standard error for each failure."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class CommandResult(NamedTuple):
-    """What a command ends with."""
+    """The result of a command."""
 
     encoded: EncodedReply  # the last reply, for `--json`
     status: ExitStatus
@@ -25,39 +25,39 @@
 
 
 def discard_output() -> None:
-    """Drop what is still to be written to standard output, whose reader is gone.
+    """Redirect standard output to the null device after its reader has closed it.
 
-    Else Python would try once more as it ends, and complain.
+    Otherwise Python would flush the remaining output at exit and report a second error.
     """
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nowhere, sys.stdout.fileno())
-    os.close(nowhere)
+    null_device = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null_device, sys.stdout.fileno())
+    os.close(null_device)
 
 
 def refuse(text: str) -> ExitStatus:
-    """Print why a command is not carried out; return the exit status."""
+    """Print why a command is refused; return the exit status."""
     print_error(text)
     return ExitStatus.REFUSED
 
 
 def report_refusal(problem: RefusedError) -> CommandResult:
-    """Print why an agent refused a command; return what is shown in place of its reply."""
+    """Print why an agent refused a command; return the result to show in place of its reply."""
     return CommandResult(encode(RefusedReply(problem.reason)), refuse(problem.reason))
 
 
 def report_unreachable(problem: UnreachableError, consequence: str) -> CommandResult:
-    """Print that an agent did not reply, and what follows; return what is shown in place of its reply."""
+    """Print that an agent did not reply; return the result to show in place of its reply."""
     print_error(f"{problem}; {consequence}")
     return CommandResult(encode(UnknownReply(str(problem))), ExitStatus.UNKNOWN)
 
 
-def print_json(answers: dict[str, EncodedReply]) -> None:
-    """Print the answers by agent; that of a single agent as it is."""
-    print(json.dumps(answers if len(answers) > 1 else next(iter(answers.values()))))
+def print_json(replies: dict[str, EncodedReply]) -> None:
+    """Print the replies by agent; the reply of a single agent without its socket path."""
+    print(json.dumps(replies if len(replies) > 1 else next(iter(replies.values()))))
 
 
 def print_columns(rows: Sequence[tuple[str, ...]], write: Callable[[str], None] = print) -> None:
-    """Write the rows in aligned columns, a line each; the first row has the headings."""
+    """Write each row as a line of aligned columns; the first row contains the headings."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     for row in rows:
-        write("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
+        write("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
--- a/vetchford/fleet/commands/selection.py
+++ b/vetchford/fleet/commands/selection.py
@@ -1,4 +1,4 @@
-"""Which instances the words SELECT of the command line name."""
+"""Selection of instances by the SELECT arguments of the command line."""
 
 import fnmatch
 from collections.abc import Iterable, Mapping
@@ -13,39 +13,46 @@
 class Candidate:
     """An instance that may be selected."""
 
-    key: str  # what is returned: the name, or NAME@AGENT in a fleet
+    key: str  # the name, or NAME@AGENT in a fleet
     name: str
-    agent: str | None  # None: only one agent is asked
+    agent: str | None  # None for a command to one agent
     group: str
     labels: list[str]
 
-    def matches(self, word: str) -> bool:
-        """Return whether one word of SELECT names this instance."""
-        kind, _, value = word.partition("=")
+    def matches(self, selector: str) -> bool:
+        """Return whether a SELECT argument selects this instance."""
+        kind, _, value = selector.partition("=")
         return (
-            word == "all"
+            selector == "all"
             or (kind == "agent" and self.agent == value)
             or (kind == "group" and self.group == value)
             or (kind == "label" and value in self.labels)
-            or fnmatch.fnmatchcase(self.key if "@" in word else self.name, word)
+            or fnmatch.fnmatchcase(self.key if "@" in selector else self.name, selector)
         )
 
 
-def select(candidates: Iterable[Candidate], words: list[str]) -> list[str]:
-    """Return the keys of those that any of the words names."""
-    return [one.key for one in candidates if any(one.matches(word) for word in words)]
+def select(candidates: Iterable[Candidate], selectors: list[str]) -> list[str]:
+    """Return the keys of the candidates that any SELECT argument selects."""
+    return [
+        candidate.key
+        for candidate in candidates
+        if any(candidate.matches(selector) for selector in selectors)
+    ]
 
 
-def select_of_agent(instances: Iterable[InstanceStatus], words: list[str]) -> list[str]:
-    """Return names from the status of one agent."""
-    candidates = (Candidate(one.name, one.name, None, one.group, one.labels) for one in instances)
-    return select(candidates, words)
+def select_of_agent(instances: Iterable[InstanceStatus], selectors: list[str]) -> list[str]:
+    """Return the names of the selected instances of one agent."""
+    candidates = (
+        Candidate(instance.name, instance.name, None, instance.group, instance.labels)
+        for instance in instances
+    )
+    return select(candidates, selectors)
 
 
-def select_of_fleet(instances: Mapping[str, FleetInstanceStatus], words: list[str]) -> list[str]:
-    """Return keys of the form NAME@AGENT from the status of a fleet."""
+def select_of_fleet(instances: Mapping[str, FleetInstanceStatus], selectors: list[str]) -> list[str]:
+    """Return the keys (NAME@AGENT) of the selected instances of a fleet."""
     candidates = []
-    for key, one in instances.items():
+    for key, instance in instances.items():
         name, agent = split_instance_key(key)
-        candidates.append(Candidate(key, name, agent, one.group, one.labels))
-    return select(candidates, words)
+        candidates.append(Candidate(key, name, agent, instance.group, instance.labels))
+    return select(candidates, selectors)
--- a/vetchford/fleet/decoding.py
+++ b/vetchford/fleet/decoding.py
@@ -1,4 +1,4 @@
-"""Reads typed messages from decoded JSON. No state."""
+"""Decoding of typed messages from decoded JSON, without state."""
 
 from collections.abc import Mapping
 from typing import Any, TypeVar
@@ -9,10 +9,10 @@
 
 
 def read_fields(message_type: type[MessageT], encoded: Mapping[str, Any]) -> MessageT:
-    """Return a message with the values that `encoded` has for its fields; other keys are ignored.
+    """Return a message with the values that `encoded` has for its fields; ignore other keys.
 
-    Values are taken as they are: one of a wrong type is refused where it is used. Raises KeyError, which
-    names the key, if a field that has no default is missing.
+    Types of values are not checked; a value of a wrong type is refused where it is used. Raises KeyError,
+    which names the encoded key, if a field without a default is missing.
     """
     names = message_type.__struct_fields__
     keys = message_type.__struct_encode_fields__
--- a/vetchford/fleet/fleet_client.py
+++ b/vetchford/fleet/fleet_client.py
@@ -1,9 +1,9 @@
-"""Asks a fleet of agents over the sockets of some of them."""
+"""Client of a fleet of agents over the sockets of some of them."""
 
 from collections.abc import Callable
 from typing import TypeVar
 
-from vetchford.fleet.agent_client import Answer, UnreachableError, ask, decode_answer
+from vetchford.fleet.agent_client import ReceivedReply, UnreachableError, ask, decode_reply
 from vetchford.fleet.agent_messages import (
     ControlRequest,
     EncodedReply,
@@ -35,68 +35,70 @@
 
 
 class FleetUnreachableError(UnreachableError):
-    """None of the agents that were asked replied; `problems` has why for each."""
+    """None of the agents replied; `problems` holds the error of each."""
 
     def __init__(self, problems: list[UnreachableError]) -> None:
-        """`problems`: one for each agent, of which there is at least one."""
+        """Initialize the error; `problems`: one for each agent, at least one."""
         super().__init__(problems[0].path, problems[0].problem)
         self.problems = problems
 
     def __str__(self) -> str:
-        """Return why for each agent."""
+        """Return the errors of all agents."""
         return "; ".join(str(problem) for problem in self.problems)
 
 
 def fleet_request(request: LocalRequest | LeaderRequest) -> FleetRequest:
-    """Return the request to one agent that carries a request to its fleet."""
+    """Wrap a request to a fleet in a request to one of its agents."""
     return FleetRequest(encode(request))
 
 
 class FleetClient:
-    """The requests to a fleet: any agent takes them; the next one is asked where one does not reply.
+    """Requests to a fleet, sent to one agent and, if it does not reply, to the next one.
 
-    One thread at a time may call it: it remembers which agent replied.
+    Only one thread at a time may call it, as it moves agents that do not reply to the end of its list.
     Each method raises FleetUnreachableError if no agent replies, RefusedError for a refusal, or
     MalformedReplyError.
     """
 
     def __init__(self, paths: list[str]) -> None:
-        """`paths`: the agents' sockets, in the order they are tried."""
+        """Initialize the client; `paths`: the agents' sockets, in the order in which they are tried."""
         self.paths = paths
 
-    def status(self) -> Answer[FleetStatus]:
-        """Ask for all instances and rollouts of the fleet."""
-        return self._ask(FleetStatusRequest(), decode_fleet_status)
+    def status(self) -> ReceivedReply[FleetStatus]:
+        """Return all instances and rollouts of the fleet."""
+        return self._request(FleetStatusRequest(), decode_fleet_status)
 
-    def submit(self, rollout: RolloutRequest) -> Answer[FleetRolloutStatus]:
-        """Begin a fleet rollout; the reply comes once that is committed."""
-        return self._ask(FleetSubmitRequest(encode(rollout)), decode_fleet_rollout)
+    def submit(self, rollout: RolloutRequest) -> ReceivedReply[FleetRolloutStatus]:
+        """Start a fleet rollout; the reply arrives once the rollout is committed."""
+        return self._request(FleetSubmitRequest(encode(rollout)), decode_fleet_rollout)
 
-    def plan(self, rollout: RolloutRequest) -> Answer[PlanReply]:
-        """Ask what `submit` would begin."""
-        return self._ask(FleetPlanRequest(encode(rollout)), decode_plan)
+    def plan(self, rollout: RolloutRequest) -> ReceivedReply[PlanReply]:
+        """Return the plan of a rollout that `submit` would start."""
+        return self._request(FleetPlanRequest(encode(rollout)), decode_plan)
 
-    def control(self, request: ControlRequest) -> Answer[ControlReply]:
+    def control(self, request: ControlRequest) -> ReceivedReply[ControlReply]:
         """Pause, resume or abort a fleet rollout."""
-        return self._ask(request, decode_control)
+        return self._request(request, decode_control)
 
-    def find(self, rollout_id: str) -> Answer[FleetRolloutStatus]:
-        """Ask for one fleet rollout."""
-        return self._ask(FindRequest(rollout_id), decode_fleet_rollout)
+    def find(self, rollout_id: str) -> ReceivedReply[FleetRolloutStatus]:
+        """Return the status of one fleet rollout."""
+        return self._request(FindRequest(rollout_id), decode_fleet_rollout)
 
-    def change_members(self, request: MembershipRequest) -> Answer[MembersReply]:
-        """Admit an agent to the fleet or dismiss one; the reply comes once that is committed."""
-        return self._ask(request, decode_members)
+    def change_members(self, request: MembershipRequest) -> ReceivedReply[MembersReply]:
+        """Admit an agent to the fleet or dismiss one; the reply arrives once the change is committed."""
+        return self._request(request, decode_members)
 
-    def _ask(
+    def _request(
         self, request: LocalRequest | LeaderRequest, decode: Callable[[EncodedReply], ReplyT]
-    ) -> Answer[ReplyT]:
+    ) -> ReceivedReply[ReplyT]:
         encoded_request = encode(fleet_request(request))
         problems = []
         for path in list(self.paths):
             try:
-                return decode_answer(ask(path, encoded_request), decode)
+                return decode_reply(ask(path, encoded_request), decode)
             except UnreachableError as problem:
                 problems.append(problem)
-                self.paths = [other for other in self.paths if other != path] + [path]  # tried last from now
+                self.paths = [other for other in self.paths if other != path] + [
+                    path
+                ]  # tried last from now on
         raise FleetUnreachableError(problems)
--- a/vetchford/fleet/fleet_messages.py
+++ b/vetchford/fleet/fleet_messages.py
@@ -1,8 +1,8 @@
-"""Requests of tools to the agents of a fleet together and the replies: typed, and in their encoded form.
+"""Requests of tools to a whole fleet and their replies, as typed values and in encoded form.
 
-They travel inside a `FleetRequest` of `agent_messages`, whose rules on words and values are those here. An
-agent passes a request that only the leader answers on as it came, so that leader and tool may be of a later
-version than the agent between them.
+They are sent inside a `FleetRequest` of `agent_messages`, whose rules for encoded names and values apply. An
+agent forwards a request for the leader undecoded, so that the leader and the tool may run a later version
+than the agent between them.
 """
 
 from typing import Any, TypeAlias
@@ -20,7 +20,7 @@
     ResumeRequest,
     RolloutRequest,
     RolloutStatus,
-    kind_of,
+    encoded_kind,
 )
 from vetchford.fleet.decoding import read_fields
 from vetchford.fleet.rollout import RefusedError
@@ -29,17 +29,19 @@
 
 
 class FleetStatusRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="all"):
-    """All instances and rollouts of the fleet."""
+    """Return all instances and rollouts of the fleet."""
 
 
 class FleetSubmitRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="span"):
-    """Begin a fleet rollout."""
+    """Start a fleet rollout."""
 
-    rollout: EncodedRequest = msgspec.field(name="change")  # a RolloutRequest, decoded once agents reported
+    rollout: EncodedRequest = msgspec.field(
+        name="change"
+    )  # a RolloutRequest, decoded once agents have reported
 
 
 class FleetPlanRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="plan"):
-    """Say what a fleet rollout would do."""
+    """Return the plan of a fleet rollout."""
 
     rollout: EncodedRequest = msgspec.field(name="change")
 
@@ -48,7 +50,7 @@
     """Make an agent a member of the fleet."""
 
     agent: str = msgspec.field(name="name")
-    operator: str = msgspec.field(name="by")  # for the record
+    operator: str = msgspec.field(name="by")  # stored in the log of member changes
 
 
 class DismissRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="dismiss"):
@@ -59,7 +61,7 @@
 
 
 class PeersRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="peers"):
-    """What the asked agent sees of the others."""
+    """Return the state of the other agents as seen by the agent that replies."""
 
 
 LocalRequest: TypeAlias = ControlRequest | FindRequest | PeersRequest
@@ -67,13 +69,13 @@
 MembershipRequest: TypeAlias = AdmitRequest | DismissRequest
 LeaderRequest: TypeAlias = ReportsRequest | MembershipRequest
 
-# Those that any agent answers by itself, and those that only the leader does.
+# Requests that any agent answers, and requests that only the leader answers.
 LOCAL_REQUEST_TYPES: dict[str, type[LocalRequest]] = {
-    kind_of(request_type): request_type
+    encoded_kind(request_type): request_type
     for request_type in (PauseRequest, ResumeRequest, AbortRequest, FindRequest, PeersRequest)
 }
 LEADER_REQUEST_TYPES: dict[str, type[LeaderRequest]] = {
-    kind_of(request_type): request_type
+    encoded_kind(request_type): request_type
     for request_type in (
         FleetStatusRequest,
         FleetSubmitRequest,
@@ -82,7 +84,7 @@
         DismissRequest,
     )
 }
-STATUS_KIND = kind_of(FleetStatusRequest)
+STATUS_KIND = encoded_kind(FleetStatusRequest)
 
 
 # -- replies
@@ -95,16 +97,16 @@
     state: str
     reason: str = msgspec.field(name="why")
     obeyed_by: str  # the agent that replies
-    leader: str = msgspec.field(name="driver")  # that it sees; empty: none
+    leader: str = msgspec.field(name="driver")  # as seen by that agent; empty if unknown
 
 
 class RolloutProgress(msgspec.Struct, frozen=True):
-    """What the agent that replies adds to the record of a rollout."""
+    """What the replying agent adds to the fields that the replicated record holds of a rollout."""
 
     state: str
     reason: str = msgspec.field(name="why")
-    waits_for: str = msgspec.field(name="waits")  # empty: nothing that is known
-    leader: str = msgspec.field(name="driver")  # empty: none is seen
+    waits_for: str = msgspec.field(name="waits")  # empty if no reason to wait is known
+    leader: str = msgspec.field(name="driver")  # empty if unknown
     leader_silence_ms: int = msgspec.field(name="driver_heard_ms")  # 0 on the leader itself
     term: int
     revision: int
@@ -124,14 +126,14 @@
 class LeaderStatusReply(msgspec.Struct, frozen=True):
     """The leader's reply to a `FleetStatusRequest`."""
 
-    instances: dict[str, Any]  # reports of instances by key, see `fleet_view.InstanceReport`
+    instances: dict[str, Any]  # `fleet_view.InstanceReport` by instance key
     unseen_agents: list[str] = msgspec.field(name="unknown")
     leader: str = msgspec.field(name="driver")
     rollouts: list[RolloutSummary] = msgspec.field(name="spans")
 
 
 class AgentStatusReply(msgspec.Struct, frozen=True):
-    """The reply of an agent that sees no leader, over its own instances; the fields are in another order."""
+    """The reply of an agent that knows no leader, about its own instances; the field order differs."""
 
     instances: dict[str, Any]
     leader: str = msgspec.field(name="driver")
@@ -143,25 +145,25 @@
     """The reply to an `AdmitRequest` or `DismissRequest`."""
 
     members: list[str]
-    log: list[Any]  # of changes of members and voters
+    log: list[Any]  # changes of members and voters
 
 
-# -- replies as tools read them
+# -- replies as decoded by tools
 
 
 class FleetInstanceStatus(msgspec.Struct, frozen=True):
-    """One instance in the status of a fleet."""
+    """One instance in a `FleetStatus`."""
 
     state: str
     group: str
     reason: str = msgspec.field(name="why")
     version: str
     labels: list[str]
-    rollout_id: str = msgspec.field(name="change")  # of its agent's rollout; empty: none
+    rollout_id: str = msgspec.field(name="change")  # of its agent's local rollout; empty if there is none
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """The status of a fleet, whoever replied."""
+    """The status of a fleet, from the leader or another agent."""
 
     instances: dict[str, FleetInstanceStatus]  # by key ("n1@east")
     unseen_agents: list[str]
@@ -169,7 +171,7 @@
 
 
 class FleetRolloutStatus(RolloutStatus, frozen=True):
-    """A fleet rollout as the agent that replies knows it."""
+    """A fleet rollout as known to the replying agent."""
 
     batch: int
     minimum_available: int = msgspec.field(name="floor")
@@ -182,7 +184,7 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another agent, as the agent that replies sees it."""
+    """Another agent as seen by the replying agent."""
 
     name: str
     view: str
@@ -190,11 +192,11 @@
     incarnation: int = msgspec.field(name="life")
     member: bool
     voter: bool
-    reason: str = msgspec.field(name="why")  # of the last loss of its link
+    reason: str = msgspec.field(name="why")  # for the last loss of the link
 
 
 class RecordStatus(msgspec.Struct, frozen=True):
-    """An agent's part in the replicated record."""
+    """An agent's role in the replication of the record."""
 
     role: str
     leader: str = msgspec.field(name="driver")
@@ -215,35 +217,37 @@
 
 
 def decode_local_request(encoded: EncodedRequest) -> LocalRequest | None:
-    """Return a request that any agent answers, or None for one that is the leader's.
+    """Decode a request that any agent answers; return None for any other request.
 
-    Raises KeyError for a field that is missing.
+    Raises KeyError for a missing field.
     """
     kind = encoded[ENCODED_KIND]
-    if kind not in tuple(LOCAL_REQUEST_TYPES):  # a tuple: `kind` may be a value that has no hash
+    if kind not in tuple(LOCAL_REQUEST_TYPES):  # a tuple, as `kind` may be unhashable
         return None
     return read_fields(LOCAL_REQUEST_TYPES[kind], encoded)
 
 
 def decode_leader_request(encoded: EncodedRequest) -> LeaderRequest:
-    """Return a request that the leader answers.
+    """Decode a request that only the leader answers.
 
-    Raises RefusedError for another kind, KeyError for a field that is missing.
+    Raises RefusedError for another kind, KeyError for a missing field.
     """
     kind = encoded[ENCODED_KIND]
     if kind not in tuple(LEADER_REQUEST_TYPES):
-        raise RefusedError(f"'{kind}' is none that is known")
+        raise RefusedError(f"unknown kind of request: '{kind}'")
     return read_fields(LEADER_REQUEST_TYPES[kind], encoded)
 
 
 def decode_rollout_request(encoded: EncodedRequest) -> RolloutRequest:
-    """Return the rollout that a tool asks for. Raises KeyError for a field that is missing."""
+    """Decode the rollout that a tool requests. Raises KeyError for a missing field."""
     return read_fields(RolloutRequest, encoded)
 
 
 def decode_fleet_status(encoded: EncodedReply) -> FleetStatus:
-    """Return the reply to a `FleetStatusRequest`. Raises KeyError for a field that is missing."""
-    instances = {key: read_fields(FleetInstanceStatus, one) for key, one in encoded["instances"].items()}
+    """Decode the reply to a `FleetStatusRequest`. Raises KeyError for a missing field."""
+    instances = {
+        key: read_fields(FleetInstanceStatus, instance) for key, instance in encoded["instances"].items()
+    }
     return FleetStatus(
         instances=instances,
         unseen_agents=encoded["unknown"],
@@ -252,22 +256,22 @@
 
 
 def decode_fleet_rollout(encoded: EncodedReply) -> FleetRolloutStatus:
-    """Return the reply to a `FindRequest` in a fleet. Raises KeyError for a field that is missing."""
+    """Decode the reply to a `FindRequest` in a fleet. Raises KeyError for a missing field."""
     return read_fields(FleetRolloutStatus, encoded)
 
 
 def decode_control(encoded: EncodedReply) -> ControlReply:
-    """Return the reply to a pause, resume or abort. Raises KeyError for a field that is missing."""
+    """Decode the reply to a pause, resume or abort. Raises KeyError for a missing field."""
     return read_fields(ControlReply, encoded)
 
 
 def decode_members(encoded: EncodedReply) -> MembersReply:
-    """Return the reply to an `AdmitRequest` or `DismissRequest`. Raises KeyError likewise."""
+    """Decode the reply to an `AdmitRequest` or `DismissRequest`. Raises KeyError for a missing field."""
     return read_fields(MembersReply, encoded)
 
 
 def decode_peers(encoded: EncodedReply) -> PeersReply:
-    """Return the reply to a `PeersRequest`. Raises KeyError for a field that is missing."""
+    """Decode the reply to a `PeersRequest`. Raises KeyError for a missing field."""
     return PeersReply(
         name=encoded["name"],
         fleet=encoded["fleet"],
