--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -216,7 +216,7 @@
         "n0 out",
         "n0 done",
         "n1 done",
-        "change r1 finished: all done; killed at their stop timeout: n1",
+        "change r1 finished: all done; killed at their stop time: n1",
     ]
 
 
--- a/vetchford/fleet/agent_requests.py
+++ b/vetchford/fleet/agent_requests.py
@@ -203,7 +203,7 @@
     text = f"{instance.name} is {instance.state} ({instance.reason}); "
     text += f"it is{'' if instance.wanted else ' not'} wanted"
     if instance.restart_at_ms:
-        text += f"; will be restarted in {max(0, round(instance.restart_at_ms - now_ms))} ms"
+        text += f"; started again in {max(0, round(instance.restart_at_ms - now_ms))} ms"
     if instance.wanted and not instance.has_process and not instance.restart_at_ms:
-        text += "; it will not be started automatically"
+        text += "; nothing will start it until somebody does"
     return text
--- a/vetchford/fleet/commands/fleet_commands.py
+++ b/vetchford/fleet/commands/fleet_commands.py
@@ -78,8 +78,8 @@
     reply = client.control(CONTROL_REQUESTS[options.command](options.rollout_id))
     if options.prints_text:
         rollout = reply.decoded
-        leader = f"; {rollout.leader} leads" if rollout.leader else "; that agent knows no leader"
-        print(f"change {rollout.id} is {rollout.state} on {rollout.obeyed_by}{leader}")
+        leader = f"; {rollout.leader} drives" if rollout.leader else "; nobody that drives is seen from there"
+        print(f"change {rollout.id} is {rollout.state} for {rollout.obeyed_by}{leader}")
     return CommandResult(reply.encoded, ExitStatus.DONE)
 
 
@@ -139,4 +139,4 @@
     """Return why a rollout makes no progress; empty if no reason is known."""
     if rollout.waits_for:
         return rollout.waits_for
-    return "" if rollout.leader else f"{rollout.replied_by} knows no leader"
+    return "" if rollout.leader else f"nobody that drives is seen from {rollout.replied_by}"
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -69,9 +69,7 @@
     for key in select_of_fleet(status.instances, selectors or ALL_INSTANCES):
         instance = status.instances[key]
         rows.append((key, instance.state, instance.version, instance.rollout_id or "-", instance.reason))
-    rows += [
-        (f"*@{agent}", "unknown", "-", "-", "no report from its agent") for agent in status.unseen_agents
-    ]
+    rows += [(f"*@{agent}", "unknown", "-", "-", "its agent is not seen") for agent in status.unseen_agents]
     return rows
 
 
@@ -99,10 +97,10 @@
     if rollout.waits_for:
         print(f"  waits: {rollout.waits_for}")
     silence_ms = rollout.leader_silence_ms
-    heard = f"last heard {silence_ms / 1000:.1f} s ago" if silence_ms else "replied itself"
+    heard = f"heard of {silence_ms / 1000:.1f} s ago" if silence_ms else "asked itself"
     print(
-        f"  leader {rollout.leader or 'unknown'} ({heard}), "
-        f"record {rollout.term}.{rollout.revision} on {rollout.replied_by}"
+        f"  driven by {rollout.leader or 'nobody that is seen'} ({heard}), "
+        f"record {rollout.term}.{rollout.revision} as {rollout.replied_by} holds it"
     )
 
 
@@ -139,7 +137,7 @@
     record = reply.record
     leader = record.leader if record.role == Role.FOLLOWER else ""
     role = f"{record.role} {leader}".rstrip()
-    vote = "" if record.counted else "; its vote does not count until the record lists its new store"
+    vote = "" if record.counted else "; its word does not count until it is listed anew"
     print(f"{reply.name} of {reply.fleet}, life {reply.incarnation}: {role}{vote}")
     rows: list[Row] = [PEER_HEADINGS]
     for peer in reply.peers:
--- a/vetchford/fleet/commands/rollout_commands.py
+++ b/vetchford/fleet/commands/rollout_commands.py
@@ -129,6 +129,6 @@
 
     def _report_end(self, rollout: RolloutStatus) -> ExitStatus:
         if self.options.prints_text:
-            killed = f"; killed at their stop timeout: {', '.join(rollout.killed)}" if rollout.killed else ""
+            killed = f"; killed at their stop time: {', '.join(rollout.killed)}" if rollout.killed else ""
             print(f"change {self.id} {rollout.state}: {rollout.reason}{killed}")
         return ROLLOUT_EXIT_STATUS[RolloutState(rollout.state)]
