--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -96,7 +96,10 @@
     new = rig.wait_for_leader(others)
     rig.wait_until(lambda: rig.peers(driver)["book"]["role"] != "drives", 10.0, "it still drives")
     refused = tool(rig, "--across", "restart", f"n0@{driver}", sockets=[driver])
-    assert refused.returncode == 2 and "nobody drives that can be seen" in refused.stderr
+    assert (
+        refused.returncode == 2
+        and f"no leader is known to {driver}: electing one needs a majority of" in refused.stderr
+    )
     # By what was out when the link went: the batch is full, or the floor is not proven.
     rig.wait_until(
         lambda: driver in rig.find_rollout("r1", [new])["waits"], 20.0, "it does not say why it waits"
@@ -266,9 +269,9 @@
         (["--across", "roll", "--to", "v9", "all"], 2, "has no command for version 'v9'"),
         (["--across", "stop", "--floor", "6", "n0@a0"], 2, "5 would be left serving, under the floor of 6"),
         (["--across", "restart", "nobody"], 2, "it must name 1 to 1000 instances"),
-        (["--across", "pause", "none"], 2, "no change none is known here"),
+        (["--across", "pause", "none"], 2, "change none is unknown to this agent"),
         (["admit", "a1"], 0, "a0, a1, a2"),
-        (["--across", "explain", "none"], 2, "no change none is known here"),
+        (["--across", "explain", "none"], 2, "change none is unknown to this agent"),
     ):
         ran = tool(rig, *given)
         assert ran.returncode == code and text in ran.stdout + ran.stderr, (given, ran)
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -86,7 +86,7 @@
     )
     assert (
         world.run(world.now + 20_000.0, lambda: bool(out))
-        and "nobody drives that can be seen" in out[0]["refused"]
+        and f"no leader is known to {away[0]}" in out[0]["refused"]
     )
     world.heal()
     assert world.run(world.now + 60_000.0, lambda: world.has_ended("r1"))
--- a/vetchford/fleet/agent_report.py
+++ b/vetchford/fleet/agent_report.py
@@ -1,4 +1,4 @@
-"""An agent's report to the leader: its instances, and what became of the steps that it was ordered."""
+"""An agent's report to the leader: its instances, and the results of the steps that it was ordered."""
 
 from collections.abc import Container
 
@@ -10,30 +10,32 @@
 
 
 class FullInstanceReport(InstanceReport):
-    """One instance, with what is shown to tools alone; the leader's decisions read `InstanceReport`."""
+    """One instance with fields that only tools show; the leader decides on those of `InstanceReport`."""
 
-    why: str  # of the last change of its state
+    why: str  # reason for the last change of state
     labels: list[str]
-    killed: int  # how often it outlived its stop timeout
+    killed: int  # number of kills at its stop timeout
 
 
-def make_report(local: RolloutController, settings: AgentSettings, rollouts: Container[str]) -> AgentReport:
-    """The report on all instances of this agent, and on its local rollouts made for `rollouts`."""
+def make_report(
+    controller: RolloutController, settings: AgentSettings, rollouts: Container[str]
+) -> AgentReport:
+    """Report all instances of this agent, and its local rollouts that belong to fleet `rollouts`."""
     return {
         "instances": {
-            instance.name: report_instance(local, instance, settings.instances[instance.name])
-            for instance in local.instances.values()
+            instance.name: report_instance(controller, instance, settings.instances[instance.name])
+            for instance in controller.instances.values()
         },
-        "locals": step_results(local, rollouts),
+        "locals": step_results(controller, rollouts),
         "versions": sorted(settings.versions),
     }
 
 
 def report_instance(
-    local: RolloutController, instance: Instance, definition: InstanceDefinition
+    controller: RolloutController, instance: Instance, definition: InstanceDefinition
 ) -> FullInstanceReport:
-    """What is reported of one instance."""
-    rollout = local.rollout_of(instance.name)
+    """Report one instance."""
+    rollout = controller.rollout_of(instance.name)
     return {
         "state": instance.state,
         "unseen": instance.awaiting_first_check,
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -1,8 +1,8 @@
-"""The transport adapter of an agent's fleet: connects `coordinator` and `failure_detector` to sockets.
+"""The transport adapter of an agent in a fleet: connects `coordinator` and `failure_detector` to sockets.
 
-Lives on the agent's thread, which alone calls it. In the agent's store it keeps this agent's incarnation and
-the identity of the store ("self"), the incarnations of others that it has heard of ("peer"), the fleet's
-record ("book") and the controls of rollouts ("orders").
+Used by the agent's thread only. It writes to the agent's store: this agent's incarnation and the identity of
+the store ("self"), the known incarnations of other agents ("peer"), the replicated record ("book") and the
+controls of rollouts ("orders").
 """
 
 import uuid
@@ -29,7 +29,7 @@
 from vetchford.fleet.membership_updates import MembershipUpdate
 from vetchford.fleet.own_incarnation import OwnIncarnation
 from vetchford.fleet.peer_records import STORED_PEER, StoredPeer
-from vetchford.fleet.peer_status import SHOWN_MEMBER_STATES, FullPeersReply, FullPeerStatus, encode_status
+from vetchford.fleet.peer_status import ENCODED_MEMBER_STATES, FullPeersReply, FullPeerStatus, encode_status
 from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.runtime.actor import Actor
 from vetchford.runtime.clock import clock
@@ -40,15 +40,15 @@
 
 log = structlog.get_logger()
 
-REFUTATIONS_PER_INCARNATION = 1 << 20  # numbers for suspicions that are denied: one a second lasts 12 days
-# What other agents can provoke is logged ever more rarely.
+REFUTATIONS_PER_INCARNATION = 1 << 20  # for refutations of suspicions: at one per second, 12 days
+# Events that other agents can cause repeatedly; they are sampled to limit the log volume.
 SAMPLED_EVENTS = frozenset(
     ("order_refused", "record_message_unknown", "peer_message_unknown", "record_not_stored")
 )
 
 
-class Owner(Protocol):
-    """The agent."""
+class CoordinatedAgent(Protocol):
+    """The agent, as far as its coordinator needs it."""
 
     store: Store
     controller: RolloutController
@@ -56,17 +56,19 @@
 
 
 class CoordinatorActor:
-    """An agent's membership in its fleet; `start` opens it, the agent's turns call `tick`."""
+    """An agent's membership in its fleet; the agent calls `start` once and `tick` periodically."""
 
-    def __init__(self, actor: Actor, owner: Owner, settings: PeerSettings, metrics: Metrics) -> None:
-        """OSError where its address can't be had or the store fails."""
-        self.owner = owner
+    def __init__(
+        self, actor: Actor, agent: CoordinatedAgent, settings: PeerSettings, metrics: Metrics
+    ) -> None:
+        """Bind the address and store a new incarnation. Raises OSError if the address or the store fails."""
+        self.agent = agent
         self.settings = settings
         self.metrics = metrics
         self.name = self.settings.name
-        stored = owner.store.records()
-        self.own = OwnIncarnation(owner.store, stored)
-        self.own.save()
+        stored = agent.store.records()
+        self.own_incarnation = OwnIncarnation(agent.store, stored)
+        self.own_incarnation.save()
         agents = self.settings.agents
         seed = zlib.crc32(self.settings.fleet.encode())
         now_ms = self.now()
@@ -74,7 +76,7 @@
             actor,
             self,
             metrics,
-            Identity(self.settings.fleet, self.name, self.own.number, self.own.nonce),
+            Identity(self.settings.fleet, self.name, self.own_incarnation.number, self.own_incarnation.nonce),
             self.settings.listen,
             agents,
             seed,
@@ -83,7 +85,7 @@
             self,
             self.name,
             agents,
-            seed + self.own.number,
+            seed + self.own_incarnation.number,
             self.detector_incarnation(),
             fixed_members=True,
             now_ms=now_ms,
@@ -92,136 +94,138 @@
             self,
             self.name,
             seed,
-            self.own.store_identity,
+            self.own_incarnation.store_identity,
             founding_record(list(agents)),
             now_ms,
-            self.own.number,
+            self.own_incarnation.number,
         )
         self.restore(stored)
 
     @property
     def incarnation(self) -> int:
-        """Counts the starts of this agent, and the times that others knew a later one."""
-        return self.own.number
+        """The incarnation of this agent: the number of its starts and of raises above a later known one."""
+        return self.own_incarnation.number
 
     def restore(self, stored: Iterable[StoredRecord]) -> None:
-        """Takes in what the store has of earlier incarnations."""
+        """Restore the state that earlier incarnations have stored."""
         peers = self.transport.sessions.peers
         for kind, name, body in stored:
             if kind == STORED_PEER and name in peers:
-                known = msgspec.convert(body, StoredPeer)
-                peers[name].incarnation = known.incarnation
-                peers[name].nonce = known.nonce
+                stored_peer = msgspec.convert(body, StoredPeer)
+                peers[name].incarnation = stored_peer.incarnation
+                peers[name].nonce = stored_peer.nonce
             elif kind in (RECORD_KIND, CONTROLS_KIND):
                 self.coordinator.restore(kind, name, body)
 
     def start(self) -> None:
-        """Begins to accept and to read; the transport starts its threads."""
+        """Start the threads of the transport, which accept connections and receive messages."""
         self.transport.start()
 
     def now(self) -> float:
-        """Monotonic, in ms."""
+        """Return the monotonic time in ms."""
         return clock.now()
 
     def tick(self) -> None:
-        """Called about ten times a second."""
+        """Run the periodic work; called about ten times a second."""
         now_ms = self.now()
         self.transport.tick()
         self.failure_detector.tick(now_ms)
         self.coordinator.tick(now_ms)
 
     def detector_incarnation(self) -> int:
-        """The failure detector's first incarnation in this one of the agent: above all earlier ones."""
-        return self.own.number * REFUTATIONS_PER_INCARNATION
+        """Return the failure detector's first incarnation within the agent's, above all earlier ones."""
+        return self.own_incarnation.number * REFUTATIONS_PER_INCARNATION
 
-    # -- what the transport brings
+    # -- events of the transport
 
     def on_message(self, peer: str, kind: str, body: Any) -> None:
-        """A message of another agent."""
+        """Pass a message of another agent to the coordinator."""
         try:
             self.coordinator.receive(self.now(), peer, kind, body)
         except MALFORMED as problem:
-            text = f"{type(problem).__name__}: {problem}"
-            self.metrics.log_sampled("peer_malformed", peer=peer, kind=kind, problem=text)
+            problem_text = f"{type(problem).__name__}: {problem}"
+            self.metrics.log_sampled("peer_malformed", peer=peer, kind=kind, problem=problem_text)
 
     def on_datagram(self, peer: str, body: Any) -> None:
-        """A message of another agent's failure detector."""
+        """Pass a datagram of another agent to the failure detector."""
         try:
-            message = detector_datagrams.decode(body)
+            datagram = detector_datagrams.decode(body)
             self.failure_detector.receive(
-                self.now(), peer, message.kind, message.number, message.about, message.updates
+                self.now(), peer, datagram.kind, datagram.probe_number, datagram.target, datagram.updates
             )
         except MALFORMED as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
     def on_link_state(self, peer: str, state: LinkState) -> None:
-        """A stream has changed its state."""
+        """Log that the link to another agent is up."""
         if state is LinkState.UP:
             log.info("peer_up", peer=peer)
 
-    def on_peer_incarnation(self, peer: str, life: int, nonce: int) -> None:
-        """Another agent has a new incarnation."""
+    def on_peer_incarnation(self, peer: str, incarnation: int, nonce: int) -> None:
+        """Store a new incarnation of another agent."""
         try:
-            self.owner.store.put(STORED_PEER, peer, msgspec.to_builtins(StoredPeer(life, nonce)))
-        except OSError as problem:  # it is known until our own end
+            self.agent.store.put(STORED_PEER, peer, msgspec.to_builtins(StoredPeer(incarnation, nonce)))
+        except OSError as problem:  # the incarnation is known until this agent ends
             self.metrics.log_sampled("peer_not_stored", problem=str(problem))
 
-    def on_later_incarnation(self, life: int, nonce: int) -> None:
-        """Another agent knows a later incarnation of our name.
+    def on_later_incarnation(self, incarnation: int, nonce: int) -> None:
+        """Raise this agent's incarnation above a later one that another agent knows.
 
-        Our store is an old copy or empty, or two machines use the name.
+        Either this agent's store is empty or an old copy, or two machines use its name.
         """
         now_ms = self.now()
-        if self.own.is_disputed(now_ms):
+        if self.own_incarnation.is_disputed(now_ms):
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
-        self.raise_incarnation(now_ms, life)
+        self.raise_incarnation(now_ms, incarnation)
 
     def raise_incarnation(self, now_ms: float, known: int) -> None:
-        """Begins an incarnation above `known`, with a new identity of the store."""
+        """Begin an incarnation above `known`, with a new identity of the store."""
         record = self.coordinator.record
-        # The store's votes may be lost: votes of this agent count once the record lists its new identity.
+        # The store may have lost votes: they count again once the record lists the store's new identity.
         record.replace_store(now_ms, uuid.uuid4().hex)
         try:
-            self.own.raise_above(now_ms, known, record.store)
-        except OSError as problem:  # others go on refusing this one, and say so on each new connection
+            self.own_incarnation.raise_above(now_ms, known, record.store)
+        except OSError as problem:  # others keep refusing this agent and report it on each connection
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
-        log.warning("life_raised", life=self.own.number, known=known)
+        log.warning("life_raised", life=self.own_incarnation.number, known=known)
         self.failure_detector.membership.restart(self.detector_incarnation())
-        self.transport.begin_incarnation(self.own.number, self.own.nonce)
+        self.transport.begin_incarnation(self.own_incarnation.number, self.own_incarnation.nonce)
 
     # -- actions of the failure detector
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
-        """One datagram; it may be lost."""
-        datagram = DetectorDatagram(kind, number, about, updates)
+    def send(
+        self, to: str, kind: str, probe_number: int, target: str, updates: list[MembershipUpdate]
+    ) -> None:
+        """Send a datagram of the failure detector; it may be lost."""
+        datagram = DetectorDatagram(kind, probe_number, target, updates)
         self.transport.send_datagram(to, detector_datagrams.encode(datagram))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
-        """Another agent is seen otherwise than before."""
+        """Log that the state of another agent has changed."""
         log.info("peer_state_changed", peer=name, state=state.name.lower())
 
     # -- actions of the coordinator
 
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
-        """Sends a message; False where it is known not to go."""
+        """Send a message; return False if it certainly was not sent."""
         return self.transport.send(to, kind, body)
 
     def keep(self, kind: str, name: str, body: Any) -> None:
-        """Stores a record; OSError where the store fails."""
-        self.owner.store.put(kind, name, body, history=kind != RECORD_KIND)
+        """Write a record to the store; None deletes it. Raises OSError if the store fails."""
+        self.agent.store.put(kind, name, body, history=kind != RECORD_KIND)
 
     def report(self, rollouts: set[str]) -> AgentReport:
-        """What the leader is told of this agent."""
-        return make_report(self.owner.controller, self.owner.settings, rollouts)
+        """Return this agent's report to the leader."""
+        return make_report(self.agent.controller, self.agent.settings, rollouts)
 
     def begin_step(self, step: Step) -> str:
-        """Starts a step on this agent; empty, or why it was refused."""
-        return begin_step(self.owner.controller, self.now(), step)
+        """Start a step on this agent; return an empty string, or why the step was refused."""
+        return begin_step(self.agent.controller, self.now(), step)
 
     def note(self, event: str, **fields: Any) -> None:
-        """A log event of the coordinator."""
+        """Write a log event of the coordinator."""
         if event in SAMPLED_EVENTS:
             self.metrics.log_sampled(event, **fields)
         else:
@@ -230,20 +234,20 @@
     # -- tools
 
     def request(self, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
-        """A tool's request; `reply` is called once. RefusedError for what is refused at once."""
+        """Answer a tool's request by calling `reply` once. Raises RefusedError for an immediate refusal."""
         if request.get("ask") == "peers":
             reply(self.describe_peers())
             return
         self.coordinator.request(self.now(), request, reply)
 
     def describe_peers(self) -> EncodedReply:
-        """Connections, states of the members and the record, as this agent sees them."""
+        """Return the links, member states and the record as seen by this agent."""
         record = self.coordinator.record
         status = FullPeersReply(
             name=self.name,
             fleet=self.settings.fleet,
-            incarnation=self.own.number,
-            peers=[self.describe_peer(row) for row in self.transport.sessions.status()],
+            incarnation=self.own_incarnation.number,
+            peers=[self.describe_peer(session) for session in self.transport.sessions.status()],
             record=record.status(),
             log=record.body["log"],
             bytes_sent=self.transport.bytes_sent,
@@ -252,7 +256,7 @@
         return encode_status(status)
 
     def describe_peer(self, session: dict[str, Any]) -> FullPeerStatus:
-        """One other agent; `session` is the transport's row of it."""
+        """Describe another agent; `session` is its row in the status of the transport."""
         record = self.coordinator.record
         name = session["name"]
         member = self.failure_detector.membership.members.get(name)
@@ -262,7 +266,7 @@
             link_state=str(session["link"]),
             incarnation=session["life"],
             last_failure=session["why"],
-            member_state=SHOWN_MEMBER_STATES[member_state],
+            member_state=ENCODED_MEMBER_STATES[member_state],
             is_member=record.is_member(name),
             is_voter=name in record.voters(),
         )
--- a/vetchford/fleet/coordinator_messages.py
+++ b/vetchford/fleet/coordinator_messages.py
@@ -1,8 +1,8 @@
-"""Messages between the coordinators of two agents: typed values, and their encoded form.
+"""Messages between the coordinators of two agents: typed values and their encoded form. No state.
 
-A codec without state. The kind travels in the frame beside the body. The encoded words and the order of the
-keys are those that agents of every version exchange during a rolling upgrade, so they stay as they are; each
-appears here and nowhere else. Messages of the replicated record are in `consensus_messages.py`.
+The kind is a field of the frame, outside the body. The encoded names and the order of the keys do not change,
+as agents of different versions exchange them during a rolling upgrade; no other module uses them. Messages of
+the replicated record are in `consensus_messages.py`.
 """
 
 from typing import Any, ClassVar, TypeAlias
@@ -11,18 +11,18 @@
 
 from vetchford.fleet.consensus_messages import MalformedMessageError, UnknownMessageError
 
-RECORD_KIND = "book"  # the kind of all messages of the replicated record
+RECORD_KIND = "book"  # kind of all messages of the replicated record
 
-# By rollout; not checked as it arrives, as a field of a later version must be passed on.
+# By rollout id. Not validated on receipt, so that fields of later versions are passed on.
 EncodedControlsByRollout: TypeAlias = dict[str, Any]
 
 
 class ReportRequest(msgspec.Struct, frozen=True):
-    """The leader asks an agent for a report, and tells what it knows."""
+    """The leader requests a report from an agent, and sends it the controls and wait reasons."""
 
     KIND: ClassVar[str] = "look"
 
-    number: int  # by which the report and orders that rest on it are told apart
+    number: int  # identifies the report and the orders based on it
     term: int
     controls: EncodedControlsByRollout = msgspec.field(name="orders")
     wait_reasons: dict[str, str] = msgspec.field(name="said")
@@ -40,9 +40,9 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What an agent is to do with one instance; what a tool sent unchecked is converted where it is used."""
+    """What an agent is to do with one instance; values of type Any come unchecked from a tool."""
 
-    id: str  # of the local rollout that the agent makes of it
+    id: str  # of the local rollout in which the agent carries out the step
     rollout_id: Any = msgspec.field(name="span")
     kind: str
     name: str  # of the instance
@@ -51,18 +51,18 @@
 
 
 class StepOrder(msgspec.Struct, frozen=True):
-    """The leader orders a committed step."""
+    """The leader orders an agent to carry out a committed step."""
 
     KIND: ClassVar[str] = "order"
 
-    number: int  # of the report that the order rests on
+    number: int  # of the report that the order is based on
     term: int
     revision: int
     step: Step = msgspec.field(name="act")
 
 
 class ControlsUpdate(msgspec.Struct, frozen=True):
-    """An operator has paused, resumed or aborted a rollout on the sender."""
+    """The controls of rollouts that an operator paused, resumed or aborted on the sending agent."""
 
     KIND: ClassVar[str] = "orders"
 
@@ -76,7 +76,7 @@
 
     ref: int
     request: Any
-    waited: Any  # ms since the tool asked
+    waited: Any  # ms since the tool sent the request
 
 
 class ForwardedAnswer(msgspec.Struct, frozen=True):
@@ -106,15 +106,15 @@
 
 
 def encode_message(message: CoordinatorMessage) -> dict[str, Any]:
-    """The encoded body of a message."""
+    """Return the encoded body of a message."""
     encoded: dict[str, Any] = msgspec.to_builtins(message)
     return encoded
 
 
 def decode_message(sender: str, kind: str, encoded: Any) -> CoordinatorMessage:
-    """The typed form of a message; fields that this version does not know are ignored.
+    """Decode the body of a message; ignore fields that this version does not know.
 
-    UnknownMessageError for a kind of another version, MalformedMessageError for a body that can't be read.
+    Raises UnknownMessageError for an unknown kind, MalformedMessageError for a malformed body.
     """
     message_type = MESSAGE_TYPES.get(kind)
     if message_type is None:
--- a/vetchford/fleet/detector_datagrams.py
+++ b/vetchford/fleet/detector_datagrams.py
@@ -1,6 +1,6 @@
-"""Codec of the failure detector's datagrams between agents: arrays of kind, number, subject and updates.
+"""Codec of the failure detector's datagrams: arrays of kind, probe number, target and updates.
 
-The form stays as it is: agents of two versions exchange it during a rolling upgrade.
+The encoding does not change, as agents of two versions exchange datagrams during a rolling upgrade.
 """
 
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
     """One message of the failure detector."""
 
     kind: str
-    number: int
-    about: str  # the target of an indirect probe; otherwise empty
+    probe_number: int
+    target: str  # of an indirect probe; otherwise empty
     updates: list[MembershipUpdate]
 
 
 def encode(datagram: DetectorDatagram) -> list[Any]:
-    """The encoded form."""
-    return [datagram.kind, datagram.number, datagram.about, datagram.updates]
+    """Return the encoded form."""
+    return [datagram.kind, datagram.probe_number, datagram.target, datagram.updates]
 
 
 def decode(body: Any) -> DetectorDatagram:
-    """Reads the encoded form. Raises one of `transport.framing.MALFORMED` where it is none."""
-    kind, number, about, encoded = body
-    updates = [(str(name), str(state), int(incarnation)) for name, state, incarnation in encoded]
-    return DetectorDatagram(str(kind), int(number), str(about), updates)
+    """Decode a datagram. Raises one of `transport.framing.MALFORMED` if it is malformed."""
+    kind, probe_number, target, encoded_updates = body
+    updates = [(str(name), str(state), int(incarnation)) for name, state, incarnation in encoded_updates]
+    return DetectorDatagram(str(kind), int(probe_number), str(target), updates)
--- a/vetchford/fleet/fleet_status.py
+++ b/vetchford/fleet/fleet_status.py
@@ -1,6 +1,6 @@
-"""What an agent tells tools about its fleet: rollouts as it knows them, and its own instances.
+"""Status of a fleet for tools, as known to one agent: its copy of the rollouts, and its own instances.
 
-No I/O; times in ms, monotonic. The agent's thread alone calls it.
+No I/O; times in ms, monotonic. Used by the agent's thread only.
 """
 
 from vetchford.fleet.agent_messages import EncodedReply, encode
@@ -13,30 +13,30 @@
 
 
 class UnknownRolloutError(RefusedError):
-    """A request for a rollout that this agent does not know; `id` is what was asked for."""
+    """A request names a rollout, `id`, that this agent does not know."""
 
     def __init__(self, id: str) -> None:
-        """`id`: as the tool sent it."""
-        super().__init__(f"no change {id} is known here")
+        """Initialize the error; `id`: as sent by the tool."""
+        super().__init__(f"change {id} is unknown to this agent")
         self.id = id
 
 
 class FleetStatusSource:
-    """Descriptions of the state that one agent has; changes nothing."""
+    """Read-only descriptions of one agent's state."""
 
     def __init__(self, coordinator: Coordinator) -> None:
-        """`coordinator`: of the same agent."""
+        """Describe the state of `coordinator`, which belongs to the same agent."""
         self.coordinator = coordinator
 
     def known_leader(self) -> str:
-        """The leader that this agent sees, or empty."""
+        """Return the name of the leader that this agent knows; empty if there is none."""
         record = self.coordinator.record
         return self.coordinator.name if record.role == Role.LEADER else record.leader
 
     def describe_rollout(self, now_ms: float, id: str) -> EncodedReply:
-        """A rollout as this agent knows it, with all that its record says.
+        """Return a rollout as known to this agent, with all fields of the replicated record.
 
-        RefusedError where it knows none.
+        Raises RefusedError if the rollout is unknown.
         """
         coordinator = self.coordinator
         record = coordinator.record
@@ -59,7 +59,7 @@
         return {**rollout, **encode(progress)}
 
     def list_rollouts(self) -> list[RolloutSummary]:
-        """All rollouts of the record, in short."""
+        """Return summaries of all rollouts in the record."""
         return [
             RolloutSummary(
                 id=rollout["id"],
@@ -72,11 +72,11 @@
         ]
 
     def describe_own_instances(self) -> AgentStatusReply:
-        """The instances of this agent alone."""
+        """Return the status of this agent's instances only."""
         coordinator = self.coordinator
         instances = coordinator.actions.report(coordinator.unfinished)["instances"]
         return AgentStatusReply(
-            instances={f"{name}@{coordinator.name}": one for name, one in instances.items()},
+            instances={f"{name}@{coordinator.name}": instance for name, instance in instances.items()},
             leader="",
             unseen_agents=[agent for agent in coordinator.record.members() if agent != coordinator.name],
             rollouts=self.list_rollouts(),
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -1,7 +1,7 @@
-"""What the leader has seen of the fleet's instances: the newest report of each agent. No I/O; times in ms.
+"""The leader's view of the fleet's instances: the newest report of each agent. No I/O; times in ms.
 
-Only reports that were asked for a short while ago prove anything; an instance that is not seen counts as not
-serving. The agent's thread alone calls it.
+Decisions rest only on reports that were requested recently; an instance without a fresh report counts as not
+serving. Used by the agent's thread only.
 """
 
 from collections.abc import Container, Iterable
@@ -11,99 +11,101 @@
 
 from vetchford.fleet.fleet_record import split_instance_key
 
-MAX_REPORT_AGE_MS = 2000.0  # since it was asked for: eight polls; an older report proves nothing
-NEVER = -1e12  # ms: before any time of the clock
+MAX_REPORT_AGE_MS = 2000.0  # since the report was requested; eight polls
+NEVER = -1e12  # ms, before any time of the monotonic clock
 
 
 class InstanceReport(TypedDict):
-    """One instance, in the words of the agents' reports."""
+    """One instance in an agent's report; the keys are those on the wire."""
 
     state: str
-    unseen: bool  # its process was not checked yet
+    unseen: bool  # no health check of its process has finished yet
     group: str
     version: str
-    declared: str  # the version of the settings
+    declared: str  # the version in the agent's settings
     wanted: bool
-    change: str  # the id of the local rollout that it is in, or empty
+    change: str  # id of its active local rollout; empty if there is none
 
 
 class AgentReport(TypedDict):
-    """What an agent reports."""
+    """An agent's report to the leader; the keys are those on the wire."""
 
     instances: dict[str, InstanceReport]
-    locals: dict[str, list[Any]]  # by attempt id: what became of it, see `AttemptResult`
-    versions: list[str]  # those that it has a command for
+    locals: dict[str, list[Any]]  # values of an `AttemptResult` by attempt id
+    versions: list[str]  # versions for which the agent has a command
 
 
 class AttemptState(StrEnum):
-    """The state of a local rollout that an agent made of one step, in the words of its report."""
+    """The state of an attempt: the local rollout in which an agent carries out one step."""
 
     RUNNING = "running"
     REVERTING = "back"
-    PAUSED = "paused"  # its store failed
+    PAUSED = "paused"  # the agent's store failed
     SUCCEEDED = "finished"
 
 
 class AttemptResult(NamedTuple):
-    """What became of a local rollout that an agent made of one step."""
+    """The result of an attempt as reported by its agent."""
 
     state: str
     reason: str
     killed: list[str]
 
     def is_going_on(self) -> bool:
-        """Not ended; one that is paused is ordered again, which resumes it."""
+        """Return whether the attempt has not ended; a paused one is ordered again, which resumes it."""
         return self.state in (AttemptState.RUNNING, AttemptState.REVERTING, AttemptState.PAUSED)
 
 
 def empty_report() -> AgentReport:
-    """The report of an agent that has sent none."""
+    """Return the report that stands for an agent that has sent none."""
     return {"instances": {}, "locals": {}, "versions": []}
 
 
 @dataclass(slots=True)
 class AgentView:
-    """What one agent reported last, and what it was ordered."""
+    """The newest report of one agent, and the orders sent to it."""
 
-    requested_at_ms: float = NEVER  # when the newest report that came was asked for
+    requested_at_ms: float = NEVER  # when the newest received report was requested
     number: int = 0
     report: AgentReport = field(default_factory=empty_report)
     polled_at_ms: float = NEVER
-    ordered_at_ms: dict[str, float] = field(default_factory=dict)  # by attempt id; removed as attempts end
+    ordered_at_ms: dict[str, float] = field(
+        default_factory=dict
+    )  # by attempt id; removed when the attempt ends
 
     def result(self, attempt_id: str) -> AttemptResult | None:
-        """What became of an attempt; None where the agent has not begun it."""
-        reported = self.report["locals"].get(attempt_id)
-        return AttemptResult(*reported[:3]) if reported else None
+        """Return the result of an attempt; None if the agent has not started it."""
+        values = self.report["locals"].get(attempt_id)
+        return AttemptResult(*values[:3]) if values else None
 
 
 class FleetView:
-    """The reports of all members."""
+    """The newest reports of all members."""
 
     def __init__(self, members: Iterable[str]) -> None:
-        """No member has reported yet."""
+        """Start without a report from any member."""
         self.agents = {agent: AgentView() for agent in members}
 
     def agent(self, name: str) -> AgentView:
-        """The view of a member, which may be a new one."""
+        """Return the view of a member; create it for a new member."""
         return self.agents.setdefault(name, AgentView())
 
     def forget_all_but(self, members: Container[str]) -> None:
-        """Drops agents that are no members any more."""
+        """Remove the agents that are no longer members."""
         for agent in [agent for agent in self.agents if agent not in members]:
             del self.agents[agent]
 
     def is_fresh(self, now_ms: float, agent: str) -> bool:
-        """Whether the newest report of an agent still proves something."""
+        """Return whether the newest report of an agent is recent enough to decide on."""
         return agent in self.agents and now_ms - self.agents[agent].requested_at_ms <= MAX_REPORT_AGE_MS
 
     def instance(self, key: str) -> InstanceReport | None:
-        """One instance as it was reported last, however long ago."""
+        """Return the last report of an instance, however old; None if there is none."""
         name, agent = split_instance_key(key)
         return self.agents[agent].report["instances"].get(name) if agent in self.agents else None
 
     def fresh_instances(self, now_ms: float) -> dict[str, InstanceReport]:
-        """The instances of all agents with a fresh report, by key."""
+        """Return the instances of all agents with a fresh report, by key."""
         return {
             f"{name}@{agent}": instance
             for agent, view in sorted(self.agents.items())
--- a/vetchford/fleet/peer_status.py
+++ b/vetchford/fleet/peer_status.py
@@ -1,6 +1,6 @@
-"""What `vetchford fleet peers` shows of one agent: typed values, and their encoded form for tools.
+"""The reply of an agent to `vetchford fleet peers`: typed values and their encoded form. No state.
 
-A codec without state. The words are those of the tools' protocol, which scripts read, and stay as they are.
+The encoded names and values are part of the tools' protocol, which scripts read, and do not change.
 """
 
 from typing import Any
@@ -9,7 +9,7 @@
 
 from vetchford.fleet.membership import MemberState
 
-SHOWN_MEMBER_STATES = {
+ENCODED_MEMBER_STATES = {
     MemberState.ALIVE: "there",
     MemberState.SUSPECT: "may be there",
     MemberState.UNREACHABLE: "not seen",
@@ -17,19 +17,19 @@
 
 
 class FullPeerStatus(msgspec.Struct, frozen=True):
-    """Another agent, as this one sees it; the tool reads a part of it, `fleet_messages.PeerStatus`."""
+    """Another agent as seen by this one; tools decode a part of it as `fleet_messages.PeerStatus`."""
 
     name: str
     link_state: str = msgspec.field(name="link")
     incarnation: int = msgspec.field(name="life")
-    last_failure: str = msgspec.field(name="why")  # of the stream; empty while it is up
-    member_state: str = msgspec.field(name="view")  # one of SHOWN_MEMBER_STATES
+    last_failure: str = msgspec.field(name="why")  # of the link; empty while the link is up
+    member_state: str = msgspec.field(name="view")  # a value of ENCODED_MEMBER_STATES
     is_member: bool = msgspec.field(name="member")
     is_voter: bool = msgspec.field(name="voter")
 
 
 class FullPeersReply(msgspec.Struct, frozen=True):
-    """The reply to a `PeersRequest`; the tool reads a part of it, `fleet_messages.PeersReply`."""
+    """The reply to a `PeersRequest`; tools decode a part of it as `fleet_messages.PeersReply`."""
 
     name: str
     fleet: str
@@ -42,6 +42,6 @@
 
 
 def encode_status(status: FullPeersReply) -> dict[str, Any]:
-    """The form that tools read."""
+    """Return the encoded form."""
     encoded: dict[str, Any] = msgspec.to_builtins(status)
     return encoded
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -1,7 +1,7 @@
-"""What tools ask of a fleet, answered by the agent that they reached or by the leader. No I/O; times in ms.
+"""Requests of tools to a fleet, answered by the receiving agent or by the leader. No I/O; times in ms.
 
-The agent's thread alone calls it. A request that only the leader can answer waits here; it is forwarded to
-the leader again and again until it is answered or its time is over, so it may reach several leaders.
+Used by the agent's thread only. A request that only the leader can answer is kept here and forwarded to the
+current leader repeatedly until it is answered or times out, so several leaders may receive it.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, PAUSE
 
-REQUEST_TIMEOUT_MS = 6000.0  # a new leader is elected in less
-FORWARD_INTERVAL_MS = 1000.0  # until a request is forwarded once more
-MAX_PENDING_REQUESTS = 256  # more are refused
-NEVER_MS = -1e12  # before any time of the clock
+REQUEST_TIMEOUT_MS = 6000.0  # longer than the election of a new leader
+FORWARD_INTERVAL_MS = 1000.0  # between two forwards of a request
+MAX_PENDING_REQUESTS = 256  # further requests are refused
+NEVER_MS = -1e12  # before any time of the monotonic clock
 
 STATE_BY_CONTROL = {"": RolloutState.RUNNING, PAUSE: RolloutState.PAUSED, ABORT: RolloutState.ABORTED}
 
@@ -42,40 +42,40 @@
 class PendingRequest:
     """A tool's request that only the leader can answer."""
 
-    request: EncodedRequest  # as it came: the leader may be of a later version
+    request: EncodedRequest  # undecoded: the leader may run a later version
     reply: Callable[[EncodedReply], None]
     received_at_ms: float
     forwarded_at_ms: float = NEVER_MS
 
     def waited_ms(self, now_ms: float) -> float:
-        """How long ago the tool asked."""
+        """Return the time since the request was received."""
         return now_ms - self.received_at_ms
 
     def is_overdue(self, now_ms: float) -> bool:
-        """Whether its time is over."""
+        """Return whether the request has timed out."""
         return now_ms >= self.received_at_ms + REQUEST_TIMEOUT_MS
 
 
 class ToolRequests:
-    """The requests of tools at one agent, and those that other agents forward to it as the leader."""
+    """Requests of tools to one agent, and requests that other agents forward to it as the leader."""
 
     def __init__(self, coordinator: Coordinator) -> None:
-        """`coordinator`: of the same agent."""
+        """Start without requests; `coordinator`: of the same agent."""
         self.coordinator = coordinator
         self.status = FleetStatusSource(coordinator)
         self.leader_requests = LeaderRequests(coordinator, self.status)
-        self.pending: dict[int, PendingRequest] = {}  # by reference; removed as they are answered
-        self.last_number = 0  # of references and controls
+        self.pending: dict[int, PendingRequest] = {}  # by reference; removed when answered
+        self.last_number = 0  # last one given to a pending request or a control
 
     def tick(self, now_ms: float) -> None:
-        """Tries the pending requests; called about ten times a second."""
+        """Process the pending requests; called about ten times a second."""
         for reference in list(self.pending):
-            self.try_pending(now_ms, reference)
+            self.process_pending(now_ms, reference)
 
     def request(self, now_ms: float, request: EncodedRequest, reply: Callable[[EncodedReply], None]) -> None:
-        """Answers a tool: `reply` is called once, now or within REQUEST_TIMEOUT_MS.
+        """Answer a tool's request by calling `reply` once, at the latest after REQUEST_TIMEOUT_MS.
 
-        RefusedError for what is refused at once, one of `MALFORMED` for what cannot be read.
+        Raises RefusedError for an immediate refusal, one of `MALFORMED` for a malformed request.
         """
         match decode_local_request(request):
             case FindRequest(id=id):
@@ -91,28 +91,28 @@
     def add_pending(
         self, now_ms: float, request: EncodedRequest, reply: Callable[[EncodedReply], None]
     ) -> None:
-        """Takes in a request that only the leader can answer, and tries it at once."""
+        """Store a request that only the leader can answer, and process it for the first time."""
         if len(self.pending) >= MAX_PENDING_REQUESTS:
-            raise RefusedError(f"{MAX_PENDING_REQUESTS} requests wait already")
+            raise RefusedError(f"{MAX_PENDING_REQUESTS} requests are waiting; try again later")
         reference = self.next_number()
         self.pending[reference] = PendingRequest(request, reply, now_ms)
-        self.try_pending(now_ms, reference)
+        self.process_pending(now_ms, reference)
 
     def next_number(self) -> int:
-        """One that this incarnation of the agent has not used."""
+        """Return a number that this incarnation of the agent has not used."""
         self.last_number += 1
         return self.last_number
 
     # -- pauses, resumes and aborts
 
     def control_rollout(self, request: ControlRequest) -> ControlReply:
-        """Pauses, resumes or aborts a rollout here at once; the other agents are told."""
+        """Pause, resume or abort a rollout on this agent at once, and notify the other agents."""
         coordinator = self.coordinator
         self.check_unfinished(request.id)
         match request:
             case ResumeRequest():
                 if not coordinator.controls.resume(request.id):
-                    raise RefusedError(f"change {request.id} has no pause that is known here")
+                    raise RefusedError(f"change {request.id} has no pause that this agent knows")
             case PauseRequest():
                 self.add_control(request.id, PAUSE)
             case AbortRequest():
@@ -128,25 +128,25 @@
         )
 
     def check_unfinished(self, id: str) -> None:
-        """RefusedError for a rollout that is not known or has ended."""
+        """Raise RefusedError if a rollout is unknown or has ended."""
         coordinator = self.coordinator
         if id in coordinator.unfinished:
             return
-        known = coordinator.record.body["spans"].get(id)
-        if known:
-            raise RefusedError(f"change {id} is {known['state']}")
+        rollout = coordinator.record.body["spans"].get(id)
+        if rollout:
+            raise RefusedError(f"change {id} is {rollout['state']}: it cannot be paused, resumed or aborted")
         raise UnknownRolloutError(id)
 
     def add_control(self, id: str, kind: str) -> None:
-        """Adds a pause or an abort; RefusedError where there are too many."""
-        mark = f"{self.coordinator.incarnation}.{self.next_number()}"
-        if not self.coordinator.controls.add(id, kind, "asked to", mark):
-            raise RefusedError(f"change {id} has too many pauses; abort it")
+        """Add a pause or an abort. Raises RefusedError if the rollout has too many pauses."""
+        control_id = f"{self.coordinator.incarnation}.{self.next_number()}"
+        if not self.coordinator.controls.add(id, kind, "asked to", control_id):
+            raise RefusedError(f"change {id} has too many pauses to record another; abort it instead")
 
-    # -- those that the leader answers
+    # -- requests that the leader answers
 
-    def try_pending(self, now_ms: float, reference: int) -> None:
-        """Answers a request as the leader, or forwards it; gives up once its time is over."""
+    def process_pending(self, now_ms: float, reference: int) -> None:
+        """Answer a pending request as the leader, or forward it; answer it with a refusal at its timeout."""
         pending = self.pending[reference]
         leader = self.coordinator.record.leader
         if self.coordinator.controller is not None:
@@ -159,29 +159,29 @@
             forwarded = ForwardedRequest(reference, pending.request, pending.waited_ms(now_ms))
             self.coordinator.send(leader, forwarded)
         if pending.is_overdue(now_ms):
-            self.complete(reference, self.answer_overdue(pending.request))
+            self.complete(reference, self.timeout_answer(pending.request))
 
     def complete(self, reference: int, answer: EncodedReply) -> None:
-        """Answers a pending request."""
+        """Send the answer of a pending request and remove the request."""
         self.pending.pop(reference).reply(answer)
 
-    def answer_overdue(self, request: EncodedRequest) -> EncodedReply:
-        """What can be told without an answer of the leader."""
+    def timeout_answer(self, request: EncodedRequest) -> EncodedReply:
+        """Return the answer to a request that the leader did not answer in time."""
         if request[ENCODED_KIND] == STATUS_KIND:
             return encode(self.status.describe_own_instances())
         leader = self.status.known_leader()
         if leader:
-            text = f"{leader} drives, and it is not in force yet; the same command with --id asks again"
-        else:
-            voters = ", ".join(sorted(self.coordinator.record.voters()))
             text = (
-                f"nobody drives that can be seen from {self.coordinator.name}: "
-                f"a majority of {voters} is needed"
+                f"leader {leader} has not committed the request yet, but still may; "
+                "repeat the command with the same --id"
             )
+        else:
+            voters = ", ".join(sorted(self.coordinator.record.voters()))
+            text = f"no leader is known to {self.coordinator.name}: electing one needs a majority of {voters}"
         return encode(RefusedReply(text))
 
     def on_forwarded_request(self, now_ms: float, sender: str, message: ForwardedRequest) -> None:
-        """Another agent forwards its tool's request; without an answer now it forwards it again."""
+        """Answer a request that another agent forwards; without an answer that agent forwards it again."""
         if self.coordinator.controller is None:
             return
         answer = self.leader_requests.answer_or_refuse(now_ms, message.request, float(message.waited))
@@ -189,6 +189,6 @@
             self.coordinator.send(sender, ForwardedAnswer(message.ref, answer))
 
     def on_forwarded_answer(self, sender: str, message: ForwardedAnswer) -> None:
-        """The leader's answer; one of another agent is dropped."""
+        """Complete a pending request with the leader's answer; ignore an answer of any other agent."""
         if message.ref in self.pending and sender == self.coordinator.record.leader:
             self.complete(message.ref, message.answer)
