--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -87,7 +87,7 @@
     assert refused.wait(WAIT_TIMEOUT_S)
     no_threads.clear()
     first_check.open()
-    wait_until(lambda: checked == {"n0", "n1", "n2"}, "all are checked")
+    wait_until(lambda: checked == {"n0", "n1", "n2"}, "not all instances were checked")
     finished.set()
     thread.join(WAIT_TIMEOUT_S)
 
