--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -35,7 +35,7 @@
 log = structlog.get_logger()
 
 # Kind and name of the stored record that holds the agent's token.
-AGENT_RECORD = "agent"
+AGENT_RECORD_KIND = "agent"
 TOKEN_NAME = "token"
 
 TICK_INTERVAL_S = 0.05  # between checks of deadlines: SIGKILL is sent at most this late
@@ -73,10 +73,10 @@
     def restore(self) -> str:
         """Restore the controller from the store; return the token that marks the agent's processes."""
         records = self.store.records()
-        token = next((body["token"] for kind, _, body in records if kind == AGENT_RECORD), None)
+        token = next((body["token"] for kind, _, body in records if kind == AGENT_RECORD_KIND), None)
         if token is None:
             token = uuid.uuid4().hex
-            self.store.put(AGENT_RECORD, TOKEN_NAME, {"token": token})
+            self.store.put(AGENT_RECORD_KIND, TOKEN_NAME, {"token": token})
         for name, definition in self.settings.instances.items():
             self.controller.declare(name, definition.instance_settings(), definition.version)
         for kind, name, body in records:
--- a/vetchford/fleet/agent_main.py
+++ b/vetchford/fleet/agent_main.py
@@ -50,8 +50,8 @@
     The signals are handled, not blocked: instances would inherit blocked signals and never drain.
     """
     terminated = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: terminated.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: terminated.set())
     return terminated
 
 
--- a/vetchford/fleet/agent_messages.py
+++ b/vetchford/fleet/agent_messages.py
@@ -40,11 +40,9 @@
     targets: list[str]  # names of instances; in a fleet their keys ("n1@east")
     version: str  # the new version of a roll; empty for other kinds
     start_interval_ms: float = msgspec.field(name="spacing")  # between starts of instances
-    minimum_ready_ms: float = msgspec.field(
-        name="soak"
-    )  # for which an instance serves before its step is done
+    minimum_ready_ms: float = msgspec.field(name="soak")  # serving time before a step is done
     on_failure: str  # a FailurePolicy, not validated yet
-    batch: int  # maximum of instances in progress at once
+    batch: int  # maximum number of instances in progress
     minimum_available: int = msgspec.field(name="floor")
 
 
--- a/vetchford/fleet/commands/agent_commands.py
+++ b/vetchford/fleet/commands/agent_commands.py
@@ -56,7 +56,7 @@
         replies[path], status = run_or_report(path, options, id)
         worst = max(worst, status)
         if status == ExitStatus.UNKNOWN:
-            break  # the number of its serving instances is unknown
+            break  # the number of the agent's serving instances is unknown
         if status != ExitStatus.DONE and options.select:
             break  # a failure on one agent is not repeated on the next
     if options.json:
--- a/vetchford/fleet/commands/fleet_views.py
+++ b/vetchford/fleet/commands/fleet_views.py
@@ -37,7 +37,7 @@
 DEFAULT_WIDTH = 80  # characters, for the same case
 STATUS_HEADINGS = ("NAME", "STATE", "VERSION", "CHANGE", "WHY")
 PEER_HEADINGS = ("PEER", "VIEW", "LINK", "LIFE", "MEMBER", "VOTER", "WHY")
-COMPARED_COLUMNS = 4  # all but WHY: a new reason alone is not printed
+COMPARED_COLUMNS = 4  # all but WHY: a new reason alone is not a change
 ALL_INSTANCES = ["all"]  # default of SELECT
 
 Row = tuple[str, ...]
@@ -171,7 +171,7 @@
             print_changes_until(deadline_s, client, options.select)
     except KeyboardInterrupt:
         pass  # the operator interrupts the command
-    except BrokenPipeError:  # the reader of the pipe is closed, for example `head`
+    except BrokenPipeError:  # the reader of the pipe has exited, for example `head`
         discard_output()
     return ExitStatus.DONE
 
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -40,7 +40,7 @@
 
 log = structlog.get_logger()
 
-REFUTATIONS_PER_INCARNATION = 1 << 20  # for refutations of suspicions: at one per second, 12 days
+REFUTATIONS_PER_INCARNATION = 1 << 20  # refutations of suspicions: at one per second, 12 days
 # Events that other agents can cause repeatedly; they are sampled to limit the log volume.
 SAMPLED_EVENTS = frozenset(
     ("order_refused", "record_message_unknown", "peer_message_unknown", "record_not_stored")
@@ -182,7 +182,7 @@
     def raise_incarnation(self, now_ms: float, known: int) -> None:
         """Begin an incarnation above `known`, with a new identity of the store."""
         record = self.coordinator.record
-        # The store may have lost votes: they count again once the record lists the store's new identity.
+        # The store may have lost votes; this agent's votes count once the record lists the new identity.
         record.replace_store(now_ms, uuid.uuid4().hex)
         try:
             self.own_incarnation.raise_above(now_ms, known, record.store)
--- a/vetchford/fleet/fleet_client.py
+++ b/vetchford/fleet/fleet_client.py
@@ -98,7 +98,5 @@
                 return decode_reply(ask(path, encoded_request), decode)
             except UnreachableError as problem:
                 problems.append(problem)
-                self.paths = [other for other in self.paths if other != path] + [
-                    path
-                ]  # tried last from now on
+                self.paths = [other for other in self.paths if other != path] + [path]  # now tried last
         raise FleetUnreachableError(problems)
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -69,9 +69,7 @@
     number: int = 0
     report: AgentReport = field(default_factory=empty_report)
     polled_at_ms: float = NEVER
-    ordered_at_ms: dict[str, float] = field(
-        default_factory=dict
-    )  # by attempt id; removed when the attempt ends
+    ordered_at_ms: dict[str, float] = field(default_factory=dict)  # by attempt id; removed at its end
 
     def result(self, attempt_id: str) -> AttemptResult | None:
         """Return the result of an attempt; None if the agent has not started it."""
--- a/vetchford/fleet/supervisor.py
+++ b/vetchford/fleet/supervisor.py
@@ -36,10 +36,10 @@
     pidfd: int  # readable once the process has exited; refers to it even if its pid is reused
     child: subprocess.Popen[bytes] | None  # None: adopted, so its exit status cannot be read
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
         """Send a signal to this process alone; do nothing if it has exited."""
         with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self.pidfd, number)
+            signal.pidfd_send_signal(self.pidfd, signal_number)
 
     def kill(self) -> None:
         """Send SIGKILL to the whole session, or to the process alone if its pid was reused.
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -112,7 +112,7 @@
         match request:
             case ResumeRequest():
                 if not coordinator.controls.resume(request.id):
-                    raise RefusedError(f"change {request.id} has no pause that this agent knows")
+                    raise RefusedError(f"no pause of change {request.id} is known to this agent")
             case PauseRequest():
                 self.add_control(request.id, PAUSE)
             case AbortRequest():
@@ -172,7 +172,7 @@
         leader = self.status.known_leader()
         if leader:
             text = (
-                f"leader {leader} has not committed the request yet, but still may; "
+                f"leader {leader} did not complete the request in time, but may still do so; "
                 "repeat the command with the same --id"
             )
         else:
--- a/vetchford/fleet/tool_server.py
+++ b/vetchford/fleet/tool_server.py
@@ -27,7 +27,9 @@
 
     def __init__(self, path: str) -> None:
         """Initialize the error; `path`: of the Unix socket."""
-        super().__init__(f"another process listens on socket {path}; stop it or change 'socket'")
+        super().__init__(
+            f"another process listens on socket {path}; stop it or change 'socket' in the settings"
+        )
         self.path = path
 
 
