--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -30,7 +30,7 @@
 from vetchford.runtime.metrics import Metrics
 
 if TYPE_CHECKING:
-    from vetchford.fleet.coordinator_actor import CoordinatorActor
+    from vetchford.fleet.coordinator_actor import CoordinatorAdapter
 
 log = structlog.get_logger()
 
@@ -93,11 +93,11 @@
                 self.processes[name] = found.process
             self.controller.on_process_found(self.now(), name, found.version if found is not None else None)
 
-    def join_fleet(self, peers: PeerSettings) -> "CoordinatorActor":
+    def join_fleet(self, peers: PeerSettings) -> "CoordinatorAdapter":
         """Return this agent's coordinator in its fleet. Raises OSError if its address cannot be bound."""
-        from vetchford.fleet.coordinator_actor import CoordinatorActor  # only for agents in a fleet
+        from vetchford.fleet.coordinator_actor import CoordinatorAdapter  # only for agents in a fleet
 
-        return CoordinatorActor(self, self, peers, self.metrics)
+        return CoordinatorAdapter(self, self, peers, self.metrics)
 
     # -- actions of the rollout controller
 
--- a/vetchford/fleet/agent_requests.py
+++ b/vetchford/fleet/agent_requests.py
@@ -40,7 +40,7 @@
 from vetchford.fleet.rollout_controller import RolloutController
 from vetchford.fleet.supervisor import Process
 
-MAX_HISTORY_ENTRIES = 1000  # per reply: about 1 MB of JSON
+MAX_HISTORY_REPLY_ENTRIES = 1000  # per reply: about 1 MB of JSON
 EXPLAIN_HISTORY_ENTRIES = 20
 
 
@@ -170,7 +170,7 @@
     # -- history
 
     def _history(self, request: HistoryRequest) -> HistoryReply:
-        count = min(MAX_HISTORY_ENTRIES, int(request.max_entries))
+        count = min(MAX_HISTORY_REPLY_ENTRIES, int(request.max_entries))
         return HistoryReply(self.store.history(count))
 
     def _explain(self, request: ExplainRequest) -> ExplainReply:
@@ -179,7 +179,7 @@
             raise RefusedError(f"no such instance: {name}")
         entries = [
             entry
-            for entry in self.store.history(MAX_HISTORY_ENTRIES)
+            for entry in self.store.history(MAX_HISTORY_REPLY_ENTRIES)
             if entry.name == name or name in (entry.body or {}).get("steps", {})
         ]
         instance = self.controller.instances[name]
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -55,7 +55,7 @@
     settings: AgentSettings
 
 
-class CoordinatorActor:
+class CoordinatorAdapter:
     """An agent's membership in its fleet; the agent calls `start` once and `tick` periodically."""
 
     def __init__(
--- a/vetchford/fleet/fleet_messages.py
+++ b/vetchford/fleet/fleet_messages.py
@@ -35,9 +35,7 @@
 class FleetSubmitRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="span"):
     """Start a fleet rollout."""
 
-    rollout: EncodedRequest = msgspec.field(
-        name="change"
-    )  # a RolloutRequest, decoded once agents have reported
+    rollout: EncodedRequest = msgspec.field(name="change")  # a RolloutRequest, decoded once agents reported
 
 
 class FleetPlanRequest(msgspec.Struct, frozen=True, tag_field=ENCODED_KIND, tag="plan"):
