--- a/tests/protocol/test_edge.py
+++ b/tests/protocol/test_edge.py
@@ -1,4 +1,4 @@
-"""The protocol's own names stand in the codecs alone; all other code has the field's terms."""
+"""Words of the wire protocols appear as literals in codecs only; all other code uses general terms."""
 
 import ast
 import re
@@ -38,13 +38,13 @@
 WIRE_WORDS = frozenset(
     " ".join((SETTINGS, CONFIGURATION, REQUESTS, WORKER_POOL, RECORDS_AND_REGISTRY, SIMULATOR)).split()
 )
-# Words that our own messages and stored data use too, with a meaning of theirs, by package.
-OWN_MEANING = {"bulkheads": {"share"}, "fleet": {"promise", "standing"}}
+# Words that a package also uses in its own messages or stored data, with another meaning.
+WORDS_WITH_OTHER_MEANING = {"bulkheads": {"share"}, "fleet": {"promise", "standing"}}
 QUOTED = re.compile(r"'(\w+)'")
 
 
 def literals(tree):
-    """All string and byte literals but docstrings, as text."""
+    """Yield all string and byte literals except docstrings, as text."""
     docstrings = {
         id(node.value)
         for node in ast.walk(tree)
@@ -59,7 +59,7 @@
 
 
 def wire_words(source):
-    """The wire words that literals hold, whole or in quotes, as messages to clients name fields."""
+    """Return the wire words that are whole literals, or quoted in one as error texts name fields."""
     found = set()
     for literal in literals(ast.parse(source)):
         found |= {literal, *QUOTED.findall(literal)} & WIRE_WORDS
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("name", modules_outside_codecs())
 def test_wire_words_are_literals_of_codecs_only(name):
-    allowed = OWN_MEANING.get(name.split("/")[1], set())
+    allowed = WORDS_WITH_OTHER_MEANING.get(name.split("/")[1], set())
     assert wire_words((ROOT / name).read_text()) <= allowed
 
 
--- a/vetchford/protocol/messages.py
+++ b/vetchford/protocol/messages.py
@@ -1,21 +1,21 @@
-"""Typed values that the codecs make of messages, free of state and of sockets."""
+"""Typed values that codecs decode messages into."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """One request as a client sent it, with the names of its class and tenant resolved to indices."""
+    """One request as a client sent it, with class and tenant given as indices."""
 
-    rpc_id: int  # JSON-RPC id, to be repeated in the answer
-    request_id: str  # unique among the requests that are known
+    rpc_id: int  # JSON-RPC id, repeated in the answer
+    request_id: str  # unique among the requests that the server knows
     request_class: int
     method: str  # name of the request class on the wire
-    tenant: int  # -1: none is named
-    client_number: int  # that the client gives itself
+    tenant: int  # -1: no tenant is named
+    client_number: int  # number that the client gives itself
     arrived_at_unix_ms: float  # when the request reached this machine
-    client_timeout_ms: float | None  # that the client waits, from the arrival on
-    work_ms: float | None  # of a core, that the client expects the run to take
+    client_timeout_ms: float | None  # how long the client waits, counted from the arrival
+    work_ms: float | None  # time on one core that the client expects the run to take
     memory_kb: float
     idempotency_key: str | None
     content: str  # body, in base64
--- a/vetchford/protocol/platform_configuration.py
+++ b/vetchford/protocol/platform_configuration.py
@@ -1,6 +1,6 @@
-"""The platform's configuration of one server: checked key by key, and decoded into a typed record.
+"""Decodes the platform's configuration of one server into a typed record, checking each key.
 
-The one module that knows the names of its keys; those inside `settings` are `platform_settings`'.
+Only this module knows the names of its keys; those inside `settings` belong to `platform_settings`.
 """
 
 import ipaddress
@@ -24,7 +24,7 @@
 LIMITS_KEY = "limits"
 SOCKETS_KEY = "sockets"
 SETTINGS_KEY = "settings"
-SHOWN_KEYS = (NAME_KEY, LISTEN_KEY, WORKER_POOL_KEY, REGISTRY_KEY, STOP_MS_KEY, LIMITS_KEY)
+SUMMARY_KEYS = (NAME_KEY, LISTEN_KEY, WORKER_POOL_KEY, REGISTRY_KEY, STOP_MS_KEY, LIMITS_KEY)
 
 HEXADECIMAL = 16
 MIN_STOP_MS = 1
@@ -34,74 +34,74 @@
 
 
 class WrongKeyError(MalformedInputError):
-    """A key of the configuration is missing or wrong."""
+    """A key of the configuration is missing or invalid."""
 
     def __init__(self, key: str, allowed: str) -> None:
-        """Name the key by its whole path; `allowed` is what it must be."""
+        """Create the error; `key` is the full path of the key, `allowed` describes its valid values."""
         super().__init__(f"key '{key}' must be {allowed}")
         self.key = key
         self.allowed = allowed
 
 
 class Address(NamedTuple):
-    """Where a peer listens, or where to listen."""
+    """The address of a service, or an address to listen on."""
 
     host: str
     """An IP address."""
     port: int
 
     def __str__(self) -> str:
-        """Return it in the form of the configuration."""
+        """Return the address as it is written in the configuration."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class OwnSettings:
-    """What our own settings files declare for a server; see `vetchford.configuration.records`."""
+    """What the settings files given by --with declare for a server; see `vetchford.configuration.records`."""
 
     document: JsonObject = field(default_factory=dict)
-    """As it was read; empty where no file was given."""
+    """The content of the files; empty if no file was given."""
 
     @property
     def fleet(self) -> JsonObject | None:
-        """The server's part in its fleet; None for a server alone."""
+        """Settings of the server as a member of its fleet; None for a server without a fleet."""
         return self.document.get("together") or None
 
     @property
     def bulkheads(self) -> str | Mapping[str, Any] | None:
-        """The division of its capacity; None where it is not divided."""
+        """Settings of the bulkheads; None if the capacity is not divided."""
         bulkheads = self.document.get("pools")
         return None if bulkheads == "none" else bulkheads or None
 
 
 @dataclass(frozen=True, slots=True)
 class ServerConfiguration:
-    """All that one server is told at its start, and again at each reload."""
+    """The configuration of one server, read at its start and at each reload."""
 
     name: str
-    """Its name in the registry."""
+    """The name of the server in the registry."""
     listen: Address
     worker_pool: Address
     records: Address | None
-    """None where requests have nothing to call, and no service is named."""
+    """None if requests make no dependency calls and no records service is configured."""
     registry: Address
     seed: int
-    """Of random choices."""
+    """Seed of all random choices."""
     stop_ms: float
     """Time from the termination notice to the kill."""
     max_descriptors: int
-    """File descriptors that the process may hold."""
+    """Maximum number of open file descriptors of the process."""
     settings: ServerSettings
     document: JsonObject
-    """As the platform wrote it, to be shown and compared."""
+    """The undecoded configuration, for `summary` and for comparison at a reload."""
     own: OwnSettings = OwnSettings()
 
     def summary(self) -> JsonObject:
-        """Return what operators want to see of it, as `vetchford settings` prints it."""
+        """Return the values that `vetchford settings` prints."""
         settings = self.document[SETTINGS_KEY]
         own = {"declared": self.own.document} if self.own.document else {}
         return {
-            **{key: self.document[key] for key in SHOWN_KEYS},
+            **{key: self.document[key] for key in SUMMARY_KEYS},
             RECORDS_KEY: self.document.get(RECORDS_KEY),
             "cores": platform_settings.cores(settings),
             **own,
@@ -113,7 +113,7 @@
     """Return the configuration as a typed record.
 
     Raises:
-        MalformedInputError: A key is missing or wrong. Those of `settings` are all named, a line each.
+        MalformedInputError: A key is missing or invalid. The message lists all invalid keys of `settings`.
     """
     _check_name(document.get(NAME_KEY))
     listen = _address(document, LISTEN_KEY)
@@ -140,9 +140,9 @@
 
 
 def _check_name(name: Any) -> None:
-    """Raise MalformedInputError unless the name is printable ASCII without a space."""
+    """Raise MalformedInputError unless the name is printable ASCII without spaces."""
     if not isinstance(name, str) or not name or not name.isprintable() or " " in name or not name.isascii():
-        raise WrongKeyError(NAME_KEY, "a word")
+        raise WrongKeyError(NAME_KEY, "a string of printable ASCII characters without spaces")
 
 
 def _address(document: JsonObject, key: str) -> Address:
@@ -152,12 +152,12 @@
         if not 0 <= int(port) <= MAX_PORT:
             raise ValueError
     except ValueError:
-        raise WrongKeyError(key, "an address and a port") from None
+        raise WrongKeyError(key, "an IP address and a port, such as 127.0.0.1:8080") from None
     return Address(host, int(port))
 
 
 def _records_address(document: JsonObject) -> Address | None:
-    """Return where dependency calls go; None where the settings have none, and so name no service."""
+    """Return the address of the records service; None if there are no dependency calls and no address."""
     if document.get(RECORDS_KEY) or platform_settings.has_dependency(document.get(SETTINGS_KEY)):
         return _address(document, RECORDS_KEY)
     return None
@@ -167,7 +167,7 @@
     try:
         return int(str(document.get(SEED_KEY)), HEXADECIMAL)
     except ValueError:
-        raise WrongKeyError(SEED_KEY, "a number in hex digits") from None
+        raise WrongKeyError(SEED_KEY, "a hexadecimal number") from None
 
 
 def _object(document: JsonObject, key: str) -> JsonObject:
@@ -193,5 +193,5 @@
 
 
 def unusable_settings(problem: Exception) -> MalformedInputError:
-    """Return the error for settings whose values fit their kinds and still can't be used together."""
-    return MalformedInputError(f"key '{SETTINGS_KEY}' holds a value of the wrong kind: {problem}")
+    """Return the error for settings that pass all checks of single values but can't be used."""
+    return MalformedInputError(f"key '{SETTINGS_KEY}' holds a value of the wrong type: {problem}")
--- a/vetchford/protocol/platform_settings.py
+++ b/vetchford/protocol/platform_settings.py
@@ -1,8 +1,8 @@
-"""The platform's `settings` object: checked, and decoded into typed records.
+"""Checks the platform's `settings` object and decodes it into typed records.
 
-The one module that knows the protocol's names of settings. Each is named once, as a `Key` with the schema of
-its value. Times come in nanoseconds, sizes in kilobytes, and a key that is absent, null or zero stands for
-the same. Keys that are not listed are the platform's own and pass.
+Only this module knows the names of settings on the wire. Each is defined once, as a `Key` with the schema of
+its value. Times are in nanoseconds, sizes in kilobytes. Absent, null and zero mean the same. Keys that are
+not listed are used by the platform only and are accepted.
 """
 
 import math
@@ -17,7 +17,7 @@
     TenantSettings,
 )
 from vetchford.errors import MalformedInputError
-from vetchford.protocol.value_schema import Array, Choice, Flag, Key, Number, Object, String
+from vetchford.protocol.value_schema import Array, Boolean, Choice, Key, Number, Object, String
 
 NS_PER_MS = 1_000_000
 BYTES_PER_KB = 1024
@@ -31,15 +31,15 @@
     "level": LoadSignal.UTILIZATION,
     "credit": LoadSignal.CREDIT,
 }
-"""Every other word asks for a weight."""
+"""Any other value selects `LoadSignal.WEIGHT`."""
 NO_LOAD_SIGNAL = "silent"
-STOPPABLE = ("drop", "pause")
+SUPPORTED_STOP_KINDS = ("drop", "pause")
 NO_DEPENDENCY = "silent"
-STATED_SHARE = "shared"
+CONFIGURED_SHARE = "shared"
 CORE_USE_GAUGE = "core_use"
 """Share of the cores in use over the last half second."""
 ON_CORES_GAUGE = "on_cores"
-"""What needs a core now: runs, reading, checks and new connections."""
+"""Number of tasks that need a core now: runs, reads, checks and new connections."""
 VALUE_BY_WORK = "work"
 
 JsonObject = dict[str, Any]
@@ -60,7 +60,7 @@
 SHARE_PERIOD_NS = Key("callsOver", NOT_NEGATIVE)
 LINGER_NS = Key("linger", NOT_NEGATIVE)
 DEPENDENCY_SHARE = Key("depShare", NOT_NEGATIVE)
-STARTS_COLD = Key("cold", Flag())
+STARTS_COLD = Key("cold", Boolean())
 SKIP_FRACTIONS = Key("classSkipWorth", Array(NOT_NEGATIVE))
 GAUGES = Key("ownStats", Array(String()))
 SERVER = Key(
@@ -115,7 +115,7 @@
 QUOTA_PER_S = Key("quotaPerS", NOT_NEGATIVE)
 TENANTS = Key("customers", Array(Object((NAME, QUOTA_PER_S))))
 
-# -- keys of the service's rules, goal and limits
+# -- keys of the rules, goal and limits of the service
 
 SURVIVABLE_CONCURRENCY = Key("fallMultiple", NOT_NEGATIVE)
 COLD_FRACTION = Key("coldFrom", NOT_NEGATIVE)
@@ -128,7 +128,7 @@
 WORST_CLASS_WEIGHT = Key("worstClass", NOT_NEGATIVE)
 GOAL = Key("goal", Object((WHOLE_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT)))
 
-RETRY_AFTER_ALLOWED = Key("retryAfter", Flag())
+RETRY_AFTER_ALLOWED = Key("retryAfter", Boolean())
 MAX_RETRY_AFTER_NS = Key("maxRetryAfter", NOT_NEGATIVE)
 LIMITS = Key("caps", Object((RETRY_AFTER_ALLOWED, MAX_RETRY_AFTER_NS)))
 
@@ -142,10 +142,10 @@
 
 
 def check(settings: Any) -> None:
-    """Check the kind and the least value of each setting.
+    """Check the type and the minimum of each setting.
 
     Raises:
-        MalformedInputError: Some are wrong; its message has a line for each.
+        MalformedInputError: Settings are invalid; the message has a line for each.
     """
     problems = list(SETTINGS.problems(settings, "settings"))
     if problems:
@@ -156,7 +156,7 @@
     """Return the settings as typed records.
 
     Raises:
-        MalformedInputError: A setting is missing or has no value that is known.
+        MalformedInputError: A setting is missing or has an unknown value.
     """
     server = SERVER.read(settings, {})
     if CORES.read(server, 0) < 1:
@@ -176,7 +176,7 @@
         cold_fraction=COLD_FRACTION.read(rules, 1.0),
         warm_up_ms=WARM_UP_NS.read(rules, 0) / NS_PER_MS,
         weight_by_work=VALUE_BY.read(settings) == VALUE_BY_WORK,
-        can_stop_runs=STOP_KIND.read(server) in STOPPABLE,
+        can_stop_runs=STOP_KIND.read(server) in SUPPORTED_STOP_KINDS,
         drain_grace_ms=DRAIN_GRACE_NS.read(rules, 0) / NS_PER_MS,
         worst_class_weight=_worst_class_weight(settings),
         fleet_size=FLEET_SIZE.read(settings, 1),
@@ -189,13 +189,13 @@
 
 
 def has_dependency(settings: Any) -> bool:
-    """Return whether runs may call a dependency; anything but an object is reported elsewhere."""
+    """Return whether runs may make dependency calls; `check` reports settings of the wrong type."""
     server = SERVER.read(settings, {}) if isinstance(settings, dict) else {}
     return not isinstance(server, dict) or DEPENDENCY_KIND.read(server, NO_DEPENDENCY) != NO_DEPENDENCY
 
 
 def summary(settings: JsonObject) -> JsonObject:
-    """Return what operators want to see of the settings, as `vetchford settings` prints it."""
+    """Return the settings that `vetchford settings` prints."""
     return {
         "tenants": list(decode(settings).tenant_indices()),
         "stages": [_request_class_summary(entry) for entry in REQUEST_CLASSES.read(settings, ())],
@@ -203,7 +203,7 @@
 
 
 def cores(settings: JsonObject) -> Any:
-    """Return the cores of the worker pool as they were stated."""
+    """Return the number of cores of the worker pool as configured."""
     return SERVER.read(settings, {}).get(CORES.name)
 
 
@@ -221,7 +221,7 @@
 def _request_classes(settings: JsonObject) -> tuple[RequestClassSettings, ...]:
     entries = REQUEST_CLASSES.read(settings, ())
     if not entries:
-        raise MalformedInputError(f"key 'settings.{REQUEST_CLASSES.name}' names no stage")
+        raise MalformedInputError(f"key 'settings.{REQUEST_CLASSES.name}' must have at least one entry")
     skip_fractions = SKIP_FRACTIONS.read(SERVER.read(settings, {}), ())
     return tuple(
         _request_class(index, entry, skip_fractions[index] if index < len(skip_fractions) else 0.0)
@@ -260,19 +260,19 @@
     if not has_dependency(settings):
         return None
     server = SERVER.read(settings, {})
-    share_is_stated = DEPENDENCY_KIND.read(server) == STATED_SHARE
+    share_is_configured = DEPENDENCY_KIND.read(server) == CONFIGURED_SHARE
     return DependencySettings(
-        share=server.get(DEPENDENCY_SHARE.name) if share_is_stated else None,
+        share=server.get(DEPENDENCY_SHARE.name) if share_is_configured else None,
         share_period_ms=SHARE_PERIOD_NS.read(server, 0) / NS_PER_MS,
         linger_ms=LINGER_NS.read(server, 0) / NS_PER_MS,
     )
 
 
 def _worst_class_weight(settings: JsonObject) -> float:
-    """Return the weight of the worst-served class over that of the service as a whole."""
+    """Return the weight of the worst-served class relative to the other weights of the goal."""
     goal = GOAL.read(settings, {})
-    rest = WHOLE_WEIGHT.read(goal, 0.0) + WORST_WINDOW_WEIGHT.read(goal, 0.0)
-    return float(WORST_CLASS_WEIGHT.read(goal, 0.0) / (rest or 1.0))
+    other_weights = WHOLE_WEIGHT.read(goal, 0.0) + WORST_WINDOW_WEIGHT.read(goal, 0.0)
+    return float(WORST_CLASS_WEIGHT.read(goal, 0.0) / (other_weights or 1.0))
 
 
 def _max_retry_after_ms(settings: JsonObject) -> float:
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -1,7 +1,7 @@
 """Codec of the worker pool's protocol: one JSON object a line, in both directions.
 
-Forms and words are those of the operators' protocol page. The pool numbers its notices and tells them again
-on a new link; commands have no numbers, and are confirmed by the answer to a later `poll`.
+Formats are defined by the operators' protocol specification. The pool numbers its notices and repeats them on
+a new link. Commands have no numbers; the answer to a later `poll` confirms them.
 """
 
 import base64
@@ -14,8 +14,8 @@
 from vetchford.errors import VetchfordError
 from vetchford.protocol.receive_buffer import ReceiveBuffer
 
-MAX_LINE_BYTES = 65_536  # results of 4 KiB are 5.5 KB in base64; the page sets no bound on calls
-MAX_BRACKETS = 32  # in a line: the stack of the JSON parser is small
+MAX_LINE_BYTES = 65_536  # results of 4 KiB are 5.5 KB in base64; the specification sets no limit on calls
+MAX_BRACKETS = 32  # in a line: deep nesting would overflow the stack of the JSON parser
 MAX_DURATION_MS = 1e12
 
 FINISHED = "finished"
@@ -25,8 +25,8 @@
 POLLED = "polled"
 BOUND = "bound"
 UNKNOWN = "unknown"
-SPAWN = "spawn"  # the command that an `unknown` message may be about
-RUN_OUTCOMES = {  # by the state of the run on the wire
+SPAWN = "spawn"  # a command that an `unknown` message may refer to
+RUN_OUTCOMES = {  # outcome of a run by its state on the wire
     "complete": Outcome.COMPLETED,
     "error": Outcome.ERRORED,
     "cancelled": Outcome.RECALLED,
@@ -37,58 +37,58 @@
 
 
 class BadLineError(VetchfordError):
-    """A line of the pool can't be understood; the stream goes on behind it."""
+    """A line of the pool is invalid; the lines after it can still be read."""
 
 
 class UnknownMessageError(BadLineError):
-    """A line has a type that the protocol does not know."""
+    """A line has an unknown type."""
 
     def __init__(self, message_type: str) -> None:
-        """Name the type."""
-        super().__init__("field 'type' names no message")
+        """Create the error for a line of type `message_type`."""
+        super().__init__("field 'type' is not a known message type")
         self.message_type = message_type
 
 
 class Message(NamedTuple):
-    """One line of the pool."""
+    """One line of the pool, decoded but not checked."""
 
     type: str
     fields: dict[str, Any]
 
 
 class RunEnded(NamedTuple):
-    """A run is over."""
+    """A run has ended."""
 
     request_id: str
     outcome: Outcome
     duration_ms: float
-    content: str  # the result, in base64
+    content: str  # result of the run, in base64
 
 
 class RunBlocked(NamedTuple):
-    """A run waits for the reply to a call of the records service."""
+    """A run waits for the reply to its dependency call."""
 
     request_id: str
     notice_number: int
-    body: bytes  # of the call
+    body: bytes  # body of the call
 
 
 class PollAnswer(NamedTuple):
-    """The answer to a poll: every command before that poll has arrived."""
+    """The answer to a poll; it confirms every command that was sent before the poll."""
 
-    reference: str  # as it stood in the poll
+    reference: str  # repeated from the poll
     gauges: list[float]
 
 
 class PoolBound(NamedTuple):
-    """A link stands."""
+    """The link to the pool is established."""
 
     is_cold: bool  # whether the pool started cold
     started_ms_ago: float
 
 
 class CommandUnknown(NamedTuple):
-    """The pool did not carry out a command."""
+    """The pool did not execute a command."""
 
     command: str
     request_id: str
@@ -98,49 +98,49 @@
 
 
 def next_line(buffer: ReceiveBuffer) -> memoryview | None:
-    """Return the next line, valid until more is received; None while it is not whole.
+    """Return the next line, valid until more is received; None while it is incomplete.
 
     Raises:
-        UnreadableStreamError: It is too long.
+        UnreadableStreamError: The line is longer than MAX_LINE_BYTES.
     """
     line_end = buffer.find(b"\n", MAX_LINE_BYTES)
     return None if line_end < 0 else buffer.take(line_end, 1)
 
 
 def decode(line: memoryview | bytes) -> Message:
-    """Return the message that a line holds.
+    """Return the message in a line.
 
     Raises:
-        BadLineError: It is no object with a type.
+        BadLineError: The line is not a JSON object with a type.
     """
     try:
         text = str(line, "utf-8")
         if text.count("[") + text.count("{") > MAX_BRACKETS:
-            raise ValueError("nested too deep")
+            raise ValueError("nested too deeply")
         message = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise BadLineError(f"no JSON: {type(error).__name__}") from None
+        raise BadLineError(f"not valid JSON: {type(error).__name__}") from None
     if not isinstance(message, dict) or not isinstance(message.get("type"), str):
-        raise BadLineError("no object with a type")
+        raise BadLineError("message must be an object with a string in field 'type'")
     return Message(message["type"], message)
 
 
 def _field(fields: dict[str, Any], key: str, kinds: type | tuple[type, ...]) -> Any:
     value = fields.get(key)
     if not isinstance(value, kinds) or isinstance(value, bool):
-        raise BadLineError(f"field '{key}' is missing or of the wrong kind")
+        raise BadLineError(f"field '{key}' is missing or has the wrong type")
     return value
 
 
 def _duration(fields: dict[str, Any]) -> float:
     value = _field(fields, "took", (int, float))
-    if not 0.0 <= value < MAX_DURATION_MS:  # one infinite value would spoil every average it goes into
-        raise BadLineError("field 'took' is no time")
+    if not 0.0 <= value < MAX_DURATION_MS:  # one infinite value would make every average infinite
+        raise BadLineError(f"field 'took' must be 0 or more and below {MAX_DURATION_MS:g}")
     return float(value)
 
 
 def decode_notice(notice_type: str, fields: dict[str, Any]) -> RunEnded | RunBlocked | None:
-    """Return what a notice says; None for one that says nothing.
+    """Return the content of a notice; None for a notice without content.
 
     Raises:
         BadLineError: A field is missing or wrong.
@@ -151,22 +151,22 @@
 
 
 def decode_run_ended(fields: dict[str, Any]) -> RunEnded:
-    """Return the end of a run that a `finished` notice reports.
+    """Return the run that a `finished` notice reports as ended.
 
     Raises:
         BadLineError: A field is missing or wrong.
     """
     state = _field(fields, "state", str)
     if state not in RUN_OUTCOMES:
-        raise BadLineError("field 'state' is no end of a run")
+        raise BadLineError("field 'state' is not a known outcome of a run")
     data = fields.get("data")
     if state == "complete" and not isinstance(data, str):
-        raise BadLineError("field 'data' is missing")
+        raise BadLineError("field 'data' is missing or is not a string")
     return RunEnded(_field(fields, "job", str), RUN_OUTCOMES[state], _duration(fields), data or "")
 
 
 def decode_run_blocked(fields: dict[str, Any]) -> RunBlocked:
-    """Return the call that a `blocked` notice asks for.
+    """Return the dependency call that a `blocked` notice asks for.
 
     Raises:
         BadLineError: A field is missing or wrong.
@@ -174,23 +174,23 @@
     try:
         body = base64.b64decode(fields.get("data") or "", validate=True)
     except (ValueError, TypeError, binascii.Error):
-        raise BadLineError("field 'data' is no base64") from None
+        raise BadLineError("field 'data' is not valid base64") from None
     return RunBlocked(_field(fields, "job", str), _field(fields, "n", int), body)
 
 
 def notice_number(fields: dict[str, Any]) -> int | None:
-    """Return the number of a notice; None where it has none."""
+    """Return the number of a notice; None if it has none."""
     number = fields.get("n")
     return number if isinstance(number, int) else None
 
 
 def unreadable_end(fields: dict[str, Any]) -> RunEnded:
-    """Return the end of the run that an unreadable `finished` notice is about: it failed."""
+    """Return an errored run for a `finished` notice whose fields are invalid."""
     return RunEnded(str(fields.get("job")), Outcome.ERRORED, 0.0, "")
 
 
 def decode_command_unknown(fields: dict[str, Any]) -> CommandUnknown:
-    """Return which command an `unknown` message is about, cut to what is logged; never fails."""
+    """Return the command that an `unknown` message refers to, cut to the logged length; never fails."""
     command = str(fields.get("state"))
     request_id = str(fields.get("job"))
     return CommandUnknown(command[:MAX_LOGGED_COMMAND], request_id[:MAX_LOGGED_REQUEST_ID])
@@ -204,12 +204,12 @@
     """
     gauges = _field(fields, "gauges", list)
     if not all(isinstance(value, int | float) and math.isfinite(value) for value in gauges):
-        raise BadLineError("field 'gauges' holds something that is no number")
+        raise BadLineError("field 'gauges' holds a value that is not a finite number")
     return PollAnswer(_field(fields, "ref", str), gauges)
 
 
 def decode_pool_bound(fields: dict[str, Any]) -> PoolBound:
-    """Return that a link is open.
+    """Return the state of the pool from the `bound` message that opens a link.
 
     Raises:
         BadLineError: A field is missing or wrong.
@@ -221,29 +221,29 @@
 
 
 def bind(last_notice: int) -> list[bytes]:
-    """Encode the first command on a link: notices behind `last_notice` are to be told again."""
+    """Encode the first command on a link, which asks the pool to repeat all notices after `last_notice`."""
     return [b'{"type":"bind","n":%d}\n' % last_notice]
 
 
-def spawn(job: str, kind: str, data: str) -> list[bytes]:
-    """Encode the start of a run; `kind` is the method of the request, `data` its content in base64."""
+def spawn(request_id: str, method: str, content: str) -> list[bytes]:
+    """Encode the start of a run; `content` is the content of the request in base64."""
     return [
-        b'{"type":"spawn","job":"%b","kind":%b,"data":"' % (job.encode(), json.dumps(kind).encode()),
-        data.encode(),
+        b'{"type":"spawn","job":"%b","kind":%b,"data":"' % (request_id.encode(), json.dumps(method).encode()),
+        content.encode(),
         b'"}\n',
     ]
 
 
-def supply(job: str, reply: bytes) -> list[bytes]:
-    """Encode the reply to the call that a run waits for."""
-    return [b'{"type":"supply","job":"%b","data":"' % job.encode(), base64.b64encode(reply), b'"}\n']
+def supply(request_id: str, reply: bytes) -> list[bytes]:
+    """Encode the reply to the dependency call that a run waits for."""
+    return [b'{"type":"supply","job":"%b","data":"' % request_id.encode(), base64.b64encode(reply), b'"}\n']
 
 
-def skip(job: str, notice_number: int) -> list[bytes]:
-    """Encode that a run goes on without the reply to the call of that notice."""
-    return [b'{"type":"pass","job":"%b","n":%d}\n' % (job.encode(), notice_number)]
+def skip(request_id: str, notice_number: int) -> list[bytes]:
+    """Encode the command to continue a run without the reply to the call of notice `notice_number`."""
+    return [b'{"type":"pass","job":"%b","n":%d}\n' % (request_id.encode(), notice_number)]
 
 
 def poll(reference: str) -> list[bytes]:
-    """Encode a poll of the gauges; its answer repeats the reference."""
+    """Encode a poll of the gauges; the answer repeats `reference`."""
     return [b'{"type":"poll","ref":"%b"}\n' % reference.encode()]
