--- a/tests/runtime/test_log_setup.py
+++ b/tests/runtime/test_log_setup.py
@@ -1,4 +1,4 @@
-"""The log: what a peer can provoke, a reader that is stuck, and the end."""
+"""Log: sampling of events that peers can cause, a reader that blocks, and closing."""
 
 import io
 import socket
@@ -10,8 +10,8 @@
 
 
 def test_sampled_events_are_logged_at_powers_of_two_and_a_blocked_log_blocks_no_thread():
-    read, write = socket.socketpair()
-    writer = log_setup.start("info", "json", write.makefile("w"))
+    reader, log_socket = socket.socketpair()
+    writer = log_setup.start("info", "json", log_socket.makefile("w"))
     metrics = Metrics()
     for _ in range(1000):
         metrics.log_sampled("balancer_bad_message", code=1)
@@ -19,20 +19,20 @@
     for _ in range(20_000):
         metrics.log_summary(text="x" * 200)
     assert writer.lines.qsize() <= log_setup.MAX_QUEUED_LINES and writer.dropped > 0
-    read.close()
-    write.close()
+    reader.close()
+    log_socket.close()
     log_setup.start("error", "text", io.StringIO())
 
 
 def test_closing_the_log_waits_no_longer_than_its_deadline():
-    read, write = socket.socketpair()
-    writer = log_setup.start("info", "json", write.makefile("w"))
-    waited = []
-    writer.thread = SimpleNamespace(join=waited.append)
+    reader, log_socket = socket.socketpair()
+    writer = log_setup.start("info", "json", log_socket.makefile("w"))
+    join_timeouts = []
+    writer.thread = SimpleNamespace(join=join_timeouts.append)
     writer.close()
     writer.end_by(time.time() - 1.0)
     writer.close()
-    assert waited == [log_setup.FLUSH_TIMEOUT_S, 0.0]
-    read.close()
-    write.close()
+    assert join_timeouts == [log_setup.FLUSH_TIMEOUT_S, 0.0]
+    reader.close()
+    log_socket.close()
     log_setup.start("error", "text", io.StringIO())
--- a/tests/runtime/test_thread_pool.py
+++ b/tests/runtime/test_thread_pool.py
@@ -1,4 +1,4 @@
-"""Threads where the system has none left, and the pool. Rows of the races: docs/crossings.md."""
+"""Thread pool, and thread start when the system has no thread left. Races: docs/crossings.md."""
 
 import queue
 import threading
@@ -14,45 +14,45 @@
 def test_a_job_runs_later_if_no_thread_can_be_started(monkeypatch):
     thread_pool, done = ThreadPool(Metrics(), 4), threading.Event()
     thread_pool.start()
-    wait_until(lambda: thread_pool.free == 1, "its first thread waits")
-    held, busy = threading.Event(), threading.Event()
-    thread_pool.run(lambda: (busy.set(), held.wait(WAIT_TIMEOUT_S)))
+    wait_until(lambda: thread_pool.idle_threads == 1, "the permanent thread waits for a job")
+    release, busy = threading.Event(), threading.Event()
+    thread_pool.run(lambda: (busy.set(), release.wait(WAIT_TIMEOUT_S)))
     assert busy.wait(WAIT_TIMEOUT_S)
 
-    def none(*given):
+    def refuse_thread(*arguments):
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(thread_pools._thread, "start_new_thread", none)
+    monkeypatch.setattr(thread_pools._thread, "start_new_thread", refuse_thread)
     thread_pool.run(done.set)
     assert not done.is_set() and thread_pool.metrics.by_name["no_thread"] == 1
-    held.set()
+    release.set()
     assert done.wait(WAIT_TIMEOUT_S)
-    time.sleep(0)  # past its rest the thread is still there for the next
+    time.sleep(0)  # the permanent thread runs later jobs as well
     monkeypatch.setattr(thread_pools, "IDLE_THREAD_TIMEOUT_S", 0.01)
-    again = threading.Event()
-    thread_pool.run(again.set)
-    assert again.wait(WAIT_TIMEOUT_S)
+    second_done = threading.Event()
+    thread_pool.run(second_done.set)
+    assert second_done.wait(WAIT_TIMEOUT_S)
 
 
 def test_starting_a_thread_is_retried_until_it_succeeds(monkeypatch):
-    metrics, begun, tries = Metrics(), [], []
+    metrics, started, attempts = Metrics(), [], []
 
-    class Scarce(threading.Thread):
+    class ThirdStartSucceeds(threading.Thread):
         def start(self):
-            tries.append(self.name)
-            if len(tries) < 3:
+            attempts.append(self.name)
+            if len(attempts) < 3:
                 raise RuntimeError("can't start new thread")
-            begun.append(self.name)
+            started.append(self.name)
 
-    monkeypatch.setattr(threading, "Thread", Scarce)
+    monkeypatch.setattr(threading, "Thread", ThirdStartSucceeds)
     start_thread(lambda: None, "reader", metrics)
-    assert begun == ["reader"] and metrics.by_name["no_thread"] == 2
+    assert started == ["reader"] and metrics.by_name["no_thread"] == 2
 
 
 def test_a_thread_pool_runs_all_jobs_within_its_thread_limit():
-    thread_pool, done, hold = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
+    thread_pool, finished, release = ThreadPool(Metrics(), 3), queue.Queue(), threading.Event()
     for n in range(50):
-        thread_pool.run(lambda n=n: (hold.wait(20), done.put(n)))
+        thread_pool.run(lambda n=n: (release.wait(20), finished.put(n)))
     assert thread_pool.threads == 3
-    hold.set()
-    assert sorted(done.get(timeout=20) for _ in range(50)) == list(range(50))
+    release.set()
+    assert sorted(finished.get(timeout=20) for _ in range(50)) == list(range(50))
--- a/vetchford/errors.py
+++ b/vetchford/errors.py
@@ -1,9 +1,9 @@
-"""The root of the exceptions that this project raises, and those that several packages share."""
+"""The base class of this project's exceptions, and exceptions that several packages share."""
 
 
 class VetchfordError(Exception):
-    """Any failure that this project names itself."""
+    """Base class of all exceptions that this project raises itself."""
 
 
 class MalformedInputError(VetchfordError):
-    """Input that does not have the form its page prescribes; the message names the field."""
+    """Input does not have the specified form; the message names the field."""
--- a/vetchford/runtime/__init__.py
+++ b/vetchford/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every program here runs on: actors, threads, timers, clocks, sockets, metrics and the log."""
+"""Infrastructure of all programs: actors, threads, timers, clocks, sockets, metrics and logging."""
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -1,8 +1,8 @@
-"""The clock of programs that decide together, which a test may set wrong.
+"""Clock for decisions that involve several processes; tests can make it inaccurate.
 
-Nothing that several programs decide together may rest on their clocks agreeing. So that this can be tested,
-VETCHFORD_CLOCK="OFFSET RATE" (seconds, and seconds a second) makes the clocks of this program wrong: by the
-offset from its start on, and faster or slower by the rate. Timeouts of sockets and mailboxes stay right.
+No such decision may depend on the clocks of several processes being equal. To test this,
+VETCHFORD_CLOCK="OFFSET RATE" (seconds, seconds per second) shifts the clocks of this process by the offset
+from its start on and makes them run at the given rate. Timeouts of sockets and mailboxes are not affected.
 """
 
 import os
@@ -11,30 +11,31 @@
 
 from vetchford.runtime.units import MS_PER_S
 
-VARIABLE = "VETCHFORD_CLOCK"
-TRUE_CLOCK = "0 1"
+ENVIRONMENT_VARIABLE = "VETCHFORD_CLOCK"
+NO_ERROR = "0 1"
 
 
 class Clock:
-    """Monotonic and Unix time as this program believes them; may be read from any thread."""
+    """Monotonic and Unix time with the configured error; may be read from any thread."""
 
     def __init__(self, error: str = "") -> None:
-        """Be wrong by `error`: an offset and a rate as in VETCHFORD_CLOCK; empty for right.
+        """Create a clock; `error` is an offset and a rate as in VETCHFORD_CLOCK, empty for an accurate clock.
 
-        ValueError where it is not two numbers, the second above 0.
+        Raises:
+            ValueError: `error` is not two numbers of which the second is above 0.
         """
-        offset, rate = (float(figure) for figure in (error or TRUE_CLOCK).split())
+        offset, rate = (float(number) for number in (error or NO_ERROR).split())
         if rate <= 0.0:
             raise ValueError("the rate of a clock must be above 0")
         self.rate = rate
         self.started_at_s = time.monotonic()
         self.started_at_unix_s = time.time() + offset
-        # As on a machine that was started so long ago: monotonic clocks differ between machines, and begin
-        # at 0.
+        # With an error, as on a machine started that many seconds ago: the monotonic clock of each machine
+        # begins at 0 when the machine starts.
         self.uptime_at_start_s = abs(offset) if error else self.started_at_s
 
     def now(self) -> float:
-        """Return monotonic milliseconds."""
+        """Return the monotonic time in milliseconds."""
         return (self.uptime_at_start_s + self._elapsed()) * MS_PER_S
 
     def day(self) -> float:
@@ -46,7 +47,10 @@
 
 
 try:
-    clock = Clock(os.environ.get(VARIABLE, ""))
+    clock = Clock(os.environ.get(ENVIRONMENT_VARIABLE, ""))
 except ValueError as problem:
-    print(f"vetchford: {VARIABLE} is to be an offset and a rate: {problem}", file=sys.stderr)
+    print(
+        f"vetchford: {ENVIRONMENT_VARIABLE} must be an offset in seconds and a rate: {problem}",
+        file=sys.stderr,
+    )
     sys.exit(2)
--- a/vetchford/runtime/log_setup.py
+++ b/vetchford/runtime/log_setup.py
@@ -1,4 +1,4 @@
-"""Logging: structlog events, written by a thread of their own, so that a stuck log stops nothing else."""
+"""Logging: a separate thread writes structlog events, so a blocked log file blocks no other thread."""
 
 import contextlib
 import logging
@@ -11,17 +11,17 @@
 
 import structlog
 
-MAX_QUEUED_LINES = 1000  # a few hundred bytes each; more are dropped, and counted in the next one
-FLUSH_TIMEOUT_S = 0.2  # at the end: what the log's reader has not taken by then is dropped
+MAX_QUEUED_LINES = 1000  # a few hundred bytes each; more are dropped, and the next line has their number
+FLUSH_TIMEOUT_S = 0.2  # at the end; lines that the reader of the log has not accepted by then are dropped
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 FORMATS = ("text", "json")
 
 
 class LogWriter:
-    """The logger that structlog hands finished lines to, at any level and from any thread."""
+    """The logger that receives rendered lines from structlog, of all levels and from any thread."""
 
     def __init__(self, file: TextIO) -> None:
-        """Write to `file`, on a thread that runs until `close`."""
+        """Start a thread that writes to `file` until `close`."""
         self.file = file
         self.close_by_unix_s = math.inf
         self.lines: SimpleQueue[str | None] = SimpleQueue()
@@ -30,7 +30,7 @@
         self.thread.start()
 
     def line(self, text: str) -> None:
-        """Queue one line; never blocks."""
+        """Queue one line, or drop it if the queue is full; never blocks."""
         if self.lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -42,24 +42,24 @@
     debug = info = warning = error = msg = line
 
     def write(self) -> None:
-        """Write lines until `close`; the body of the thread."""
+        """Write queued lines until `close`; the target of the thread."""
         while (text := self.lines.get()) is not None:
-            with contextlib.suppress(OSError, ValueError):  # nobody reads the log any more
+            with contextlib.suppress(OSError, ValueError):  # the log file is closed or has no reader any more
                 self.file.write(text + "\n")
                 self.file.flush()
 
     def end_by(self, deadline_unix_s: float) -> None:
-        """Let `close` not wait beyond this time, as a kill is next; may be called from any thread."""
+        """Limit the wait of `close` to this time, as the process is killed then; callable from any thread."""
         self.close_by_unix_s = deadline_unix_s
 
     def close(self) -> None:
-        """Wait until all is written, for `FLUSH_TIMEOUT_S` at most."""
+        """Wait until all lines are written, at most `FLUSH_TIMEOUT_S`."""
         self.lines.put(None)
         self.thread.join(max(0.0, min(FLUSH_TIMEOUT_S, self.close_by_unix_s - time.time())))
 
 
 def start(level: str, log_format: str, file: TextIO = sys.stderr) -> LogWriter:
-    """Send all structlog events of `level` and above to `file`, in one of `FORMATS`."""
+    """Write all structlog events of `level` and above to `file`; `log_format` is one of `FORMATS`."""
     writer = LogWriter(file)
     structlog.configure(
         processors=[
--- a/vetchford/runtime/metrics.py
+++ b/vetchford/runtime/metrics.py
@@ -1,4 +1,7 @@
-"""Counters by name, and invariants: asserted in debug builds, counted and logged in release builds."""
+"""Counters by name, and invariants: asserted in debug builds, counted and logged in release builds.
+
+Release builds are those that run with `python -O`.
+"""
 
 import threading
 from types import TracebackType
@@ -12,40 +15,40 @@
 
 
 class Metrics:
-    """Counters of one program; all methods may be called from any thread.
+    """Counters of one process; all methods may be called from any thread.
 
-    Names are fixed by the code, so the table is bounded.
+    The code uses a fixed set of names, so the number of counters is bounded.
     """
 
     def __init__(self) -> None:
-        """Start with no counters."""
+        """Create the metrics without counters."""
         self.by_name: dict[str, int] = {}
         self.lock = threading.Lock()
 
     def increment(self, name: str) -> int:
-        """Count one more, and return the count."""
+        """Increment the counter `name` and return its value."""
         with self.lock:
             count = self.by_name[name] = self.by_name.get(name, 0) + 1
         return count
 
     def snapshot(self) -> dict[str, int]:
-        """Return the counts as of now, by name."""
+        """Return the current values of all counters by name."""
         with self.lock:
             return self.by_name.copy()
 
     def log_sampled(self, event: str, **fields: Any) -> None:
-        """Count an event that a peer can provoke, and log the 1st, 2nd, 4th, 8th ... of it."""
+        """Count an event that clients or peers can cause, and log its 1st, 2nd, 4th, 8th, ... occurrence."""
         count = self.increment(event)
         if count & (count - 1) == 0:
             log.warning(event, count=count, **fields)
 
     def log_summary(self, **fields: Any) -> None:
         """Log all counters on one line, with `fields` before them."""
-        counted = dict(sorted(self.snapshot().items()))
-        log.info("summary", **fields, **counted)
+        counters = dict(sorted(self.snapshot().items()))
+        log.info("summary", **fields, **counters)
 
     def report_internal_error(self, part: str, problem: Exception) -> None:
-        """Count and log a fault of our own code; debug builds raise it again, release builds go on."""
+        """Count and log an unexpected exception; debug builds raise it again, release builds continue."""
         self.log_sampled(
             "part_broke",
             part=part,
@@ -57,7 +60,7 @@
             raise problem
 
     def check_invariant(self, holds: bool, name: str, **fields: Any) -> bool:
-        """Return `holds`; where it is false, debug builds raise AssertionError, release builds log it."""
+        """Return `holds`; if it is false, debug builds raise AssertionError, release builds log the name."""
         assert holds, name
         if not holds:
             self.log_sampled("must_hold_broken", what=name, **fields)
@@ -65,7 +68,7 @@
 
 
 def _innermost_place(traceback: TracebackType | None) -> str:
-    """Return file and line at which an exception was raised."""
+    """Return the file and the line where an exception was raised."""
     if traceback is None:
         return ":0"
     while traceback.tb_next:
--- a/vetchford/runtime/thread_pool.py
+++ b/vetchford/runtime/thread_pool.py
@@ -1,4 +1,4 @@
-"""Starting threads where the system may have none left, and a pool that grows and shrinks with its jobs."""
+"""Thread start that survives a shortage of threads, and a pool that grows and shrinks with its jobs."""
 
 import _thread
 import contextlib
@@ -10,14 +10,14 @@
 
 from vetchford.runtime.metrics import Metrics
 
-IDLE_THREAD_TIMEOUT_S = 0.5  # that a thread of a pool waits for a job before it ends
-THREAD_RETRY_INTERVAL_S = 0.05  # other threads end meanwhile, as their connections are closed
+IDLE_THREAD_TIMEOUT_S = 0.5  # how long a thread of a pool waits for a job before it ends
+THREAD_RETRY_INTERVAL_S = 0.05  # meanwhile other threads may end, as their connections are closed
 
 
 def start_thread(run: Callable[[], None], name: str, metrics: Metrics) -> None:
-    """Start a daemon thread; where the system gives none, wait until it does.
+    """Start a daemon thread; if the system can't start one, retry until it can.
 
-    What the thread is for, such as a connection that was accepted, is not dropped for want of a thread.
+    The work of the thread, such as an accepted connection, is thus never dropped for lack of a thread.
     """
     while True:
         try:
@@ -29,32 +29,31 @@
 
 
 class ThreadPool:
-    """Threads that do the jobs of whoever has some, and end when there were none for a while.
+    """Threads that run jobs of any caller, and end after a time without jobs.
 
-    Where a machine is paused and resumed many times a second, as under a limit of its processor, each thread
-    costs time at each pause: only what has something to do may have one. All methods may be called from any
-    thread.
+    Under a CPU limit a process is paused and resumed many times a second, and each thread costs time at each
+    pause; hence only work that is ready has a thread. All methods may be called from any thread.
     """
 
     def __init__(self, metrics: Metrics, max_threads: int) -> None:
-        """Start no thread yet."""
+        """Create a pool without threads."""
         self.metrics = metrics
         self.max_threads = max_threads
         self.lock = threading.Lock()
         self.threads = 0
         self.jobs: SimpleQueue[Callable[[], None]] = SimpleQueue()
-        self.free = 0  # threads that wait for a job, less the jobs that wait for a thread
+        self.idle_threads = 0  # idle threads minus queued jobs
 
     def run(self, job: Callable[[], None]) -> None:
-        """Do `job` on a thread that is free or new; if there is none to be had, on the next that is free."""
+        """Run `job` on an idle or new thread, or queue it for the next idle thread if none can be started."""
         with self.lock:
-            self.free -= 1
-            if self.free >= 0 or self.threads >= self.max_threads:
+            self.idle_threads -= 1
+            if self.idle_threads >= 0 or self.threads >= self.max_threads:
                 self.jobs.put(job)
                 return
             self.threads += 1
         try:
-            _thread.start_new_thread(self.serve, (job,))
+            _thread.start_new_thread(self.run_jobs, (job,))
         except RuntimeError as problem:
             self.metrics.log_sampled("no_thread", problem=str(problem))
             with self.lock:
@@ -62,43 +61,43 @@
                 self.jobs.put(job)
             return
         with self.lock:
-            self.free += 1
+            self.idle_threads += 1
 
     def start(self) -> None:
-        """Start a first thread that stays: without it a job that finds none might wait for good."""
+        """Start one permanent thread, so that a job is run even if no other thread can be started."""
         with self.lock:
             self.threads += 1
-        start_thread(partial(self.serve, lambda: None, True), "thread-pool", self.metrics)
+        start_thread(partial(self.run_jobs, lambda: None, True), "thread-pool", self.metrics)
 
     def has_spare_threads(self) -> bool:
-        """Whether a thread may wait a little without keeping others from theirs."""
+        """Return whether enough threads are left that a job may hold its thread for a short wait."""
         return self.jobs.empty() and self.threads < self.max_threads // 2
 
-    def serve(self, job: Callable[[], None], stays: bool = False) -> None:
-        """Do jobs, on a thread of the pool, until there was none for `IDLE_THREAD_TIMEOUT_S`; or for good."""
+    def run_jobs(self, job: Callable[[], None], permanent: bool = False) -> None:
+        """Run jobs until there is none for `IDLE_THREAD_TIMEOUT_S`; without end if `permanent`."""
         while True:
-            self._do(job)
+            self._run_guarded(job)
             with self.lock:
-                self.free += 1
+                self.idle_threads += 1
             try:
-                job = self.jobs.get(timeout=None if stays else IDLE_THREAD_TIMEOUT_S)
+                job = self.jobs.get(timeout=None if permanent else IDLE_THREAD_TIMEOUT_S)
             except Empty:
-                if self._may_end():
+                if self._try_end():
                     return
                 job = self.jobs.get()
 
-    def _do(self, job: Callable[[], None]) -> None:
+    def _run_guarded(self, job: Callable[[], None]) -> None:
         try:
             job()
         except Exception as problem:
-            with contextlib.suppress(Exception):  # a debug build raises it again: the thread goes on
+            with contextlib.suppress(Exception):  # raised again in debug builds; the thread must continue
                 self.metrics.report_internal_error("thread-pool", problem)
 
-    def _may_end(self) -> bool:
-        """Give the place of this thread up, unless a job came since it stopped waiting."""
+    def _try_end(self) -> bool:
+        """Remove this thread from the pool unless a job has been queued; return whether the thread ends."""
         with self.lock:
             if not self.jobs.empty():
                 return False
-            self.free -= 1
+            self.idle_threads -= 1
             self.threads -= 1
             return True
--- a/vetchford/runtime/units.py
+++ b/vetchford/runtime/units.py
@@ -1,3 +1,3 @@
-"""Factors between the units of time."""
+"""Conversion factors between units of time."""
 
 MS_PER_S = 1000.0
