--- a/tests/configuration/test_command.py
+++ b/tests/configuration/test_command.py
@@ -1,4 +1,4 @@
-"""Our settings by the command line, and the platform's own file beside them."""
+"""Settings files given by --with on the command line, and errors in the platform's configuration."""
 
 import json
 import os
@@ -26,10 +26,10 @@
 }
 
 
-def command(*given):
+def run_command(*arguments):
     environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
     return subprocess.run(
-        [sys.executable, "-m", "vetchford", *given],
+        [sys.executable, "-m", "vetchford", *arguments],
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -38,33 +38,33 @@
     )
 
 
-def test_check_tells_every_line_with_its_place_and_settings_shows_what_came_of_it(tmp_path):
-    config, ours, site = (tmp_path / name for name in ("config.json", "ours.vet", "site.vet"))
+def test_check_locates_each_problem_and_settings_prints_the_unified_values(tmp_path):
+    config, base, override = (tmp_path / name for name in ("config.json", "ours.vet", "site.vet"))
     config.write_text(json.dumps(PLATFORM))
-    ours.write_text(
+    base.write_text(
         'version: 1\npools: gate: {stages: ["read"], share: *20% | number, reserve: 9}\npool: 1\n'
     )
-    ran = command("check", "--config", str(config), "--with", str(ours))
-    assert ran.returncode == 2 and ran.stderr.splitlines()[0].startswith(
-        f"vetchford: {ours}:2:64: pools.gate.reserve: "
+    result = run_command("check", "--config", str(config), "--with", str(base))
+    assert result.returncode == 2 and result.stderr.splitlines()[0].startswith(
+        f"vetchford: {base}:2:64: pools.gate.reserve: "
     )
-    assert len(ran.stderr.splitlines()) == 2
-    ours.write_text('version: 1\npools: gate: {stages: ["read"], share: *20% | number}\n')
-    site.write_text("pools: gate: share: 30%\n")
+    assert len(result.stderr.splitlines()) == 2
+    base.write_text('version: 1\npools: gate: {stages: ["read"], share: *20% | number}\n')
+    override.write_text("pools: gate: share: 30%\n")
     assert (
-        command("check", "--with", str(ours), "--with", str(site)).returncode == 0
-    )  # without the platform's file
-    ran = command("settings", "--config", str(config), "--with", str(ours), "--with", str(site))
-    assert json.loads(ran.stdout)["declared"]["pools"]["gate"]["share"] == 0.3
-    assert "#Pool" in command("settings", "--with", str(ours), "--schema").stdout
+        run_command("check", "--with", str(base), "--with", str(override)).returncode == 0
+    )  # without the platform's configuration
+    result = run_command("settings", "--config", str(config), "--with", str(base), "--with", str(override))
+    assert json.loads(result.stdout)["declared"]["pools"]["gate"]["share"] == 0.3
+    assert "#Pool" in run_command("settings", "--with", str(base), "--schema").stdout
 
 
-def test_the_file_that_ships_is_good_for_the_stages_it_names():
-    assert command("check", "--with", "deploy/pools.vet").returncode == 0
+def test_the_shipped_settings_file_is_valid():
+    assert run_command("check", "--with", "deploy/pools.vet").returncode == 0
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         (
             "familyInfo.cores",
@@ -86,42 +86,42 @@
         ("requestClasses.0.deadline", 0, "key 'settings.requestClasses[0].deadline' must be above 0"),
     ],
 )
-def test_a_wrong_value_of_the_platform_s_settings_is_named_by_its_whole_path(path, value, said):
-    told = json.loads(json.dumps(PLATFORM))
-    inner, *steps = told["settings"], *path.split(".")
-    for step in steps[:-1]:
-        inner = inner[int(step) if step.isdigit() else step]
-    inner[steps[-1]] = value
+def test_an_invalid_platform_setting_is_reported_with_its_full_path(path, value, expected):
+    configuration = json.loads(json.dumps(PLATFORM))
+    container, *keys = configuration["settings"], *path.split(".")
+    for key in keys[:-1]:
+        container = container[int(key) if key.isdigit() else key]
+    container[keys[-1]] = value
     with pytest.raises(MalformedInputError) as caught:
-        platform_config.decode(told)
-    assert str(caught.value).startswith(said)
+        platform_config.decode(configuration)
+    assert str(caught.value).startswith(expected)
 
 
-def test_all_wrong_values_of_the_platform_s_settings_are_told_at_once():
-    told = json.loads(json.dumps(PLATFORM))
-    told["settings"]["familyInfo"] |= {"cores": "two", "blowup": []}
-    told["settings"]["customers"][0]["name"] = 7
+def test_all_invalid_platform_settings_are_reported_at_once():
+    configuration = json.loads(json.dumps(PLATFORM))
+    configuration["settings"]["familyInfo"] |= {"cores": "two", "blowup": []}
+    configuration["settings"]["customers"][0]["name"] = 7
     with pytest.raises(MalformedInputError) as caught:
-        platform_config.decode(told)
+        platform_config.decode(configuration)
     assert len(str(caught.value).splitlines()) == 3
 
 
-def test_files_that_are_named_together_are_each_read_once(tmp_path):
-    # The options' library hands a repeated option over several times: five files met the bound of eight.
+def test_each_file_given_by_with_is_read_once(tmp_path):
+    # docopt lists the values of a repeated option several times, so five files exceeded the limit of eight.
     files = []
     for n in range(5):
         files.append(tmp_path / f"{n}.vet")
         files[-1].write_text("version: 1\n")
-    ran = command("check", *(word for file in files for word in ("--with", str(file))))
-    assert ran.returncode == 0 and ran.stdout == f"{', '.join(map(str, files))}: good\n"
+    result = run_command("check", *(word for file in files for word in ("--with", str(file))))
+    assert result.returncode == 0 and result.stdout == f"{', '.join(map(str, files))}: good\n"
 
 
-def test_an_agent_that_its_fleet_does_not_name_is_told_with_its_place(tmp_path):
+def test_an_agent_missing_from_its_fleet_is_reported(tmp_path):
     file = tmp_path / "fleet.vet"
     file.write_text(
         'version: 1\nagent: {\n  socket: "s"\n  store: "t"\n  logs: "l"\n  instances: n1: {command: ["x"], '
         'listen: "127.0.0.1:1"}\n  peers: {fleet: "pay", name: "south", listen: "127.0.0.1:2"\n'
         '    agents: {east: "127.0.0.1:2"}}\n}\n'
     )
-    ran = command("check", "--with", str(file))
-    assert ran.returncode == 2 and "agent.peers.name" in ran.stderr and "allowed: east" in ran.stderr
+    result = run_command("check", "--with", str(file))
+    assert result.returncode == 2 and "agent.peers.name" in result.stderr and "allowed: east" in result.stderr
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -1,4 +1,4 @@
-"""The form of our settings: what unifies, what conflicts and where, and input that means harm."""
+"""Settings files: unification, located errors for mistakes and conflicts, and hostile input."""
 
 import random
 import time
@@ -9,17 +9,18 @@
 from vetchford.configuration import reader
 from vetchford.configuration.errors import MAX_REPORTED_PROBLEMS, SettingsError
 
-GOOD = 'version: 1\npools: gate: {stages: ["check"], share: 20%, reserve: 1}\n'
+VALID_SETTINGS = 'version: 1\npools: gate: {stages: ["check"], share: 20%, reserve: 1}\n'
 
 
-def read(*texts, stages=None):
-    sources = [reader.SourceText(f"f{at}.vet", text) for at, text in enumerate(texts)]
-    return reader.read_sources(sources, stages)
+def read(*texts, request_classes=None):
+    sources = [reader.SourceText(f"f{index}.vet", text) for index, text in enumerate(texts)]
+    return reader.read_sources(sources, request_classes)
 
 
-def wrong(*texts, stages=None):
+def problems_of(*texts, request_classes=None):
+    """Return the error lines for files that must be refused."""
     with pytest.raises(SettingsError) as caught:
-        read(*texts, stages=stages)
+        read(*texts, request_classes=request_classes)
     return [str(problem) for problem in caught.value.problems]
 
 
@@ -52,22 +53,24 @@
     assert read("version: 1").pools == "none" and read('version: 1\npools: "derived"').pools == "derived"
 
 
-def test_a_site_s_file_goes_over_defaults_and_a_conflict_names_both_places():
-    usual = 'version: 1\npools: gate: {stages: ["check"], share: *20% | number}\n'
-    assert read(usual).pools["gate"].share == 0.2
-    site = read(usual, 'pools: gate: share: 30%\npools: pay: {stages: ["charge"], share: 0.5}')
-    assert site.pools["gate"].share == site.pools["gate"].bytes == 0.3 and list(site.pools) == [
+def test_another_file_overrides_defaults_and_a_conflict_names_both_locations():
+    defaults = 'version: 1\npools: gate: {stages: ["check"], share: *20% | number}\n'
+    assert read(defaults).pools["gate"].share == 0.2
+    overridden = read(defaults, 'pools: gate: share: 30%\npools: pay: {stages: ["charge"], share: 0.5}')
+    assert overridden.pools["gate"].share == overridden.pools["gate"].bytes == 0.3 and list(
+        overridden.pools
+    ) == [
         "gate",
         "pay",
     ]
-    assert wrong(GOOD, "\n pools: gate: share: 30%") == [
+    assert problems_of(VALID_SETTINGS, "\n pools: gate: share: 30%") == [
         "f0.vet:2:41: pools.gate.share: 20% conflicts with 30% at f1.vet:2:22"
     ]
-    assert "f1.vet:1:21: pools.gate.share: found 7" in wrong(usual, "pools: gate: share: 7")[0]
+    assert "f1.vet:1:21: pools.gate.share: found 7" in problems_of(defaults, "pools: gate: share: 7")[0]
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_parts"),
     [
         ("", ["f0.vet:1:1: version: is missing; allowed: a whole number"]),
         ("version: 2", ["f0.vet:1:10: version: found 2; allowed: a whole number, 1 or more, 1 at most"]),
@@ -106,7 +109,7 @@
         ),
         (
             'version: 1\npools: a: {stages: ["x"], share: nix}',
-            ["found a reference to 'nix', which nothing here defines"],
+            ["found a reference to 'nix', which is not defined"],
         ),
         (
             'version: 1\npools: a: {stages: ["x"], share: 1, lends: 1}',
@@ -115,27 +118,27 @@
         ('version: 1\n#a: #b\n#b: #a\npools: a: {stages: ["x"], share: #a}', ["refers to itself"]),
         (
             'version: 1\npools: a: {stages: ["x"], share: *0.1 | *0.2}',
-            ["is not decided: several values remain"],
+            ["is ambiguous: several values remain"],
         ),
         ("version: 1\n#L: {a: #L}\npools: #L", ["found the unknown key 'a'"]),
         ("version: 1 @", ["f0.vet:1:12: found '@'; allowed here: "]),
         ("version: 1\npools: {", ["found the end of the file; allowed here: "]),
     ],
 )
-def test_a_mistake_is_told_with_its_place_its_path_what_was_found_and_what_is_allowed(text, said):
-    lines = wrong(text)
-    for part in said:
+def test_a_mistake_is_reported_with_location_path_found_value_and_allowed_values(text, expected_parts):
+    lines = problems_of(text)
+    for part in expected_parts:
         assert any(part in line for line in lines), (part, lines)
-    assert len(lines) == len(said)
+    assert len(lines) == len(expected_parts)
 
 
-def test_all_mistakes_of_a_file_are_told_in_one_go_in_the_order_of_their_places():
-    form = wrong("version: 1\npools: {gate: {stages: [] share 3}\n b: : 4\n}\nx: [1,,]\n @")
-    assert [line.split(":")[1] for line in form] == ["2", "3", "5", "6"]
-    meaning = wrong(
+def test_all_mistakes_of_a_file_are_reported_at_once_in_the_order_of_their_locations():
+    syntax_problems = problems_of("version: 1\npools: {gate: {stages: [] share 3}\n b: : 4\n}\nx: [1,,]\n @")
+    assert [line.split(":")[1] for line in syntax_problems] == ["2", "3", "5", "6"]
+    value_problems = problems_of(
         'version: 1\npools: {a: {stages: ["x"], share: 9, reserve: 99}\nb: {stages: [7], shar: 1}}'
     )
-    assert [line.split(" ")[1] for line in meaning] == [
+    assert [line.split(" ")[1] for line in value_problems] == [
         "pools.a.share:",
         "pools.a.reserve:",
         "pools.b.share:",
@@ -143,21 +146,26 @@
         "pools.b.shar:",
     ]
     assert (
-        len(wrong("version: 1\npools: {\n" + "".join(f"p{n}: {{share: 9}}\n" for n in range(200)) + "}"))
+        len(
+            problems_of("version: 1\npools: {\n" + "".join(f"p{n}: {{share: 9}}\n" for n in range(200)) + "}")
+        )
         == MAX_REPORTED_PROBLEMS
     )
 
 
-def test_stages_are_in_one_pool_and_known_to_the_server():
-    two = GOOD + 'pools: pay: {stages: ["check"], share: 0.5}'
-    assert wrong(two) == [
-        "f0.vet:3:14: pools.pay.stages: found 'check', which pool 'gate' has as well "
-        "(at f0.vet:2:15); allowed: one pool for a stage"
+def test_a_request_class_must_be_in_one_pool_only_and_known_to_the_server():
+    in_two_pools = VALID_SETTINGS + 'pools: pay: {stages: ["check"], share: 0.5}'
+    assert problems_of(in_two_pools) == [
+        "f0.vet:3:14: pools.pay.stages: found 'check', which is also in pool 'gate' "
+        "(at f0.vet:2:15); allowed: each request class in one pool only"
     ]
-    assert "no stage of this server; allowed: pay, quote" in wrong(GOOD, stages=["pay", "quote"])[0]
+    assert (
+        "not a request class of this server; allowed: pay, quote"
+        in problems_of(VALID_SETTINGS, request_classes=["pay", "quote"])[0]
+    )
 
 
-def test_files_that_cannot_be_read_are_told_beside_the_others(tmp_path):
+def test_unreadable_files_are_reported_together_with_the_others(tmp_path):
     (tmp_path / "a.vet").write_bytes(b"version: \xff")
     (tmp_path / "b.vet").write_text("version: : 1")
     with pytest.raises(SettingsError) as caught:
@@ -185,16 +193,19 @@
         "version: 1\n#a: {b: #a & {c: #a}}\npools: #a & {...}",
     ],
 )
-def test_input_that_means_harm_ends_soon_in_a_plain_refusal(text):
-    began = time.monotonic()
-    assert wrong(text)
-    assert time.monotonic() - began < 15.0  # s; each takes under two, and a hang would take for ever
+def test_hostile_input_is_refused_within_seconds(text):
+    started_at_s = time.monotonic()
+    assert problems_of(text)
+    assert time.monotonic() - started_at_s < 15.0  # s; each input takes under 2 s
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_spoilt_files_are_read_or_refused_and_never_anything_else(seed):
-    chance, good = random.Random(seed), (reader.schema(), GOOD, Path("deploy/pools.vet").read_text())
-    pieces = [
+def test_corrupted_files_are_read_or_refused_without_other_errors(seed):
+    rng, valid_texts = (
+        random.Random(seed),
+        (reader.schema(), VALID_SETTINGS, Path("deploy/pools.vet").read_text()),
+    )
+    replacements = [
         "{",
         "}",
         "[",
@@ -224,14 +235,16 @@
     ]
     outcomes = set()
     for _ in range(120):
-        text = list(chance.choice(good))
-        for _ in range(chance.choice((1, 1, 2, 5, 30))):
-            at = chance.randrange(len(text) + 1)
-            text[at : at + chance.choice((0, 1, 1, 4, 40))] = chance.choice((chance.choice(pieces), ""))
+        text = list(rng.choice(valid_texts))
+        for _ in range(rng.choice((1, 1, 2, 5, 30))):
+            position = rng.randrange(len(text) + 1)
+            text[position : position + rng.choice((0, 1, 1, 4, 40))] = rng.choice(
+                (rng.choice(replacements), "")
+            )
         try:
             read("".join(text))
             outcomes.add("read")
         except SettingsError as problem:
-            assert problem.problems and all(one.message for one in problem.problems)
+            assert problem.problems and all(reported.message for reported in problem.problems)
             outcomes.add("refused")
     assert outcomes == {"read", "refused"}
--- a/vetchford/configuration/__main__.py
+++ b/vetchford/configuration/__main__.py
@@ -1,6 +1,7 @@
-"""Reads settings for another process: file names as arguments, request classes as JSON on standard input.
+"""Reads settings files for another process.
 
-Prints the record as JSON, or a line for each problem on standard error with exit status 2.
+Arguments are the file names, standard input is a JSON array of the request classes, or null. Prints the
+settings as JSON, or a line for each problem on standard error with exit status 2.
 """
 
 import json
@@ -14,7 +15,7 @@
 
 
 def main() -> int:
-    """Runs one reading; returns the exit status."""
+    """Read the settings and return the exit status."""
     try:
         settings = read(sys.argv[1:], json.load(sys.stdin))
     except SettingsError as error:
--- a/vetchford/configuration/choices.py
+++ b/vetchford/configuration/choices.py
@@ -1,4 +1,4 @@
-"""Unifies choices: each combination of options is tried, and defaults decide among those that hold."""
+"""Resolves choices: tries each combination of options and prefers the valid one with the most defaults."""
 
 import itertools
 from abc import abstractmethod
@@ -12,37 +12,37 @@
 from vetchford.configuration.value_tree import ABSENT, Absent, Constraint, PlainValue, Scope, ValueNode
 from vetchford.configuration.values import Bound, Kind, Literal
 
-MAX_SHOWN_VALUES = 4  # of those between which a choice is not decided
+MAX_SHOWN_VALUES = 4  # in the error for an ambiguous choice
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """The result of one combination of options that holds."""
+    """The result of one valid combination of options."""
 
     value: PlainValue
-    defaults: tuple[bool, ...]  # by file, the last first: whether the combination takes its defaults
+    defaults: tuple[bool, ...]  # by file, last file first: whether all its choices have their default
     node: ValueNode
 
 
 class ChoiceResolver(Resolver):
-    """Decides between options; `evaluate` is what a subclass makes of each combination."""
+    """Selects the options of choices; a subclass implements `evaluate` for each combination."""
 
     def __init__(self, schema: str, files: Sequence[str]) -> None:
-        """`schema`: the file that is not the user's. `files`: the user's; defaults of later ones hold."""
+        """Create a resolver for the schema file `schema` and the user's `files`; later defaults win."""
         super().__init__()
         self.schema = schema
         self.file_ranks = {name: rank for rank, name in enumerate(files)}
-        # By defaults that refer to what is wrong itself: reported if nothing else is.
-        self.consequences: list[Problem] = []
+        # Problems of choices whose default refers to an invalid value: reported if there are no others.
+        self.secondary_problems: list[Problem] = []
 
     @abstractmethod
     def evaluate(self, value: ValueNode) -> PlainValue | Absent:
-        """Plain data, or ABSENT with the reason among the problems."""
+        """Return plain data, or ABSENT after reporting the problem."""
 
     def decide(
         self, value: ValueNode, others: list[Constraint[Node]], choices: list[Constraint[Choice]]
     ) -> PlainValue | Absent:
-        """The one value that remains; what is wrong with the combinations is reported if none does."""
+        """Return the value of the preferred valid combination; report a problem if there is none."""
         ranks = [self.file_ranks.get(choice.node.location.file, -1) for choice in choices]
         candidates: list[Candidate] = []
         failures: list[list[Problem]] = []
@@ -53,7 +53,7 @@
                 Constraint(option.value, choice.scope, choice.definition_uses)
                 for option, choice in zip(options, choices, strict=True)
             ]
-            with self.captured_problems() as problems:
+            with self.capture_problems() as problems:
                 result = self.evaluate(trial)
             if result is ABSENT:
                 failures.append(problems)
@@ -61,12 +61,12 @@
                 candidates.append(Candidate(result, _defaults_taken(options, ranks), trial))
         if not candidates:
             return self._report_no_candidate(value, others, choices, failures)
-        return self._only_candidate(value, candidates, choices)
+        return self._preferred_value(value, candidates, choices)
 
-    def _only_candidate(
+    def _preferred_value(
         self, value: ValueNode, candidates: Sequence[Candidate], choices: Sequence[Constraint[Choice]]
     ) -> PlainValue | Absent:
-        """Of those with the most defaults, if all of them are the same."""
+        """Return the value of the candidates with the most defaults, which must agree."""
         most_defaults = max(candidate.defaults for candidate in candidates)
         preferred = [candidate for candidate in candidates if candidate.defaults == most_defaults]
         first = preferred[0]
@@ -74,9 +74,7 @@
             value.children = first.node.children
             return first.value
         shown = ", ".join(repr(candidate.value) for candidate in preferred[:MAX_SHOWN_VALUES])
-        return self.report(
-            choices[0].node.location, value, f"is not decided: several values remain ({shown})"
-        )
+        return self.report(choices[0].node.location, value, f"is ambiguous: several values remain ({shown})")
 
     def _report_no_candidate(
         self,
@@ -85,8 +83,8 @@
         choices: Sequence[Constraint[Choice]],
         failures: Sequence[list[Problem]],
     ) -> Absent:
-        inner = [problems for problems in failures if all(one.path != value.path for one in problems)]
-        if len(inner) == 1:  # one option was of the right sort: what is wrong is inside it
+        inner = [problems for problems in failures if all(problem.path != value.path for problem in problems)]
+        if len(inner) == 1:  # only one option has the right shape: report the problems inside it
             self.problems += inner[0]
             return ABSENT
         options = [option for choice in choices for option in choice.node.options]
@@ -99,7 +97,7 @@
         location = value.location(self.schema) or choices[0].node.location
         message = f"is missing; allowed: {allowed}"
         if any(option.is_default and isinstance(option.value, Reference) for option in options):
-            self.consequences.append(Problem(location, value.path, message))
+            self.secondary_problems.append(Problem(location, value.path, message))
             return ABSENT
         return self.report(location, value, message)
 
@@ -108,17 +106,19 @@
         return " or ".join(dict.fromkeys(description for description in descriptions if description))
 
     def _describe_option(self, node: Node, scope: Scope, value: ValueNode) -> str:
-        """In words; empty where its reference goes nowhere."""
-        with self.captured_problems():
+        """Describe an option in words; return "" for an undefined reference."""
+        with self.capture_problems():
             flat = self.flatten(ValueNode(value.path, value.depth), [Constraint(node, scope)]) or []
-        scalars = [one.node for one in flat if isinstance(one.node, Literal | Kind | Bound)]
+        scalars = [
+            constraint.node for constraint in flat if isinstance(constraint.node, Literal | Kind | Bound)
+        ]
         if scalars:
             return values.describe(scalars)
         return describe_node(flat[0].node, "a value") if flat else ""
 
 
-def describe_node(node: Node, otherwise: str) -> str:
-    """What a node is, for an error line; `otherwise` where no single words tell it."""
+def describe_node(node: Node, fallback: str) -> str:
+    """Describe a node for an error line; return `fallback` if there is no description."""
     if isinstance(node, Record):
         return "a record {...}"
     if isinstance(node, ItemList):
@@ -127,17 +127,17 @@
         return node.text
     if isinstance(node, Kind | Bound):
         return values.describe([node])
-    return otherwise
+    return fallback
 
 
 def _defaults_taken(options: Sequence[Option], ranks: Sequence[int]) -> tuple[bool, ...]:
-    """For each rank of a file, the highest first: whether all its choices take their default."""
+    """Return for each file rank, highest first, whether all choices of the file have their default."""
     return tuple(
-        all(option.is_default for option, rank in zip(options, ranks, strict=True) if rank == level)
-        for level in sorted(set(ranks), reverse=True)
+        all(option.is_default for option, rank in zip(options, ranks, strict=True) if rank == file_rank)
+        for file_rank in sorted(set(ranks), reverse=True)
     )
 
 
-def _is_same(one: PlainValue, other: PlainValue) -> bool:
-    """Equal and of one type, as 1 is not 1.0 and not true."""
-    return one == other and type(one) is type(other)
+def _is_same(value: PlainValue, other: PlainValue) -> bool:
+    """Return whether the values have equal type and value: 1 differs from 1.0 and from true."""
+    return value == other and type(value) is type(other)
--- a/vetchford/configuration/consistency.py
+++ b/vetchford/configuration/consistency.py
@@ -1,15 +1,19 @@
-"""What no single value shows: names that must agree with each other across a settings record."""
+"""Checks of names that several settings must agree on."""
 
 from collections.abc import Callable, Iterable, Sequence
 
 from vetchford.configuration.errors import Problem, SettingsError, SourceLocation
 from vetchford.configuration.records import AgentSettings, PoolSettings, ServerFleetSettings, Settings
 
-Locate = Callable[[str], SourceLocation]  # where the key of a path is written
+Locate = Callable[[str], SourceLocation]  # returns where the key with a path is written
 
 
 def check(settings: Settings, locate: Locate, request_classes: Sequence[str] | None) -> None:
-    """SettingsError with the problems of the first part that has any."""
+    """Check the names in `settings`; `request_classes` are those of the server, None if unknown.
+
+    Raises:
+        SettingsError: Names don't agree; it has the problems of the first section that has any.
+    """
     if settings.agent is not None:
         _check_agent(settings.agent, locate)
     if settings.together is not None:
@@ -23,7 +27,7 @@
     if peers is not None and peers.name not in peers.agents:
         path = "agent.peers.name"
         allowed = ", ".join(sorted(peers.agents))
-        message = f"found '{peers.name}', which agents does not name; allowed: {allowed}"
+        message = f"found '{peers.name}', which is not a key of 'agents'; allowed: {allowed}"
         raise SettingsError([Problem(locate(path), path, message)])
 
 
@@ -33,11 +37,13 @@
 
 
 def _check_servers(names: Sequence[str], path: str, fleet: ServerFleetSettings, locate: Locate) -> None:
-    """Each must be one of the fleet's servers, and named once."""
+    """Check that each name is a server of the fleet and occurs once."""
     for name in names:
         if name in fleet.servers and names.count(name) == 1:
             continue
-        reason = "twice" if name in fleet.servers else "which servers does not name"
+        reason = (
+            "which is named more than once" if name in fleet.servers else "which is not a key of 'servers'"
+        )
         allowed = ", ".join(sorted(fleet.servers))
         message = f"found '{name}', {reason}; allowed: {allowed}, each once"
         raise SettingsError([Problem(locate(path), path, message)])
@@ -54,7 +60,7 @@
 def _pool_problems(
     pools: dict[str, PoolSettings], locate: Locate, request_classes: Sequence[str] | None
 ) -> Iterable[Problem]:
-    """Request classes that are in two pools, or that the server does not have."""
+    """Yield a problem for each request class that is in two pools or that the server does not have."""
     owners: dict[str, str] = {}
     for pool_name, pool in pools.items():
         path = f"pools.{pool_name}.stages"
@@ -62,12 +68,15 @@
             if request_class in owners:
                 owner = owners[request_class]
                 message = (
-                    f"found '{request_class}', which pool '{owner}' has as well "
-                    f"(at {locate(f'pools.{owner}.stages')}); allowed: one pool for a stage"
+                    f"found '{request_class}', which is also in pool '{owner}' "
+                    f"(at {locate(f'pools.{owner}.stages')}); allowed: each request class in one pool only"
                 )
                 yield Problem(locate(path), path, message)
             elif request_classes is not None and request_class not in request_classes:
                 allowed = ", ".join(request_classes)
-                message = f"found '{request_class}', which is no stage of this server; allowed: {allowed}"
+                message = (
+                    f"found '{request_class}', which is not a request class of this server; "
+                    f"allowed: {allowed}"
+                )
                 yield Problem(locate(path), path, message)
             owners.setdefault(request_class, pool_name)
--- a/vetchford/configuration/parser.py
+++ b/vetchford/configuration/parser.py
@@ -1,4 +1,4 @@
-"""Text to a syntax tree, by a lark grammar; all errors of a file are gathered, not the first alone."""
+"""Parses text into a syntax tree with lark and collects all syntax errors of a file."""
 
 from collections.abc import Iterator
 from functools import cache
@@ -11,10 +11,10 @@
 from vetchford.configuration.syntax import Record
 from vetchford.configuration.tree_builder import TreeBuilder
 
-MAX_FILE_BYTES = 256 * 1024  # a thousand pools fit
-MAX_NESTING = 48  # of brackets and of nested keys: genuine files have four or five
-MAX_KEYS_ON_LINE = 8 * MAX_NESTING  # as `a: b: c: 1` nests without brackets
-MAX_SYNTAX_ERRORS = 20  # of one file; one slip can bring a few that follow from it
+MAX_FILE_BYTES = 256 * 1024  # enough for a thousand pools
+MAX_NESTING = 48  # brackets: genuine files have four or five levels
+MAX_KEYS_ON_LINE = 8 * MAX_NESTING  # `a: b: c: 1` nests without brackets
+MAX_SYNTAX_ERRORS = 20  # in one file; one mistake can cause a few errors after it
 MAX_SHOWN_TOKEN = 60  # characters
 
 GRAMMAR_FILE = Path(__file__).with_name("grammar.lark")
@@ -23,7 +23,7 @@
 LINE_END = "_NL"
 END_OF_FILE = "$END"
 
-# Tokens after which a line's end ends the entry.
+# Tokens after which the end of the line ends the entry.
 ENTRY_ENDS = CLOSING_BRACKETS | {
     "NAME",
     "DEFINITION",
@@ -64,29 +64,29 @@
 
 
 class SeparatorFilter:
-    """Turns line ends into commas where an entry can end, and bounds how deep a file nests.
+    """Replaces line ends by commas where an entry can end, and limits the nesting of a file.
 
-    lark calls it between the lexer and the parser (`postlex`).
+    lark calls `process` between the lexer and the parser (`postlex`).
     """
 
     always_accept = (LINE_END,)
 
     def process(self, tokens: Iterator[Token]) -> Iterator[Token]:
-        """The tokens that the grammar sees; NestingTooDeepError as soon as a file nests too deep."""
+        """Yield the tokens for the grammar; raise NestingTooDeepError if the file is nested too deeply."""
         previous = ""
-        for token in self._bounded(tokens):
+        for token in self._limit_nesting(tokens):
             if token.type == LINE_END:
                 if previous in ENTRY_ENDS:
                     previous = "COMMA"
                     yield Token.new_borrow_pos("COMMA", "line end", token)
                 continue
             if token.type == "COMMA" and previous == "COMMA":
-                continue  # written before a line's end, or an empty line between
+                continue  # a comma before the end of the line, or an empty line
             previous = token.type
             yield token
 
-    def _bounded(self, tokens: Iterator[Token]) -> Iterator[Token]:
-        """The same tokens, as long as neither brackets nor the keys of one line nest too deep."""
+    def _limit_nesting(self, tokens: Iterator[Token]) -> Iterator[Token]:
+        """Yield the same tokens; raise NestingTooDeepError if brackets or keys are nested too deeply."""
         depth = keys_on_line = line = 0
         for token in tokens:
             if token.line != line:
@@ -117,18 +117,20 @@
 
 
 def parse(text: str, file: str) -> tuple[Record | None, list[Problem]]:
-    """The file's record, None where it cannot be read at all, and what is wrong with its syntax."""
+    """Return the record of the file, None if its syntax is invalid, and the problems found."""
     start = SourceLocation(file, 1, 1)
     if len(text.encode("utf-8", "replace")) > MAX_FILE_BYTES:
-        return None, [Problem(start, "", f"found more than {MAX_FILE_BYTES} bytes; allowed: up to that")]
+        return None, [
+            Problem(start, "", f"found more than {MAX_FILE_BYTES} bytes; allowed: {MAX_FILE_BYTES} at most")
+        ]
     problems: list[Problem] = []
 
-    def continue_after(error: UnexpectedInput) -> bool:
+    def record_and_continue(error: UnexpectedInput) -> bool:
         problems.append(_syntax_problem(error, file))
         return len(problems) < MAX_SYNTAX_ERRORS and not _is_at_end(error)
 
     try:
-        tree = _lark_parser().parse(text + "\n", on_error=continue_after)
+        tree = _lark_parser().parse(text + "\n", on_error=record_and_continue)
     except UnexpectedInput:
         return None, _first_of_each_line(problems)
     except NestingTooDeepError as error:
@@ -146,7 +148,7 @@
 
 
 def _first_of_each_line(problems: list[Problem]) -> list[Problem]:
-    """What follows on a line mostly follows from its first problem."""
+    """Return the first problem of each line, which mostly causes the others of that line."""
     first: dict[int, Problem] = {}
     for problem in problems:
         first.setdefault(problem.location.line, problem)
--- a/vetchford/configuration/reader.py
+++ b/vetchford/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Settings files to one checked, typed record."""
+"""Reads settings files into one checked, typed record."""
 
 import re
 from collections.abc import Sequence
@@ -15,28 +15,31 @@
 from vetchford.configuration.value_tree import ABSENT, Constraint, PlainValue, Scope, ValueNode
 
 SCHEMA_FILE = Path(__file__).with_name("schema.vet")
-SCHEMA_NAME = SCHEMA_FILE.name  # as error lines show it
-ROOT_DEFINITION = "#Settings"  # that a whole file must be
+SCHEMA_NAME = SCHEMA_FILE.name  # as shown in error lines
+ROOT_DEFINITION = "#Settings"  # the definition that a whole file must satisfy
 MAX_FILES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class SourceText:
-    """A file that was read."""
+    """The text of a settings file."""
 
     name: str
     text: str
 
 
 def schema() -> str:
-    """The schema's text, in the form itself."""
+    """Return the text of the schema."""
     return SCHEMA_FILE.read_text(encoding="utf-8")
 
 
 def read(paths: Sequence[str], request_classes: Sequence[str] | None = None) -> records.Settings:
-    """All files unified. `request_classes`: the platform's, to check names with, where they are known.
+    """Return the settings that the files declare together.
 
-    Raises SettingsError with everything that is wrong.
+    `request_classes` are those of the server, which settings may name; None if unknown.
+
+    Raises:
+        SettingsError: Settings are invalid; it has all problems.
     """
     problems: list[Problem] = []
     sources: list[SourceText] = []
@@ -47,13 +50,15 @@
                 text = file.read(MAX_FILE_BYTES + 1).decode("utf-8")
         except OSError as error:
             problems.append(Problem(start, "", f"can't be read: {error.strerror}"))
-        except ValueError:  # no UTF-8, or a name that no file has
-            problems.append(Problem(start, "", "found bytes that are no UTF-8 text"))
+        except ValueError:  # not UTF-8, or the name is not a valid file name
+            problems.append(Problem(start, "", "found bytes that are not UTF-8 text"))
         else:
             sources.append(SourceText(path, text))
     if len(paths) > MAX_FILES:
         location = SourceLocation(paths[MAX_FILES], 1, 1)
-        problems.append(Problem(location, "", f"{MAX_FILES} files at most are unified"))
+        problems.append(
+            Problem(location, "", f"found more than {MAX_FILES} files; allowed: {MAX_FILES} at most")
+        )
     return read_sources(sources, request_classes, problems)
 
 
@@ -62,36 +67,36 @@
     request_classes: Sequence[str] | None = None,
     earlier_problems: Sequence[Problem] = (),
 ) -> records.Settings:
-    """As `read`, from texts; `earlier_problems` are reported with those that are found."""
+    """Return the settings as `read` does, from texts; report `earlier_problems` with those found."""
     parsed, problems = _parse_all(sources, earlier_problems)
     unifier = Unifier(SCHEMA_NAME, [source.name for source in sources])
     try:
-        root = _root_of(unifier, parsed, sources[-1].name)
+        root = _new_root(unifier, parsed, sources[-1].name)
         plain = unifier.evaluate(root)
     except (LimitExceededError, RecursionError) as error:
-        message = str(error) if isinstance(error, LimitExceededError) else "nested too deep"
+        message = str(error) if isinstance(error, LimitExceededError) else "nested too deeply"
         start = SourceLocation(sources[0].name, 1, 1)
         raise SettingsError([*problems, Problem(start, "", message)]) from None
     problems += unifier.problems
     if plain is ABSENT and not unifier.problems:
-        problems += unifier.consequences
+        problems += unifier.secondary_problems
     if problems or plain is ABSENT:
         raise SettingsError(problems)
     locator = KeyLocator(root, sources[-1].name)
-    settings = _typed(plain, locator)
+    settings = _to_typed(plain, locator)
     consistency.check(settings, locator.location, request_classes)
     return settings
 
 
 @dataclass(frozen=True, slots=True)
 class KeyLocator:
-    """Finds where the files write a key."""
+    """Finds the location of a key in the files."""
 
     root: ValueNode
     last_file: str
 
     def location(self, path: str) -> SourceLocation:
-        """Where the key of a path stands, or the nearest above it."""
+        """Return the location of the key with a path, or of the nearest key above it."""
         value = self.root
         location = SourceLocation(self.last_file, 1, 1)
         for label in re.split(r"[.\[]", path):
@@ -105,7 +110,11 @@
 def _parse_all(
     sources: Sequence[SourceText], earlier_problems: Sequence[Problem]
 ) -> tuple[list[Record], list[Problem]]:
-    """The records of the files and the problems of single values; SettingsError where a file has no form."""
+    """Return the records of the files and the problems of single values.
+
+    Raises:
+        SettingsError: A file can't be read or parsed, or no file is named.
+    """
     problems = list(earlier_problems)
     parsed: list[Record] = []
     for source in sources:
@@ -119,8 +128,8 @@
     return parsed, problems
 
 
-def _root_of(unifier: Unifier, parsed: Sequence[Record], last_file: str) -> ValueNode:
-    """A root that all files must satisfy together, inside a scope with the schema's definitions."""
+def _new_root(unifier: Unifier, parsed: Sequence[Record], last_file: str) -> ValueNode:
+    """Return a root with the constraints of all files, in a scope with the definitions of the schema."""
     schema_record, problems = parse(schema(), SCHEMA_NAME)
     assert schema_record is not None and not problems, problems
     definitions = unifier.root_of([schema_record])
@@ -135,8 +144,12 @@
     return root
 
 
-def _typed(plain: PlainValue, locator: KeyLocator) -> records.Settings:
-    """The second check, by the types of `records`; SettingsError with the first problem."""
+def _to_typed(plain: PlainValue, locator: KeyLocator) -> records.Settings:
+    """Convert plain data to `records.Settings`, which checks it a second time.
+
+    Raises:
+        SettingsError: A value has the wrong type; it has the first problem.
+    """
     try:
         return msgspec.convert(plain, records.Settings)
     except msgspec.ValidationError as error:
--- a/vetchford/configuration/records.py
+++ b/vetchford/configuration/records.py
@@ -1,6 +1,6 @@
-"""The typed records that the rest of the program gets.
+"""Typed records of the settings.
 
-Field names are the keys of the settings files; each class names the definition of `schema.vet` that it is.
+Field names are the keys of the settings files; each class names its definition in `schema.vet`.
 """
 
 from typing import Annotated, Literal, TypeAlias
@@ -45,7 +45,7 @@
 
 
 class AgentPeersSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`#Peers`: an agent's place in a fleet of several machines."""
+    """`#Peers`: an agent as a member of a fleet of several machines."""
 
     fleet: Name
     name: Name
@@ -54,7 +54,7 @@
 
 
 class AgentSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`#Agent`: what one agent owns and where it keeps it."""
+    """`#Agent`: the instances of one agent and the paths of its files."""
 
     socket: Annotated[str, Meta(min_length=1, max_length=100)]
     store: Annotated[str, Meta(min_length=1)]
@@ -65,7 +65,7 @@
 
 
 class ServerFleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`#Together`: a server's place among the servers of its fleet."""
+    """`#Together`: a server as a member of its fleet."""
 
     fleet: Name
     name: Name
@@ -80,7 +80,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`#Settings`: all that our files say, unified."""
+    """`#Settings`: the settings that all files declare together."""
 
     version: Literal[1]
     pools: Literal["none", "derived"] | Annotated[dict[str, PoolSettings], Meta(max_length=16)]
--- a/vetchford/configuration/resolver.py
+++ b/vetchford/configuration/resolver.py
@@ -1,4 +1,4 @@
-"""Resolves references and conjunctions, and gathers under each key all that records say of it."""
+"""Resolves references and conjunctions, and collects the constraints that records put on each key."""
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
@@ -7,28 +7,30 @@
 from vetchford.configuration.syntax import Conjunction, Node, Record, Reference
 from vetchford.configuration.value_tree import ABSENT, Absent, Constraint, Scope, ValueNode, with_node_of
 
-MAX_STEPS = 100_000  # constraints looked at: a file of fifty pools takes some thousands; about a second
+MAX_STEPS = (
+    100_000  # constraints visited: fifty pools need some thousands; the limit is reached in about a second
+)
 MAX_KEY_DEPTH = 64
 
 
 class Resolver:
-    """References to what they refer to; counts the steps of one reading, and keeps its problems."""
+    """Resolves references, counts the steps of one evaluation and collects its problems."""
 
     def __init__(self) -> None:
-        """Nothing is resolved yet."""
+        """Create a resolver without problems."""
         self.steps = 0
-        self.definition_uses: list[Reference] = []  # by the numbers in `Constraint.definition_uses`
+        self.definition_uses: list[Reference] = []  # indexed by the numbers in `Constraint.definition_uses`
         self.problems: list[Problem] = []
 
     def count_step(self) -> None:
-        """LimitExceededError once a reading takes more steps than genuine files need."""
+        """Count a step; raise LimitExceededError after more steps than genuine files need."""
         self.steps += 1
         if self.steps > MAX_STEPS:
-            raise LimitExceededError(f"more than {MAX_STEPS} steps: choices or references multiply")
+            raise LimitExceededError(f"needs more than {MAX_STEPS} steps; use fewer choices and references")
 
     @contextmanager
-    def captured_problems(self) -> Iterator[list[Problem]]:
-        """Problems that are reported meanwhile go to the list that is given, and nowhere else."""
+    def capture_problems(self) -> Iterator[list[Problem]]:
+        """Collect the problems reported in the `with` block in the yielded list instead of `problems`."""
         outer = self.problems
         self.problems = []
         try:
@@ -37,49 +39,52 @@
             self.problems = outer
 
     def report(self, location: SourceLocation, value: ValueNode, message: str) -> Absent:
-        """Adds a problem; returns what a value is that has one."""
+        """Add a problem and return ABSENT, the result for an invalid value."""
         self.problems.append(Problem(location, value.path, message))
         return ABSENT
 
     def flatten(
         self, value: ValueNode, constraints: Sequence[Constraint[Node]]
     ) -> list[Constraint[Node]] | None:
-        """The constraints without references and conjunctions; None where a reference goes nowhere."""
+        """Resolve references and conjunctions of the constraints; return None if a reference is invalid."""
         flat: list[Constraint[Node]] = []
-        pending: list[tuple[Constraint[Node], tuple[int, ...]]] = [(one, ()) for one in reversed(constraints)]
-        is_good = True
+        pending: list[tuple[Constraint[Node], tuple[int, ...]]] = [
+            (constraint, ()) for constraint in reversed(constraints)
+        ]
+        is_valid = True
         while pending:
-            constraint, via = pending.pop()  # `via`: the targets that led here
+            # `visited_ids`: ids of the reference targets that led to this constraint
+            constraint, visited_ids = pending.pop()
             self.count_step()
             node = constraint.node
             scope = constraint.scope
             if isinstance(node, Conjunction):
                 pending += [
-                    (Constraint(part, scope, constraint.definition_uses), via)
+                    (Constraint(part, scope, constraint.definition_uses), visited_ids)
                     for part in reversed(node.parts)
                 ]
             elif isinstance(node, Reference):
                 target = self._target(node, scope, value)
                 if target is None:
-                    is_good = False
-                elif id(target) in via or target is value or len(via) > MAX_KEY_DEPTH:
+                    is_valid = False
+                elif id(target) in visited_ids or target is value or len(visited_ids) > MAX_KEY_DEPTH:
                     self.report(node.location, value, f"'{'.'.join(node.labels)}' refers to itself")
-                    is_good = False
+                    is_valid = False
                 else:
                     uses = self._uses_by(node, constraint)
                     pending += [
                         (
-                            Constraint(one.node, one.scope, uses + one.definition_uses),
-                            (*via, id(target)),
+                            Constraint(inner.node, inner.scope, uses + inner.definition_uses),
+                            (*visited_ids, id(target)),
                         )
-                        for one in reversed(target.constraints)
+                        for inner in reversed(target.constraints)
                     ]
             else:
                 flat.append(constraint)
-        return flat if is_good else None
+        return flat if is_valid else None
 
     def expand(self, value: ValueNode, flat: Sequence[Constraint[Node]]) -> None:
-        """Gives the value its children, with all that its records say of each."""
+        """Create the children of a value with the constraints that its records put on each."""
         records = with_node_of(Record, flat)
         value.children = {label: child for label, child in value.children.items() if child.constraints}
         for child in value.children.values():
@@ -92,24 +97,22 @@
             self._add_pattern(value, constraint)
 
     def _uses_by(self, reference: Reference, constraint: Constraint[Node]) -> tuple[int, ...]:
-        """The uses of definitions that the target's constraints come by."""
+        """Return the uses of definitions that lead to the constraints of the target."""
         if not reference.is_definition:
             return constraint.definition_uses
         self.definition_uses.append(reference)
         return (*constraint.definition_uses, len(self.definition_uses) - 1)
 
     def _target(self, reference: Reference, scope: Scope, value: ValueNode) -> ValueNode | None:
-        """What a reference refers to, found from its scope outwards; a problem of `value` if nothing."""
+        """Return the target of a reference, searched from its scope outwards; report a missing target."""
         first = reference.labels[0]
-        around: Scope | None = scope
-        while around is not None and not around.declares(first):
-            around = around.outer
-        if around is None:
-            self.report(
-                reference.location, value, f"found a reference to '{first}', which nothing here defines"
-            )
+        declaring: Scope | None = scope
+        while declaring is not None and not declaring.declares(first):
+            declaring = declaring.outer
+        if declaring is None:
+            self.report(reference.location, value, f"found a reference to '{first}', which is not defined")
             return None
-        target = around.value.child(first)
+        target = declaring.value.child(first)
         for label in reference.labels[1:]:
             self.expand(target, self.flatten(target, target.constraints) or [])
             if label not in target.children:
@@ -126,7 +129,7 @@
     def _add_fields(self, value: ValueNode, constraint: Constraint[Record]) -> None:
         scope = Scope(value, constraint.node, constraint.scope)
         if not value.path and constraint.scope.value is value:
-            scope = constraint.scope  # the top: names of all files are in view
+            scope = constraint.scope  # the root: references see the keys of all files
         for field in constraint.node.fields:
             self.count_step()
             child = value.child(field.label)
--- a/vetchford/configuration/scalars.py
+++ b/vetchford/configuration/scalars.py
@@ -1,4 +1,4 @@
-"""Unifies single values: one literal, or several that are the same, within all kinds and bounds."""
+"""Unifies single values: equal literals that satisfy all kinds and bounds."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,21 +13,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """Why values do not unify."""
+    """The reason why values do not unify."""
 
     location: SourceLocation
     message: str
 
 
 def unify_scalars(scalars: Sequence[Scalar], key_location: SourceLocation | None) -> PlainScalar | Mismatch:
-    """The value that satisfies all of them; `key_location`: where a missing value is to be written."""
+    """Return the value that satisfies all scalars; `key_location` is reported for a missing value."""
     literals = [scalar for scalar in scalars if isinstance(scalar, Literal)]
     limits = [scalar for scalar in scalars if not isinstance(scalar, Literal)]
     if not literals:
         return _conflict_of_kinds(limits) or Mismatch(
             key_location or limits[0].location, f"is missing; allowed: {values.describe(limits)}"
         )
-    literals.sort(key=lambda literal: isinstance(literal.value, float))  # 1 goes before 1.0
+    literals.sort(key=lambda literal: isinstance(literal.value, float))  # 1 before 1.0
     first = literals[0]
     for other in literals[1:]:
         if values.common_kind(first.kind, other.kind) is None or first.value != other.value:
@@ -41,7 +41,7 @@
 
 
 def _conflict_of_kinds(limits: Sequence[Kind | Bound]) -> Mismatch | None:
-    """The first kind of which no value is of the first kind that was named."""
+    """Return a mismatch for the first kind that has no values in common with the first one."""
     kinds = [limit for limit in limits if isinstance(limit, Kind)]
     for other in kinds[1:]:
         if values.common_kind(kinds[0].kind, other.kind) is None:
--- a/vetchford/configuration/syntax.py
+++ b/vetchford/configuration/syntax.py
@@ -1,4 +1,4 @@
-"""The syntax tree of a settings file: what is written, before anything is resolved or checked."""
+"""The syntax tree of a settings file, before references are resolved and values are checked."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """`[kind]: value`: what holds for each key of that kind."""
+    """`[kind]: value`: a constraint on the value of each key of that kind."""
 
     kind: str
     value: "Node"
@@ -31,17 +31,17 @@
 
     fields: tuple[Field, ...]
     pattern: Pattern | None
-    is_open: bool  # by `...`: keys that are not named are allowed
+    is_open: bool  # has `...`: keys that are not declared are allowed
     location: SourceLocation
 
     def declares(self, label: str) -> bool:
-        """Whether one of its fields has the label."""
+        """Return whether a field has the label."""
         return any(field.label == label for field in self.fields)
 
 
 @dataclass(frozen=True, slots=True)
 class ItemList:
-    """`[...]`; `rest` is what further items must be, None where there may be none."""
+    """`[...]`; `rest` constrains further items, None if there may be none."""
 
     items: tuple["Node", ...]
     rest: "Node | None"
@@ -57,7 +57,7 @@
 
     @property
     def is_definition(self) -> bool:
-        """Whether it names a definition, whose records are closed."""
+        """Whether the reference names a definition, whose records are closed."""
         return self.labels[0].startswith("#")
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """`a | *b`: one of its options."""
+    """`a | *b`: the value satisfies one of the options; `*` marks a default."""
 
     options: tuple[Option, ...]
     location: SourceLocation
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conjunction:
-    """`a & b`: all of its parts at once."""
+    """`a & b`: the value satisfies all parts."""
 
     parts: tuple["Node", ...]
     location: SourceLocation
@@ -87,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnyValue:
-    """`_`: whatever else holds."""
+    """`_`: any value."""
 
     location: SourceLocation
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidNode:
-    """Stands where a value could not be read; the problem is reported already."""
+    """Placeholder for a value that could not be read; its problem is reported already."""
 
     location: SourceLocation
 
--- a/vetchford/configuration/tree_builder.py
+++ b/vetchford/configuration/tree_builder.py
@@ -1,4 +1,4 @@
-"""lark's parse tree to the syntax tree of `vetchford.configuration.syntax`."""
+"""Converts lark's parse tree into the syntax tree of `vetchford.configuration.syntax`."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeAlias
@@ -34,15 +34,15 @@
 
 
 class TreeBuilder:
-    """Builds the nodes of one file; what is wrong with a single value is a problem, and an InvalidNode."""
+    """Builds the nodes of one file; an invalid literal becomes a problem and an InvalidNode."""
 
     def __init__(self, file: str) -> None:
-        """`file`: the name that locations give."""
+        """Create a builder; `file` is the name used in locations."""
         self.file = file
         self.problems: list[Problem] = []
         self._builders: dict[str, Callable[[Sequence[Part], SourceLocation], Node]] = {
             "choice": self._choice,
-            "both": self._conjunction,
+            "conjunction": self._conjunction,
             "bound": self._bound,
             "literal": self._literal,
             "kind": self._kind,
@@ -53,7 +53,7 @@
         }
 
     def record(self, parts: Sequence[Part], location: SourceLocation) -> Record:
-        """The record of some fields, also of a whole file's."""
+        """Return the record with the given fields, also for a whole file."""
         fields: list[Field] = []
         pattern: Pattern | None = None
         is_open = False
@@ -75,7 +75,7 @@
         label = tree.children[0]
         value = tree.children[-1]
         is_optional = len(tree.children) == PARTS_OF_OPTIONAL_FIELD
-        if isinstance(value, Tree) and value.data == "field_in":  # a: b: 1 is a: {b: 1}
+        if isinstance(value, Tree) and value.data == "nested_field":  # a: b: 1 is a: {b: 1}
             inner = self._field(value)
             node: Node = Record((inner,), None, False, inner.location)
         else:
@@ -144,5 +144,5 @@
 
 
 def _trees(parts: Sequence[Part]) -> list[ParseTree]:
-    """Without the commas between."""
+    """Return the parts without the commas between them."""
     return [part for part in parts if isinstance(part, Tree)]
--- a/vetchford/configuration/unifier.py
+++ b/vetchford/configuration/unifier.py
@@ -1,7 +1,7 @@
-"""Unifies records: a key's value is what satisfies all that any file says of it.
+"""Unifies records: the value of a key satisfies the constraints of all files.
 
-The tree of values is grown by `Resolver`, choices are decided by `ChoiceResolver`; here records, lists and
-single values become plain data. Nothing is executed, and the number of steps is bounded.
+`Resolver` builds the tree of values and `ChoiceResolver` resolves choices; this module evaluates records,
+lists and single values to plain data. Nothing is executed, and the number of steps is limited.
 """
 
 import difflib
@@ -30,10 +30,10 @@
 
 
 class Unifier(ChoiceResolver):
-    """One reading of some files. `evaluate` gives plain data, as JSON has it; see `problems` as well."""
+    """Evaluates the values of some files to plain data as in JSON; `problems` has what is invalid."""
 
     def root_of(self, records: Sequence[Record]) -> ValueNode:
-        """A root with the children that all of the records name."""
+        """Return a root with the children that the records declare."""
         root = ValueNode("", 0)
         scope = Scope(root, None, None)
         for record in records:
@@ -42,33 +42,37 @@
         return root
 
     def evaluate(self, value: ValueNode) -> PlainValue | Absent:
-        """Plain data; ABSENT where there is none, with the reason among the problems."""
+        """Return plain data, or ABSENT after reporting the problem."""
         if value.depth > MAX_KEY_DEPTH:
             raise LimitExceededError(f"keys nested deeper than {MAX_KEY_DEPTH}")
         flat = self.flatten(value, value.constraints)
         if flat is None or with_node_of(InvalidNode, flat):
             return ABSENT
         choices = with_node_of(Choice, flat)
-        others = [one for one in flat if not isinstance(one.node, Choice | AnyValue)]
+        others = [constraint for constraint in flat if not isinstance(constraint.node, Choice | AnyValue)]
         if choices:
             return self.decide(value, others, choices)
         if not others:
             location = value.location(self.schema) or flat[0].node.location
             return self.report(location, value, "has no value; allowed: any")
-        mismatch = _mismatch_of_sorts(others)
+        mismatch = _mismatch_of_shapes(others)
         if mismatch is not None:
             return self.report(mismatch.location, value, mismatch.message)
-        sort = _sort_of(others[0].node)
-        if sort == RECORD:
+        shape = _shape_of(others[0].node)
+        if shape == RECORD:
             return self._evaluate_record(value, with_node_of(Record, others))
-        if sort == LIST:
+        if shape == LIST:
             return self._evaluate_list(value, with_node_of(ItemList, others))
         return self._evaluate_scalar(value, others)
 
     def _evaluate_scalar(
         self, value: ValueNode, constraints: Sequence[Constraint[Node]]
     ) -> PlainValue | Absent:
-        scalars = [one.node for one in constraints if isinstance(one.node, Literal | Kind | Bound)]
+        scalars = [
+            constraint.node
+            for constraint in constraints
+            if isinstance(constraint.node, Literal | Kind | Bound)
+        ]
         result = unify_scalars(scalars, value.location(self.schema))
         if isinstance(result, Mismatch):
             return self.report(result.location, value, result.message)
@@ -80,37 +84,37 @@
         self.expand(value, constraints)
         allowed = _keys_allowed_by_use(value, constraints)
         plain: dict[str, PlainValue] = {}
-        is_good = True
+        is_valid = True
         for label, child in value.children.items():
             if label.startswith("#"):
                 continue
             refusing = [use for use, labels in allowed.items() if label not in labels]
             if refusing:
-                is_good = False
+                is_valid = False
                 self._report_unknown_key(label, child, max(refusing), allowed)
                 continue
-            if child.is_optional:  # only declared, by the records that allow it
+            if child.is_optional:  # declared as optional, but no file has a value
                 continue
             result = self.evaluate(child)
             if result is ABSENT:
-                is_good = False
+                is_valid = False
             else:
                 plain[label] = result
-        return plain if is_good else ABSENT
+        return plain if is_valid else ABSENT
 
     def _report_unknown_key(
         self, label: str, value: ValueNode, use: int, allowed: dict[int, set[str]]
     ) -> None:
-        """Where a user's file writes it; the schema does not name keys that it does not allow."""
-        written = next((location for location in value.locations if location.file != self.schema), None)
-        if written is None:
+        """Report an unknown key at its location in the user's files; the schema has no such keys."""
+        location = next((location for location in value.locations if location.file != self.schema), None)
+        if location is None:
             return
-        near = difflib.get_close_matches(label, allowed[use], 1)
-        suggestion = f" (did you mean '{near[0]}'?)" if near else ""
+        close_matches = difflib.get_close_matches(label, allowed[use], 1)
+        suggestion = f" (did you mean '{close_matches[0]}'?)" if close_matches else ""
         names = ", ".join(sorted(allowed[use])) or "none"
         definition = self.definition_uses[use]
         self.report(
-            written,
+            location,
             value,
             f"found the unknown key '{label}'{suggestion}; allowed: {names} "
             f"(by {definition.labels[0]} at {definition.location})",
@@ -119,56 +123,58 @@
     def _evaluate_list(
         self, value: ValueNode, constraints: Sequence[Constraint[ItemList]]
     ) -> PlainValue | Absent:
-        mismatch = _mismatch_of_lengths([one.node for one in constraints], self.schema)
+        mismatch = _mismatch_of_lengths([constraint.node for constraint in constraints], self.schema)
         if mismatch is not None:
             return self.report(mismatch.location, value, mismatch.message)
         plain: list[PlainValue] = []
-        is_good = True
-        for index in range(max(len(one.node.items) for one in constraints)):
+        is_valid = True
+        for index in range(max(len(constraint.node.items) for constraint in constraints)):
             child = ValueNode(f"{value.path}[{index}]", value.depth + 1, parent=value)
             for constraint in constraints:
                 items = constraint.node.items
                 rest = constraint.node.rest
                 node = items[index] if index < len(items) else rest
-                assert node is not None, "a list that is too short has a rest"
+                assert node is not None, "_mismatch_of_lengths has checked that shorter lists have a rest"
                 child.constraints.append(Constraint(node, constraint.scope, constraint.definition_uses))
             result = self.evaluate(child)
             if result is ABSENT:
-                is_good = False
+                is_valid = False
             else:
                 plain.append(result)
-        return plain if is_good else ABSENT
+        return plain if is_valid else ABSENT
 
 
-def _sort_of(node: Node) -> str:
+def _shape_of(node: Node) -> str:
     if isinstance(node, Record):
         return RECORD
     return LIST if isinstance(node, ItemList) else SINGLE_VALUE
 
 
-def _mismatch_of_sorts(constraints: Sequence[Constraint[Node]]) -> Mismatch | None:
-    """Two of a record, a list and a single value: the user's side first, as fewer definitions brought it."""
-    first_of_sort: dict[str, Constraint[Node]] = {}
+def _mismatch_of_shapes(constraints: Sequence[Constraint[Node]]) -> Mismatch | None:
+    """Return the mismatch of two shapes; the user's, with fewer definition uses, is reported as found."""
+    first_of_shape: dict[str, Constraint[Node]] = {}
     for constraint in constraints:
-        first_of_sort.setdefault(_sort_of(constraint.node), constraint)
-    if len(first_of_sort) == 1:
+        first_of_shape.setdefault(_shape_of(constraint.node), constraint)
+    if len(first_of_shape) == 1:
         return None
-    by_uses = sorted(first_of_sort.items(), key=lambda item: len(item[1].definition_uses))
-    (found_sort, found), (allowed_sort, allowed) = by_uses[:2]
+    by_uses = sorted(first_of_shape.items(), key=lambda item: len(item[1].definition_uses))
+    (found_shape, found), (allowed_shape, allowed) = by_uses[:2]
     return Mismatch(
         found.node.location,
-        f"found {describe_node(found.node, found_sort)}; "
-        f"allowed: {describe_node(allowed.node, allowed_sort)} (by {allowed.node.location})",
+        f"found {describe_node(found.node, found_shape)}; "
+        f"allowed: {describe_node(allowed.node, allowed_shape)} (by {allowed.node.location})",
     )
 
 
 def _mismatch_of_lengths(lists: Sequence[ItemList], schema: str) -> Mismatch | None:
-    """The first list that is shorter than another and may not go on."""
-    length = max(len(one.items) for one in lists)
-    short = next((one for one in lists if len(one.items) < length and one.rest is None), None)
+    """Return a mismatch for the first list that is shorter than another and allows no more items."""
+    length = max(len(item_list.items) for item_list in lists)
+    short = next(
+        (item_list for item_list in lists if len(item_list.items) < length and item_list.rest is None), None
+    )
     if short is None:
         return None
-    longest = next(one for one in lists if len(one.items) == length)
+    longest = next(item_list for item_list in lists if len(item_list.items) == length)
     if short.location.file == schema:
         allowed = f"{len(short.items)} (by {short.location})"
         return Mismatch(longest.location, f"found a list of {length}; allowed: {allowed}")
@@ -178,7 +184,7 @@
 
 
 def _keys_allowed_by_use(value: ValueNode, constraints: Sequence[Constraint[Record]]) -> dict[int, set[str]]:
-    """The keys that each use of a definition allows; without the uses that `...` leaves open."""
+    """Return the keys that each use of a definition allows, without uses of definitions with `...`."""
     records_by_use: dict[int, list[Record]] = {}
     for constraint in constraints:
         for use in constraint.definition_uses:
--- a/vetchford/configuration/value_tree.py
+++ b/vetchford/configuration/value_tree.py
@@ -1,4 +1,4 @@
-"""The tree of values that files are unified into: each key with all that is said of it."""
+"""The tree that files are unified into: each key with its constraints."""
 
 import enum
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
     ABSENT = enum.auto()
 
 
-ABSENT: Final = Absent.ABSENT  # the result where a key is declared only, or wrong
+ABSENT: Final = Absent.ABSENT  # the result for a key without a value or with an invalid one
 
 
 @dataclass(slots=True)
@@ -27,11 +27,11 @@
     """A record in which references look names up, and the scopes around it."""
 
     value: "ValueNode"
-    record: Record | None  # None at the top: all keys of all files are in view
+    record: Record | None  # None for the root: the keys of all files
     outer: "Scope | None"
 
     def declares(self, label: str) -> bool:
-        """Whether a reference to the label ends its search here."""
+        """Return whether this scope declares the label, which ends the search for a reference."""
         return self.record.declares(label) if self.record else label in self.value.children
 
 
@@ -41,7 +41,7 @@
 
     node: AnyNode_co
     scope: Scope
-    definition_uses: tuple[int, ...] = ()  # numbers of the uses of definitions that it came by
+    definition_uses: tuple[int, ...] = ()  # numbers of the definition uses that led to this constraint
 
 
 @dataclass(slots=True)
@@ -52,19 +52,19 @@
     depth: int
     constraints: list[Constraint[Node]] = field(default_factory=list)
     children: dict[str, "ValueNode"] = field(default_factory=dict)
-    is_optional: bool = True  # until one field names it without a question mark
-    locations: list[SourceLocation] = field(default_factory=list)  # of its key
+    is_optional: bool = True  # until a field declares the key without a question mark
+    locations: list[SourceLocation] = field(default_factory=list)  # where files write the key
     parent: "ValueNode | None" = None
 
     def child(self, label: str) -> "ValueNode":
-        """The value under a key, made if it is not there yet."""
+        """Return the value of a key, which is created if there is none."""
         if label not in self.children:
             path = f"{self.path}.{label}" if self.path else label
             self.children[label] = ValueNode(path, self.depth + 1, parent=self)
         return self.children[label]
 
     def location(self, schema: str) -> SourceLocation | None:
-        """Where a file other than `schema` writes its key last, or the nearest above it."""
+        """Return where a file other than `schema` writes the key last, else the nearest key above it."""
         for location in reversed(self.locations):
             if location.file != schema:
                 return location
@@ -76,5 +76,9 @@
 
 
 def with_node_of(kind: type[SomeNode], constraints: Iterable[Constraint[Node]]) -> list[Constraint[SomeNode]]:
-    """Those whose node is of one type."""
-    return [cast("Constraint[SomeNode]", one) for one in constraints if isinstance(one.node, kind)]
+    """Return the constraints whose node has the type `kind`."""
+    return [
+        cast("Constraint[SomeNode]", constraint)
+        for constraint in constraints
+        if isinstance(constraint.node, kind)
+    ]
--- a/vetchford/configuration/values.py
+++ b/vetchford/configuration/values.py
@@ -1,4 +1,4 @@
-"""Single values: reading literals, units, comparison with kinds and bounds, and how each is described."""
+"""Single values: parsing of literals and units, comparison with kinds and bounds, descriptions."""
 
 import json
 import math
@@ -45,12 +45,12 @@
     "null": "null",
     "word": "a word in quotes (letters, digits, '-', '_', '.'; 64 at most)",
 }
-NARROWER_KINDS = (("int", "number"), ("word", "string"))  # each is a kind of the other
+NARROWER_KINDS = (("int", "number"), ("word", "string"))  # each first kind is a subset of the second
 
 
 @dataclass(frozen=True, slots=True)
 class Literal:
-    """A value that is written out: durations in ms, sizes in bytes, both with the text of the file."""
+    """A literal with its text in the file; `value` is in ms for durations and in bytes for sizes."""
 
     kind: str
     value: Any
@@ -79,10 +79,10 @@
 
 
 def parse_number(text: str, location: SourceLocation) -> Literal:
-    """A number, percentage, duration or size; ValueError says what is wrong."""
+    """Parse a number, percentage, duration or size; raise ValueError with the problem as its text."""
     match = NUMBER_PATTERN.fullmatch(text) if len(text) <= MAX_NUMBER_LENGTH else None
     if match is None:
-        raise ValueError(f"found {text[:MAX_NUMBER_LENGTH]}, which is no number, duration or size")
+        raise ValueError(f"found {text[:MAX_NUMBER_LENGTH]}, which is not a number, duration or size")
     digits = match[1].replace("_", "")
     unit = match[2]
     value = float(digits) if re.search("[.eE]", digits) else int(digits)
@@ -97,19 +97,19 @@
     if unit in BYTES_BY_UNIT:
         size = value * BYTES_BY_UNIT[unit]
         if size % 1:
-            raise ValueError(f"found {text}, which is no whole number of bytes")
+            raise ValueError(f"found {text}, which is not a whole number of bytes")
         return Literal("size", int(size), location, text)
     units = ", ".join([*MILLISECONDS_BY_UNIT, *BYTES_BY_UNIT])
     raise ValueError(f"found {text}; allowed units: {units}, %")
 
 
 def parse_string(text: str, location: SourceLocation) -> Literal:
-    """A string in quotes, with the escapes of JSON; ValueError says what is wrong."""
+    """Parse a quoted string with JSON escapes; raise ValueError with the problem as its text."""
     try:
         value = json.loads(text)
     except ValueError:
         raise ValueError(
-            f"found {text[:MAX_SHOWN_LENGTH]}, which is no string: escapes are those of JSON"
+            f"found {text[:MAX_SHOWN_LENGTH]}, which is not a valid string; allowed: the escapes of JSON"
         ) from None
     if len(value) > MAX_STRING_LENGTH:
         raise ValueError(f"found a string of {len(value)} characters; allowed: {MAX_STRING_LENGTH} at most")
@@ -118,28 +118,28 @@
 
 
 def parse_constant(text: str, location: SourceLocation) -> Literal:
-    """`true`, `false` or `null`."""
+    """Parse `true`, `false` or `null`."""
     value = CONSTANTS[text]
     return Literal("null" if value is None else "bool", value, location, text)
 
 
 def is_of_kind(literal: Literal, kind: str) -> bool:
-    """Whether a value is of a kind; a whole number is a number too, and some strings are words."""
+    """Return whether a value is of a kind; whole numbers are also numbers, and some strings are words."""
     if kind == "word":
         return literal.kind == "string" and WORD_PATTERN.fullmatch(literal.value) is not None
     return literal.kind == kind or (kind == "number" and literal.kind == "int")
 
 
-def common_kind(one: str, other: str) -> str | None:
-    """The kind of values that are of both kinds; None where there are no such values."""
-    for narrow, wide in ((one, other), (other, one)):
+def common_kind(kind: str, other: str) -> str | None:
+    """Return the kind of the values that are of both kinds; None if there are no such values."""
+    for narrow, wide in ((kind, other), (other, kind)):
         if narrow == wide or (narrow, wide) in NARROWER_KINDS:
             return narrow
     return None
 
 
 def is_within(literal: Literal, bound: Bound) -> bool:
-    """Whether a value satisfies a bound; only values of like kinds are ordered."""
+    """Return whether a value satisfies a bound; values without a common kind can't be compared."""
     limit = bound.limit
     comparable = common_kind(literal.kind, limit.kind) is not None
     if bound.operator == "!=":
@@ -148,7 +148,7 @@
 
 
 def describe(scalars: Sequence[Scalar]) -> str:
-    """What all of them together allow, in words."""
+    """Describe in words the values that satisfy all scalars."""
     literals = dict.fromkeys(entry.text for entry in scalars if isinstance(entry, Literal))
     if literals:
         return ", ".join(literals)
@@ -163,7 +163,7 @@
 
 
 def _kind_allowed_by(scalars: Sequence[Scalar]) -> str | None:
-    """The narrowest kind that is named; whole numbers as bounds alone do not narrow a number."""
+    """Return the narrowest kind given; a bound that is a whole number does not narrow `number` to `int`."""
     named = [entry.kind for entry in scalars if isinstance(entry, Kind)]
     kinds = named + [entry.limit.kind for entry in scalars if isinstance(entry, Bound)]
     kind = kinds[0] if kinds else None
