--- a/vetchford/bench_adapter/__init__.py
+++ b/vetchford/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire in front of the admission controller; holds no decisions."""
+"""Runs the admission controller behind the simulator's protocol; makes no decisions itself."""
--- a/vetchford/bench_adapter/__main__.py
+++ b/vetchford/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m vetchford.bench_adapter`: one batch of events in, one reply out, until the input ends."""
+"""`python -m vetchford.bench_adapter`: replies to each batch of events until the input ends."""
 
 import sys
 
@@ -7,18 +7,18 @@
 
 
 def main() -> int:
-    """Answer the batches on standard input; 1 where one is malformed, which ends it."""
+    """Reply to the batches on standard input; stop and return 1 at a malformed batch."""
     link = SimulatorLink()
-    read = sys.stdin.buffer
-    write = sys.stdout.buffer
-    for number, line in enumerate(read, 1):
+    batches = sys.stdin.buffer
+    replies = sys.stdout.buffer
+    for number, line in enumerate(batches, 1):
         try:
             reply = link.exchange(line)
         except MalformedInputError as problem:
             print(f"benchlink: line {number}: {problem}", file=sys.stderr)
             return 1
-        write.write(reply)
-        write.flush()
+        replies.write(reply)
+        replies.flush()
     return 0
 
 
--- a/vetchford/bench_adapter/simulated_server.py
+++ b/vetchford/bench_adapter/simulated_server.py
@@ -1,4 +1,4 @@
-"""One simulated server: events of the wire to calls of its controller."""
+"""One simulated server: passes events of the simulator to the admission controller."""
 
 from collections.abc import Callable
 
@@ -11,61 +11,61 @@
 
 
 class NotAttachedError(VetchfordError):
-    """An event for a server whose attaching failed."""
+    """An event is for an instance whose attach event failed."""
 
     def __init__(self, number: int) -> None:
-        """Take the number of the instance."""
+        """Create the error for the instance with this number."""
         super().__init__(f"instance {number} is not attached")
         self.number = number
 
 
 class SimulatedServer:
-    """A controller with the simulator's ids and clock."""
+    """An admission controller that uses the request ids and the clock of the simulator."""
 
-    def __init__(self, number: int, origin_ns: int, out: list[Action]) -> None:
-        """Create a server whose clock starts at the simulator's time `origin_ns`.
+    def __init__(self, number: int, origin_ns: int, batch_actions: list[Action]) -> None:
+        """Create instance `number`, whose clock starts at the simulator's time `origin_ns`.
 
-        `out`: the actions of the batch that is being answered.
+        Actions are appended to `batch_actions`, those of the current batch.
         """
         self.origin_ns = origin_ns
-        self.actions = SimulatorActions(number, origin_ns, out)
+        self.actions = SimulatorActions(number, origin_ns, batch_actions)
         self._decoder: EventDecoder | None = None
         self._controller: AdmissionController | None = None
 
     @property
     def controller(self) -> AdmissionController:
-        """The controller, once attached."""
+        """The controller; raises NotAttachedError if there is none."""
         if self._controller is None:
             raise NotAttachedError(self.actions.number)
         return self._controller
 
     @property
     def decoder(self) -> EventDecoder:
-        """The decoder of its events, once attached."""
+        """The decoder of events; raises NotAttachedError if there is none."""
         if self._decoder is None:
             raise NotAttachedError(self.actions.number)
         return self._decoder
 
     def attach(self, event: Event) -> None:
-        """Build the controller from the event's settings.
+        """Create the controller from the settings in the event.
 
         Raises:
-            MalformedInputError: The event has no settings, or they can't be used.
+            MalformedInputError: The settings in the event are missing or invalid.
         """
         seed, settings = simulator_events.decode_settings(event)
         self._decoder = EventDecoder(settings, self.origin_ns)
         self._controller = factory.build(self.actions, seed, settings, settings.starts_cold)
 
     def handle(self, clock_ns: int, kind: str, event: Event) -> None:
-        """Deliver an event of a kind in `HANDLERS` that happened at `clock_ns`.
+        """Handle an event that happened at `clock_ns`; `kind` is a key of `HANDLERS`.
 
         Raises:
-            MalformedInputError: A field of the event is missing or wrong.
+            MalformedInputError: A field of the event is missing or invalid.
         """
         HANDLERS[kind](self, self.decoder.to_ms(clock_ns), event)
 
-    def _known_index(self, event: Event) -> int | None:
-        """Return the index of a request; None where it was released: late events change nothing."""
+    def _index_if_known(self, event: Event) -> int | None:
+        """Return the index of the request, None if it was released; late events are ignored."""
         return self.actions.indices.by_name.get(simulator_events.decode_request_id(event))
 
     def _request_arrived(self, now_ms: float, event: Event) -> None:
@@ -77,7 +77,7 @@
         self.controller.request_arrived(now_ms, arrival)
 
     def _termination_notice(self, now_ms: float, event: Event) -> None:
-        answers_due_at_ms = self.decoder.kill_at_ms(event)  # a simulated server needs no time to exit
+        answers_due_at_ms = self.decoder.kill_at_ms(event)  # a simulated server exits at once
         self.controller.start_draining(now_ms, answers_due_at_ms)
 
     def _tick(self, now_ms: float, event: Event) -> None:
@@ -85,23 +85,23 @@
         self.controller.on_tick(now_ms, gauges.core_use, gauges.on_cores)
 
     def _client_gone(self, now_ms: float, event: Event) -> None:
-        index = self._known_index(event)
+        index = self._index_if_known(event)
         if index is not None:
             self.controller.client_gone(now_ms, index)
 
     def _run_blocked(self, now_ms: float, event: Event) -> None:
-        index = self._known_index(event)
+        index = self._index_if_known(event)
         if index is not None:
             self.controller.run_blocked(now_ms, index)
 
     def _call_ended(self, now_ms: float, event: Event) -> None:
-        index = self._known_index(event)
+        index = self._index_if_known(event)
         outcome, duration_ms = simulator_events.decode_outcome(event)
         if index is not None:
             self.controller.call_ended(now_ms, index, outcome, duration_ms)
 
     def _run_ended(self, now_ms: float, event: Event) -> None:
-        index = self._known_index(event)
+        index = self._index_if_known(event)
         outcome, duration_ms = simulator_events.decode_outcome(event)
         if index is not None:
             self.controller.run_ended(now_ms, index, outcome, duration_ms)
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's actions, and the controller's actions in that form."""
+"""Encodes the actions of the admission controller for the simulator."""
 
 import json
 import math
@@ -12,17 +12,17 @@
 
 
 def encode_reply(actions: list[Action]) -> bytes:
-    """Return the line that replies to a batch with these actions."""
+    """Return the line with the reply to a batch."""
     return json.dumps({"decisions": actions}, separators=(",", ":")).encode() + b"\n"
 
 
 def crash(number: int, text: str) -> Action:
-    """Return the report that the decisions of an instance broke."""
+    """Return the action that reports an exception in the controller of an instance."""
     return {"t": "crash", "i": number, "text": text}
 
 
-def instance(action: Action) -> int:
-    """Return the number of the instance that an action is of."""
+def instance_number(action: Action) -> int:
+    """Return the number of the instance that an action belongs to."""
     number: int = action["i"]
     return number
 
@@ -30,75 +30,78 @@
 class SimulatorActions:
     """Implements `vetchford.admission.actions.AdmissionActions` for one instance.
 
-    Appends to `out`, the actions of the batch that is being answered. Indices become the simulator's ids,
-    milliseconds of the controller's clock become nanoseconds of the simulator's.
+    Appends the actions to `batch_actions`, those of the current batch. Converts indices to the request ids of
+    the simulator, and milliseconds of the controller's clock to nanoseconds of the simulator's clock.
     """
 
-    def __init__(self, number: int, origin_ns: int, out: list[Action]) -> None:
+    def __init__(self, number: int, origin_ns: int, batch_actions: list[Action]) -> None:
         """Create the actions of instance `number`, whose clock starts at the simulator's time `origin_ns`."""
         self.number = number
         self.origin_ns = origin_ns
-        self.out = out
+        self.batch_actions = batch_actions
         self.indices = IndexAllocator()
 
-    def _act(self, kind: str, **fields: Any) -> None:
-        self.out.append({"t": kind, "i": self.number, **fields})
+    def _append(self, kind: str, **fields: Any) -> None:
+        self.batch_actions.append({"t": kind, "i": self.number, **fields})
 
-    def _act_on(self, kind: str, index: int, **fields: Any) -> None:
-        self._act(kind, call=self.indices.names[index], **fields)
+    def _append_for(self, kind: str, index: int, **fields: Any) -> None:
+        self._append(kind, call=self.indices.names[index], **fields)
 
     def start(self, index: int) -> None:
         """Run a queued request."""
-        self._act_on("execute", index)
+        self._append_for("execute", index)
 
     def stop(self, index: int) -> None:
         """Stop a run."""
-        self._act_on("suspend", index)
+        self._append_for("suspend", index)
 
     def reject(self, index: int, terminal: bool, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Answer that it never ran; the wire has no place for the reason."""
-        self._act_on("notNow", index, terminal=terminal, pause=int(retry_after_ms * NS_PER_MS))
+        """Reject a request that did not run; the protocol has no field for the reason."""
+        self._append_for("notNow", index, terminal=terminal, pause=int(retry_after_ms * NS_PER_MS))
 
     def fail(self, index: int) -> None:
-        """Answer with an error."""
-        self._act_on("fail", index)
+        """Answer a request with an error."""
+        self._append_for("fail", index)
 
     def share(self, index: int) -> None:
-        """Answer with the result of the request it repeats."""
-        self._act_on("share", index)
+        """Answer a retry with the result of the original request."""
+        self._append_for("share", index)
 
     def call(self, index: int, cut_at_ms: float) -> None:
-        """Make its call; rounded down, so that no call outlives its cut, and 0 would mean the default."""
-        self._act_on("goCall", index, cutAt=max(1, self.origin_ns + math.floor(cut_at_ms * NS_PER_MS)))
+        """Make the dependency call of a request.
+
+        The time is rounded down, so that no call ends after it, and to at least 1, as 0 means the default.
+        """
+        self._append_for("goCall", index, cutAt=max(1, self.origin_ns + math.floor(cut_at_ms * NS_PER_MS)))
 
     def skip(self, index: int) -> None:
-        """Go on without its call."""
-        self._act_on("skip", index)
+        """Continue a run without its dependency call."""
+        self._append_for("skip", index)
 
     def remember(self, index: int, keep_for_ms: float) -> None:
-        """Keep its idempotency key; rounded up, never too short."""
-        self._act_on("recordKey", index, keepFor=math.ceil(keep_for_ms * NS_PER_MS))
+        """Keep the idempotency key of a request; the time is rounded up, so that it is never too short."""
+        self._append_for("recordKey", index, keepFor=math.ceil(keep_for_ms * NS_PER_MS))
 
     def forget(self, index: int) -> None:
-        """Drop its idempotency key."""
-        self._act_on("unpin", index)
+        """Drop the idempotency key of a request."""
+        self._append_for("unpin", index)
 
     def release(self, index: int) -> None:
-        """Reuse the index; the simulator knows nothing of it."""
+        """Release the index; the simulator is not told."""
         self.indices.release(index)
 
     def set_readiness(self, ready: bool) -> None:
-        """Answer health checks so from now on."""
-        self._act("fitness", on=ready, cheap=True)
+        """Set the answer to health checks."""
+        self._append("fitness", on=ready, cheap=True)
 
     def publish_load(self, value: float) -> None:
-        """Send this value with each answer."""
-        self._act("stamp", x=value)
+        """Set the load value that is sent with each answer."""
+        self._append("stamp", x=value)
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections idle for that long."""
-        self._act("reapAfter", keepFor=math.ceil(timeout_ms * NS_PER_MS))
+        """Close connections that are idle for `timeout_ms`."""
+        self._append("reapAfter", keepFor=math.ceil(timeout_ms * NS_PER_MS))
 
     def schedule_tick(self, delay_ms: float) -> None:
-        """Ask for one `bell`."""
-        self._act("notifyMe", **{"in": math.ceil(delay_ms * NS_PER_MS)}, mark="sweep")
+        """Request one tick event (`bell`)."""
+        self._append("notifyMe", **{"in": math.ceil(delay_ms * NS_PER_MS)}, mark="sweep")
--- a/vetchford/bench_adapter/simulator_events.py
+++ b/vetchford/bench_adapter/simulator_events.py
@@ -1,6 +1,6 @@
-"""Codec of the simulator's batches and events: the one module that knows the names of their fields.
+"""Decodes batches and events of the simulator; only this module knows the names of their fields.
 
-Absent, zero and null fields are the same.
+Absent, zero and null fields mean the same.
 """
 
 import json
@@ -30,97 +30,97 @@
 
 
 class Batch(NamedTuple):
-    """Events that happened at one time."""
+    """Events that happened at the same time."""
 
     clock_ns: int
     events: list[Any]
 
 
 class EventHead(NamedTuple):
-    """What every event has."""
+    """The fields that every event has."""
 
     kind: str
     instance: int
 
 
 class RunOutcome(NamedTuple):
-    """How a run or a call ended."""
+    """The outcome of a run or a dependency call."""
 
     outcome: Outcome
     duration_ms: float
 
 
 class Gauges(NamedTuple):
-    """The gauges that a tick brings; None where one is not reported."""
+    """The gauges of a tick event; None for a gauge that is not reported."""
 
     core_use: float | None
     on_cores: float | None
 
 
 def decode_batch(line: bytes) -> Batch:
-    """Return the events of one line of input, unchecked.
+    """Return the batch of one line of input; its events are not checked.
 
     Raises:
-        MalformedInputError: The line is no batch.
+        MalformedInputError: The line is not a batch.
     """
     try:
         batch = json.loads(line)
     except ValueError as problem:
-        raise MalformedInputError(f"not JSON: {problem}") from None
+        raise MalformedInputError(f"not valid JSON: {problem}") from None
     if not isinstance(batch, dict):
         raise MalformedInputError("a batch must be an object")
     return Batch(_require(batch, "time", int), _require(batch, "happened", list))
 
 
 def decode_head(event: Any) -> EventHead:
-    """Return the kind of an event, and the number of the instance that it is for.
+    """Return the kind of an event and the number of its instance.
 
     Raises:
-        MalformedInputError: It has none.
+        MalformedInputError: The event is not an object, or a field is missing or invalid.
     """
     if not isinstance(event, dict):
-        raise MalformedInputError("field 'happened' holds something that is no object")
+        raise MalformedInputError("field 'happened' must hold objects only")
     return EventHead(_require(event, "t", str), _require(event, "i", int))
 
 
 def decode_settings(event: Event) -> tuple[int, ServerSettings]:
-    """Return the seed and the settings of a server that starts.
+    """Return the seed and the settings of an instance that is attached.
 
     Raises:
-        MalformedInputError: A field is missing, or a setting can't be used.
+        MalformedInputError: A field is missing, or a setting is invalid.
     """
-    undecoded = _require(event, "settings", dict)
+    undecoded_settings = _require(event, "settings", dict)
     seed = _require(event, "prng", int)
-    return seed, platform_settings.decode(undecoded)
+    return seed, platform_settings.decode(undecoded_settings)
 
 
 def decode_request_id(event: Event) -> str:
-    """Return the simulator's id of the request that the event is about.
+    """Return the simulator's id of the request that the event belongs to.
 
     Raises:
-        MalformedInputError: The event names none.
+        MalformedInputError: The event has no request id.
     """
     request_id: str = _require(event, "call", str)
     return request_id
 
 
 def decode_outcome(event: Event) -> RunOutcome:
-    """Return how a run or a call ended.
+    """Return the outcome of a run or a dependency call.
 
     Raises:
         MalformedInputError: The outcome or its duration is missing or unknown.
     """
     code = _require(event, "code", str)
     if code not in OUTCOMES:
-        raise MalformedInputError(f"{event['t']}: field 'code' is no outcome: {code}")
+        raise MalformedInputError(f"{event['t']}: field 'code' is not a known outcome: {code}")
     return RunOutcome(OUTCOMES[code], _require(event, "timeTaken", int) / NS_PER_MS)
 
 
 class EventDecoder:
-    """Decodes the events of one instance, with the names of its settings and its clock."""
+    """Decodes the events of one instance with its clock and the names in its settings."""
 
     def __init__(self, settings: ServerSettings, origin_ns: int) -> None:
-        """Count the instance's time from `origin_ns`, the simulator's time at which it started."""
+        """Create a decoder for an instance that started at the simulator's time `origin_ns`."""
         self.origin_ns = origin_ns
         self.class_indices = settings.class_indices()
         self.tenant_indices = settings.tenant_indices()
@@ -129,25 +129,25 @@
         self.on_cores_index = gauge_indices.get(platform_settings.ON_CORES_GAUGE)
 
     def to_ms(self, clock_ns: int) -> float:
-        """Return a time of the simulator by the instance's clock."""
+        """Convert a time of the simulator to the clock of the instance."""
         return (clock_ns - self.origin_ns) / NS_PER_MS
 
     def class_index(self, event: Event) -> int:
         """Return the index of the class of a request that arrived.
 
         Raises:
-            MalformedInputError: The settings have no such class.
+            MalformedInputError: The settings have no such request class.
         """
         name = _require(event, "type", str)
         index = self.class_indices.get(name)
         if index is None:
-            raise MalformedInputError(f"ingress: field 'type' names no stage of the settings: {name}")
+            raise MalformedInputError(f"ingress: field 'type' names no request class of the settings: {name}")
         return index
 
     def arrival(
         self, event: Event, request_index: int, class_index: int, request_indices: Mapping[str, int]
     ) -> RequestArrival:
-        """Return a request that arrived; `request_indices` are those of known requests by their ids."""
+        """Return the request that arrived; `request_indices` maps ids of known requests to indices."""
         deadline_ns = event.get("validUntil")
         original = event.get("repeats")
         work_ns = event.get("predicted")
@@ -165,32 +165,32 @@
         )
 
     def kill_at_ms(self, event: Event) -> float:
-        """Return when a server that was given notice is killed, by its own clock.
+        """Return when an instance is killed after a termination notice, by the instance's clock.
 
         Raises:
-            MalformedInputError: The notice names no time.
+            MalformedInputError: The notice has no time.
         """
         return self.to_ms(_require(event, "validUntil", int))
 
     def gauges(self, event: Event) -> Gauges:
-        """Return the gauges that a tick brings."""
+        """Return the gauges of a tick event."""
         values = event.get("metrics") or ()
-        return Gauges(_at(values, self.core_use_index), _at(values, self.on_cores_index))
+        return Gauges(_value_at(values, self.core_use_index), _value_at(values, self.on_cores_index))
 
 
-def _at(values: Sequence[float], index: int | None) -> float | None:
+def _value_at(values: Sequence[float], index: int | None) -> float | None:
     return None if index is None or index >= len(values) else values[index]
 
 
 def _require(event: Event, key: str, kinds: type | tuple[type, ...]) -> Any:
-    """Return the field's value; a boolean is none of the other kinds.
+    """Return the value of a field; a boolean does not count as a number.
 
     Raises:
-        MalformedInputError: The field is missing or of another kind.
+        MalformedInputError: The field is missing or has another type.
     """
     value = event.get(key)
     if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
         raise MalformedInputError(
-            f"{event.get('t', 'message')}: field '{key}' is missing or of the wrong kind"
+            f"{event.get('t', 'message')}: field '{key}' is missing or has the wrong type"
         )
     return value
--- a/vetchford/bench_adapter/simulator_link.py
+++ b/vetchford/bench_adapter/simulator_link.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator's events, and the replies with the actions that follow from them."""
+"""Handles batches of events of the simulator and replies with the resulting actions."""
 
 import traceback
 from pathlib import Path
@@ -12,49 +12,55 @@
 
 
 class SimulatorLink:
-    """All servers that one process simulates; they share nothing but the reply that carries their actions."""
+    """The simulated servers of one process; they share only the reply with their actions."""
 
     def __init__(self) -> None:
-        """Create a link to no servers; the simulator attaches them."""
-        self.servers: dict[int, SimulatedServer] = {}  # emptied by `exit`
+        """Create a link without servers; the simulator attaches them."""
+        self.servers: dict[int, SimulatedServer] = {}  # by instance number; removed at `exit` events
 
     def exchange(self, line: bytes) -> bytes:
         """Return the reply to one batch.
 
         Raises:
-            MalformedInputError: The batch, or an event in it, does not have the form of the wire.
+            MalformedInputError: The batch or an event in it does not follow the protocol.
         """
         batch = simulator_events.decode_batch(line)
-        out: list[Action] = []
+        batch_actions: list[Action] = []
         for event in batch.events:
-            self._take(batch.clock_ns, event, out)
-        return simulator_actions.encode_reply(out)
+            self._handle_event(batch.clock_ns, event, batch_actions)
+        return simulator_actions.encode_reply(batch_actions)
 
-    def _take(self, clock_ns: int, event: Any, out: list[Action]) -> None:
+    def _handle_event(self, clock_ns: int, event: Any, batch_actions: list[Action]) -> None:
         kind, number = simulator_events.decode_head(event)
         try:
-            self._deliver(clock_ns, kind, number, event, out)
+            self._dispatch(clock_ns, kind, number, event, batch_actions)
         except MalformedInputError:
             raise
-        except Exception as problem:  # the simulator is told where the controller broke
-            place = traceback.extract_tb(problem.__traceback__)[-1]
-            text = f"{type(problem).__name__}: {problem} at {Path(place.filename).name}:{place.lineno}"
-            out.append(simulator_actions.crash(number, text))
+        except Exception as problem:  # reported to the simulator with its location
+            location = traceback.extract_tb(problem.__traceback__)[-1]
+            text = f"{type(problem).__name__}: {problem} at {Path(location.filename).name}:{location.lineno}"
+            batch_actions.append(simulator_actions.crash(number, text))
 
-    def _deliver(self, clock_ns: int, kind: str, number: int, event: Event, out: list[Action]) -> None:
+    def _dispatch(
+        self, clock_ns: int, kind: str, number: int, event: Event, batch_actions: list[Action]
+    ) -> None:
         if kind == simulator_events.ATTACH:
-            self.servers[number] = SimulatedServer(number, clock_ns, out)
+            self.servers[number] = SimulatedServer(number, clock_ns, batch_actions)
             self.servers[number].attach(event)
             return
         if kind != simulator_events.EXIT and kind not in HANDLERS:
-            raise MalformedInputError(f"field 't' names no event: {kind}")
+            raise MalformedInputError(f"field 't' is not a known event: {kind}")
         server = self.servers.get(number)
         if server is None:
-            raise MalformedInputError(f"{kind}: field 'i' names no instance that is attached: {number}")
+            raise MalformedInputError(
+                f"{kind}: field 'i' is not the number of an attached instance: {number}"
+            )
         if kind == simulator_events.EXIT:
-            # What it asked for in this batch ends with it.
-            out[:] = [action for action in out if simulator_actions.instance(action) != number]
+            # Actions of this instance in the current batch are dropped, as it has exited.
+            batch_actions[:] = [
+                action for action in batch_actions if simulator_actions.instance_number(action) != number
+            ]
             del self.servers[number]
             return
-        server.actions.out = out
+        server.actions.batch_actions = batch_actions
         server.handle(clock_ns, kind, event)
