--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,7 @@
-"""Recorded actions and a controller built from few figures; the fake peers are those of the benchmarks."""
+"""Recorder of the controller's actions, and controllers and requests with default values.
+
+The fake clients and services are those of the benchmarks.
+"""
 
 from pathlib import Path
 
@@ -44,7 +47,7 @@
 
 
 class Recorder:
-    """Actions that keep each act as (name, *arguments), and answers and reasons by request."""
+    """Records each action of a controller as (name, *arguments), and answers and reasons by request index."""
 
     def __init__(self):
         self.acts = []
@@ -53,36 +56,36 @@
         self.answers = {}
         self.reasons = {}
 
-    def reject(self, q, terminal, retry_after_ms, reason):
+    def reject(self, index, terminal, retry_after_ms, reason):
         assert isinstance(reason, RejectionReason)
-        assert q not in self.answers, "a second final answer"
-        self.reasons[q] = reason
-        self.answers[q] = "reject"
-        self.acts.append(("reject", q, terminal, retry_after_ms))
+        assert index not in self.answers, "a second final answer"
+        self.reasons[index] = reason
+        self.answers[index] = "reject"
+        self.acts.append(("reject", index, terminal, retry_after_ms))
 
     def __getattr__(self, name):
         if name.startswith("_"):
             raise AttributeError(name)
 
-        def act(*given):
-            self.acts.append((name, *given))
+        def record(*arguments):
+            self.acts.append((name, *arguments))
             if name == "fail":
-                assert given[0] not in self.answers, "a second final answer"
-                self.answers[given[0]] = name
+                assert arguments[0] not in self.answers, "a second final answer"
+                self.answers[arguments[0]] = name
             if name == "schedule_tick":
-                self.timers.append(self.now + given[0])
+                self.timers.append(self.now + arguments[0])
 
-        return act
+        return record
 
-    def names(self, q):
+    def names(self, index):
         return [
-            act[0] for act in self.acts if act[1:2] == (q,) and act[0] not in ("release", "set_readiness")
+            act[0] for act in self.acts if act[1:2] == (index,) and act[0] not in ("release", "set_readiness")
         ]
 
 
-def request_class(**given):
-    """A class of requests; times in milliseconds."""
-    figures = dict(
+def request_class(**values):
+    """Return a request class with default values; times in milliseconds."""
+    defaults = dict(
         latency_objective_ms=1800.0,
         timeout_ms=4400.0,
         priority_weight=1.0,
@@ -91,7 +94,7 @@
         key_window_ms=13000.0,
         skip_fraction=0.0,
     )
-    return RequestClass(**{**figures, **given})
+    return RequestClass(**{**defaults, **values})
 
 
 def new_controller(
@@ -107,7 +110,7 @@
     clients=2,
     bulkheads=None,
 ):
-    """A controller from few figures; `bulkheads`: a `BulkheadSet`, where capacity is divided."""
+    """Return a controller with default values; `bulkheads` is a `BulkheadSet` to divide the capacity."""
     workload = Workload(
         settings=AdmissionSettings(
             cores=cores,
@@ -144,7 +147,7 @@
     queued_for=0.0,
     original=None,
 ):
-    """Let a request of the class `kind` arrive."""
+    """Deliver a request whose class has index `kind` to the controller `server`."""
     arrival = RequestArrival(
         index, kind, tenant, client, deadline, work, size, is_retry, queued_for, original
     )
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages for developers name exists: modules, classes, and functions of the table of decisions."""
+"""Modules, classes, functions and constants that the developer documentation names exist."""
 
 import ast
 import re
@@ -11,12 +11,12 @@
 CLASS = re.compile(r"(?:[A-Z][a-z]+){2,}")
 PATH = re.compile(r"[\w/]+\.(?:py|vet|toml)")
 DECISION = re.compile(r"^\| [\w ,-]+ \| `(?:(\w+)/)?(\w+)\.([\w.]+)`", re.MULTILINE)
-FROM_ELSEWHERE = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}  # of the models
+NAMES_OF_OTHER_PROJECTS = {"CapacityLimiter", "BrokenResourceError", "util/retry.py"}
 CONSTANT = re.compile(r"^\| `([\w.]+)\.(\w+)`", re.MULTILINE)
 FOLDERS = ("", "vetchford", "docs")
 
 
-def quoted(page):
+def code_spans(page):
     return CODE.findall((ROOT / page).read_text())
 
 
@@ -28,15 +28,17 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_classes_that_a_page_names_exist(page, classes):
-    named = {name for text in quoted(page) for name in CLASS.findall(text.split("(")[0]) if text[0].isupper()}
-    assert named - FROM_ELSEWHERE <= classes
+    named = {
+        name for text in code_spans(page) for name in CLASS.findall(text.split("(")[0]) if text[0].isupper()
+    }
+    assert named - NAMES_OF_OTHER_PROJECTS <= classes
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_modules_that_a_page_names_exist(page):
-    named = [text for text in quoted(page) if PATH.fullmatch(text) and "/" in text]
+    named = [text for text in code_spans(page) if PATH.fullmatch(text) and "/" in text]
     missing = [path for path in named if not any((ROOT / folder / path).exists() for folder in FOLDERS)]
-    assert set(missing) <= FROM_ELSEWHERE
+    assert set(missing) <= NAMES_OF_OTHER_PROJECTS
 
 
 def test_each_rule_in_the_table_of_decisions_is_a_function():
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a plain server imports, and that its `run` is one process that starts nothing."""
+"""Imports of a server and of each package, and that the `run` command is a single process."""
 
 import ast
 import json
@@ -10,9 +10,10 @@
 import pytest
 from helpers import GOOD, ROOT
 
-# Parts that a server does without, and the libraries that are theirs alone. structlog brings asyncio and
-# with it subprocess, which nothing of ours uses, and would bring rich if it were there: hence blessed.
-APART = (
+# Packages that a server with a basic configuration does not use, and the libraries that only they use.
+# structlog imports asyncio, and with it subprocess, which such a server does not use. It would also import
+# rich if that were installed, so commands use blessed.
+NOT_IMPORTED_BY_SERVER = (
     "vetchford.fleet",
     "vetchford.transport",
     "vetchford.subsetting",
@@ -33,23 +34,23 @@
 )
 
 
-def imported(program, *given):
-    ran = subprocess.run(
-        [sys.executable, "-O", "-X", "importtime", *program, *given],
+def run_and_list_imports(program, *arguments):
+    result = subprocess.run(
+        [sys.executable, "-O", "-X", "importtime", *program, *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    return ran, {
-        line.rpartition("|")[2].strip() for line in ran.stderr.splitlines() if "import time:" in line
+    return result, {
+        line.rpartition("|")[2].strip() for line in result.stderr.splitlines() if "import time:" in line
     }
 
 
-def test_a_plain_server_imports_none_of_the_parts_that_it_does_not_use(tmp_path):
+def test_a_server_with_a_basic_configuration_imports_no_unused_packages(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD))
-    # As `serve` does, up to the sockets: all its modules are imported by then.
+    # Runs `serve` until its sockets are open, when all its modules are imported; then SIGTERM ends it.
     program = (
         "import json, sys, threading\n"
         "from vetchford import cli\nfrom vetchford.server import server_process\n"
@@ -57,17 +58,24 @@
         "signal.sigwait = lambda which: next(held, None) or threading.Event().wait()\n"
         f"sys.exit(cli.main(['--config', {str(file)!r}, 'serve']))"
     )
-    ran, names = imported(["-c", program])
-    assert ran.returncode == 0, ran.stderr[-2000:]
+    result, names = run_and_list_imports(["-c", program])
+    assert result.returncode == 0, result.stderr[-2000:]
     assert "vetchford.server.listener" in names and "vetchford.server.admission_actor" in names
-    wrong = {name for name in names for part in APART if name == part or name.startswith(part + ".")}
-    assert not wrong
+    unused = {
+        name
+        for name in names
+        for package in NOT_IMPORTED_BY_SERVER
+        if name == package or name.startswith(package + ".")
+    }
+    assert not unused
 
 
-def test_run_is_one_process_by_exec_and_nothing_in_a_server_starts_another():
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert re.fullmatch(r"exec \.venv/bin/python -O -m vetchford serve", told["run"])
-    files = [ROOT / name for name in told["node"]] + [ROOT / name for name in told["policy"]]
+def test_the_run_command_is_one_process_and_server_modules_start_no_other():
+    configuration = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert re.fullmatch(r"exec \.venv/bin/python -O -m vetchford serve", configuration["run"])
+    files = [ROOT / name for name in configuration["node"]] + [
+        ROOT / name for name in configuration["policy"]
+    ]
     code = "".join(
         path.read_text()
         for file in files
@@ -76,9 +84,9 @@
     assert not re.search(r"os\.fork|os\.exec|os\.spawn|subprocess|AF_UNIX|sendfile|splice|io_uring", code)
 
 
-# A package or module and what it may import of ours beside itself; arrows run one way, from programs down to
-# plain data. `errors` is open to all.
-PEER_ACTORS = {"protocol", "runtime"}
+# Packages and modules with the packages and modules of this project that each may import, besides itself.
+# Imports go in one direction, from programs to plain data. All may import `errors`.
+PROTOCOL_AND_RUNTIME = {"protocol", "runtime"}
 ALLOWED_IMPORTS = {
     "admission": set(),
     "admission.actions": {"admission.rejection"},
@@ -163,7 +171,7 @@
     "server": {"admission", "bulkheads", "configuration", "coordination", "protocol", "runtime"},
     "server.calls_in_flight": {"runtime", "server.records_client", "server.request_table"},
     "server.client_connection": {
-        *PEER_ACTORS,
+        *PROTOCOL_AND_RUNTIME,
         "server.client_messages",
         "server.connection_limits",
         "server.connection_state",
@@ -175,27 +183,27 @@
         "server.client_connection",
         "server.connection_limits",
     },
-    "server.client_messages": {*PEER_ACTORS, "server.connection_limits"},
+    "server.client_messages": {*PROTOCOL_AND_RUNTIME, "server.connection_limits"},
     "server.connection_limits": {"protocol"},
     "server.idempotency_cache": set(),
-    "server.idle_poller": PEER_ACTORS,
+    "server.idle_poller": PROTOCOL_AND_RUNTIME,
     "server.index_allocator": set(),
     "server.listener": {
-        *PEER_ACTORS,
+        *PROTOCOL_AND_RUNTIME,
         "server.client_connection",
         "server.client_messages",
         "server.connection_limits",
         "server.connection_table",
         "server.idle_poller",
     },
-    "server.records_client": {*PEER_ACTORS, "server.records_connection"},
-    "server.records_connection": {*PEER_ACTORS, "admission.request"},
-    "server.registry_reporter": PEER_ACTORS,
-    "server.request_answers": {*PEER_ACTORS, "admission.request", "server.request_table"},
+    "server.records_client": {*PROTOCOL_AND_RUNTIME, "server.records_connection"},
+    "server.records_connection": {*PROTOCOL_AND_RUNTIME, "admission.request"},
+    "server.registry_reporter": PROTOCOL_AND_RUNTIME,
+    "server.request_answers": {*PROTOCOL_AND_RUNTIME, "admission.request", "server.request_table"},
     "server.request_table": {"server.index_allocator"},
     "server.server_clock": {"runtime"},
-    "server.worker_pool": {*PEER_ACTORS, "admission.request"},
-    "server.worker_pool_commands": {*PEER_ACTORS, "server.request_table", "server.worker_pool"},
+    "server.worker_pool": {*PROTOCOL_AND_RUNTIME, "admission.request"},
+    "server.worker_pool_commands": {*PROTOCOL_AND_RUNTIME, "server.request_table", "server.worker_pool"},
     "server.worker_pool_gauges": {"protocol.platform_settings"},
     "subsetting": set(),
     "transport": {"runtime"},
@@ -203,7 +211,7 @@
 
 
 def modules_imported(path):
-    """Full names below `vetchford`, of packages or of modules in them."""
+    """Yield the names of imported packages and modules of `vetchford`, without that prefix."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             names = [f"{node.module}.{alias.name}" for alias in node.names]
@@ -214,24 +222,27 @@
         yield from (name.removeprefix("vetchford.") for name in names if name.startswith("vetchford."))
 
 
-def test_every_package_has_its_rule():
+def test_every_package_has_an_import_rule():
     packages = {path.parent.name for path in (ROOT / "vetchford").glob("*/__init__.py")}
     assert packages == {name for name in ALLOWED_IMPORTS if "." not in name}
 
 
-def test_every_module_of_admission_has_its_rule_but_those_that_wire_it():
+def test_every_admission_module_except_controller_and_factory_has_an_import_rule():
     modules = {path.stem for path in (ROOT / "vetchford/admission").glob("*.py")}
-    ruled = {name.removeprefix("admission.") for name in ALLOWED_IMPORTS if name.startswith("admission.")}
-    assert ruled == modules - {"__init__", "controller", "factory"}
+    modules_with_rule = {
+        name.removeprefix("admission.") for name in ALLOWED_IMPORTS if name.startswith("admission.")
+    }
+    assert modules_with_rule == modules - {"__init__", "controller", "factory"}
 
 
-@pytest.mark.parametrize("part", sorted(ALLOWED_IMPORTS))
-def test_imports_run_one_way(part):
-    place = ROOT / "vetchford" / part.replace(".", "/")
-    paths = sorted(place.rglob("*.py")) if place.is_dir() else [place.with_suffix(".py")]
+@pytest.mark.parametrize("importer", sorted(ALLOWED_IMPORTS))
+def test_packages_and_modules_import_only_what_their_rule_allows(importer):
+    location = ROOT / "vetchford" / importer.replace(".", "/")
+    paths = sorted(location.rglob("*.py")) if location.is_dir() else [location.with_suffix(".py")]
     for path in paths:
         for name in modules_imported(path):
             allowed = any(
-                f"{name}.".startswith(f"{other}.") for other in {*ALLOWED_IMPORTS[part], part, "errors"}
+                f"{name}.".startswith(f"{other}.")
+                for other in {*ALLOWED_IMPORTS[importer], importer, "errors"}
             )
-            assert allowed, f"{path.name} of {part} imports {name}"
+            assert allowed, f"{path.name} of {importer} imports {name}"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI passes over is listed whole in KNOWN-RED.txt, and is a test that exists."""
+"""KNOWN-RED.txt, the list of failures that CI passes over: its entries are complete, and its tests exist."""
 
 import subprocess
 import sys
@@ -37,7 +37,7 @@
         ("  command: without a test\n", "unknown field"),
     ],
 )
-def test_an_entry_that_is_not_whole_is_refused(text, problem):
+def test_an_incomplete_entry_is_refused(text, problem):
     with pytest.raises(known_red.MalformedEntryError, match=problem):
         known_red.parse(text)
 
@@ -46,10 +46,10 @@
     names = [entry.name for entry in known_red.read() if entry.is_test]
     if not names:
         return
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "pytest", "--collect-only", "-q", *names],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert found.returncode == 0, found.stdout[-2000:]
+    assert result.returncode == 0, result.stdout[-2000:]
--- a/vetchford/__init__.py
+++ b/vetchford/__init__.py
@@ -1,3 +1,3 @@
-"""vetchford: admission and scheduling for servers behind other people's balancers."""
+"""Admission control and request scheduling for servers behind third-party load balancers."""
 
 __version__ = "0.2.0"
--- a/vetchford/__main__.py
+++ b/vetchford/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m vetchford`."""
+"""Entry point of `python -m vetchford`."""
 
 import sys
 
 if "serve" in sys.argv[1:] and sys.argv[1] != "fleet":
-    # Before all else is loaded: a SIGHUP in the first tenths of a second would end the program.
+    # Before all other imports, which take tenths of a second: a SIGHUP in that time would end the process.
     from vetchford.server.signals import exit_on_termination
 
     exit_on_termination()
--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -52,33 +52,33 @@
 from vetchford.runtime import log_setup
 from vetchford.server import platform_config, server_process, signals
 
-EXIT_DONE = 0
-EXIT_WRONG_USAGE = 2  # or a wrong file; `serve` and `agent` return 1 for a failure at run time themselves
+EXIT_SUCCESS = 0
+EXIT_WRONG_USAGE = 2  # or invalid files; `serve` and `agent` themselves return 1 for a failure at run time
 
 
 @dataclass(frozen=True)
 class Options:
-    """The command line, by the names in the usage above."""
+    """The command and the options of the command line."""
 
     command: str
     config_path: str | None
-    """None: the environment names the configuration file."""
-    own_paths: list[str]
-    """Files of our own settings, each once."""
+    """None if the environment gives the path of the configuration file."""
+    settings_paths: list[str]
+    """Settings files given by --with, without duplicates."""
     log_level: str
     log_form: str
     schema: bool
 
 
 class UsageError(VetchfordError):
-    """The command line, or a file that it names, is wrong; the text is for the user."""
+    """The command line or a file given there is invalid; the text is shown to the user."""
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs one command and returns its exit status; `argv`: without the program's name."""
+    """Run one command and return its exit status; `argv` does not include the program name."""
     arguments = sys.argv[1:] if argv is None else argv
     if arguments[:1] == ["fleet"]:
-        from vetchford.fleet.commands import command_line  # a server does without it
+        from vetchford.fleet.commands import command_line  # not imported by servers
 
         return command_line.main(arguments[1:])
     try:
@@ -92,33 +92,33 @@
 
 def _parse(arguments: list[str]) -> Options:
     try:
-        given = docopt(__doc__, arguments, version=vetchford.__version__)
+        parsed = docopt(__doc__, arguments, version=vetchford.__version__)
     except DocoptExit:
-        raise UsageError("wrong usage; `vetchford --help` tells how") from None
+        raise UsageError("wrong usage; see `vetchford --help`") from None
     choices = {"--log-level": tuple(log_setup.LEVELS), "--log-form": log_setup.FORMATS}
     for option, allowed in choices.items():
-        if given[option] not in allowed:
+        if parsed[option] not in allowed:
             raise UsageError(f"{option} must be one of {', '.join(allowed)}")
     return Options(
-        command=next(name for name in COMMANDS if given[name]),  # docopt sees to it that it is exactly one
-        config_path=given["--config"],
-        own_paths=list(dict.fromkeys(given["--with"])),  # docopt repeats a repeated option
-        log_level=given["--log-level"],
-        log_form=given["--log-form"],
-        schema=given["--schema"],
+        command=next(name for name in COMMANDS if parsed[name]),  # docopt ensures that there is exactly one
+        config_path=parsed["--config"],
+        settings_paths=list(dict.fromkeys(parsed["--with"])),  # docopt lists repeated options several times
+        log_level=parsed["--log-level"],
+        log_form=parsed["--log-form"],
+        schema=parsed["--schema"],
     )
 
 
 def _print_version(options: Options) -> int:
     print(vetchford.__version__)
-    return EXIT_DONE
+    return EXIT_SUCCESS
 
 
 def _print_schema() -> int:
-    from vetchford.configuration import isolated_reader  # imported only where such files are read
+    from vetchford.configuration import isolated_reader  # not imported unless settings files are read
 
     print(isolated_reader.schema(), end="")
-    return EXIT_DONE
+    return EXIT_SUCCESS
 
 
 def _print_settings(options: Options) -> int:
@@ -126,18 +126,18 @@
         return _print_schema()
     configuration = _load(options)
     print(json.dumps(configuration.summary(), indent=2))
-    return EXIT_DONE
+    return EXIT_SUCCESS
 
 
 def _check(options: Options) -> int:
-    own_paths = options.own_paths
-    if own_paths and not (options.config_path or os.environ.get(platform_config.FILE_VARIABLE)):
-        _read_settings(own_paths)
-        print(f"{', '.join(own_paths)}: good")
-        return EXIT_DONE
+    settings_paths = options.settings_paths
+    if settings_paths and not (options.config_path or os.environ.get(platform_config.FILE_VARIABLE)):
+        _read_settings(settings_paths)
+        print(f"{', '.join(settings_paths)}: good")
+        return EXIT_SUCCESS
     configuration = _load(options)
     print(f"{configuration.name}: configuration is good")
-    return EXIT_DONE
+    return EXIT_SUCCESS
 
 
 def _serve(options: Options) -> int:
@@ -145,15 +145,15 @@
     signals.block_signals()
     writer = log_setup.start(options.log_level, options.log_form)
     try:
-        return server_process.serve(configuration, _loader(options), writer.end_by)
+        return server_process.serve(configuration, _configuration_loader(options), writer.end_by)
     finally:
         writer.close()
 
 
 def _run_agent(options: Options) -> int:
-    from vetchford.fleet import agent_main  # a server does without it
+    from vetchford.fleet import agent_main  # not imported by servers
 
-    settings = _read_settings(options.own_paths)["agent"] if options.own_paths else None
+    settings = _read_settings(options.settings_paths)["agent"] if options.settings_paths else None
     if settings is None:
         raise UsageError("no file given by --with has the key 'agent'")
     writer = log_setup.start(options.log_level, options.log_form)
@@ -163,22 +163,30 @@
         writer.close()
 
 
-def _loader(options: Options) -> Callable[[], ServerConfiguration]:
-    """Reads the platform's file and ours, also anew while a server runs."""
-    return partial(platform_config.load, path=options.config_path, own_paths=options.own_paths)
+def _configuration_loader(options: Options) -> Callable[[], ServerConfiguration]:
+    """Return a function that reads the configuration and settings files, also for reloads."""
+    return partial(platform_config.load, path=options.config_path, own_paths=options.settings_paths)
 
 
 def _load(options: Options) -> ServerConfiguration:
-    """The platform's file and ours, checked; UsageError has a line for each problem."""
+    """Return the checked configuration.
+
+    Raises:
+        UsageError: Files are invalid; the text has a line for each problem.
+    """
     try:
-        return _loader(options)()
+        return _configuration_loader(options)()
     except MalformedInputError as error:
         raise UsageError(str(error)) from None
 
 
 def _read_settings(paths: list[str]) -> dict[str, Any]:
-    """Our settings files alone, checked; UsageError has a line for each problem."""
-    from vetchford.configuration import isolated_reader  # imported only where such files are read
+    """Return the checked settings of files given by --with.
+
+    Raises:
+        UsageError: Files are invalid; the text has a line for each problem.
+    """
+    from vetchford.configuration import isolated_reader  # not imported unless settings files are read
 
     try:
         return isolated_reader.read(paths, None)
