--- a/vetchford/configuration/consistency.py
+++ b/vetchford/configuration/consistency.py
@@ -41,9 +41,7 @@
     for name in names:
         if name in fleet.servers and names.count(name) == 1:
             continue
-        reason = (
-            "which is named more than once" if name in fleet.servers else "which is not a key of 'servers'"
-        )
+        reason = "which is repeated" if name in fleet.servers else "which is not a key of 'servers'"
         allowed = ", ".join(sorted(fleet.servers))
         message = f"found '{name}', {reason}; allowed: {allowed}, each once"
         raise SettingsError([Problem(locate(path), path, message)])
--- a/vetchford/configuration/isolated_reader.py
+++ b/vetchford/configuration/isolated_reader.py
@@ -9,9 +9,7 @@
 from vetchford.errors import MalformedInputError
 
 READ_TIMEOUT_S = 20.0  # files at all limits take 1 to 2 s; a blocked machine must not block the start
-EXIT_WRONG_SETTINGS = (
-    2  # exit status of the process if settings are invalid; its error lines are for the user
-)
+EXIT_WRONG_SETTINGS = 2  # exit status of the process for invalid settings; its error lines are for the user
 
 
 def schema() -> str:
--- a/vetchford/configuration/resolver.py
+++ b/vetchford/configuration/resolver.py
@@ -7,9 +7,7 @@
 from vetchford.configuration.syntax import Conjunction, Node, Record, Reference
 from vetchford.configuration.value_tree import ABSENT, Absent, Constraint, Scope, ValueNode, with_node_of
 
-MAX_STEPS = (
-    100_000  # constraints visited: fifty pools need some thousands; the limit is reached in about a second
-)
+MAX_STEPS = 100_000  # constraints visited, in about a second; a file of fifty pools needs some thousands
 MAX_KEY_DEPTH = 64
 
 
--- a/vetchford/protocol/json_rpc.py
+++ b/vetchford/protocol/json_rpc.py
@@ -70,7 +70,7 @@
     """A request has the id of another request that the server still knows."""
 
     def __init__(self, rpc_id: int | str | None) -> None:
-        """Name the message by its JSON-RPC id."""
+        """Create the error for the message with this JSON-RPC id."""
         super().__init__("txn", "is in use", rpc_id)
 
 
@@ -78,7 +78,7 @@
     """A request names a tenant that the settings do not have."""
 
     def __init__(self, rpc_id: int | str | None) -> None:
-        """Name the message by its JSON-RPC id."""
+        """Create the error for the message with this JSON-RPC id."""
         super().__init__("team", "names no tenant", rpc_id)
 
 
--- a/vetchford/protocol/platform_configuration.py
+++ b/vetchford/protocol/platform_configuration.py
@@ -99,12 +99,12 @@
     def summary(self) -> JsonObject:
         """Return the values that `vetchford settings` prints."""
         settings = self.document[SETTINGS_KEY]
-        own = {"declared": self.own.document} if self.own.document else {}
+        declared = {"declared": self.own.document} if self.own.document else {}
         return {
             **{key: self.document[key] for key in SUMMARY_KEYS},
             RECORDS_KEY: self.document.get(RECORDS_KEY),
             "cores": platform_settings.cores(settings),
-            **own,
+            **declared,
             **platform_settings.summary(settings),
         }
 
--- a/vetchford/runtime/actor.py
+++ b/vetchford/runtime/actor.py
@@ -11,9 +11,7 @@
 
 MAILBOX_HIGH_WATER = 500  # entries of at most 3 KB each: about 0.1 s of work and 1.5 MB
 HIGH_WATER_INTERVAL_S = 0.005  # about fifty entries are processed in this time
-BATCH_SIZE = (
-    16  # entries before `on_idle`: their output is written together, and no timer is delayed for long
-)
+BATCH_SIZE = 16  # entries before `on_idle`: their output is written together, and timers are not delayed long
 
 
 class Mailbox(Protocol):
--- a/vetchford/runtime/thread_pool.py
+++ b/vetchford/runtime/thread_pool.py
@@ -42,7 +42,7 @@
         self.lock = threading.Lock()
         self.threads = 0
         self.jobs: SimpleQueue[Callable[[], None]] = SimpleQueue()
-        self.idle_threads = 0  # idle threads minus queued jobs
+        self.idle_threads = 0  # threads that wait for a job, minus jobs that wait for a thread
 
     def run(self, job: Callable[[], None]) -> None:
         """Run `job` on an idle or new thread, or queue it for the next idle thread if none can be started."""
