--- a/vetchford/fleet/leader_requests.py
+++ b/vetchford/fleet/leader_requests.py
@@ -1,7 +1,7 @@
-"""The leader's answers to requests of tools.
+"""The leader's answers to tools' requests.
 
-No I/O; times in ms, monotonic. The agent's thread alone calls it. The same request may come again, also after
-another leader had it: each kind may be carried out twice without harm.
+No I/O; times in ms, monotonic. Only the agent's thread calls it. A request may be repeated, also to a new
+leader, so each kind of request has the same effect if carried out twice.
 """
 
 from __future__ import annotations
@@ -37,22 +37,22 @@
 from vetchford.fleet.fleet_status import FleetStatusSource
 from vetchford.fleet.rollout import RefusedError
 
-FIRST_REPORTS_TIMEOUT_MS = 3000.0  # that a new leader waits for agents that have not reported to it
-TARGETS_TIMEOUT_MS = 3000.0  # of a request's time, for agents that it names to be seen: three idle polls
+FIRST_REPORTS_TIMEOUT_MS = 3000.0  # for which a new leader waits for the first report of each agent
+TARGETS_TIMEOUT_MS = 3000.0  # for which a request waits for reports of the agents it names; three idle polls
 
 
 class LeaderRequests:
-    """Answers while its agent leads; without a controller there is nothing to call."""
+    """Answers requests while the agent leads; must not be called while the agent has no controller."""
 
     def __init__(self, coordinator: Coordinator, status: FleetStatusSource) -> None:
-        """`coordinator` and `status`: of the same agent."""
+        """Start with the coordinator and the status source of the same agent."""
         self.coordinator = coordinator
         self.status = status
 
     def answer_or_refuse(
         self, now_ms: float, request: EncodedRequest, waited_ms: float
     ) -> EncodedReply | None:
-        """As `answer`; whatever is wrong with a request makes a refusal and nothing worse."""
+        """Answer as `answer` does, with a refusal for a refused or malformed request."""
         try:
             return self.answer(now_ms, request, waited_ms)
         except RefusedError as problem:
@@ -61,9 +61,9 @@
             return encode(RefusedReply(str(MalformedRequestError(problem))))
 
     def answer(self, now_ms: float, request: EncodedRequest, waited_ms: float) -> EncodedReply | None:
-        """The leader's answer; None while it is not committed, or too few agents have reported.
+        """Return the answer; None while a change is not committed or reports of agents are missing.
 
-        `waited_ms`: since the tool asked.
+        `waited_ms`: time since the tool's request.
         """
         controller = self.coordinator.controller
         assert controller is not None
@@ -75,7 +75,7 @@
     def answer_from_reports(
         self, now_ms: float, controller: FleetRolloutController, request: ReportsRequest, waited_ms: float
     ) -> EncodedReply | None:
-        """Requests for which the agents must have reported."""
+        """Answer a request that needs the agents' reports."""
         members = self.coordinator.record.members()
         unseen = [agent for agent in members if not controller.view.is_fresh(now_ms, agent)]
         if unseen and now_ms - controller.started_at_ms < FIRST_REPORTS_TIMEOUT_MS:
@@ -88,8 +88,8 @@
                 rollouts=self.status.list_rollouts(),
             )
             return encode(status)
-        if waited_ms < TARGETS_TIMEOUT_MS and names_agent(request.rollout, unseen):
-            return None  # an agent that has just come back is seen with its next report
+        if waited_ms < TARGETS_TIMEOUT_MS and targets_any_agent(request.rollout, unseen):
+            return None  # an agent that has just returned is seen with its next report
         return self.answer_rollout(now_ms, controller, request)
 
     def answer_rollout(
@@ -98,7 +98,7 @@
         controller: FleetRolloutController,
         request: FleetSubmitRequest | FleetPlanRequest,
     ) -> EncodedReply | None:
-        """Begins a rollout, which is answered once it is committed, or says what would be begun."""
+        """Begin a rollout, answered once it is committed, or return the plan of the rollout."""
         rollout = decode_rollout_request(request.rollout)
         if isinstance(request, FleetPlanRequest):
             planned = controller.make_rollout(now_ms, rollout)
@@ -110,7 +110,7 @@
     def change_membership(
         self, now_ms: float, controller: FleetRolloutController, request: MembershipRequest
     ) -> EncodedReply | None:
-        """Admits or dismisses an agent; answered once that is committed."""
+        """Admit or dismiss an agent; answered once the change is committed."""
         name = request.agent
         record = self.coordinator.record
         if record.is_member(name) == isinstance(request, AdmitRequest):
@@ -124,7 +124,7 @@
         return None
 
 
-def names_agent(rollout: EncodedRequest, agents: Iterable[str]) -> bool:
-    """Whether an encoded rollout has a target on one of these agents."""
-    named = {agent_of(key) for key in rollout["targets"]}
-    return any(agent in named for agent in agents)
+def targets_any_agent(rollout: EncodedRequest, agents: Iterable[str]) -> bool:
+    """Return whether an encoded rollout has a target on one of these agents."""
+    target_agents = {agent_of(key) for key in rollout["targets"]}
+    return any(agent in target_agents for agent in agents)
--- a/vetchford/fleet/local_steps.py
+++ b/vetchford/fleet/local_steps.py
@@ -1,4 +1,7 @@
-"""Steps of fleet rollouts on this agent: each is a local rollout over one instance. The agent's thread."""
+"""Steps of fleet rollouts on this agent, each as a local rollout over one instance.
+
+Only the agent's thread calls this module.
+"""
 
 from collections.abc import Container
 from typing import Any
@@ -9,9 +12,9 @@
 
 
 def begin_step(local: RolloutController, now_ms: float, step: Step) -> str:
-    """Starts a step, or resumes one that a failed store has paused; empty, or why it was refused.
+    """Start a step, or resume a step that a failed store has paused; return why it was refused, or empty.
 
-    The same step again changes nothing, as its id is that of the local rollout.
+    A repeated step changes nothing, as its id is that of the local rollout.
     """
     rollout = Rollout(
         step.id,
@@ -30,7 +33,7 @@
 
 
 def step_results(local: RolloutController, rollouts: Container[str]) -> dict[str, list[Any]]:
-    """What became of the steps of `rollouts`, by the steps' ids: state, reason and instances killed."""
+    """Return state, reason and killed instances of the steps of `rollouts`, by step id."""
     return {
         id: [rollout.state, rollout.reason, list(rollout.killed)]
         for id, rollout in local.rollouts.items()
