--- a/tests/fleet/test_consensus_messages.py
+++ b/tests/fleet/test_consensus_messages.py
@@ -1,4 +1,4 @@
-"""The encoded form of consensus messages, which agents of every version must read, and refusals."""
+"""Encoded form of consensus messages, which agents of every version must read, and decoding errors."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 
 BODY = {"members": {"b": 0, "a": 0}, "voters": {"b": "", "a": "1"}, "log": [], "spans": {}}
 
-# Each message, and what the version before the typed ones sent; the order of the keys counts too.
+# Each message with its encoded form in the version before the typed messages; the order of keys matters too.
 ENCODED = [
     (messages.PreVoteRequest((64, 2)), {"do": "would", "at": [64, 2]}),
     (messages.PreVoteResponse(True, 65), {"do": "answer", "yes": True, "promised": 65}),
@@ -49,9 +49,9 @@
 def test_unknown_fields_are_ignored_and_missing_fields_are_malformed(message, encoded):
     assert messages.decode_message("a", {**encoded, "later": 1}) == message
     for key in encoded:
-        with pytest.raises(messages.MalformedMessageError) as refused:
+        with pytest.raises(messages.MalformedMessageError) as malformed:
             messages.decode_message("a", {other: value for other, value in encoded.items() if other != key})
-        assert refused.value.sender == "a"
+        assert malformed.value.sender == "a"
 
 
 def test_wrong_types_and_unknown_kinds_raise_distinct_errors():
--- a/tests/fleet/test_coordinator_messages.py
+++ b/tests/fleet/test_coordinator_messages.py
@@ -1,4 +1,4 @@
-"""The encoded form of messages between coordinators and of the record, which every version must read."""
+"""Encoded form of coordinator messages and of the record, which agents of every version must read."""
 
 import json
 
@@ -13,7 +13,7 @@
 STEP = {"id": "r1/n1/1", "span": "r1", "kind": "roll", "name": "n1", "soak": 200.0, "version": "v2"}
 REPORT = {"instances": {"n1": {"state": "serving"}}, "locals": {}, "versions": ["v2"]}
 
-# Each message, and what the version before the typed ones sent; the order of the keys counts too.
+# Each message with its encoded form in the version before the typed messages; the order of keys matters too.
 ENCODED = [
     (
         messages.ReportRequest(7, 66, CONTROLS, {"r1": "not seen: b"}),
@@ -36,7 +36,7 @@
 ]
 KINDS = ["look", "seen", "order", "orders", "ask", "told"]
 
-# A rollout as the version before the typed record wrote it.
+# A rollout as encoded by the version before the typed record.
 ROLLOUT = {
     "id": "r1",
     "kind": "roll",
@@ -76,9 +76,9 @@
 def test_unknown_fields_are_ignored_and_missing_fields_are_malformed(message, encoded):
     assert messages.decode_message("a", message.KIND, {**encoded, "later": 1}) == message
     for key in encoded:
-        short = {other: value for other, value in encoded.items() if other != key}
+        incomplete = {other: value for other, value in encoded.items() if other != key}
         with pytest.raises(MalformedMessageError):
-            messages.decode_message("a", message.KIND, short)
+            messages.decode_message("a", message.KIND, incomplete)
     for body in (None, 7, [], "text"):
         with pytest.raises(MalformedMessageError):
             messages.decode_message("a", message.KIND, body)
@@ -90,7 +90,7 @@
         messages.decode_message("a", "of a later version", {})
 
 
-@pytest.mark.parametrize("sort_keys", [False, True])  # sorted, as the store writes it
+@pytest.mark.parametrize("sort_keys", [False, True])  # the store writes sorted keys
 def test_fleet_record_round_trips_byte_for_byte(sort_keys):
     text = json.dumps(RECORD, sort_keys=sort_keys)
     record = FleetRecord.decode(json.loads(text))
@@ -105,19 +105,19 @@
 
 
 def test_fleet_record_keeps_unknown_keys_and_copies_are_independent():
-    later = {**RECORD, "later": 1, "spans": {"r1": {**ROLLOUT, "later": 2}}}
-    record = FleetRecord.decode(later)
+    later_version = {**RECORD, "later": 1, "spans": {"r1": {**ROLLOUT, "later": 2}}}
+    record = FleetRecord.decode(later_version)
     record.rollouts["r1"].steps["n0@a"] = StepState.DONE
     record.rollouts["r1"].attempts["n0@a"] += 1
     encoded = record.encode()
     assert encoded["later"] == 1 and encoded["spans"]["r1"]["later"] == 2
-    assert later["spans"]["r1"]["steps"] == {"n1@b": "out", "n0@a": "pending"}
-    assert later["spans"]["r1"]["tries"]["n0@a"] == 0
+    assert later_version["spans"]["r1"]["steps"] == {"n1@b": "out", "n0@a": "pending"}
+    assert later_version["spans"]["r1"]["tries"]["n0@a"] == 0
 
 
 def test_new_rollout_and_founding_record_encode_as_before():
-    given = {name: ROLLOUT[key] for key, name in FleetRollout.ENCODED_KEYS.items()}
-    assert json.dumps(FleetRollout(**given).encode()) == json.dumps(ROLLOUT)
+    arguments = {name: ROLLOUT[key] for key, name in FleetRollout.ENCODED_KEYS.items()}
+    assert json.dumps(FleetRollout(**arguments).encode()) == json.dumps(ROLLOUT)
     names = [f"a{n}" for n in range(9)]
     assert json.dumps(founding_record(names[::-1])) == json.dumps(
         {
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -1,22 +1,23 @@
-"""The replicated record's state machine: who leads the fleet, and what is committed. No I/O; times in ms.
+"""State machine of the replicated record: leader election, replication and commit. No I/O; times in ms.
 
-One register, replaced whole: (term, revision, body). An agent leads under a term in which a majority of the
-voters has voted for it, and what it writes is committed once a majority has it on disk. A term is a fencing
-number: whoever has voted in a higher one accepts nothing of a lower. So the next leader finds in some vote
-whatever was committed before (Lamport, The part-time parliament, 1998; the leader's steady state and the
-pre-vote as in Ongaro's thesis on Raft, 2014, 9.6). Safety rests on no clock: times only say when to act.
+The record is one register, (term, revision, body), which each write replaces as a whole. An agent leads in a
+term in which a majority of the voters has voted for it, and a record that it writes is committed once a
+majority has the record on disk. The term is a fencing token: an agent that has voted in a term accepts no
+record of a lower term. The votes that elect the next leader therefore contain every committed record
+(Lamport, The part-time parliament, 1998; steady state of the leader and pre-vote as in Ongaro's thesis on
+Raft, 2014, 9.6). Safety does not depend on clocks: times only decide when an agent acts.
 
     follower -> pre-candidate -> candidate -> elected -> leader
        ^              |              |           |          |
        +--------------+--------------+-----------+----------+
               higher term, timeout, no majority, failed store
 
-The body names its voters with the identity of each one's store (`quorum.py`). Modules of their own have the
-copy on the disk (`record_copy.py`), timeout, terms and votes (`election.py`), acknowledgements
-(`replication.py`) and changes of the voters (`voter_changes.py`).
+The body lists the voters with the identity of each voter's store (`quorum.py`). Separate modules contain the
+copy on disk (`record_copy.py`), election timeout, terms and votes (`election.py`), acknowledgements
+(`replication.py`) and the rules for changing the voters (`voter_changes.py`).
 
-`ReplicatedRecord` is longer than most modules because its transitions are one thing, read together. They
-stand by role: all, follower, pre-candidate and candidate, leader. The agent's thread alone calls it.
+This module is longer than most because the transitions of one state machine are kept together. They are
+grouped by role: all roles, follower, pre-candidate and candidate, leader. Only the agent's thread calls them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -48,46 +49,46 @@
 from vetchford.fleet.record_copy import RecordCopy, RecordStore
 from vetchford.fleet.replication import ReplicationProgress
 
-HEARTBEAT_INTERVAL_MS = 500.0  # between two messages of the leader to each member
-VOTE_TIMEOUT_MS = 1500.0  # for the answers to a pre-vote or a vote request
-PRE_VOTE_SILENCE_MS = ELECTION_TIMEOUT_MS * 0.8  # without a leader, from which on a pre-vote is granted
+HEARTBEAT_INTERVAL_MS = 500.0  # between two messages from the leader to the same member
+VOTE_TIMEOUT_MS = 1500.0  # from a pre-vote or vote request until the campaign ends without a majority
+PRE_VOTE_SILENCE_MS = ELECTION_TIMEOUT_MS * 0.8  # without a leader's message before a pre-vote is granted
 
 
 class Role(StrEnum):
-    """What an agent is in the current election; the values are what tools are told."""
+    """Role of an agent in the election; the values are those of the tools' protocol."""
 
     FOLLOWER = "follows"
     PRE_CANDIDATE = "asking"
     CANDIDATE = "standing"
-    ELECTED = "taking over"  # has a majority of the votes, and has not committed the record in its term yet
+    ELECTED = "taking over"  # has a majority of the votes; the record is not committed in its term yet
     LEADER = "drives"
 
 
-LEADING = frozenset((Role.ELECTED, Role.LEADER))
-CAMPAIGNING = frozenset((Role.PRE_CANDIDATE, Role.CANDIDATE))
+LEADING_ROLES = frozenset((Role.ELECTED, Role.LEADER))
+CAMPAIGNING_ROLES = frozenset((Role.PRE_CANDIDATE, Role.CANDIDATE))
 
 
 class RecordActions(RecordStore, Protocol):
-    """What the state machine acts through; `RecordStore` is the part that the copy on the disk uses."""
+    """Operations that the state machine calls; `RecordStore` is the part that the copy on disk uses."""
 
     def send_to_record(self, to: str, message: EncodedMessage) -> None:
-        """Sends a message to the `ReplicatedRecord` of another agent; it may be lost."""
+        """Send a message to the `ReplicatedRecord` of another agent; the message may be lost."""
 
     def on_elected(self, now_ms: float) -> None:
-        """This agent leads from now on, and the record is committed under its term."""
+        """Start to lead: this agent was elected and has committed the record in its term."""
 
     def on_committed(self, now_ms: float) -> None:
-        """What was proposed is committed."""
+        """Handle the commit of the record that this agent proposed."""
 
-    def on_deposed(self, now_ms: float, why: str) -> None:
-        """This agent no longer leads."""
+    def on_deposed(self, now_ms: float, reason: str) -> None:
+        """Stop leading."""
 
     def on_appended(self, now_ms: float) -> None:
-        """A leader was heard, or a newer record arrived; it may not be committed yet."""
+        """Handle a leader's message or a newer record; the record may not be committed yet."""
 
 
 class ReplicatedRecord:
-    """One agent's part in the elections and in the replication of the record."""
+    """The state machine of one agent: its part in elections and in replicating the record."""
 
     def __init__(
         self,
@@ -95,52 +96,56 @@
         name: str,
         seed: int,
         store: str,
-        founding: RecordBody,
+        founding_body: RecordBody,
         now_ms: float = 0.0,
     ) -> None:
-        """Starts as a follower with the founding body, which is the same on all agents.
+        """Start as a follower with the founding body, which is the same on all agents.
 
-        `store` is the identity of what `save_record` writes to; `seed` fixes the drawn timeouts.
+        `store` is the identity of the store that `save_record` writes to; `seed` determines the random
+        election timeouts.
         """
         self.actions = actions
         self.name = name
         self.identities = StoreIdentities(name, store)
-        self.copy = RecordCopy(actions, founding)
-        self.committed: RecordVersion = (0, 0)  # the newest that this agent knows to be committed
+        self.copy = RecordCopy(actions, founding_body)
+        self.committed: RecordVersion = (0, 0)  # newest version that this agent knows to be committed
         self.role = Role.FOLLOWER
         self.role_since_ms = now_ms
-        self.leader = ""  # whom a follower follows, or this agent; empty for nobody
+        self.leader = ""  # the agent that leads, which may be this agent; empty if not known
         self.timer = ElectionTimer(seed, name, now_ms)
         self.highest_seen_term = 0
-        self.campaign_term = 0  # of this agent's last candidacy; while it leads, its term
-        self.ballot = Ballot(name, self.copy.version, self.copy.body)  # of the last pre-vote or vote
-        self.progress = ReplicationProgress(name, self.identities)  # of the last term in which it was elected
+        self.campaign_term = 0  # of this agent's last candidacy; while it leads, the term in which it leads
+        self.ballot = Ballot(name, self.copy.version, self.copy.body)  # of the last pre-vote or election
+        self.progress = ReplicationProgress(name, self.identities)  # since this agent was last elected
         self.next_heartbeat_at_ms = 0.0
 
     def restore(self, stored: dict[str, Any]) -> None:
-        """What `save_record` was given last, at the start of the agent; KeyError where it is not that."""
+        """Load what `save_record` stored last, at the start of the agent; KeyError if a key is missing."""
         self.copy.restore(stored)
 
     def replace_store(self, now_ms: float, store: str) -> None:
-        """The store was emptied or restored, so its votes may be lost: `store` is its new identity."""
-        self.step_down(now_ms, "the store is not what it was")
+        """Step down after the store was emptied or restored and may have lost votes.
+
+        `store` is the new identity of the store.
+        """
+        self.step_down(now_ms, "the store was emptied or restored")
         self.identities.replace_own(store)
 
-    # -- what is asked of it
+    # -- queries
 
     @property
     def promised_term(self) -> int:
-        """The highest term that this agent has voted in: a lower one is obeyed no more."""
+        """The highest term that this agent has voted in; messages of lower terms are rejected."""
         return self.copy.promised_term
 
     @property
     def version(self) -> RecordVersion:
-        """The version of the copy on the disk."""
+        """The version of the copy on disk."""
         return self.copy.version
 
     @property
     def body(self) -> RecordBody:
-        """The copy on the disk, committed or not."""
+        """The body of the copy on disk, committed or not."""
         return self.copy.body
 
     @property
@@ -150,46 +155,49 @@
 
     @property
     def leader_heard_at_ms(self) -> float:
-        """When a leader was heard last, or an election began; by the clock of `tick`."""
+        """The time of the last leader's message or the start of the last election, by the clock of `tick`."""
         return self.timer.restarted_at_ms
 
     def voters(self) -> dict[str, str]:
-        """The voters, and the store identity that the record lists for each."""
+        """Return the voters, with the store identity that the record lists for each."""
         return self.copy.voters()
 
     def members(self) -> list[str]:
-        """The members' names, sorted."""
+        """Return the members' names, sorted."""
         return self.copy.members()
 
     def is_member(self, name: str) -> bool:
-        """Whether the record lists an agent as a member."""
+        """Return whether the record lists an agent as a member."""
         return self.copy.is_member(name)
 
-    def is_counted(self, name: str) -> bool:
-        """Whether a vote of this agent counts, going by its store."""
-        return self.identities.is_counted(name, self.voters())
+    def has_valid_vote(self, name: str) -> bool:
+        """Return whether votes of an agent count: it is a voter and its store is the one listed."""
+        return self.identities.has_valid_vote(name, self.voters())
 
     # -- all roles: time, messages, stepping down
 
     def tick(self, now_ms: float) -> None:
-        """Called about ten times a second."""
-        if self.role in LEADING:
+        """Act on timeouts; called about ten times a second."""
+        if self.role in LEADING_ROLES:
             self.tick_leader(now_ms)
-        elif self.role in CAMPAIGNING:
+        elif self.role in CAMPAIGNING_ROLES:
             if now_ms - self.role_since_ms >= VOTE_TIMEOUT_MS:
                 self.become_follower(now_ms, "")
         elif self.timer.is_expired(now_ms):
             self.start_pre_vote(now_ms)
 
-    def on_process_stopped(self, now_ms: float, gap_ms: float) -> None:
-        """This process did not run for `gap_ms`: no leader was late, and what we were writing is old."""
+    def on_process_stall(self, now_ms: float, gap_ms: float) -> None:
+        """Account for `gap_ms` in which this process did not run.
+
+        The leader was not silent in that time, and a campaign or leadership of this agent is out of date.
+        """
         self.timer.postpone(gap_ms)
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, "this process was stopped")
+            self.step_down(now_ms, f"this process did not run for {gap_ms:.0f} ms")
 
     def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
-        """A message of another agent's `ReplicatedRecord`; MalformedMessageError where it can't be read."""
-        self.identities.stated[sender] = sender_store(encoded)
+        """Handle a message of another agent's `ReplicatedRecord`; MalformedMessageError if not decodable."""
+        self.identities.reported[sender] = sender_store(encoded)
         try:
             message = decode_message(sender, encoded)
         except UnknownMessageError:
@@ -214,46 +222,46 @@
                 self.on_install_snapshot(now_ms, sender, message)
 
     def send(self, to: str, message: Message) -> None:
-        """Sends one message, with the identity of our store."""
+        """Send one message, with the identity of this agent's store."""
         self.actions.send_to_record(to, encode_message(message, self.store))
 
     def send_to_other_voters(self, message: Message) -> None:
-        """Sends one message to every voter but this agent."""
+        """Send one message to every voter except this agent."""
         for name in self.voters():
             if name != self.name:
                 self.send(name, message)
 
     def set_role(self, now_ms: float, role: Role, leader: str) -> None:
-        """Takes a role; `leader` is empty while nobody is known to lead."""
+        """Change the role; `leader` is empty while no leader is known."""
         self.role = role
         self.role_since_ms = now_ms
         self.leader = leader
 
-    def step_down(self, now_ms: float, why: str) -> None:
-        """Ends a candidacy or a leadership; as a follower of nobody, only restarts the election timer."""
-        was_leading = self.role in LEADING
+    def step_down(self, now_ms: float, reason: str) -> None:
+        """End a candidacy or a leadership and follow no leader; a follower only restarts its timer."""
+        was_leading = self.role in LEADING_ROLES
         self.become_follower(now_ms, "")
         if was_leading:
-            self.actions.note("leader_stepped_down", term=self.campaign_term, why=why)
-            self.actions.on_deposed(now_ms, why)
+            self.actions.note("leader_stepped_down", term=self.campaign_term, why=reason)
+            self.actions.on_deposed(now_ms, reason)
 
     def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
-        """A voter has voted in a higher term than ours (Raft, 5.1: who is stale steps down)."""
+        """Step down because a voter has voted in a term higher than ours (Raft, 5.1)."""
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         if self.role != Role.FOLLOWER and message.term == self.campaign_term:
-            self.step_down(now_ms, f"{sender} has voted in a higher term")
+            self.step_down(now_ms, f"{sender} has voted in term {message.promised_term}, which is higher")
 
-    # -- follower: votes, and keeps what the leader writes
+    # -- follower: votes, and stores the leader's record
 
     def become_follower(self, now_ms: float, leader: str) -> None:
-        """Follows `leader`, or nobody yet where that is empty."""
+        """Follow `leader`, or wait for a leader if that is empty."""
         self.set_role(now_ms, Role.FOLLOWER, leader)
         self.timer.restart(now_ms)
 
     def on_pre_vote_request(self, now_ms: float, sender: str) -> None:
-        """Granted where no leader was heard for `PRE_VOTE_SILENCE_MS` (Ongaro's thesis, 9.6).
+        """Grant a pre-vote if no leader was heard for `PRE_VOTE_SILENCE_MS` (Ongaro's thesis, 9.6).
 
-        An agent that is no member here learns so from the record: it was dismissed while it was away.
+        An agent that was dismissed while it was unreachable is sent the record, which no longer lists it.
         """
         if not self.is_member(sender):
             self.send(sender, InstallSnapshot(self.version, self.body))
@@ -262,10 +270,10 @@
         self.send(sender, PreVoteResponse(granted, self.promised_term))
 
     def on_vote_request(self, now_ms: float, sender: str, message: VoteRequest) -> None:
-        """Votes in a higher term; a request that came twice is answered twice.
+        """Vote in a higher term; a duplicate request is answered again.
 
-        Invariant: one vote a term (Raft, 5.2). A term belongs to one agent (`next_own_term`), so the same
-        term again is the same candidate. The vote is on the disk before it is sent.
+        Invariant: one vote per term (Raft, 5.2). Each term belongs to one agent (`next_own_term`), so a
+        repeated term comes from the same candidate. The vote is on disk before it is sent.
         """
         if message.term < self.promised_term:
             self.send(sender, Rejected(message.term, self.promised_term))
@@ -274,15 +282,15 @@
             if not self.copy.save_term(message.term):
                 return
             if self.role != Role.FOLLOWER:
-                self.step_down(now_ms, f"{sender} is a candidate in a higher term")
+                self.step_down(now_ms, f"{sender} is a candidate in term {message.term}, which is higher")
             self.become_follower(now_ms, "")
         self.send(sender, VoteGranted(message.term, self.version, self.body))
 
     def on_append(self, now_ms: float, sender: str, message: Heartbeat | AppendRecord) -> None:
-        """Follows the leader of a term that is not lower than our vote, and acknowledges its record.
+        """Follow the leader of a term that is not lower than the one voted in, and acknowledge its record.
 
-        Invariant: nothing of a term lower than our vote is written (Raft, 5.1), and the record is on the disk
-        before it is acknowledged.
+        Invariant: no record of a term lower than the one voted in is written (Raft, 5.1), and a record is on
+        disk before it is acknowledged.
         """
         if message.term < self.promised_term:
             self.send(sender, Rejected(message.term, self.promised_term))
@@ -290,7 +298,7 @@
         if not self.save_appended(message):
             return
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, f"{sender} leads in a higher term")
+            self.step_down(now_ms, f"{sender} leads in term {message.term}")
         if self.leader != sender:
             self.actions.note("leader_followed", driver=sender, term=message.term)
         self.become_follower(now_ms, sender)
@@ -299,7 +307,7 @@
         self.send(sender, Acknowledge(message.term, self.version))
 
     def save_appended(self, message: Heartbeat | AppendRecord) -> bool:
-        """Writes what is new in a leader's message; False where the disk failed."""
+        """Store a new record or term from a leader's message; return False if the store failed."""
         if isinstance(message, AppendRecord) and message.version > self.version:
             return self.copy.save(message.term, message.version, message.body or self.body)
         if message.term > self.promised_term:
@@ -307,22 +315,22 @@
         return True
 
     def on_install_snapshot(self, now_ms: float, sender: str, message: InstallSnapshot) -> None:
-        """We asked for a pre-vote and are no member there: that record is newer, or we would be one."""
+        """Store the record of a voter whose record no longer lists this agent, if that record is newer."""
         if message.version <= self.version:
             return
         if self.copy.save(self.promised_term, message.version, message.body):
             self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
             self.actions.on_appended(now_ms)
 
-    # -- pre-candidate and candidate: asks for votes
+    # -- pre-candidate and candidate: requests votes
 
     def start_pre_vote(self, now_ms: float) -> None:
-        """Asks first, which changes no term: an agent that hears nobody must not raise the terms.
+        """Request pre-votes, which change no term: an isolated agent must not raise the terms of the others.
 
-        An agent whose own vote does not count waits for a leader: it could not be elected.
+        An agent whose own vote does not count could not be elected and waits for a leader.
         """
         self.timer.restart(now_ms)
-        if not self.is_counted(self.name):
+        if not self.has_valid_vote(self.name):
             return
         self.set_role(now_ms, Role.PRE_CANDIDATE, "")
         self.ballot = Ballot(self.name, self.version, self.body)
@@ -330,20 +338,20 @@
         self.count_pre_votes(now_ms)
 
     def on_pre_vote_response(self, now_ms: float, sender: str, message: PreVoteResponse) -> None:
-        """Counts a pre-vote, and remembers the voter's term so that ours will be higher."""
-        if self.role != Role.PRE_CANDIDATE or not message.granted or not self.is_counted(sender):
+        """Count a pre-vote, and note the voter's term so that the term of our candidacy is higher."""
+        if self.role != Role.PRE_CANDIDATE or not message.granted or not self.has_valid_vote(sender):
             return
         self.ballot.add(sender)
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         self.count_pre_votes(now_ms)
 
     def count_pre_votes(self, now_ms: float) -> None:
-        """Becomes a candidate once a majority would vote for this agent."""
+        """Become a candidate once a majority has granted the pre-vote."""
         if is_majority(self.ballot.names, self.voters()):
             self.start_election(now_ms)
 
     def start_election(self, now_ms: float) -> None:
-        """Votes for itself in a new term, on the disk first, and asks for the votes of the others."""
+        """Vote for this agent in a new term, on disk first, and request the votes of the others."""
         highest_seen_term = max(self.promised_term, self.highest_seen_term)
         term = next_own_term(self.name, self.members(), highest_seen_term)
         if not self.copy.save_term(term):
@@ -356,7 +364,7 @@
         self.count_votes(now_ms)
 
     def on_vote_granted(self, now_ms: float, sender: str, message: VoteGranted) -> None:
-        """Counts a vote, and keeps the newest record among the votes."""
+        """Count a vote, and keep the newest record received with the votes."""
         if self.role != Role.CANDIDATE or message.term != self.campaign_term:
             return
         self.ballot.add_record(message.version, message.body)
@@ -364,16 +372,16 @@
         self.count_votes(now_ms)
 
     def count_votes(self, now_ms: float) -> None:
-        """With a majority, writes the newest record among the votes anew, under our term.
+        """Given a majority, write the newest record received with the votes again, in our term.
 
-        Where that record changes the voters, a majority of both lists is needed. It counts as committed only
-        under the new term: a majority that holds it under an older one proves nothing (Raft, 5.4.2).
+        If that record changes the voters, a majority of both lists is needed. The record is committed only in
+        the new term: a majority that has it in an older term does not prove a commit (Raft, 5.4.2).
         """
-        electorates = self.voters(), self.ballot.newest_body["voters"]
-        if not all(self.identities.is_quorum(self.ballot.names, voters) for voters in electorates):
+        voter_lists = self.voters(), self.ballot.newest_body["voters"]
+        if not all(self.identities.is_quorum(self.ballot.names, voters) for voters in voter_lists):
             return
         self.progress = ReplicationProgress(self.name, self.identities)
-        self.progress.require(*electorates)
+        self.progress.require_majorities(*voter_lists)
         if not self.copy.save(self.campaign_term, (self.campaign_term, 1), self.ballot.newest_body):
             self.become_follower(now_ms, "")
             return
@@ -382,58 +390,58 @@
         self.replicate(now_ms)
         self.commit_if_replicated(now_ms)
 
-    # -- leader: writes the record, and commits what a majority has
+    # -- leader: writes the record, and commits it once a majority has it
 
     def tick_leader(self, now_ms: float) -> None:
-        """Heartbeats, and the end of a leadership that no majority answers (Ongaro's thesis, 6.2)."""
+        """Send heartbeats, and step down if no majority answers (Ongaro's thesis, 6.2)."""
         if now_ms >= self.next_heartbeat_at_ms:
             self.replicate(now_ms)
         if now_ms - self.role_since_ms <= ELECTION_TIMEOUT_MS:
             return
-        answering = self.progress.answering(now_ms, ELECTION_TIMEOUT_MS)
-        if not self.identities.is_quorum(answering, self.voters()):
-            self.step_down(now_ms, "no majority of the voters answers")
+        responding = self.progress.responding_members(now_ms, ELECTION_TIMEOUT_MS)
+        if not self.identities.is_quorum(responding, self.voters()):
+            self.step_down(now_ms, f"no majority of the voters has answered for {ELECTION_TIMEOUT_MS:.0f} ms")
 
     def propose(self, now_ms: float, body: RecordBody) -> bool:
-        """Writes the next record; `on_committed` tells when a majority has it.
+        """Write the next record; `on_committed` is called once a majority has it.
 
-        False where this agent does not lead, its last proposal is not committed yet, or its store failed.
-        ValueError where `body` changes more than one voter.
+        Return False if this agent does not lead, its last proposal is not committed yet, or its store failed.
+        Raise ValueError if `body` changes more than one voter.
 
-        Invariant: at most one record is not committed, so the newest copy among a majority is all that the
-        next leader has to take over.
+        Invariant: at most one record is not committed, so the next leader only needs the newest copy among a
+        majority.
         """
         if self.role != Role.LEADER or self.committed != self.version:
             return False
-        before = self.voters()
-        after = body["voters"]
-        voter_changes.check_single_change(before, after)
+        voters_before = self.voters()
+        voters_after = body["voters"]
+        voter_changes.check_single_change(voters_before, voters_after)
         next_version = (self.campaign_term, self.version[1] + 1)
         if not self.copy.save(self.campaign_term, next_version, body):
-            self.step_down(now_ms, "the store failed")  # another agent's may work
+            self.step_down(now_ms, "the store failed")  # an agent whose store works can lead
             return False
-        self.progress.require(before, after)
+        self.progress.require_majorities(voters_before, voters_after)
         self.replicate(now_ms)
         self.commit_if_replicated(now_ms)
         return True
 
     def replicate(self, now_ms: float) -> None:
-        """A heartbeat to every other member, with the record for those that have not acknowledged it."""
+        """Send a heartbeat to every other member, with the record if the member has not acknowledged it."""
         self.next_heartbeat_at_ms = now_ms + HEARTBEAT_INTERVAL_MS
         heartbeat = Heartbeat(self.campaign_term, self.version, self.committed)
         append = AppendRecord(self.campaign_term, self.version, self.committed, self.body)
         for name in self.body["members"]:
             if name != self.name:
-                self.send(name, heartbeat if self.progress.has(name, self.version) else append)
+                self.send(name, heartbeat if self.progress.has_acknowledged(name, self.version) else append)
 
     def on_acknowledge(self, now_ms: float, sender: str, message: Acknowledge) -> None:
-        """A member has a record of our term on its disk."""
-        if self.role in LEADING and message.term == self.campaign_term:
-            self.progress.record_answer(now_ms, sender, message.version)
+        """Count an acknowledgement: the member has a record of our term on disk."""
+        if self.role in LEADING_ROLES and message.term == self.campaign_term:
+            self.progress.record_acknowledgement(now_ms, sender, message.version)
             self.commit_if_replicated(now_ms)
 
     def commit_if_replicated(self, now_ms: float) -> None:
-        """Commits the record that was written last once a majority has it; the first in a term elects us."""
+        """Commit the last written record once a majority has it; the first one of a term makes us leader."""
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
@@ -451,13 +459,13 @@
         self.actions.on_elected(now_ms)
 
     def find_voter_update(self, voters: Mapping[str, str], members: Iterable[str]) -> tuple[str, str] | None:
-        """The voter that the next record is to list anew (`voter_changes.find_voter_update`)."""
+        """Return the voter whose entry the next record is to update (`voter_changes.find_voter_update`)."""
         return voter_changes.find_voter_update(voters, members, self.version, self.identities, self.progress)
 
     # -- for tools
 
     def status(self) -> dict[str, Any]:
-        """What `fleet peers` shows; the keys are those of the tools' protocol."""
+        """Return what `fleet peers` shows; the keys are those of the tools' protocol."""
         return {
             "role": self.role.value,
             "driver": self.leader,
@@ -466,5 +474,5 @@
             "voters": sorted(self.voters()),
             "members": self.members(),
             "member": self.is_member(self.name),
-            "counted": self.is_counted(self.name),
+            "counted": self.has_valid_vote(self.name),
         }
--- a/vetchford/fleet/consensus_messages.py
+++ b/vetchford/fleet/consensus_messages.py
@@ -1,8 +1,8 @@
-"""Messages and stored state of the replicated record (`consensus.py`): typed values, and their encoded form.
+"""Messages and stored state of the replicated record (`consensus.py`): types and their encoded form.
 
-A codec without state. The encoded words and the order of the keys are those that agents of every version
-exchange during a rolling upgrade, so they stay as they are; each appears here and nowhere else. The message
-names are those of Raft (Ongaro and Ousterhout, 2014) and of its pre-vote extension (Ongaro's thesis, 9.6).
+A codec without state. Agents of different versions exchange these messages during a rolling upgrade, so the
+encoded names and the order of the keys must not change; each name is defined here only. The types are named
+after the messages of Raft (Ongaro and Ousterhout, 2014) and of its pre-vote extension (Ongaro's thesis, 9.6).
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from vetchford.errors import MalformedInputError
 
 RecordVersion: TypeAlias = tuple[int, int]
-"""Term and revision of a record; the greater one is the newer one."""
+"""Term and revision of a record; the greater pair is newer."""
 
 RecordBody: TypeAlias = dict[str, Any]
-"""What the record says; consensus reads `members` and `voters` of it alone."""
+"""Content of the record; the consensus modules read only its `members` and `voters`."""
 
 EncodedMessage: TypeAlias = dict[str, Any]
 
@@ -27,45 +27,45 @@
 
 
 class MalformedMessageError(MalformedInputError, ValueError):
-    """A message that lacks a field or has one of the wrong type; `sender` is the agent that sent it."""
+    """A message from the agent `sender` that lacks a field or has a field of the wrong type."""
 
     def __init__(self, sender: str, problem: str) -> None:
-        """`problem` says which field is wrong."""
-        super().__init__(f"message of {sender}: {problem}")
+        """Make the error; `problem` says which field is wrong."""
+        super().__init__(f"malformed message from {sender}: {problem}")
         self.sender = sender
         self.problem = problem
 
 
 class UnknownMessageError(MalformedInputError):
-    """A message of a kind that this version does not know; `kind` is its encoded word."""
+    """A message whose encoded kind, `kind`, this version does not know."""
 
     def __init__(self, kind: str) -> None:
-        """`kind` is the word that stands in the message."""
-        super().__init__(f"unknown kind of message: {kind}")
+        """Make the error; `kind` is the encoded kind of the message."""
+        super().__init__(f"unknown kind of message '{kind}'; its sender may run a later version")
         self.kind = kind
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="would"):
-    """Asks whether the receiver would vote for the sender; changes nothing at the receiver."""
+    """A question whether the receiver would vote for the sender; it changes nothing at the receiver."""
 
     version: RecordVersion = msgspec.field(name="at")
 
 
 class PreVoteResponse(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="answer"):
-    """The answer to a `PreVoteRequest`, with the highest term that its sender has voted in."""
+    """The answer to a `PreVoteRequest`, with the highest term that the voter has voted in."""
 
     granted: bool = msgspec.field(name="yes")
     promised_term: int = msgspec.field(name="promised")
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="promise"):
-    """A candidate asks for a vote in `term`."""
+    """A candidate's request for a vote in `term`."""
 
     term: int
 
 
 class VoteGranted(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="promised"):
-    """A vote in `term`, with the record that the voter has."""
+    """A vote in `term`, with the voter's copy of the record."""
 
     term: int
     version: RecordVersion = msgspec.field(name="at")
@@ -73,14 +73,14 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="passed"):
-    """The answer to a message of `term`: its sender has voted in the higher `promised_term`."""
+    """The answer to a message of `term` from an agent that has voted in the higher `promised_term`."""
 
     term: int
     promised_term: int = msgspec.field(name="promised")
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="beat"):
-    """The leader of `term` is there; the receiver has acknowledged `version` already."""
+    """A sign of life of the leader of `term`, for a member that has acknowledged `version`."""
 
     term: int
     version: RecordVersion = msgspec.field(name="at")
@@ -88,7 +88,7 @@
 
 
 class AppendRecord(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="hold"):
-    """A heartbeat that carries the record, to a member that has not acknowledged `version`."""
+    """A heartbeat with the record, for a member that has not acknowledged `version`."""
 
     term: int
     version: RecordVersion = msgspec.field(name="at")
@@ -97,14 +97,14 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="held"):
-    """The answer to `Heartbeat` and `AppendRecord`: the sender has `version` on its disk."""
+    """The answer to `Heartbeat` and `AppendRecord`: the member has `version` on disk."""
 
     term: int
     version: RecordVersion = msgspec.field(name="at")
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="teach"):
-    """The record for an agent that asked for a pre-vote and is no member in it."""
+    """The record, sent to an agent that requested a pre-vote and is not a member in this record."""
 
     version: RecordVersion = msgspec.field(name="at")
     body: RecordBody
@@ -128,26 +128,26 @@
 
 
 def encode_message(message: Message, store: str) -> EncodedMessage:
-    """The encoded form of a message; `store` is the identity of the sender's store."""
+    """Return the encoded form of a message; `store` is the identity of the sender's store."""
     encoded: EncodedMessage = msgspec.to_builtins(message)
     encoded[STORE_KEY] = store
     return encoded
 
 
 def sender_store(encoded: EncodedMessage) -> str:
-    """The identity of the sender's store, which every message carries whatever its kind."""
+    """Return the identity of the sender's store, which messages of every kind carry."""
     return str(encoded.get(STORE_KEY, ""))
 
 
 def decode_message(sender: str, encoded: EncodedMessage) -> Message:
-    """The typed form of a message; fields that this version does not know are ignored.
+    """Return the typed form of a message; fields that this version does not know are ignored.
 
-    UnknownMessageError for a kind of another version, MalformedMessageError for anything else that can't be
-    read.
+    Raise UnknownMessageError for an unknown kind, MalformedMessageError for any other message that cannot be
+    decoded.
     """
     kind = encoded.get(KIND_KEY)
     if not isinstance(kind, str):
-        raise MalformedMessageError(sender, f"no kind under '{KIND_KEY}'")
+        raise MalformedMessageError(sender, f"field '{KIND_KEY}', the kind, is missing or not a string")
     message_type = MESSAGE_TYPES.get(kind)
     if message_type is None:
         raise UnknownMessageError(kind)
@@ -159,18 +159,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentState:
-    """What an agent has on its disk before it answers: its vote and its copy of the record."""
+    """An agent's vote and copy of the record, which are on disk before the agent answers a message."""
 
     promised_term: int
     version: RecordVersion
     body: RecordBody
 
     def to_stored(self) -> dict[str, Any]:
-        """The stored form."""
+        """Return the stored form."""
         return {"promised": self.promised_term, "at": list(self.version), "body": self.body}
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any]) -> PersistentState:
-        """Reads the stored form; KeyError where it is not one."""
+        """Read the stored form; KeyError if a key is missing."""
         term, revision = stored["at"]
         return cls(stored["promised"], (term, revision), stored["body"])
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -1,11 +1,11 @@
-"""One agent's part in its fleet: it has the record, obeys committed orders, and leads where it is elected.
+"""One agent's part in its fleet: keeps the record, carries out committed orders, and leads when elected.
 
 Connects `consensus`, `fleet_rollout`, `rollout_controls`, `order_guard` and `tool_requests`. No I/O; times in
-ms, monotonic. The agent's thread alone calls it. Messages of other agents are taken as they come: late,
-doubled, or from one that no longer leads; `order_guard` decides which orders are carried out.
+ms, monotonic. Only the agent's thread calls it. Messages of other agents may be late, duplicated, or from an
+agent that no longer leads; `order_guard` decides which orders are carried out.
 
-It is longer than most modules because it only connects: it implements the actions of the record and of the
-controller, and hands each message and each tick to the part that decides.
+This module is longer than most because it connects the others: it implements the actions of the record and of
+the controller, and passes each message and each tick to the module that decides.
 """
 
 import contextlib
@@ -35,33 +35,36 @@
 from vetchford.fleet.rollout_controls import EncodedControls, RolloutControls
 from vetchford.fleet.tool_requests import ToolRequests
 
-STOPPED_AFTER_MS = 1500.0  # between two ticks, after which this process was stopped, not busy
+STALL_THRESHOLD_MS = 1500.0  # between two ticks; a longer gap means that this process was stopped, not busy
 
-RECORD_NAME = "newest"  # under which the store has the record
-CONTROLS_KIND = "orders"  # of the store's records of controls
+RECORD_NAME = "newest"  # name of the stored record
+CONTROLS_KIND = "orders"  # kind of the stored controls, which are named by rollout id
 
 
 class CoordinatorActions(Protocol):
-    """What the coordinator acts through."""
+    """Operations that the coordinator calls."""
 
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
-        """Sends a message to another agent; False where it is known not to go."""
+        """Send a message to another agent; return False if it is known not to have been sent."""
 
     def keep(self, kind: str, name: str, body: Any) -> None:
-        """Stores a record, or drops it for None; durable before it returns. OSError where the store fails."""
+        """Store a record durably before returning, or delete it for None; OSError if the store fails."""
 
     def report(self, rollouts: set[str]) -> AgentReport:
-        """This agent's instances, the local rollouts made for `rollouts`, and the versions that it knows."""
+        """Return this agent's instances, the local rollouts made for `rollouts`, and the known versions."""
 
     def begin_step(self, step: Step) -> str:
-        """Starts a local rollout over one instance; empty, or why not. The same id again is the same one."""
+        """Start a local rollout over one instance; return why it was refused, or an empty text.
+
+        A repeated call with the same step id starts nothing more.
+        """
 
     def note(self, event: str, **fields: Any) -> None:
-        """A log event."""
+        """Write a log event."""
 
 
 class FleetCoordinator:
-    """The decisions of one agent about its fleet; acts for the record and for the controller."""
+    """The decisions of one agent about its fleet; implements the actions of the record and the controller."""
 
     def __init__(
         self,
@@ -69,110 +72,110 @@
         name: str,
         seed: int,
         store: str,
-        founding: EncodedRecord,
+        founding_body: EncodedRecord,
         now_ms: float,
         incarnation: int,
     ) -> None:
-        """`store`: the identity of the agent's store; `incarnation`: counts its starts."""
+        """Start as a follower; `store`: identity of the agent's store; `incarnation`: counts its starts."""
         self.actions = actions
         self.name = name
         self.incarnation = incarnation
-        self.record = ReplicatedRecord(self, name, seed, store, founding, now_ms)
+        self.record = ReplicatedRecord(self, name, seed, store, founding_body, now_ms)
         self.controls = RolloutControls(name)
         self.controller: FleetRolloutController | None = None  # while this agent leads
         self.tool_requests = ToolRequests(self)
         self.order_guard = OrderGuard(name, self.record, self.controls)
-        self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed as they are answered or grow old
-        self.wait_reasons: dict[str, str] = {}  # of rollouts, as the leader told last
-        self.unfinished: set[str] = set()  # rollouts of the record that have not ended
+        self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed once answered or too old
+        self.wait_reasons: dict[str, str] = {}  # by rollout id, from the leader's last report request
+        self.unfinished: set[str] = set()  # ids of the record's rollouts that have not ended
         self.last_tick_at_ms = now_ms
 
     def restore(self, kind: str, name: str, body: Any) -> None:
-        """One stored record, at the start of the agent."""
+        """Load one stored record, at the start of the agent."""
         if kind == RECORD_KIND:
             self.record.restore(body)
-            self.learn_from_record()
+            self.update_from_record()
         elif kind == CONTROLS_KIND:
             self.controls.by_rollout[name] = body
 
     # -- time
 
     def tick(self, now_ms: float) -> None:
-        """Called about ten times a second."""
+        """Act on timeouts; called about ten times a second."""
         gap_ms = now_ms - self.last_tick_at_ms
         self.last_tick_at_ms = now_ms
-        if gap_ms > STOPPED_AFTER_MS:
+        if gap_ms > STALL_THRESHOLD_MS:
             self.actions.note("process_stalled", ms=round(gap_ms))
-            self.record.on_process_stopped(now_ms, gap_ms)
+            self.record.on_process_stall(now_ms, gap_ms)
         self.record.tick(now_ms)
         if self.controller is not None:
             self.controller.tick(now_ms)
-        self.forget_old_polls(now_ms)
+        self.discard_old_polls(now_ms)
         self.tool_requests.tick(now_ms)
 
-    def forget_old_polls(self, now_ms: float) -> None:
-        """Drops the polls whose report would be too old for an order to rest on it."""
-        old = [
+    def discard_old_polls(self, now_ms: float) -> None:
+        """Drop the polls whose report would be too old to base an order on."""
+        expired = [
             number
             for number, sent_at_ms in self.polls_sent_at_ms.items()
             if now_ms - sent_at_ms > MAX_ORDER_AGE_MS
         ]
-        for number in old:
+        for number in expired:
             del self.polls_sent_at_ms[number]
 
     # -- actions of the replicated record
 
     def send_to_record(self, to: str, message: EncodedMessage) -> None:
-        """Sends a message to the record of another agent."""
+        """Send a message to the `ReplicatedRecord` of another agent."""
         self.actions.post(to, RECORD_KIND, message)
 
     def save_record(self, stored: dict[str, Any]) -> None:
-        """Stores the record; OSError where the store fails."""
+        """Store the record; OSError if the store fails."""
         self.actions.keep(RECORD_KIND, RECORD_NAME, stored)
 
     def on_elected(self, now_ms: float) -> None:
-        """This agent leads from now on."""
+        """Start to lead, with a new controller."""
         self.controller = FleetRolloutController(self, self.name, self.record.body, self.controls)
         self.controller.tick(now_ms)
 
     def on_committed(self, now_ms: float) -> None:
-        """Learns first: a pause that stands in the record is a control from now on."""
-        self.learn_from_record()
+        """Continue with a committed record; its pauses become controls before the controller runs."""
+        self.update_from_record()
         if self.controller is not None:
             self.controller.on_committed(now_ms, self.record.body)
 
-    def on_deposed(self, now_ms: float, why: str) -> None:
-        """This agent no longer leads."""
+    def on_deposed(self, now_ms: float, reason: str) -> None:
+        """Stop leading, and drop the controller."""
         self.controller = None
         self.polls_sent_at_ms.clear()
 
     def on_appended(self, now_ms: float) -> None:
-        """The record may be a newer one."""
-        self.learn_from_record()
+        """Read the record again, as it may be a newer one."""
+        self.update_from_record()
 
-    def learn_from_record(self) -> None:
-        """Takes in which rollouts there are and the pauses that stand in them."""
+    def update_from_record(self) -> None:
+        """Read the unfinished rollouts of the record, and add their pauses to the controls."""
         rollouts = FleetRecord.decode(self.record.body).rollouts
         self.unfinished = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
         for id in self.unfinished:
             if rollouts[id].pauses:
                 recorded: EncodedControls = {"halts": rollouts[id].pauses, "lifted": []}
                 self.controls.merge({id: recorded}, self.unfinished)
-        for id in self.controls.forget_all_but(self.unfinished):
+        for id in self.controls.discard_ended(self.unfinished):
             self.wait_reasons.pop(id, None)
-            with contextlib.suppress(OSError):  # it stays on the disk, of a rollout that has ended
+            with contextlib.suppress(OSError):  # controls of an ended rollout may stay stored without harm
                 self.actions.keep(CONTROLS_KIND, id, None)
 
     def note(self, event: str, **fields: Any) -> None:
-        """A log event of the record or the controller."""
+        """Write a log event of the record or the controller."""
         self.actions.note(event, **fields)
 
     # -- actions of the controller
 
     def poll(self, agent: str, number: int) -> None:
-        """Asks a member, perhaps this agent, for a report."""
+        """Request a report from a member, which may be this agent."""
         if self.controller is None:
-            return  # deposed by what an earlier answer of this round led to
+            return  # deposed by an effect of this agent's own report in the same round
         self.polls_sent_at_ms[number] = self.last_tick_at_ms
         request = ReportRequest(
             number,
@@ -186,7 +189,7 @@
             self.send(agent, request)
 
     def order(self, agent: str, number: int, step: Step) -> None:
-        """Orders a member, perhaps this agent, to carry out a committed step."""
+        """Order a member, which may be this agent, to carry out a committed step."""
         if self.controller is None:
             return
         order = StepOrder(number, self.record.campaign_term, self.record.committed[1], step)
@@ -196,21 +199,21 @@
             self.send(agent, order)
 
     def propose(self, now_ms: float, body: EncodedRecord) -> bool:
-        """Proposes the next record."""
+        """Propose the next record; return whether it was written."""
         return self.record.propose(now_ms, body)
 
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
-        """A voter to list in a record, and its store's identity."""
+        """Return a voter whose entry in the record is to be updated, and its store's identity."""
         return self.record.find_voter_update(record.voters, record.members)
 
     # -- messages of other agents
 
     def send(self, to: str, message: CoordinatorMessage) -> None:
-        """Sends a message to the coordinator of another agent; it may be lost."""
+        """Send a message to the coordinator of another agent; the message may be lost."""
         self.actions.post(to, message.KIND, encode_message(message))
 
     def receive(self, now_ms: float, sender: str, kind: str, body: Any) -> None:
-        """A message of another agent; MalformedMessageError and its like where it can't be read."""
+        """Handle a message of another agent; MalformedMessageError or similar if it cannot be decoded."""
         if kind == RECORD_KIND:
             self.record.receive(now_ms, sender, body)
             return
@@ -234,11 +237,11 @@
                 self.tool_requests.on_forwarded_answer(sender, message)
 
     def is_current_leader(self, sender: str, term: int) -> bool:
-        """Whether it leads in the highest term that this agent has voted in."""
+        """Return whether `sender` leads, in `term`, and this agent has voted in no higher term."""
         return term == self.record.promised_term and sender in (self.name, self.record.leader)
 
     def on_report_request(self, now_ms: float, sender: str, message: ReportRequest) -> None:
-        """Reports to the leader; one that was deposed learns so from the record's messages."""
+        """Report to the leader; a deposed leader is told so by the record's messages instead."""
         if not self.is_current_leader(sender, message.term):
             return
         self.wait_reasons = dict(message.wait_reasons)
@@ -252,7 +255,7 @@
             self.send(sender, response)
 
     def on_report_response(self, now_ms: float, sender: str, message: ReportResponse) -> None:
-        """A report that was asked for in this term."""
+        """Pass a report that was requested in this term to the controller."""
         requested_at_ms = self.polls_sent_at_ms.pop(message.number, None)
         if self.controller is None or requested_at_ms is None or message.term != self.record.campaign_term:
             return
@@ -261,7 +264,7 @@
         self.controller.receive_report(now_ms, sender, message.number, requested_at_ms, report)
 
     def on_step_order(self, now_ms: float, sender: str, order: StepOrder) -> None:
-        """Carries out a step, or logs why not."""
+        """Carry out a step, or log why it was refused."""
         step = order.step
         is_current_leader = self.is_current_leader(sender, order.term)
         refusal = self.order_guard.find_refusal(now_ms, sender, order, is_current_leader=is_current_leader)
@@ -282,22 +285,22 @@
 
     # -- controls
 
-    def merge_controls(self, theirs: dict[str, EncodedControls]) -> None:
-        """Takes in another agent's controls, and stores what is new."""
-        for rollout_id in self.controls.merge(theirs, self.unfinished):
+    def merge_controls(self, received: dict[str, EncodedControls]) -> None:
+        """Merge another agent's controls into this agent's, and store those that changed."""
+        for rollout_id in self.controls.merge(received, self.unfinished):
             self.save_controls(rollout_id)
 
     def save_controls(self, rollout_id: str) -> None:
-        """Stores the controls of one rollout; they are obeyed also where the store fails."""
+        """Store the controls of one rollout; they are in effect even if the store fails."""
         try:
-            self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.of(rollout_id))
-        except OSError as problem:  # other agents keep it too
+            self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
+        except OSError as problem:  # other agents store the controls too
             self.actions.note("controls_not_stored", problem=str(problem))
 
     def share_controls(self, rollout_id: str) -> None:
-        """Stores the controls of one rollout, and sends them to all members."""
+        """Store the controls of one rollout, and send them to all members."""
         self.save_controls(rollout_id)
-        update = ControlsUpdate({rollout_id: self.controls.of(rollout_id)})
+        update = ControlsUpdate({rollout_id: self.controls.controls_of(rollout_id)})
         for agent in self.record.body["members"]:
             if agent != self.name:
                 self.send(agent, update)
@@ -305,8 +308,8 @@
     # -- tools
 
     def request(self, now_ms: float, request: dict[str, Any], reply: Callable[[EncodedReply], None]) -> None:
-        """A tool's request; `reply` is called once, now or within `tool_requests.REQUEST_TIMEOUT_MS`.
+        """Answer a tool's request; `reply` is called once, within `tool_requests.REQUEST_TIMEOUT_MS`.
 
-        RefusedError for one that is refused at once.
+        Raise RefusedError for a request that is refused at once.
         """
         self.tool_requests.request(now_ms, request, reply)
--- a/vetchford/fleet/coordinator_protocol.py
+++ b/vetchford/fleet/coordinator_protocol.py
@@ -1,4 +1,4 @@
-"""What the requests of tools need of an agent's `coordinator`, which is their owner."""
+"""The interface of an agent's coordinator that the modules for tools' requests use."""
 
 from typing import Protocol
 
@@ -10,29 +10,29 @@
 
 
 class ReportSource(Protocol):
-    """What reports on this agent's instances."""
+    """Source of reports on this agent's instances."""
 
     def report(self, rollouts: set[str]) -> AgentReport:
-        """This agent's instances, and the local rollouts made for `rollouts`."""
+        """Return this agent's instances, and the local rollouts made for `rollouts`."""
 
 
 class Coordinator(Protocol):
-    """The agent's part in its fleet, as far as requests of tools need it."""
+    """The part of `coordinator.FleetCoordinator` that tools' requests need."""
 
     name: str  # of this agent
     incarnation: int
     record: ReplicatedRecord
     controls: RolloutControls
     controller: FleetRolloutController | None  # while this agent leads
-    wait_reasons: dict[str, str]  # by rollout, as the leader told last
-    unfinished: set[str]  # rollouts of the record that have not ended
+    wait_reasons: dict[str, str]  # by rollout id, from the leader's last report request
+    unfinished: set[str]  # ids of the record's rollouts that have not ended
 
     @property
     def actions(self) -> ReportSource:
-        """What the coordinator acts through."""
+        """The operations that the coordinator calls."""
 
     def send(self, to: str, message: CoordinatorMessage) -> None:
-        """Send a message to another agent; it may be lost."""
+        """Send a message to another agent; the message may be lost."""
 
     def share_controls(self, rollout_id: str) -> None:
         """Store the controls of one rollout, and send them to all members."""
--- a/vetchford/fleet/election.py
+++ b/vetchford/fleet/election.py
@@ -1,6 +1,6 @@
-"""Parts of an election of the record's leader: timeout, terms and votes. No I/O; times in ms.
+"""Parts of the leader election of the record: timeout, terms and votes. No I/O; times in ms.
 
-`consensus.py` has the state machine that uses them.
+The state machine in `consensus.py` uses them.
 """
 
 import zlib
@@ -9,21 +9,21 @@
 from vetchford.fleet.consensus_messages import RecordBody, RecordVersion
 
 ELECTION_TIMEOUT_MS = (
-    3000.0  # without a leader's message; six heartbeats, so that one stall deposes no leader
+    3000.0  # without a leader's message; six heartbeats, so that one stall does not depose the leader
 )
-ELECTION_JITTER_MS = 2000.0  # by which chance spreads the candidates
-JITTER_STEPS = 10_000  # distinct timeouts within the jitter
-TERMS_PER_ROUND = 64  # members for which each round has a term of their own
+ELECTION_JITTER_MS = 2000.0  # random addition to the timeout, so that few agents become candidates at once
+JITTER_STEPS = 10_000  # number of distinct timeouts within the jitter
+TERMS_PER_ROUND = 64  # members that have a term of their own in each round of terms
 
 
 class ElectionTimer:
-    """Says when a follower has been without a leader for so long that it asks for an election.
+    """Randomized timer that tells a follower without a leader when to start an election.
 
-    Each timeout is drawn anew (Raft, 5.2), so that two candidates that split the votes do not do so again.
+    Each timeout is drawn again (Raft, 5.2), so that two candidates do not split the votes repeatedly.
     """
 
     def __init__(self, seed: int, name: str, now_ms: float) -> None:
-        """Starts with a full timeout; `seed` and `name` fix all draws, as a simulation must be repeatable."""
+        """Start with a full timeout; `seed` and `name` determine all draws, so that simulations repeat."""
         self.seed = seed
         self.name = name
         self.draws = 0
@@ -31,47 +31,47 @@
         self.timeout_ms = self.draw_timeout()
 
     def draw_timeout(self) -> float:
-        """A timeout between `ELECTION_TIMEOUT_MS` and that plus `ELECTION_JITTER_MS`."""
+        """Return a timeout from `ELECTION_TIMEOUT_MS` up to `ELECTION_JITTER_MS` more."""
         self.draws += 1
         step = zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) % JITTER_STEPS
         return ELECTION_TIMEOUT_MS + step / JITTER_STEPS * ELECTION_JITTER_MS
 
     def restart(self, now_ms: float) -> None:
-        """A leader was heard, or an election begins: the next one is a freshly drawn timeout away."""
+        """Start a new timeout, as a leader was heard or an election begins."""
         self.restarted_at_ms = now_ms
         self.timeout_ms = self.draw_timeout()
 
     def postpone(self, gap_ms: float) -> None:
-        """This process did not run for `gap_ms`, which counts as no silence of the leader."""
+        """Exclude `gap_ms`, in which this process did not run, from the leader's silence."""
         self.restarted_at_ms += gap_ms
 
     def silence_ms(self, now_ms: float) -> float:
-        """How long no leader was heard."""
+        """Return how long no leader was heard."""
         return now_ms - self.restarted_at_ms
 
     def is_expired(self, now_ms: float) -> bool:
-        """Whether it is time for an election."""
+        """Return whether the timeout has passed."""
         return self.silence_ms(now_ms) >= self.timeout_ms
 
 
 class Ballot:
-    """The votes of one pre-vote or one vote, and the newest record among them."""
+    """The votes of one pre-vote or election, and the newest record received with them."""
 
     def __init__(self, own_name: str, version: RecordVersion, body: RecordBody) -> None:
-        """Begins with the candidate's own vote and its own copy of the record."""
+        """Start with the candidate's own vote and its own copy of the record."""
         self.names = {own_name}
         self.newest_version = version
         self.newest_body = body
 
     def add(self, name: str) -> None:
-        """Counts a vote; one that came twice counts once."""
+        """Count a vote; a duplicate vote counts once."""
         self.names.add(name)
 
     def add_record(self, version: RecordVersion, body: RecordBody) -> None:
-        """Keeps a voter's copy of the record where it is newer than all before.
+        """Keep a voter's copy of the record if it is newer than all copies before.
 
-        Invariant: every committed record is on a majority of disks, and two majorities meet in some voter, so
-        the newest copy among a majority of votes is the committed one or a later one.
+        Invariant: every committed record is on a majority of disks, and any two majorities share a voter, so
+        the newest copy among a majority of votes is the committed record or a later one.
         """
         if version > self.newest_version:
             self.newest_version = version
@@ -79,11 +79,11 @@
 
 
 def next_own_term(name: str, members: Iterable[str], highest_seen_term: int) -> int:
-    """The lowest term above all that were seen which only this agent may use.
+    """Return the lowest term above `highest_seen_term` that only this agent may use.
 
-    A round is `TERMS_PER_ROUND` terms, one for each place in the sorted list of members. So no two agents are
-    ever candidates in one term, and two leaders of one term cannot be, whatever the votes.
+    A round has `TERMS_PER_ROUND` terms, one for each index in the sorted list of members. Two agents are
+    therefore never candidates in the same term, and a term has at most one leader, whatever the votes.
     """
     completed_rounds = highest_seen_term // TERMS_PER_ROUND
-    place = sorted(members).index(name) % TERMS_PER_ROUND
-    return (completed_rounds + 1) * TERMS_PER_ROUND + place
+    member_index = sorted(members).index(name) % TERMS_PER_ROUND
+    return (completed_rounds + 1) * TERMS_PER_ROUND + member_index
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -1,9 +1,9 @@
-"""What the fleet's replicated record says: members, voters, a log of their changes, and fleet rollouts.
+"""Content of the fleet's replicated record: members, voters, a log of their changes, and fleet rollouts.
 
-Plain data and its codec; no decisions. The record is exchanged between agents of two versions and stored, so
-its encoded words stay as they are. They appear in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the values
-of the enums, and in `fleet_status.py`, which shows tools the record as it is. Keys of a later version are
-carried on unread.
+Data and its codec; no decisions. The record is stored, and exchanged between agents of different versions, so
+its encoded names must not change. They are defined in `FleetRollout.ENCODED_KEYS`, `FleetRecord` and the
+values of the enums, and used in `fleet_status.py`, which passes the encoded record to tools. Keys of a later
+version are kept unread.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 EncodedRecord = dict[str, Any]
 
-PAUSE_ON_FAILURE = "pause"  # of `on_failure`, whose third word is "back"
+PAUSE_ON_FAILURE = "pause"  # a value of `on_failure`, whose third value is "back"
 CONTINUE_ON_FAILURE = "go_on"
 
 
 class StepState(StrEnum):
-    """Where a fleet rollout stands with one instance; the values are the encoded words."""
+    """Progress of a fleet rollout for one instance; the values are the encoded names."""
 
     PENDING = "pending"
-    IN_PROGRESS = "out"  # its agent may have taken it out of service
+    IN_PROGRESS = "out"  # the agent may have taken the instance out of service
     DONE = "done"
     FAILED = "lost"
     SKIPPED = "left"
 
 
 class RolloutState(StrEnum):
-    """Where a fleet rollout stands; the values are the encoded words."""
+    """State of a fleet rollout as a whole; the values are the encoded names."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -46,19 +46,22 @@
 
 
 def split_instance_key(key: str) -> tuple[str, str]:
-    """Instance and agent of "n1@east"."""
+    """Return the instance and the agent of an instance key such as "n1@east"."""
     instance, _, agent = key.rpartition("@")
     return instance, agent
 
 
 def agent_of(key: str) -> str:
-    """The agent of "n1@east"."""
+    """Return the agent of an instance key such as "n1@east"."""
     return split_instance_key(key)[1]
 
 
 @dataclass(slots=True)
 class FleetRollout:
-    """A change over instances of several agents; durations in ms. Steps are by instance key ("n1@east")."""
+    """A rollout over instances of several agents, with one step for each instance key ("n1@east").
+
+    Durations are in ms.
+    """
 
     ENCODED_KEYS: ClassVar[dict[str, str]] = {
         "id": "id",
@@ -71,20 +74,20 @@
         "on_failure": "on_failure",
         "state": "state",
         "why": "reason",
-        "back": "reverting",
+        "back": "rolling_back",
         "killed": "killed",
-        "turned": "overtaken",
+        "turned": "in_progress_at_rollback",
         "halts": "pauses",
         "groups": "groups",
         "steps": "steps",
         "tries": "attempts",
-        "before": "before",
+        "before": "previous_states",
     }
 
     id: str
     kind: str
     version: str
-    batch: int  # most steps that are in progress at once
+    batch: int  # maximum number of steps in progress at once
     minimum_available: int  # instances of `groups` that must serve at any time
     start_interval_ms: float  # between the starts of two steps
     minimum_ready_ms: float  # an instance must serve for this long before its step is done
@@ -92,75 +95,75 @@
     groups: list[str]
     steps: dict[str, StepState]
     attempts: dict[str, int]
-    before: dict[str, list[Any]]  # version, and whether the instance was wanted, before the rollout
+    previous_states: dict[str, list[Any]]  # [version, wanted] of each instance before the rollout
     state: RolloutState = RolloutState.RUNNING
     reason: str = ""
-    reverting: bool = False  # instances go back to what they were before
-    killed: list[str] = field(default_factory=list)  # those that did not end by themselves
-    overtaken: list[str] = field(default_factory=list)  # in progress as the rollout began to revert
-    pauses: dict[str, list[str]] = field(default_factory=dict)  # by failed steps: [kind, reason] by id
-    encoded: Mapping[str, Any] = field(default_factory=dict, repr=False)  # what it was decoded from
+    rolling_back: bool = False  # instances are returned to `previous_states`
+    killed: list[str] = field(default_factory=list)  # instances that did not end within their stop timeout
+    in_progress_at_rollback: list[str] = field(default_factory=list)  # steps; removed as they end
+    pauses: dict[str, list[str]] = field(default_factory=dict)  # made by failed steps: [kind, reason] by id
+    encoded: Mapping[str, Any] = field(default_factory=dict, repr=False)  # the form it was decoded from
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> FleetRollout:
-        """Reads the encoded form; KeyError where it lacks a key. Shares nothing that a rollout changes."""
+        """Read the encoded form; KeyError if a key is missing. Copies the values that a rollout changes."""
         rollout = cls(**{name: encoded[key] for key, name in cls.ENCODED_KEYS.items()}, encoded=encoded)
         rollout.steps = dict(rollout.steps)
         rollout.attempts = dict(rollout.attempts)
         return rollout
 
     def encode(self) -> dict[str, Any]:
-        """The encoded form, with the keys in the order in which they came."""
+        """Return the encoded form, with the keys in the order of the form that was decoded."""
         values = {key: getattr(self, name) for key, name in self.ENCODED_KEYS.items()}
         return {key: values.get(key, value) for key, value in (self.encoded or values).items()}
 
     def copy(self) -> FleetRollout:
-        """One that may be changed apart."""
+        """Return a copy whose changes do not affect this rollout."""
         return self.decode(self.encode())
 
     def is_ended(self) -> bool:
-        """Whether it will never change again."""
+        """Return whether the rollout has reached a final state."""
         return self.state in ENDED_STATES
 
     def attempt_id(self, key: str) -> str:
-        """The id of the rollout that an agent makes of one step, so that one attempt is never made twice."""
+        """Return the id of the local rollout for the current attempt at a step; agents run each id once."""
         return f"{self.id}/{split_instance_key(key)[0]}/{self.attempts[key]}"
 
     def step_kind(self, key: str) -> str:
-        """What its agent is to do with one instance, also while the rollout reverts."""
-        if not self.reverting:
+        """Return the kind of the local rollout for one instance, also while the fleet rollout rolls back."""
+        if not self.rolling_back:
             return self.kind
         if self.kind == "start":
-            was_wanted = self.before[key][1]
+            was_wanted = self.previous_states[key][1]
             return "start" if was_wanted else "stop"
         return "start" if self.kind == "stop" else self.kind
 
     def step_version(self, key: str) -> str:
-        """The version that one instance is to run; empty unless it is rolled to one."""
+        """Return the version to roll one instance to; empty if the step is not a roll."""
         if self.step_kind(key) != "roll":
             return ""
-        version_before: str = self.before[key][0]
-        return version_before if self.reverting else self.version
+        previous_version: str = self.previous_states[key][0]
+        return previous_version if self.rolling_back else self.version
 
 
 @dataclass(slots=True)
 class FleetRecord:
-    """The body of the replicated record."""
+    """Body of the replicated record."""
 
-    members: dict[str, int]  # by name; the value is their place in the log
-    voters: dict[str, str]  # the store identity of each
-    log: list[list[Any]]  # changes of members and voters: [act, name, by whom or why], the newest last
+    members: dict[str, int]  # by name; the value is the position in the log at which the member was admitted
+    voters: dict[str, str]  # store identities, by name
+    log: list[list[Any]]  # changes of members and voters: [action, name, operator or cause], the newest last
     rollouts: dict[str, FleetRollout]
     encoded: Mapping[str, Any] = field(default_factory=dict, repr=False)
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> FleetRecord:
-        """Reads the encoded form; KeyError where it lacks a key."""
+        """Read the encoded form; KeyError if a key is missing."""
         rollouts = {id: FleetRollout.decode(rollout) for id, rollout in encoded["spans"].items()}
         return cls(encoded["members"], encoded["voters"], encoded["log"], rollouts, encoded)
 
     def encode(self) -> EncodedRecord:
-        """The encoded form, with the keys in the order in which they came."""
+        """Return the encoded form, with the keys in the order of the form that was decoded."""
         values = {
             "members": self.members,
             "voters": self.voters,
@@ -170,12 +173,12 @@
         return {key: values.get(key, value) for key, value in (self.encoded or values).items()}
 
     def unfinished(self) -> list[FleetRollout]:
-        """The rollouts that have not ended."""
+        """Return the rollouts that have not ended."""
         return [rollout for rollout in self.rollouts.values() if not rollout.is_ended()]
 
 
 def founding_record(members: list[str]) -> EncodedRecord:
-    """The record that all agents with the same settings first start with."""
+    """Return the record with which all agents of the same settings start for the first time."""
     names = sorted(members)
     voters = dict.fromkeys(names[:MAX_VOTERS], "")
     return FleetRecord(dict.fromkeys(names, 0), voters, [], {}).encode()
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -1,11 +1,12 @@
-"""The controller of fleet rollouts, which runs on the agent that leads. No I/O; times in ms.
+"""Controller of fleet rollouts; it runs on the agent that leads. No I/O; times in ms.
 
-It compares what the record says with what the agents report, proposes the next record, and orders what is
-committed. The rules are in `rollout_progress.py` (steps), `availability.py` (the minimum),
+The controller compares the record with the agents' reports, proposes the next record, and orders the agents
+to carry out committed steps. The rules are in `rollout_progress.py` (steps), `availability.py` (the minimum),
 `member_changes.py` (members) and `step_dispatcher.py` (orders).
 
-The minimum of available instances and the batch hold however late an order arrives, and no clock is trusted
-for them. A rollout goes on as long as its minimum is proven by reports, and otherwise waits and says why.
+The minimum of available instances and the batch limit hold however late an order arrives, and do not depend
+on clocks. A rollout continues while reports prove that its minimum is kept, and otherwise waits and gives the
+reason.
 """
 
 from dataclasses import dataclass
@@ -16,7 +17,7 @@
 from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord, FleetRollout, RolloutState
 from vetchford.fleet.fleet_view import AgentReport, AgentView, FleetView
 from vetchford.fleet.member_changes import (
-    MemberAct,
+    MemberAction,
     MemberChange,
     apply_member_change,
     check_admission,
@@ -29,46 +30,46 @@
 from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
-POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout runs
-IDLE_POLL_INTERVAL_MS = 1000.0  # between them otherwise: tools select instances from them
-MAX_ENDED_ROLLOUTS = 20  # in the record; the stores' histories have the older ones
+POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout is unfinished
+IDLE_POLL_INTERVAL_MS = 1000.0  # otherwise; tools select instances by these reports
+MAX_ENDED_ROLLOUTS = 20  # kept in the record; the histories in the agents' stores have the older ones
 
 
 class ControllerActions(OrderActions, Protocol):
-    """What the controller acts through."""
+    """Operations that the controller calls."""
 
     def poll(self, agent: str, number: int) -> None:
-        """Asks for a report; `receive_report` brings it, or nothing does."""
+        """Request a report; it arrives by `receive_report`, or not at all."""
 
     def propose(self, now_ms: float, body: EncodedRecord) -> bool:
-        """Proposes the next record; `on_committed` tells when it is committed."""
+        """Propose the next record; `on_committed` is called once the record is committed."""
 
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
-        """A voter to list in a record, and its store's identity."""
+        """Return a voter whose entry in the record is to be updated, and its store's identity."""
 
     def note(self, event: str, **fields: Any) -> None:
-        """A log event."""
+        """Write a log event."""
 
 
 @dataclass(frozen=True, slots=True)
-class NewRollout:
-    """A rollout that waits to be put into the record."""
+class QueuedRollout:
+    """A rollout that waits to be added to the record."""
 
     rollout: FleetRollout
 
 
 class FleetRolloutController:
-    """Drives the fleet's rollouts while this agent leads; made anew each time that it is elected.
+    """Advances the fleet's rollouts while this agent leads; created anew each time that it is elected.
 
-    A new leader goes on from the committed record and the reports. What a former one held beside them is
-    lost: rollouts not yet in the record, which the tool's agent submits again, the interval since the last
-    start, and the reasons to wait.
+    A new leader continues from the committed record and the reports. State that the former leader had outside
+    the record is lost: queued rollouts, which the tool's agent submits again, the time of the next permitted
+    start, and the reasons why rollouts wait.
     """
 
     def __init__(
         self, actions: ControllerActions, name: str, body: EncodedRecord, controls: RolloutControls
     ) -> None:
-        """`body`: the committed record; `controls`: kept up to date by the owner."""
+        """Start from the committed record `body`; the owner keeps `controls` up to date."""
         self.actions = actions
         self.name = name
         self.controls = controls
@@ -76,17 +77,17 @@
         self.record = FleetRecord.decode(body)
         self.dispatcher = StepDispatcher(actions)
         self.view = FleetView(self.record.members)
-        self.wait_reasons: dict[str, str] = {}  # why a rollout does not go on; removed as it ends
-        self.next_start_at_ms: dict[str, float] = {}  # by rollout; removed as it ends
+        self.wait_reasons: dict[str, str] = {}  # why rollouts do not continue, by id; removed as they end
+        self.next_start_at_ms: dict[str, float] = {}  # by rollout id; removed as rollouts end
         self.last_poll_number = 0
-        self.is_proposing = False  # a proposal is not committed yet
-        self.queue: list[NewRollout | MemberChange] = []  # removed as they are committed
+        self.is_proposing = False  # whether a proposal is not committed yet
+        self.queue: list[QueuedRollout | MemberChange] = []  # entries are removed once proposed
         self.started_at_ms = 0.0
 
     # -- reports
 
     def tick(self, now_ms: float) -> None:
-        """Called about ten times a second."""
+        """Poll the agents and advance the rollouts; called about ten times a second."""
         self.started_at_ms = self.started_at_ms or now_ms
         interval_ms = POLL_INTERVAL_MS if self.record.unfinished() else IDLE_POLL_INTERVAL_MS
         for agent in self.record.members:
@@ -101,7 +102,7 @@
     def receive_report(
         self, now_ms: float, agent: str, number: int, requested_at_ms: float, report: AgentReport
     ) -> None:
-        """A report; `requested_at_ms`: when it was asked for, by our own clock."""
+        """Take in a report if it is the newest; `requested_at_ms`: time of its request, by our own clock."""
         view = self.view.agents.get(agent)
         if view is not None and number > view.number:
             view.number = number
@@ -112,64 +113,67 @@
     # -- requests
 
     def request_rollout(self, now_ms: float, request: RolloutRequest) -> bool:
-        """Checks and queues a rollout; whether it is committed already.
+        """Check and queue a rollout; return whether it is committed already.
 
-        RefusedError where it must not begin.
+        Raise RefusedError if the rollout must not begin.
         """
         known = self.record.rollouts.get(request.id)
         if known is not None:
             if not is_same_request(request, known):
-                raise RefusedError(f"id {request.id} is another change's ({known.kind})")
+                raise RefusedError(
+                    f"id {request.id} is already used by another change "
+                    f"({known.kind} of {len(known.steps)} instances)"
+                )
             return True
         if all(rollout.id != request.id for rollout in self.queued_rollouts()):
-            self.queue.append(NewRollout(self.make_rollout(now_ms, request)))
+            self.queue.append(QueuedRollout(self.make_rollout(now_ms, request)))
             self.reconcile(now_ms)
         return False
 
     def make_rollout(self, now_ms: float, request: RolloutRequest) -> FleetRollout:
-        """The rollout of a request, not queued; RefusedError where it must not begin."""
+        """Return the rollout of a request without queuing it; RefusedError if it must not begin."""
         return RequestValidator(self.committed_availability(now_ms), self.queued_rollouts()).make_rollout(
             request
         )
 
     def committed_availability(self, now_ms: float) -> Availability:
-        """The committed record against the reports."""
+        """Return the availability of instances by the committed record and the reports."""
         return Availability(now_ms, self.view, self.record)
 
     def queued_rollouts(self) -> list[FleetRollout]:
-        """Rollouts that wait to be put into the record."""
-        return [entry.rollout for entry in self.queue if isinstance(entry, NewRollout)]
+        """Return the rollouts that wait to be added to the record."""
+        return [entry.rollout for entry in self.queue if isinstance(entry, QueuedRollout)]
 
     def is_member_change_queued(self, name: str) -> bool:
-        """Whether an agent waits to be admitted or dismissed."""
+        """Return whether an agent's admission or dismissal is queued."""
         return any(isinstance(entry, MemberChange) and entry.name == name for entry in self.queue)
 
-    def admit(self, name: str, by: str) -> None:
-        """Queues a new member; RefusedError where it is one."""
+    def admit(self, name: str, operator: str) -> None:
+        """Queue the admission of an agent; RefusedError if the agent is a member already."""
         check_admission(self.record, name)
-        self.queue.append(MemberChange(MemberAct.ADMIT, name, by))
+        self.queue.append(MemberChange(MemberAction.ADMIT, name, operator))
 
-    def dismiss(self, now_ms: float, name: str, by: str) -> None:
-        """Queues the end of a membership; RefusedError where it must not end now."""
-        seen_at_ms = max(self.view.agents.get(name, AgentView()).requested_at_ms, self.started_at_ms)
-        check_dismissal(self.record, name, self.name, silence_ms=now_ms - seen_at_ms)
-        self.queue.append(MemberChange(MemberAct.DISMISS, name, by))
+    def dismiss(self, now_ms: float, name: str, operator: str) -> None:
+        """Queue the dismissal of an agent; RefusedError if the agent must not be dismissed now."""
+        last_report_at_ms = max(self.view.agents.get(name, AgentView()).requested_at_ms, self.started_at_ms)
+        check_dismissal(self.record, name, self.name, silence_ms=now_ms - last_report_at_ms)
+        self.queue.append(MemberChange(MemberAction.DISMISS, name, operator))
 
     # -- the next record
 
     def on_committed(self, now_ms: float, body: EncodedRecord) -> None:
-        """A proposal is committed."""
+        """Continue from the record that was committed."""
         self.body = body
         self.record = FleetRecord.decode(body)
         self.is_proposing = False
         self.reconcile(now_ms)
 
     def reconcile(self, now_ms: float) -> None:
-        """Proposes what follows from the reports, or, where nothing does, orders what is committed."""
+        """Propose the changes that follow from the reports or, if there are none, order committed steps."""
         if self.is_proposing:
             return
         proposal = FleetRecord.decode(self.body)
-        taken = self.take_queued(proposal)
+        applied_count = self.apply_queued(proposal)
         for rollout in proposal.unfinished():
             self.advance(now_ms, proposal, rollout)
         drop_old_rollouts(proposal)
@@ -178,13 +182,13 @@
         if body != self.body:
             self.is_proposing = self.actions.propose(now_ms, body)
             if self.is_proposing:
-                del self.queue[:taken]
+                del self.queue[:applied_count]
             return
-        del self.queue[:taken]
-        self.dispatcher.give_orders(self.committed_availability(now_ms))
+        del self.queue[:applied_count]
+        self.dispatcher.order_committed_steps(self.committed_availability(now_ms))
 
-    def take_queued(self, proposal: FleetRecord) -> int:
-        """Puts in what is queued, up to one change of the members; the number of entries."""
+    def apply_queued(self, proposal: FleetRecord) -> int:
+        """Add queued entries to a proposal, up to the first member change; return the number of entries."""
         for index, entry in enumerate(self.queue):
             if isinstance(entry, MemberChange):
                 apply_member_change(proposal, entry)
@@ -197,22 +201,22 @@
         return len(self.queue)
 
     def advance(self, now_ms: float, proposal: FleetRecord, rollout: FleetRollout) -> None:
-        """One pass over one rollout."""
+        """Make one pass over one rollout."""
         control = self.controls.active(rollout.id)
         availability = Availability(now_ms, self.view, proposal)
         progress = RolloutProgress(availability, rollout, self.actions.note)
         progress.apply_control(control)
         progress.observe_steps()
         if rollout.state == RolloutState.RUNNING:
-            started = progress.start_steps(self.next_start_at_ms.get(rollout.id, 0.0))
-            self.wait_reasons[rollout.id] = started.wait_reason
-            self.next_start_at_ms[rollout.id] = started.next_start_at_ms
+            outcome = progress.start_steps(self.next_start_at_ms.get(rollout.id, 0.0))
+            self.wait_reasons[rollout.id] = outcome.wait_reason
+            self.next_start_at_ms[rollout.id] = outcome.next_start_at_ms
         if progress.finish(aborted=control.kind == ABORT):
             self.next_start_at_ms.pop(rollout.id, None)
             self.wait_reasons.pop(rollout.id, None)
 
     def update_one_voter(self, proposal: FleetRecord) -> None:
-        """Lists one voter whose store has changed, unless this round changes the voters already."""
+        """Update the entry of one voter, unless this proposal changes the voters already."""
         if proposal.voters != self.record.voters:
             return
         update = self.actions.find_voter_update(proposal)
@@ -222,7 +226,7 @@
 
 
 def drop_old_rollouts(proposal: FleetRecord) -> None:
-    """Drops the oldest rollouts that have ended."""
+    """Drop the oldest rollouts that have ended, beyond `MAX_ENDED_ROLLOUTS`."""
     ended = [id for id, rollout in proposal.rollouts.items() if rollout.is_ended()]
     for id in ended[: max(0, len(ended) - MAX_ENDED_ROLLOUTS)]:
         del proposal.rollouts[id]
--- a/vetchford/fleet/member_changes.py
+++ b/vetchford/fleet/member_changes.py
@@ -1,6 +1,7 @@
-"""The rules by which the members of the fleet change. No I/O; times in ms.
+"""Rules for changing the members of the fleet. No I/O; times in ms.
 
-Silence changes no list: a member comes and goes because an operator asked for it, in the order of the record.
+Members are admitted and dismissed only at an operator's request, in the order of the record; an agent that is
+silent stays a member.
 """
 
 from collections.abc import Mapping
@@ -11,55 +12,59 @@
 from vetchford.fleet.fleet_record import UNFINISHED_STEPS, FleetRecord, StepState, agent_of
 from vetchford.fleet.rollout import RefusedError
 
-DISMISSAL_SILENCE_MS = 5000.0  # unseen, until an agent with steps in progress may be dismissed; longer than
-# `order_guard.MAX_ORDER_AGE_MS`, so that it carries out no order after that
-MAX_LOG_ENTRIES = 50  # changes of members and voters in the record
+DISMISSAL_SILENCE_MS = 5000.0  # without a report before an agent with steps in progress may be dismissed;
+# longer than `order_guard.MAX_ORDER_AGE_MS`, so that the agent carries out no order after its dismissal
+MAX_LOG_ENTRIES = 50  # changes of members and voters kept in the record
 
 
 Value = TypeVar("Value")
 
 
-class MemberAct(StrEnum):
-    """What is done with a member; the values stand in the record's log."""
+class MemberAction(StrEnum):
+    """Change of one member; the values are stored in the record's log."""
 
     ADMIT = "admit"
     DISMISS = "dismiss"
 
 
-VOTER_LISTED = "voter"  # in the record's log: the store identity of a voter was listed
+VOTER_LISTED = "voter"  # action in the record's log: a voter's store identity was listed
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member that waits to be admitted or dismissed, and by whom."""
+    """A queued admission or dismissal of an agent, requested by `operator`."""
 
-    act: MemberAct
+    action: MemberAction
     name: str
-    by: str
+    operator: str
 
 
 def check_admission(record: FleetRecord, name: str) -> None:
-    """RefusedError where an agent is a member already."""
+    """Raise RefusedError if an agent is a member already."""
     if name in record.members:
-        raise RefusedError(f"{name} is a member already")
+        raise RefusedError(f"{name} is already a member of the fleet")
 
 
 def check_dismissal(record: FleetRecord, name: str, leader: str, silence_ms: float) -> None:
-    """RefusedError where an agent is no member, leads, or may still be taking instances out of service.
+    """Raise RefusedError if an agent is no member, leads, or may still take instances out of service.
 
-    `silence_ms`: how long the agent was not seen. Its steps in progress are given up with it, so it must have
-    been silent for longer than any order to it is obeyed.
+    `silence_ms`: time since the last report of the agent. The dismissal fails the agent's steps in progress,
+    so the agent must have been silent for longer than the age up to which it accepts an order.
     """
     if name not in record.members:
-        raise RefusedError(f"{name} is no member")
+        raise RefusedError(f"{name} is not a member of the fleet")
     if name == leader:
-        raise RefusedError(f"{name} drives: ask once another does (stop its agent first)")
+        raise RefusedError(
+            f"{name} leads the fleet: stop its agent, and repeat this once another agent leads"
+        )
     if has_steps_in_progress(record, name) and silence_ms < DISMISSAL_SILENCE_MS:
-        raise RefusedError(f"{name} is seen and has instances out: let them come back, or stop its agent")
+        raise RefusedError(
+            f"{name} reports and has instances out of service: let them return to service, or stop its agent"
+        )
 
 
 def has_steps_in_progress(record: FleetRecord, agent: str) -> bool:
-    """Whether instances of an agent may be out of service."""
+    """Return whether instances of an agent may be out of service."""
     return any(
         step == StepState.IN_PROGRESS and agent_of(key) == agent
         for rollout in record.unfinished()
@@ -68,18 +73,18 @@
 
 
 def apply_member_change(proposal: FleetRecord, change: MemberChange) -> None:
-    """Admits or dismisses one agent in a record that is about to be proposed."""
-    if change.act == MemberAct.ADMIT:
+    """Admit or dismiss one agent in a record that is about to be proposed."""
+    if change.action == MemberAction.ADMIT:
         proposal.members = {**proposal.members, change.name: len(proposal.log) + 1}
     else:
-        proposal.members = without(proposal.members, change.name)
-        proposal.voters = without(proposal.voters, change.name)
+        proposal.members = without_entry(proposal.members, change.name)
+        proposal.voters = without_entry(proposal.voters, change.name)
         fail_steps_of(proposal, change.name)
-    add_log_entry(proposal, change.act, change.name, change.by)
+    add_log_entry(proposal, change.action, change.name, change.operator)
 
 
 def fail_steps_of(proposal: FleetRecord, agent: str) -> None:
-    """Unfinished steps of an agent that is dismissed have failed."""
+    """Mark the unfinished steps of a dismissed agent as failed."""
     for rollout in proposal.unfinished():
         for key, step in rollout.steps.items():
             if agent_of(key) == agent and step in UNFINISHED_STEPS:
@@ -87,16 +92,16 @@
 
 
 def list_voter(proposal: FleetRecord, name: str, store: str) -> None:
-    """Lists a voter with the identity of its store, so that its votes count."""
+    """List a voter with the identity of its store, so that its votes count."""
     proposal.voters = {**proposal.voters, name: store}
     add_log_entry(proposal, VOTER_LISTED, name, "its store holds the newest record")
 
 
-def add_log_entry(proposal: FleetRecord, act: str, name: str, by: str) -> None:
-    """Notes a change of members or voters; the oldest entries go."""
-    proposal.log = [*proposal.log, [str(act), name, by]][-MAX_LOG_ENTRIES:]
+def add_log_entry(proposal: FleetRecord, action: str, name: str, cause: str) -> None:
+    """Log a change of members or voters, and drop the oldest entries; `cause`: operator or reason."""
+    proposal.log = [*proposal.log, [str(action), name, cause]][-MAX_LOG_ENTRIES:]
 
 
-def without(entries: Mapping[str, Value], name: str) -> dict[str, Value]:
-    """A copy without one name."""
+def without_entry(entries: Mapping[str, Value], name: str) -> dict[str, Value]:
+    """Return a copy of `entries` without one name."""
     return {key: value for key, value in entries.items() if key != name}
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -1,20 +1,20 @@
-"""The rules by which one fleet rollout moves on: one pass over its steps. No I/O; times in ms.
+"""Rules by which one fleet rollout advances: one pass over its steps. No I/O; times in ms.
 
     pending -> in progress (its agent runs a local rollout over that one instance) -> done
                                                                                   +-> failed
 
-A step is committed in the fleet's record before anything is done about it. So the next leader finds every
-instance that may be out of service, and counts it as out, whether the order reached its agent or not.
+A step is committed in the fleet's record before it is ordered. The next leader therefore knows every instance
+that may be out of service, and counts it as unavailable, whether or not the order reached its agent.
 
 | rule | function |
 | --- | --- |
 | pause, resume, abort | `apply_control` |
-| what a resume tries again | `retry_failed_steps` |
+| which steps a resume tries again | `retry_failed_steps` |
 | when a step has ended | `observe_step`, `end_step` |
 | a committed step that may no longer begin | `withdraw_unordered_step` |
-| what follows a failure | `fail_step`, `revert` |
-| which steps begin now | `start_steps`, `startable`, `Availability.shortfall` |
-| when the rollout has ended, and how | `finish`, `set_outcome` |
+| what follows a failure | `fail_step`, `roll_back` |
+| which steps begin now | `start_steps`, `startable_steps`, `Availability.describe_shortfall` |
+| when and how the rollout ends | `finish`, `set_outcome` |
 """
 
 from dataclasses import dataclass
@@ -35,34 +35,36 @@
 from vetchford.fleet.instance import InstanceState
 from vetchford.fleet.rollout_controls import ABORT, PAUSE, ActiveControl
 
-# An instance in one of these states is being stopped already.
+# States of an instance that is being stopped already.
 BUSY_STATES = frozenset((InstanceState.DRAINING, InstanceState.STOPPING))
-STORED_LEADER = "driver"  # who gave a pause that the leader made itself; begins its id in the record
+LEADER_PAUSE_PREFIX = "driver"  # of the id, in the record, of a pause that the leader made itself
 
 
-class Note(Protocol):
+class LogEvent(Protocol):
     """Writes a log event."""
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """`event` names it; the fields are its facts."""
+        """Write the event named `event` with its fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartOutcome:
-    """What `start_steps` leaves behind."""
+    """Result of `start_steps`."""
 
-    wait_reason: str  # why no more steps were started, as text for operators; empty where nothing holds it up
-    next_start_at_ms: float  # no further step may start before
+    wait_reason: (
+        str  # why no more steps were started, as text for operators; empty if the rollout need not wait
+    )
+    next_start_at_ms: float  # earliest time at which the next step may start
 
 
 class RolloutProgress:
-    """One pass over one rollout of a record that is about to be proposed; changes the rollout in place.
+    """One pass over one rollout of a record that is about to be proposed; modifies the rollout.
 
-    Made for one pass, on the agent's thread.
+    Created for each pass, on the agent's thread.
     """
 
-    def __init__(self, availability: Availability, rollout: FleetRollout, note: Note) -> None:
-        """`availability`: by the record that `rollout` is part of, with all that this round has changed."""
+    def __init__(self, availability: Availability, rollout: FleetRollout, note: LogEvent) -> None:
+        """Start a pass; `availability` is by the proposed record, of which `rollout` is part."""
         self.availability = availability
         self.rollout = rollout
         self.note = note
@@ -72,10 +74,10 @@
     # -- pause, resume and abort
 
     def apply_control(self, control: ActiveControl) -> None:
-        """Pauses, resumes or aborts the rollout, as the strongest control that is known here says.
+        """Pause, resume or abort the rollout, by the control in effect on this agent.
 
-        An abort skips what has not begun, and lets end what has: an instance that is out of service is not
-        left there.
+        An abort skips the steps that have not begun and lets the others end, so that no instance is left out
+        of service.
         """
         rollout = self.rollout
         if control.kind == ABORT:
@@ -89,32 +91,32 @@
             self.retry_failed_steps()
 
     def pause(self, reason: str) -> None:
-        """Starts no more steps until a resume; steps in progress go on."""
+        """Start no more steps until a resume; steps in progress continue."""
         self.rollout.state = RolloutState.PAUSED
         self.rollout.reason = reason
 
     def skip_pending_steps(self) -> None:
-        """Steps that have not begun never will."""
+        """Skip the steps that have not begun."""
         for key, step in self.rollout.steps.items():
             if step == StepState.PENDING:
                 self.rollout.steps[key] = StepState.SKIPPED
 
     def retry_failed_steps(self) -> None:
-        """A resume tries the failed steps once more, but those of agents that are no members any more."""
+        """Make the failed steps pending again, except those of agents that are no longer members."""
         for key, step in self.rollout.steps.items():
             if step == StepState.FAILED and agent_of(key) in self.view.agents:
                 self.rollout.steps[key] = StepState.PENDING
 
-    # -- what became of the steps in progress
+    # -- progress of steps
 
     def observe_steps(self) -> None:
-        """Takes in what the agents report of the steps in progress; only fresh reports are read."""
+        """Apply the agents' fresh reports to the steps in progress."""
         for key, step in list(self.rollout.steps.items()):
             if step == StepState.IN_PROGRESS and self.availability.is_fresh(agent_of(key)):
                 self.observe_step(key)
 
     def observe_step(self, key: str) -> None:
-        """Takes in what an agent reports of one step in progress."""
+        """Apply an agent's report to one step in progress."""
         rollout = self.rollout
         name, agent = split_instance_key(key)
         view = self.view.agents[agent]
@@ -133,23 +135,26 @@
         self.end_step(key, result)
 
     def withdraw_unordered_step(self, key: str) -> None:
-        """Makes a committed step pending again where the minimum no longer allows it.
+        """Make a committed step pending again if the minimum no longer allows it.
 
-        The step was committed, perhaps by an earlier leader, and not ordered in our term. Other instances may
-        have failed since, so the minimum is checked anew. An order that an earlier leader sent does no harm:
-        the agent, whose report we have, has voted in our term and refuses it.
+        The step was committed, perhaps by an earlier leader, and not ordered in this agent's term. Other
+        instances may have failed since, so the minimum is checked again. A late order of an earlier leader
+        does no harm: the agent has reported to this leader, so it has voted in this term and refuses such an
+        order.
         """
-        if self.availability.shortfall(self.rollout, key):
+        if self.availability.describe_shortfall(self.rollout, key):
             self.rollout.steps[key] = StepState.PENDING
 
     def end_step(self, key: str, result: AttemptResult) -> None:
-        """Ends a step whose local rollout has ended, well or not.
+        """End a step whose local rollout has ended, with success or not.
 
-        One that still went forward while the rollout began to revert has to revert now as the others do.
+        A step that was in progress as the rollback began becomes pending, to be rolled back too.
         """
         rollout = self.rollout
-        if key in rollout.overtaken:
-            rollout.overtaken = [other for other in rollout.overtaken if other != key]
+        if key in rollout.in_progress_at_rollback:
+            rollout.in_progress_at_rollback = [
+                other for other in rollout.in_progress_at_rollback if other != key
+            ]
             rollout.steps[key] = StepState.PENDING
         elif result.state == AttemptState.SUCCEEDED:
             rollout.steps[key] = StepState.DONE
@@ -157,67 +162,69 @@
             self.fail_step(key, result.reason)
 
     def fail_step(self, key: str, reason: str) -> None:
-        """A step has failed: continues, pauses or reverts, as the rollout's `on_failure` says.
+        """Fail a step; continue, pause or roll back, as the rollout's `on_failure` says.
 
-        `reason` is the agent's. A failure while the rollout reverts changes nothing more: there is no other
-        direction left.
+        `reason` comes from the agent's report. A failure during a rollback has no further effect, as there is
+        nothing else to fall back to.
         """
         rollout = self.rollout
-        text = f"{key}: {reason}"
+        failure = f"{key}: {reason}"
         rollout.steps[key] = StepState.FAILED
         self.note("fleet_rollout_step_failed", span=rollout.id, instance=key, why=reason)
-        if rollout.reverting or rollout.on_failure == CONTINUE_ON_FAILURE:
+        if rollout.rolling_back or rollout.on_failure == CONTINUE_ON_FAILURE:
             return
         if rollout.on_failure == PAUSE_ON_FAILURE:
-            self.record_pause(key, text)
-            self.pause(text)
+            self.record_pause(key, failure)
+            self.pause(failure)
             return
-        rollout.reason = text
-        self.revert()
+        rollout.reason = failure
+        self.roll_back()
 
     def record_pause(self, key: str, reason: str) -> None:
-        """Keeps the pause that a failed step makes in the record.
+        """Store the pause that a failed step causes in the record.
 
-        Invariant: a pause outlives its leader. Were it kept beside the record, the next leader would take the
-        rollout for resumed.
+        Invariant: a pause remains in effect under the next leader, which would continue the rollout if the
+        pause were not in the record.
         """
         rollout = self.rollout
-        pause_id = f"{STORED_LEADER}.{key}.{rollout.attempts[key]}"
+        pause_id = f"{LEADER_PAUSE_PREFIX}.{key}.{rollout.attempts[key]}"
         rollout.pauses = {**rollout.pauses, pause_id: [PAUSE, reason]}
 
-    def revert(self) -> None:
-        """Every instance that was touched goes back to what it was; the others are skipped.
+    def roll_back(self) -> None:
+        """Begin to return every instance that was changed to its previous state, and skip the others.
 
-        A step in progress is let end first, and reverts then (`end_step`).
+        A step in progress ends first and is rolled back then (`end_step`).
         """
         rollout = self.rollout
-        rollout.reverting = True
-        rollout.overtaken = [key for key, step in rollout.steps.items() if step == StepState.IN_PROGRESS]
+        rollout.rolling_back = True
+        rollout.in_progress_at_rollback = [
+            key for key, step in rollout.steps.items() if step == StepState.IN_PROGRESS
+        ]
         for key, step in rollout.steps.items():
             if step == StepState.PENDING:
                 rollout.steps[key] = StepState.SKIPPED
             elif step != StepState.IN_PROGRESS:
                 rollout.steps[key] = StepState.PENDING
 
-    # -- the next steps
+    # -- starting steps
 
     def start_steps(self, not_before_ms: float) -> StartOutcome:
-        """Starts as many steps as batch, minimum and interval allow, in the order of `startable`.
+        """Start as many steps as batch, minimum and interval allow, in the order of `startable_steps`.
 
-        `not_before_ms`: no step may start earlier, as the last one started a short while ago. A busy instance
-        is passed over; a minimum that is reached stops the round, as what follows serves, too.
+        `not_before_ms`: earliest time of the next start, by the interval since the last one. A busy instance
+        is skipped; a minimum that forbids a step ends the pass, as the instances that follow also serve.
         """
         rollout = self.rollout
         unseen = self.unseen_agents()
         wait_reason = f"not seen: {', '.join(unseen)}" if unseen else ""
         in_progress = sum(step == StepState.IN_PROGRESS for step in rollout.steps.values())
-        for key, instance in self.startable(unseen):
+        for key, instance in self.startable_steps(unseen):
             if in_progress >= rollout.batch or self.now_ms < not_before_ms:
                 break
             if is_busy(instance):
                 wait_reason = wait_reason or describe_busy(key, instance)
                 continue
-            shortfall = self.availability.shortfall(rollout, key, taken=1)
+            shortfall = self.availability.describe_shortfall(rollout, key, still_counted=1)
             if shortfall:
                 wait_reason = join_reasons(shortfall, wait_reason)
                 break
@@ -229,31 +236,31 @@
         return StartOutcome(wait_reason, not_before_ms)
 
     def unseen_agents(self) -> list[str]:
-        """Agents with unfinished steps and without a fresh report, sorted."""
+        """Return the agents with unfinished steps and without a fresh report, sorted."""
         agents = {agent_of(key) for key, step in self.rollout.steps.items() if step in UNFINISHED_STEPS}
         return sorted(agent for agent in agents if not self.availability.is_fresh(agent))
 
-    def startable(self, unseen: list[str]) -> list[tuple[str, InstanceReport]]:
-        """Pending steps whose instance is seen, in the order in which they are to start.
+    def startable_steps(self, unseen: list[str]) -> list[tuple[str, InstanceReport]]:
+        """Return the pending steps whose instance was reported, in the order in which they are to start.
 
-        First those that do not serve: they cost no capacity, and may be what keeps the minimum from being
-        proven. Otherwise in the order of the request.
+        Instances that do not serve come first: taking them costs no capacity, and they may be the reason why
+        the minimum is not proven. The order of the request decides otherwise.
         """
-        seen = []
+        reported = []
         for key, step in self.rollout.steps.items():
             if step != StepState.PENDING or agent_of(key) in unseen:
                 continue
             instance = self.view.instance(key)
             if instance is not None:
-                seen.append((key, instance))
-        return sorted(seen, key=lambda pair: pair[1]["state"] == InstanceState.SERVING)
+                reported.append((key, instance))
+        return sorted(reported, key=lambda pair: pair[1]["state"] == InstanceState.SERVING)
 
     # -- the end
 
     def finish(self, aborted: bool) -> bool:
-        """Ends the rollout once no step is left; whether it ended.
+        """End the rollout if no step is unfinished; return whether it ended.
 
-        One that a failed step has paused does not: an operator has to say whether that is tried again.
+        A rollout that is paused by a failed step does not end: an operator must resume or abort it.
         """
         rollout = self.rollout
         if any(step in UNFINISHED_STEPS for step in rollout.steps.values()):
@@ -268,32 +275,32 @@
         return True
 
     def set_outcome(self, aborted: bool, failed: list[str]) -> None:
-        """The state in which the rollout ends, and its reason; an abort keeps the operator's."""
+        """Set the final state of the rollout and its reason; an abort keeps the operator's reason."""
         rollout = self.rollout
         if aborted:
             rollout.state = RolloutState.ABORTED
-        elif rollout.reverting:
+        elif rollout.rolling_back:
             rollout.state = RolloutState.FAILED
             rollout.reason = f"gone back: {rollout.reason}"
         elif failed:
             rollout.state = RolloutState.FAILED
-            rollout.reason = f"lost: {', '.join(failed)}"
+            rollout.reason = f"instances failed: {', '.join(failed)}"
         else:
             rollout.state = RolloutState.SUCCEEDED
             rollout.reason = "all done"
 
 
 def is_busy(instance: InstanceReport) -> bool:
-    """Whether an instance can't be taken just now: stopping, not checked yet, or in a local rollout."""
+    """Return whether an instance is being stopped, not checked yet, or part of a local rollout."""
     return instance["state"] in BUSY_STATES or instance["unseen"] or bool(instance["change"])
 
 
 def describe_busy(key: str, instance: InstanceReport) -> str:
-    """Why an instance can't be taken just now, as text for operators."""
+    """Return why an instance is busy, as text for operators."""
     change = f", in change {instance['change']}" if instance["change"] else ""
     return f"{key} is {instance['state']}{change}"
 
 
 def join_reasons(first: str, second: str) -> str:
-    """Two reasons to wait as one text; `second` may be empty."""
+    """Join two reasons to wait into one text; `second` may be empty."""
     return f"{first}; {second}" if second else first
--- a/vetchford/fleet/step_dispatcher.py
+++ b/vetchford/fleet/step_dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders of committed steps, as the leader gives them to the agents. No I/O; times in ms."""
+"""Sends the leader's orders to carry out committed steps. No I/O; times in ms."""
 
 from typing import Protocol
 
@@ -7,30 +7,31 @@
 from vetchford.fleet.fleet_record import FleetRollout, StepState, agent_of, split_instance_key
 from vetchford.fleet.fleet_view import NEVER, AgentView, AttemptState
 
-ORDER_RETRY_INTERVAL_MS = 500.0  # until an order that shows no effect is given once more
+ORDER_RETRY_INTERVAL_MS = 500.0  # until an order without effect in the reports is sent again
 
 
 class OrderActions(Protocol):
-    """What orders are sent through."""
+    """Operations through which orders are sent."""
 
     def order(self, agent: str, number: int, step: Step) -> None:
-        """Has an agent carry out a committed step; `number`: the report that the order rests on."""
+        """Order an agent to carry out a committed step; `number`: the report that the order is based on."""
 
 
 class StepDispatcher:
-    """Orders the steps of the committed record; has no state that the record and the reports have not.
+    """Orders the steps of the committed record; has no state besides the record and the reports.
 
-    Invariant: only what is committed is ordered. So the next leader finds each step that may have begun.
+    Invariant: only committed steps are ordered, so the next leader's record has every step that may have
+    begun.
     """
 
     def __init__(self, actions: OrderActions) -> None:
-        """`actions`: the controller's."""
+        """Start with the controller's actions."""
         self.actions = actions
 
-    def give_orders(self, committed: Availability) -> None:
-        """Orders the committed steps, also those of an earlier leader, that no fresh report shows begun.
+    def order_committed_steps(self, committed: Availability) -> None:
+        """Order the committed steps that a fresh report shows as not begun, also those of an earlier leader.
 
-        `committed`: the committed record against the reports, now.
+        `committed`: the availability of instances by the committed record and the reports.
         """
         for rollout in committed.record.unfinished():
             for key, step in rollout.steps.items():
@@ -38,7 +39,7 @@
                     self.order_step(committed, rollout, key)
 
     def order_step(self, committed: Availability, rollout: FleetRollout, key: str) -> None:
-        """Orders one step, unless its agent has begun it or was told a moment ago."""
+        """Order one step, unless its agent has begun it or was sent the order recently."""
         name, agent = split_instance_key(key)
         view = committed.view.agents[agent]
         attempt_id = rollout.attempt_id(key)
@@ -56,15 +57,15 @@
         self.actions.order(agent, view.number, step)
 
     def needs_order(self, committed: Availability, rollout: FleetRollout, key: str, view: AgentView) -> bool:
-        """Whether a committed step is to be ordered now.
+        """Return whether a committed step is to be ordered now.
 
-        One that has not begun is, while the minimum allows it: other instances may have failed since the step
-        was committed. One that the agent's store has paused is, as the order resumes it. Either not again
-        before `ORDER_RETRY_INTERVAL_MS`.
+        A step that has not begun is ordered while the minimum allows it: other instances may have failed
+        since the step was committed. A step that paused because the agent's store failed is ordered again,
+        which resumes it. No order is repeated within `ORDER_RETRY_INTERVAL_MS`.
         """
         attempt_id = rollout.attempt_id(key)
         result = view.result(attempt_id)
-        if result is None and committed.shortfall(rollout, key):
+        if result is None and committed.describe_shortfall(rollout, key):
             return False
         if result is not None and result.state != AttemptState.PAUSED:
             return False
--- a/vetchford/fleet/voter_changes.py
+++ b/vetchford/fleet/voter_changes.py
@@ -1,7 +1,8 @@
-"""The rules by which the voters of the record change. No I/O.
+"""Rules for changing the voters of the record. No I/O.
 
-Voters change one at a time, as in Raft's single-server changes (Ongaro's thesis, 4.1): of two lists that
-differ in one voter, any two majorities meet. Besides, a record that changes them needs a majority of both.
+Voters change one at a time, as in Raft's single-server changes (Ongaro's thesis, 4.1): the majorities of two
+lists that differ in one voter overlap. In addition, a record that changes the voters needs a majority of both
+lists.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,13 +11,13 @@
 from vetchford.fleet.quorum import StoreIdentities
 from vetchford.fleet.replication import ReplicationProgress
 
-MAX_VOTERS = 7  # three may be away; each more makes every write dearer
+MAX_VOTERS = 7  # tolerates three unreachable voters; each further voter slows every write
 
 
 def check_single_change(before: Mapping[str, str], after: Mapping[str, str]) -> None:
-    """ValueError where two lists of voters, with their store identities, differ in more than one voter."""
+    """Raise ValueError if two lists of voters, with store identities, differ in more than one voter."""
     if sum(before.get(name) != after.get(name) for name in before.keys() | after.keys()) > 1:
-        raise ValueError("voters change one at a time")
+        raise ValueError(f"a record may change one voter at most: {dict(before)} became {dict(after)}")
 
 
 def find_voter_update(
@@ -26,20 +27,20 @@
     identities: StoreIdentities,
     progress: ReplicationProgress,
 ) -> tuple[str, str] | None:
-    """The voter that the next record is to list anew, and the identity of its store; None for no change.
+    """Return the voter to update in the next record, and the identity of its store; None for no change.
 
-    First a voter whose store is not the one listed in `voters`, so that its votes count again; otherwise,
-    below `MAX_VOTERS`, one of `members` that is none yet. Only agents that have `version`, the newest record,
-    on their disk are taken: a voter without it would not hold what is committed.
+    A voter whose store is not the one listed in `voters` comes first, so that its votes count again;
+    otherwise, below `MAX_VOTERS`, a member that is not a voter yet. Only agents that have `version`, the
+    newest record, on disk are eligible: any other voter would lack the committed record.
     """
     for name in sorted(voters):
-        store = identities.of(name)
-        is_up_to_date = name == identities.own_name or progress.has(name, version)
+        store = identities.identity_of(name)
+        is_up_to_date = name == identities.own_name or progress.has_acknowledged(name, version)
         if store and store != voters[name] and is_up_to_date:
             return name, store
     if len(voters) >= MAX_VOTERS:
         return None
     for name in sorted(members):
-        if name not in voters and progress.has(name, version):
-            return name, identities.stated.get(name, "")
+        if name not in voters and progress.has_acknowledged(name, version):
+            return name, identities.reported.get(name, "")
     return None
