--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The membership view in virtual time: deaths, lost, late and doubled messages, a split and its healing."""
+"""Failure detector in virtual time: stopped agents, lost, late and duplicate messages, and a partition."""
 
 import pytest
 
@@ -26,9 +26,7 @@
     net = Network(50, seed, loss=0.05, doubled=0.05)
     net.run(120_000.0)
     assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
-    assert (
-        net.sent < 50 * 120 * 2 * 1.5 + 2000
-    )  # a probe and its answer a period, and a few in others' places
+    assert net.sent < 50 * 120 * 2 * 1.5 + 2000  # a probe and its ack per period, and a few indirect probes
 
 
 def test_slow_agent_never_becomes_unreachable():
@@ -52,25 +50,25 @@
 
 def test_flapping_link_and_one_second_stalls_make_nobody_unreachable():
     net = Network(20, 8)
-    for turn in range(60):
-        net.side["a003"] = turn % 2  # one second each way
-        net.slow["a005"] = 1000.0 if turn % 5 == 0 else 0.0
+    for second in range(60):
+        net.side["a003"] = second % 2  # connected and separated in turn
+        net.slow["a005"] = 1000.0 if second % 5 == 0 else 0.0
         net.run(net.now + 1000.0)
     assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
 
 
 def test_fixed_members_stay_fixed_and_own_stall_makes_nobody_unreachable():
     net = Network(5, 9)
-    one = failure_detector.FailureDetector(
+    detector = failure_detector.FailureDetector(
         net.agents["a000"].actions, "a000", net.agents, 9, fixed_members=True
     )
-    assert {member.state for member in one.membership.members.values()} == {SUSPECT}  # nobody was heard yet
-    one.membership.apply_update(1.0, ("stranger", ALIVE, 3))
-    one.receive(1.0, "other", "ping", 1, "", [])
-    assert sorted(one.membership.members) == ["a001", "a002", "a003", "a004"]
-    one.tick(100.0)
-    one.tick(60_000.0)
-    assert {member.state for member in one.membership.members.values()} == {SUSPECT}
+    assert {member.state for member in detector.membership.members.values()} == {SUSPECT}  # no message yet
+    detector.membership.apply_update(1.0, ("not listed", ALIVE, 3))
+    detector.receive(1.0, "other", "ping", 1, "", [])
+    assert sorted(detector.membership.members) == ["a001", "a002", "a003", "a004"]
+    detector.tick(100.0)
+    detector.tick(60_000.0)
+    assert {member.state for member in detector.membership.members.values()} == {SUSPECT}
 
 
 def test_all_agents_are_alive_again_after_partition_heals():
@@ -91,15 +89,15 @@
 
 def test_refuted_suspicion_ends_and_stale_updates_are_ignored():
     net = Network(3, 1)
-    one = net.agents["a000"]
-    one.membership.apply_update(0.0, ("a001", SUSPECT, 0))
-    one.membership.apply_update(1.0, ("a001", ALIVE, 1))
-    assert one.membership.state("a001") == ALIVE
-    for old in (("a001", SUSPECT, 0), ("a001", UNREACHABLE, 0)):
-        one.membership.apply_update(2.0, old)
-        assert one.membership.state("a001") == ALIVE
-    one.membership.apply_update(3.0, ("a000", SUSPECT, 4))
-    assert one.membership.incarnation == 5 and ("a000", ALIVE, 5) in one.membership.piggyback("a002")
+    agent = net.agents["a000"]
+    agent.membership.apply_update(0.0, ("a001", SUSPECT, 0))
+    agent.membership.apply_update(1.0, ("a001", ALIVE, 1))
+    assert agent.membership.state("a001") == ALIVE
+    for stale_update in (("a001", SUSPECT, 0), ("a001", UNREACHABLE, 0)):
+        agent.membership.apply_update(2.0, stale_update)
+        assert agent.membership.state("a001") == ALIVE
+    agent.membership.apply_update(3.0, ("a000", SUSPECT, 4))
+    assert agent.membership.incarnation == 5 and ("a000", ALIVE, 5) in agent.membership.piggyback("a002")
 
 
 def test_unreachable_agents_are_forgotten_and_tables_are_emptied():
@@ -118,4 +116,4 @@
 
 def test_unseen_agents_of_a_rollout_are_named():
     assert describe_unseen({"a": ALIVE, "b": ALIVE, "c": UNREACHABLE}, ["a", "b"]) == ""
-    assert describe_unseen({"a": ALIVE, "b": SUSPECT}, ["a", "b", "z"]) == "not seen: b, z"
+    assert describe_unseen({"a": ALIVE, "b": SUSPECT}, ["a", "b", "z"]) == "agents not seen: b, z"
--- a/vetchford/fleet/membership_updates.py
+++ b/vetchford/fleet/membership_updates.py
@@ -1,4 +1,4 @@
-"""Gossip of the failure detector: which updates ride on the next message. No I/O."""
+"""Gossip of the failure detector: selects the updates piggybacked on the next message. No I/O."""
 
 from typing import TypeAlias
 
@@ -7,28 +7,28 @@
 
 
 class UpdateQueue:
-    """The agents of which there is something new, and how often it was sent."""
+    """The agents whose newest update is still being spread, and how often it was sent."""
 
     def __init__(self) -> None:
-        """Empty."""
+        """Start empty."""
         self.times_sent: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """The number of agents of which there is something new."""
+        """Return the number of agents with an update to spread."""
         return len(self.times_sent)
 
     def add(self, name: str) -> None:
-        """There is something new of an agent; older news of it is replaced."""
+        """Add the newest update about an agent; it replaces an older one."""
         self.times_sent[name] = 0
 
     def remove(self, name: str) -> None:
-        """An agent is forgotten."""
+        """Remove the update about a forgotten agent."""
         self.times_sent.pop(name, None)
 
-    def take(self, limit: int, max_sends: int) -> list[str]:
-        """At most `limit` agents whose updates are sent now, first those that were sent least often.
+    def take_next(self, limit: int, max_sends: int) -> list[str]:
+        """Return at most `limit` agents whose updates are sent now, those sent least often first.
 
-        What was sent `max_sends` times is dropped.
+        An update that was sent `max_sends` times is removed.
         """
         names = sorted(self.times_sent, key=lambda name: (self.times_sent[name], name))[:limit]
         for name in names:
