--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -259,15 +259,15 @@
     world, controller = all_serving()
     first = controller.submit(20.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0))
     assert controller.submit(21.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0)) is first
-    with pytest.raises(RefusedError, match="id r is another"):
+    with pytest.raises(RefusedError, match="id r is already used by another change"):
         controller.submit(22.0, Rollout("r", "restart", ["a"]))
     with pytest.raises(RefusedError, match="b is in change r, which is running"):
         controller.submit(22.0, Rollout("s", "stop", ["b", "c"]))
     for wrong, why in (
         (Rollout("x", "stop", ["z"]), "no such instance: z"),
-        (Rollout("x", "stop", []), "names no"),
-        (Rollout("x", "melt", ["c"]), "none that is known"),
-        (Rollout("x", "stop", ["c", "c"]), "named twice"),
+        (Rollout("x", "stop", []), "the change names no instance"),
+        (Rollout("x", "melt", ["c"]), "kind is 'melt', which must be one of start, stop"),
+        (Rollout("x", "stop", ["c", "c"]), "the change names an instance twice: c, c"),
         (Rollout("x", "stop", ["c"], minimum_available=3), "under the floor of 3"),
     ):
         with pytest.raises(RefusedError, match=why):
--- a/vetchford/fleet/instance.py
+++ b/vetchford/fleet/instance.py
@@ -1,10 +1,10 @@
-"""One instance as its agent sees it: settings, states and the record that survives the agent.
+"""One instance as its agent knows it: settings, state and stored record.
 
     absent -> starting -> serving -> draining -> stopped
                  |           |          | (past its stop timeout) stopping -> stopped
-                 +-- failed <+ (exits unexpectedly, again and again)          unknown: not looked for yet
+                 +-- failed <+ (exits unexpectedly and repeatedly)            unknown: not looked up yet
 
-Plain data; the transitions are in `instance_manager`. Times are in ms on the caller's monotonic clock.
+Data only; the transitions are in `instance_manager`. Times are in ms on the caller's monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -15,10 +15,10 @@
 class InstanceState(StrEnum):
     """The observed state of an instance; the values are those of replies, logs and `fleet status`."""
 
-    ABSENT = "absent"  # wanted, no process: waits for its next start
+    ABSENT = "absent"  # wanted, no process, waits for its next start
     STARTING = "starting"  # a process that has not passed a health check yet
     SERVING = "serving"
-    DRAINING = "draining"  # SIGTERM was sent, the stop timeout has not passed
+    DRAINING = "draining"  # SIGTERM was sent; the stop timeout has not passed
     STOPPING = "stopping"  # SIGKILL was sent
     STOPPED = "stopped"  # not wanted, no process
     FAILED = "failed"  # wanted, no process, and no further restart
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class InstanceSettings:
-    """What the settings file says of one instance, as far as the decisions need it."""
+    """Settings of one instance that the decisions need."""
 
     group: str = ""
     stop_timeout_ms: float = 3200.0  # from SIGTERM to SIGKILL
@@ -43,39 +43,39 @@
 
 @dataclass(slots=True)
 class Instance:
-    """The desired and the observed state of one instance."""
+    """Desired and observed state of one instance."""
 
     name: str
     settings: InstanceSettings
-    version: str  # the desired one
+    version: str  # the desired version
     state: InstanceState = InstanceState.UNKNOWN
     wanted: bool = False  # whether it is to run
-    running_version: str = ""  # of its process; empty without one
+    running_version: str = ""  # of its process; empty without a process
     state_since_ms: float = 0.0
     deadline_ms: float = 0.0  # of the states starting, draining and stopping
     restarts: int = 0  # consecutive
-    restart_at_ms: float = 0.0  # when a pending restart is due; 0: none is pending
+    restart_at_ms: float = 0.0  # when a pending restart is due; 0 if none is pending
     failed_checks: int = 0  # consecutive health checks failed while serving
     reason: str = ""  # of the last transition
-    kill_count: int = 0  # how often it outlived its stop timeout
-    awaiting_first_check: bool = False  # adopted and not checked yet: it may count towards the minimum
+    kill_count: int = 0  # how often the instance exceeded its stop timeout
+    awaiting_first_check: bool = False  # adopted and not checked yet, so whether it serves is not known
 
     @property
     def has_process(self) -> bool:
-        """Whether there is a process of it, in whatever state."""
+        """Whether the instance has a process, in any state."""
         return self.state in STATES_WITH_PROCESS
 
     @property
     def being_stopped(self) -> bool:
-        """Whether its process was sent SIGTERM or SIGKILL and has not ended."""
+        """Whether the instance's process was sent SIGTERM or SIGKILL and has not ended."""
         return self.state in STATES_BEING_STOPPED
 
     def to_record(self) -> dict[str, Any]:
-        """Return what the store keeps of it."""
+        """Return the stored form."""
         return {"wanted": self.wanted, "version": self.version, "killed": self.kill_count}
 
     def restore(self, record: dict[str, Any]) -> None:
-        """Take over what the store kept of it."""
+        """Load the stored form."""
         self.wanted = record["wanted"]
         self.kill_count = record["killed"]
         self.version = record["version"] or self.version
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -1,7 +1,7 @@
 """Decides when the process of an instance is started, drained, killed and restarted. No I/O.
 
-It receives what is observed of each process and its health checks, and acts through `RolloutActions`. Times
-are in ms on the caller's monotonic clock. The agent's thread alone calls it.
+It handles the observed state of each process and the results of health checks, and acts through
+`RolloutActions`. Times are in ms on the caller's monotonic clock. Only the agent's thread calls it.
 """
 
 import contextlib
@@ -12,21 +12,21 @@
 from vetchford.fleet.rollout import Rollout
 from vetchford.fleet.rollout_actions import RecordKind, RolloutActions
 
-RESTART_BACKOFF_MS = 500.0  # before the first restart after an unexpected exit; doubles with each
-MAX_RESTART_BACKOFF_MS = 30_000.0  # what is mended after an hour must not wait an hour more
-MAX_READY_BACKOFF_EXPONENT = 6  # of 2: half a minute after the ready timeout was missed again and again
-STABLE_AFTER_MS = 60_000.0  # of serving, after which earlier restarts are forgotten
-MAX_CONSECUTIVE_RESTARTS = 6  # half a minute of them: then it stays down until an operator starts it
-MAX_FAILED_CHECKS = 3  # consecutive: one may be lost, three take a second or more
-KILL_RETRY_INTERVAL_MS = 1000.0  # a process that SIGKILL has not ended hangs in the kernel
-STORE_RETRY_INTERVAL_MS = 1000.0  # until a restart is tried again that the store could not record
+RESTART_BACKOFF_MS = 500.0  # before the first restart after an unexpected exit; doubles with each restart
+MAX_RESTART_BACKOFF_MS = 30_000.0  # so that an instance restarts soon after a long fault is repaired
+MAX_READY_BACKOFF_EXPONENT = 6  # of 2; about half a minute after repeatedly missed ready timeouts
+STABLE_AFTER_MS = 60_000.0  # of serving, after which earlier restarts no longer count
+MAX_CONSECUTIVE_RESTARTS = 6  # about half a minute; the instance then waits for an operator to start it
+MAX_FAILED_CHECKS = 3  # consecutive; one check may be lost, three take a second or more
+KILL_RETRY_INTERVAL_MS = 1000.0  # for a process that hangs in the kernel and does not end by SIGKILL
+STORE_RETRY_INTERVAL_MS = 1000.0  # until a restart that the store could not record is tried again
 
 
 class InstanceManager:
-    """All instances of one agent; `instances` is filled from the settings before anything else is called."""
+    """The instances of one agent; all are declared from the settings before any other call."""
 
     def __init__(self, actions: RolloutActions, rollout_of: Callable[[str], Rollout | None]) -> None:
-        """`rollout_of`: finds the unfinished rollout that an instance is part of."""
+        """Start without instances; `rollout_of` returns the unfinished rollout of an instance."""
         self.actions = actions
         self.rollout_of = rollout_of
         self.instances: dict[str, Instance] = {}
@@ -34,18 +34,18 @@
     # -- at the agent's start
 
     def declare(self, name: str, settings: InstanceSettings, version: str) -> Instance:
-        """Add an instance of the settings; nothing is known of its process yet."""
+        """Add an instance of the settings, whose process is not known yet."""
         instance = Instance(name, settings, version)
         self.instances[name] = instance
         return instance
 
     def restore(self, name: str, record: dict[str, Any]) -> None:
-        """Take over a stored record; one of an instance that is not declared any more is ignored."""
+        """Load a stored record; records of instances that are no longer declared are ignored."""
         if name in self.instances:
             self.instances[name].restore(record)
 
     def on_process_found(self, now_ms: float, name: str, version: str | None) -> None:
-        """Take in, once for each instance, the version that the process table shows, or None."""
+        """Handle the version of an instance's process in the process table, or None; once per instance."""
         instance = self.instances[name]
         if version is None:
             self._on_no_process(now_ms, instance)
@@ -64,13 +64,13 @@
         self._transition(now_ms, instance, InstanceState.STARTING, "adopted")
         instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
         if not instance.wanted and not self.rollout_of(instance.name):
-            # The agent may have died before or after it sent SIGTERM: sent once more.
-            self.stop(now_ms, instance, "adopted, and not wanted")
+            # The agent may have been killed before or after it sent SIGTERM, so SIGTERM is sent again.
+            self.stop(now_ms, instance, "adopted, but not wanted")
 
-    # -- what is seen of a process
+    # -- events of a process
 
     def on_health_check(self, now_ms: float, name: str, healthy: bool) -> None:
-        """Take in the result of one health check."""
+        """Handle the result of one health check."""
         instance = self.instances[name]
         instance.awaiting_first_check = False
         if instance.state == InstanceState.STARTING and healthy:
@@ -82,13 +82,15 @@
         instance.failed_checks = 0 if healthy else instance.failed_checks + 1
         if instance.failed_checks >= MAX_FAILED_CHECKS:
             instance.failed_checks = 0
-            self._transition(now_ms, instance, InstanceState.STARTING, "checks fail")
+            self._transition(
+                now_ms, instance, InstanceState.STARTING, f"{MAX_FAILED_CHECKS} health checks failed"
+            )
             instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
         elif healthy and now_ms - instance.state_since_ms > STABLE_AFTER_MS:
             instance.restarts = 0
 
     def on_process_exit(self, now_ms: float, name: str, status: int | None) -> None:
-        """Take in the end of its process; `status` is None if not known, as for an adopted process."""
+        """Handle the end of a process; `status` is None if not known, as for an adopted process."""
         instance = self.instances[name]
         instance.running_version = ""
         instance.awaiting_first_check = False
@@ -103,15 +105,15 @@
             self._transition(now_ms, instance, InstanceState.STOPPED, f"exited, {outcome}")
 
     def on_spawn_failed(self, now_ms: float, name: str, reason: str) -> None:
-        """Take in that no process could be started."""
-        self._on_crash(now_ms, self.instances[name], f"could not be started: {reason}")
+        """Handle a failure to start a process."""
+        self._on_crash(now_ms, self.instances[name], f"process could not be started: {reason}")
 
     def _on_crash(self, now_ms: float, instance: Instance, reason: str) -> None:
         instance.restarts += 1
-        looping = instance.restarts > MAX_CONSECUTIVE_RESTARTS
-        if self.rollout_of(instance.name) is not None or not instance.settings.restart or looping:
-            if looping:
-                reason = f"{reason}, {MAX_CONSECUTIVE_RESTARTS} times in a row"
+        is_crash_loop = instance.restarts > MAX_CONSECUTIVE_RESTARTS
+        if self.rollout_of(instance.name) is not None or not instance.settings.restart or is_crash_loop:
+            if is_crash_loop:
+                reason = f"{reason}, after {MAX_CONSECUTIVE_RESTARTS} consecutive restarts"
             self._transition(now_ms, instance, InstanceState.FAILED, reason)
             return
         self._transition(now_ms, instance, InstanceState.ABSENT, reason)
@@ -126,7 +128,8 @@
             self._act_on_deadlines(now_ms, instance)
 
     def _act_on_deadlines(self, now_ms: float, instance: Instance) -> None:
-        # An instance that has a process restarts later: while it hangs draining, its stop timeout counts.
+        # An instance with a process is restarted after the process has ended; until then, its stop timeout
+        # applies.
         may_restart = instance.wanted and not instance.has_process
         if may_restart and instance.restart_at_ms and now_ms >= instance.restart_at_ms:
             self.attempt_start(now_ms, instance, "restarted")
@@ -141,7 +144,7 @@
             self.actions.kill(instance.name)
 
     def _on_ready_timeout(self, now_ms: float, instance: Instance) -> None:
-        self.stop(now_ms, instance, "not ready in its time")
+        self.stop(now_ms, instance, f"not ready within {instance.settings.ready_timeout_ms:.0f} ms")
         if instance.wanted and not self.rollout_of(instance.name):
             instance.restarts += 1
             backoff = RESTART_BACKOFF_MS * 2.0 ** min(MAX_READY_BACKOFF_EXPONENT, instance.restarts)
@@ -149,19 +152,19 @@
 
     def _on_stop_timeout(self, now_ms: float, instance: Instance) -> None:
         instance.kill_count += 1
-        self._transition(now_ms, instance, InstanceState.STOPPING, "did not end in its stop time")
+        self._transition(now_ms, instance, InstanceState.STOPPING, "did not exit within its stop timeout")
         instance.deadline_ms = now_ms + KILL_RETRY_INTERVAL_MS
         rollout = self.rollout_of(instance.name)
         if rollout is not None and instance.name not in rollout.killed:
             rollout.killed.append(instance.name)
         self.actions.kill(instance.name)
-        with contextlib.suppress(OSError):  # only a count: the kill must not wait for the store
+        with contextlib.suppress(OSError):  # stores only a count; the kill must not depend on the store
             self.save(instance)
 
-    # -- what rollouts have done to an instance
+    # -- operations on an instance, for rollouts
 
     def attempt_start(self, now_ms: float, instance: Instance, reason: str) -> None:
-        """Start it; if the store cannot record that, it is not begun and tried again later."""
+        """Start an instance; if the store cannot record the start, try again later."""
         try:
             self.start(now_ms, instance, reason)
         except OSError as problem:
@@ -169,9 +172,9 @@
             instance.reason = f"the store failed: {problem}"
 
     def start(self, now_ms: float, instance: Instance, reason: str) -> None:
-        """Start its process, if there is none. Raises OSError if the store cannot record it first."""
+        """Start an instance's process if it has none. Raises OSError if the store cannot record the start."""
         if instance.has_process:
-            return  # never a second process of one instance
+            return  # an instance must never have two processes
         instance.wanted = True
         instance.restart_at_ms = 0.0
         self.save(instance)
@@ -181,7 +184,7 @@
         self.actions.spawn(instance.name, instance.version)
 
     def stop(self, now_ms: float, instance: Instance, reason: str) -> None:
-        """Begin to drain it; without a process it is stopped at once."""
+        """Begin to drain an instance; an instance without a process is stopped at once."""
         instance.restart_at_ms = 0.0
         if instance.state in (InstanceState.STARTING, InstanceState.SERVING):
             instance.deadline_ms = now_ms + instance.settings.stop_timeout_ms
@@ -191,20 +194,20 @@
             self._transition(now_ms, instance, InstanceState.STOPPED, reason)
 
     def save(self, instance: Instance) -> None:
-        """Write its record; OSError if the store cannot."""
+        """Store an instance's record; OSError if the store cannot write."""
         self.actions.save_record(RecordKind.INSTANCE, instance.name, instance.to_record())
 
     def count_serving(self, names: set[str]) -> int:
-        """Return how many of these instances serve, by their last health check."""
+        """Return how many of these instances serve by their last health check."""
         return sum(
             instance.state == InstanceState.SERVING and instance.name in names
             for instance in self.instances.values()
         )
 
     def in_groups_of(self, names: list[str]) -> set[str]:
-        """Return all instances of the groups that these belong to."""
+        """Return the names of all instances in the groups of the named instances."""
         groups = {self.instances[name].settings.group for name in names}
-        return {one.name for one in self.instances.values() if one.settings.group in groups}
+        return {instance.name for instance in self.instances.values() if instance.settings.group in groups}
 
     def _transition(self, now_ms: float, instance: Instance, state: InstanceState, reason: str) -> None:
         if state != instance.state:
--- a/vetchford/fleet/rollout.py
+++ b/vetchford/fleet/rollout.py
@@ -1,8 +1,8 @@
-"""The record of one rollout: an operation (start, stop, restart, roll) over some instances of one agent.
+"""Record of one rollout: an operation (start, stop, restart, roll) over instances of one agent.
 
-The record holds everything that is needed to continue: it is written before each act, so an agent that was
-killed continues from it. This module is also the codec between the record's fields and the names in tool
-requests and stored records; an agent of another version reads both.
+The record has everything that is needed to continue the rollout and is stored before each action, so that an
+agent that was killed continues from it. This module also converts between the record's fields and their names
+in tools' requests and stored records, which agents of other versions read.
 """
 
 import copy
@@ -14,7 +14,7 @@
 
 
 class RolloutKind(StrEnum):
-    """What is done to each instance."""
+    """Operation on each instance."""
 
     START = "start"
     STOP = "stop"
@@ -23,7 +23,7 @@
 
 
 class FailurePolicy(StrEnum):
-    """What follows once an instance of the rollout has failed."""
+    """Reaction to the failure of an instance."""
 
     PAUSE = "pause"
     ROLL_BACK = "back"
@@ -45,7 +45,7 @@
     """The progress of one instance within a rollout."""
 
     PENDING = "pending"
-    OUT = "out"  # out of service: draining, or about to be started
+    OUT = "out"  # out of service: draining, or about to start
     STARTING = "coming"
     SOAKING = "soaking"  # serving, for less than the minimum ready time
     DONE = "done"
@@ -59,7 +59,7 @@
 STEPS_IN_PROGRESS = frozenset((StepState.OUT, StepState.STARTING, StepState.SOAKING))
 STEPS_ENDED = frozenset((StepState.DONE, StepState.FAILED))
 
-# Requests and stored records name these fields otherwise.
+# Names of these fields in requests and stored records, where they differ.
 ENCODED_NAMES = {
     "minimum_available": "floor",
     "start_spacing_ms": "spacing",
@@ -73,10 +73,10 @@
 
 
 class RefusedError(VetchfordError):
-    """A request that was not begun; `reason` says why."""
+    """A request that was refused; `reason` says why."""
 
     def __init__(self, reason: str) -> None:
-        """`reason`: shown to the operator as it is."""
+        """Make the error; `reason` is shown to the operator unchanged."""
         super().__init__(reason)
         self.reason = reason
 
@@ -86,52 +86,52 @@
     """One operation over `targets`, its parameters and its progress. Durations in ms."""
 
     id: str
-    kind: str  # a RolloutKind, once the request is validated
+    kind: str  # a RolloutKind once the request is validated
     targets: list[str]
-    version: str = ""  # the one to roll to
-    batch: int = 1  # instances in progress at once
-    minimum_available: int = 0  # instances of the targets' groups that serve at all times
-    start_spacing_ms: float = 0.0  # between two starts: each new process is slow for a while
-    minimum_ready_ms: float = 2000.0  # an instance serves so long before its step is done
-    on_failure: str = FailurePolicy.PAUSE  # a FailurePolicy, once the request is validated
+    version: str = ""  # to roll to
+    batch: int = 1  # maximum number of instances in progress at once
+    minimum_available: int = 0  # instances of the targets' groups that must serve at any time
+    start_spacing_ms: float = 0.0  # between two starts, as each new process is slow at first
+    minimum_ready_ms: float = 2000.0  # for which an instance must serve before its step is done
+    on_failure: str = FailurePolicy.PAUSE  # a FailurePolicy once the request is validated
     state: RolloutState = RolloutState.RUNNING
     steps: dict[str, StepState] = field(default_factory=dict)
     previous_versions: dict[str, str] = field(default_factory=dict)  # to roll back to
     previously_wanted: dict[str, bool] = field(default_factory=dict)
     reason: str = ""  # of the last transition
-    killed: list[str] = field(default_factory=list)  # instances that outlived their stop timeout
-    rolling_back: bool = False  # remembers the direction while it is paused
+    killed: list[str] = field(default_factory=list)  # instances that exceeded their stop timeout
+    rolling_back: bool = False  # keeps the direction while the rollout is paused
 
     @property
     def active(self) -> bool:
-        """Whether it is making progress, in either direction."""
+        """Whether the rollout advances or rolls back."""
         return self.state in ACTIVE_STATES
 
     @property
     def ended(self) -> bool:
-        """Whether nothing will follow any more."""
+        """Whether the rollout has reached a final state."""
         return self.state in ENDED_STATES
 
-    def names_in(self, *steps: StepState) -> list[str]:
-        """Return the instances that are at one of these steps."""
+    def instances_at(self, *steps: StepState) -> list[str]:
+        """Return the instances whose step is one of `steps`."""
         return [name for name, step in self.steps.items() if step in steps]
 
     def to_record(self) -> dict[str, Any]:
-        """Return the stored form; later changes of the rollout do not change it.
+        """Return the stored form, which later changes of the rollout do not affect.
 
-        Copies one level, as no value nests deeper: it is called for each step of each instance.
+        Copies one level only, as no value nests deeper and this is called for each step of each instance.
         """
         record = {
             ENCODED_NAMES.get(item.name, item.name): copy.copy(getattr(self, item.name))
             for item in fields(self)
         }
         if not self.rolling_back:
-            del record["back"]  # versions from before this field existed read all other records
+            del record["back"]  # so that versions older than this field can read the record
         return record
 
     @classmethod
     def from_record(cls, record: dict[str, Any]) -> "Rollout":
-        """Read the stored form, also that of versions which did not store `back`."""
+        """Read the stored form, also of versions that did not store `back`."""
         rollout = cls.from_request({"back": record["state"] == RolloutState.ROLLING_BACK, **record})
         rollout.state = RolloutState(rollout.state)
         rollout.steps = {name: StepState(step) for name, step in rollout.steps.items()}
@@ -139,7 +139,7 @@
 
     @classmethod
     def from_request(cls, request: dict[str, Any]) -> "Rollout":
-        """Read the fields of a tool's request. Raises TypeError if one is missing or not known."""
+        """Read the fields of a tool's request. Raises TypeError for a missing or unknown field."""
         for encoded in request:
             if encoded in ENCODED_NAMES:
                 raise TypeError(f"Rollout.__init__() got an unexpected keyword argument '{encoded}'")
--- a/vetchford/fleet/rollout_actions.py
+++ b/vetchford/fleet/rollout_actions.py
@@ -1,11 +1,11 @@
-"""What the decisions about instances and rollouts act through, and the kinds of record they keep."""
+"""Operations that the decisions about instances and rollouts call, and the kinds of record they store."""
 
 from enum import StrEnum
 from typing import Any, Protocol
 
 
 class RecordKind(StrEnum):
-    """Kinds of record in the agent's store that belong to instances and rollouts, as stored."""
+    """Kinds of stored records of instances and rollouts; the values are those in the store."""
 
     INSTANCE = "instance"
     ROLLOUT = "change"
@@ -17,14 +17,14 @@
     def save_record(self, kind: str, name: str, record: dict[str, Any] | None) -> None:
         """Make a record durable before returning; None deletes it.
 
-        Raises OSError if the store cannot write; then nothing was done.
+        Raises OSError if the store cannot write; then the store is unchanged.
         """
 
     def spawn(self, name: str, version: str) -> None:
-        """Start the process of an instance; a failure is reported later by `on_spawn_failed`."""
+        """Start the process of an instance; `on_spawn_failed` reports a failure later."""
 
     def terminate(self, name: str) -> None:
-        """Send SIGTERM: the instance drains and exits."""
+        """Send SIGTERM to an instance, which then drains and exits."""
 
     def kill(self, name: str) -> None:
         """Send SIGKILL to the instance's whole session."""
--- a/vetchford/fleet/rollout_controller.py
+++ b/vetchford/fleet/rollout_controller.py
@@ -1,9 +1,9 @@
-"""All instances of one agent and the rollouts over them: what the agent calls. No I/O.
+"""Interface to the instances of one agent and the rollouts over them. No I/O.
 
-A rollout is a record that continues from where it is, also after the agent was killed. Every request is
-checked before it begins; what would leave fewer than the minimum available is refused or waits.
+A rollout continues from its stored record, also after the agent was killed. Every request is checked before
+it begins; an operation that would leave fewer than the minimum available is refused or waits.
 
-All methods are called on the agent's thread; times are in ms on its monotonic clock.
+Only the agent's thread calls it; times are in ms on the agent's monotonic clock.
 """
 
 import contextlib
@@ -17,51 +17,51 @@
 from vetchford.fleet.rollout_table import RolloutTable
 from vetchford.fleet.rollout_validation import find_submitted, validate
 
-RESTART_SOON_MS = 1.0  # with the next tick
+NEXT_TICK_MS = 1.0  # delay until a restart that is due with the next tick
 
 
 class RolloutController:
-    """Joins instances, rollouts and requests; each event ends with a round over the active rollouts."""
+    """Passes events to instances and rollouts; each event ends with a pass over the active rollouts."""
 
     def __init__(self, actions: RolloutActions) -> None:
-        """`actions`: carries the decisions out."""
+        """Start without instances; `actions` carries out the decisions."""
         self.table = RolloutTable(actions)
         self.manager = InstanceManager(actions, self.table.rollout_of)
         self.executor = RolloutExecutor(self.manager, self.table)
 
     @property
     def instances(self) -> dict[str, Instance]:
-        """All instances by name, as the settings declare them."""
+        """The instances that the settings declare, by name."""
         return self.manager.instances
 
     @property
     def rollouts(self) -> dict[str, Rollout]:
-        """The rollouts by id: those that have not ended, and the newest of the others."""
+        """The unfinished rollouts and the newest ended ones, by id."""
         return self.table.rollouts
 
     def rollout_of(self, instance: str) -> Rollout | None:
-        """Return the rollout that an instance is part of and that has not ended."""
+        """Return the unfinished rollout that an instance is part of, or None."""
         return self.table.rollout_of(instance)
 
     def get(self, id: str) -> Rollout:
-        """Return a rollout by its id; RefusedError if there is none."""
+        """Return the rollout with this id; RefusedError if there is none."""
         return self.table.get(id)
 
     # -- at the agent's start: declare, restore, fail_rollouts_without_settings, on_process_found
 
     def declare(self, name: str, settings: InstanceSettings, version: str) -> Instance:
-        """Add an instance of the settings; nothing is known of its process yet."""
+        """Add an instance of the settings, whose process is not known yet."""
         return self.manager.declare(name, settings, version)
 
     def restore(self, kind: str, name: str, record: dict[str, Any]) -> None:
-        """Take over a record of the store; those of other kinds are ignored."""
+        """Load a stored record; records of other kinds are ignored."""
         if kind == RecordKind.INSTANCE:
             self.manager.restore(name, record)
         elif kind == RecordKind.ROLLOUT:
             self.table.restore(name, record)
 
     def fail_rollouts_without_settings(self) -> None:
-        """End restored rollouts over instances that are not declared any more.
+        """Fail restored rollouts over instances that are no longer declared.
 
         Raises OSError if the store cannot write.
         """
@@ -72,33 +72,33 @@
                 self.table.transition(rollout, RolloutState.FAILED, reason)
 
     def on_process_found(self, now_ms: float, name: str, version: str | None) -> None:
-        """Take in, once for each instance, the version that the process table shows, or None."""
+        """Handle the version of an instance's process in the process table, or None; once per instance."""
         self.manager.on_process_found(now_ms, name, version)
 
     # -- events
 
     def on_health_check(self, now_ms: float, name: str, healthy: bool) -> None:
-        """Take in the result of one health check."""
+        """Handle the result of one health check."""
         self.manager.on_health_check(now_ms, name, healthy)
         self.reconcile(now_ms)
 
     def on_process_exit(self, now_ms: float, name: str, status: int | None) -> None:
-        """Take in the end of an instance's process; `status` is None if it is not known."""
+        """Handle the end of an instance's process; `status` is None if not known."""
         self.manager.on_process_exit(now_ms, name, status)
         self.reconcile(now_ms)
 
     def on_spawn_failed(self, now_ms: float, name: str, reason: str) -> None:
-        """Take in that no process could be started for an instance."""
+        """Handle a failure to start the process of an instance."""
         self.manager.on_spawn_failed(now_ms, name, reason)
         self.reconcile(now_ms)
 
     def on_tick(self, now_ms: float) -> None:
-        """Act on what is due; called several times a second."""
+        """Act on due restarts and deadlines, and advance rollouts; called several times a second."""
         self.manager.on_tick(now_ms)
         self.reconcile(now_ms)
 
     def reconcile(self, now_ms: float) -> None:
-        """Advance each active rollout; one whose records cannot be written is paused."""
+        """Advance each active rollout; a rollout whose records cannot be stored is paused."""
         for rollout in list(self.rollouts.values()):
             if not rollout.active:
                 continue
@@ -110,9 +110,9 @@
     # -- requests
 
     def submit(self, now_ms: float, rollout: Rollout) -> Rollout:
-        """Begin a rollout; the same request with the same id again returns the one that it began.
+        """Begin a rollout; an identical request with the same id returns the rollout that already began.
 
-        Raises RefusedError if it must not begin, OSError if it cannot be recorded.
+        Raises RefusedError if the rollout must not begin, OSError if it cannot be stored.
         """
         submitted = find_submitted(rollout, self.table)
         if submitted is not None:
@@ -125,7 +125,7 @@
         return rollout
 
     def plan(self, rollout: Rollout) -> Rollout:
-        """Return what `submit` would return, or raise RefusedError as it would, and begin nothing."""
+        """Return or raise what `submit` would, without beginning the rollout."""
         submitted = find_submitted(rollout, self.table)
         if submitted is not None:
             return submitted
@@ -134,7 +134,7 @@
         return rollout
 
     def _prepare(self, rollout: Rollout) -> None:
-        """Take down what each target is now, which a rollback returns to."""
+        """Note the current state of each target, to which a rollback returns."""
         for name in rollout.targets:
             instance = self.instances[name]
             rollout.steps[name] = StepState.PENDING
@@ -142,14 +142,14 @@
             rollout.previously_wanted[name] = instance.wanted
 
     def pause(self, id: str, reason: str = "asked to") -> Rollout:
-        """Begin nothing more for this rollout until it is resumed. Raises RefusedError, OSError."""
+        """Pause a rollout: start no further steps until a resume. Raises RefusedError, OSError."""
         rollout = self.get(id)
         if rollout.active:
             self.table.transition(rollout, RolloutState.PAUSED, reason)
         return rollout
 
     def resume(self, now_ms: float, id: str) -> Rollout:
-        """Go on in the direction it had; instances that failed are tried again.
+        """Continue a paused rollout in its previous direction, and retry its failed steps.
 
         Raises RefusedError, OSError.
         """
@@ -162,7 +162,7 @@
         return rollout
 
     def _retry_failed_steps(self, rollout: Rollout) -> None:
-        """Make failed steps pending again, also those whose failure a paused rollout has not noticed."""
+        """Make failed steps pending again, also those that failed unobserved while the rollout was paused."""
         for name, step in rollout.steps.items():
             instance = self.instances[name]
             is_down = instance.state in (InstanceState.FAILED, InstanceState.STOPPED)
@@ -172,14 +172,14 @@
                 instance.restarts = 0
 
     def abort(self, now_ms: float, id: str) -> Rollout:
-        """End a rollout: what is out of service is started again as it is, and nothing more is taken out.
+        """End a rollout: start its instances that are out of service, and take no further ones out.
 
-        Raises RefusedError, OSError; then it has not been aborted.
+        Raises RefusedError or OSError, and then the rollout is not aborted.
         """
         rollout = self.get(id)
         if rollout.ended:
             return rollout
-        out_of_service = rollout.names_in(StepState.OUT, StepState.STARTING)
+        out_of_service = rollout.instances_at(StepState.OUT, StepState.STARTING)
         self.table.transition(rollout, RolloutState.ABORTED, "asked to")
         if rollout.kind != RolloutKind.STOP:
             for name in out_of_service:
@@ -187,12 +187,12 @@
         return rollout
 
     def _start_after_abort(self, now_ms: float, instance: Instance) -> None:
-        """Start an instance that an aborted rollout had out of service, at once or when it has stopped."""
+        """Start an instance that an aborted rollout had out of service, at once or once it has stopped."""
         instance.wanted = True
         if not instance.has_process:
             self.manager.attempt_start(now_ms, instance, "its change was aborted")
             return
         if instance.being_stopped:
-            instance.restart_at_ms = now_ms + RESTART_SOON_MS  # and its process has ended
-        with contextlib.suppress(OSError):  # the next of them must be started all the same
+            instance.restart_at_ms = now_ms + NEXT_TICK_MS  # restarted once its process has ended
+        with contextlib.suppress(OSError):  # the other instances must be started even so
             self.manager.save(instance)
--- a/vetchford/fleet/rollout_rules.py
+++ b/vetchford/fleet/rollout_rules.py
@@ -1,31 +1,39 @@
-"""Rules that a requested rollout must keep, over one agent's instances and over a fleet's alike. No state.
+"""Checks of a requested rollout that apply to one agent's instances and to a fleet's instances. No state.
 
-Each is a function that raises RefusedError, whose text is shown to the operator as it is.
+Each check raises RefusedError, whose text is shown to the operator unchanged.
 """
 
 from vetchford.fleet.rollout import FAILURE_POLICIES, KINDS, RefusedError, RolloutKind
 
 
 def check_kind_and_policy(kind: str, on_failure: str) -> None:
-    """Both must be known words: they come unchecked from a tool."""
+    """Refuse an unknown kind or failure policy: a tool sends both unchecked."""
     if kind not in KINDS or on_failure not in FAILURE_POLICIES:
-        raise RefusedError(f"'{kind}' or '{on_failure}' is none that is known")
+        raise RefusedError(
+            f"kind is '{kind}', which must be one of {', '.join(KINDS)}; "
+            f"on_failure is '{on_failure}', which must be one of {', '.join(FAILURE_POLICIES)}"
+        )
 
 
 def check_limits(batch: int, minimum_available: int) -> None:
-    """At least one instance must be allowed in progress, or the rollout would never end."""
+    """Refuse a batch below 1, with which the rollout would never end, and a negative minimum."""
     if batch < 1 or minimum_available < 0:
-        raise RefusedError("batch must be 1 or more, floor 0 or more")
+        raise RefusedError(
+            f"batch is {batch}, which must be 1 or more; "
+            f"floor is {minimum_available}, which must be 0 or more"
+        )
 
 
 def check_minimum_available(kind: str, available: int, affected: int, minimum: int) -> None:
-    """Refuse a stop that would leave too few, and the other kinds if not even one may be taken out.
+    """Refuse a stop that breaks the minimum, and a restart or roll if not even one instance can be spared.
 
-    `available`: instances of the groups touched that serve; `affected`: those of them that are targets.
+    `available`: instances of the targets' groups that serve; `affected`: targets among them.
     """
     if kind == RolloutKind.STOP:
-        left = available - affected
-        if left < minimum:
-            raise RefusedError(f"{left} would be left serving, under the floor of {minimum}")
+        remaining = available - affected
+        if remaining < minimum:
+            raise RefusedError(f"{remaining} would be left serving, under the floor of {minimum}")
     elif kind != RolloutKind.START and minimum and affected and available <= minimum:
-        raise RefusedError(f"{available} serve and the floor is {minimum}: none may go out")
+        raise RefusedError(
+            f"{available} instances serve and the floor is {minimum}: no instance can be taken out of service"
+        )
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -1,4 +1,4 @@
-"""The rollouts of one agent: each change of one is on record before it takes effect."""
+"""The rollouts of one agent; each change of a rollout is stored before it takes effect."""
 
 import contextlib
 from typing import Any
@@ -6,24 +6,24 @@
 from vetchford.fleet.rollout import RefusedError, Rollout, RolloutState, StepState
 from vetchford.fleet.rollout_actions import RecordKind, RolloutActions
 
-MAX_ENDED_ROLLOUTS = 50  # kept in the table; older ones are in the store's history
+MAX_ENDED_ROLLOUTS = 50  # kept in the table; the store's history has the older ones
 
 
 class RolloutTable:
-    """Rollouts by id, in the order they were begun. Used by the thread that makes the decisions."""
+    """Rollouts by id, in the order in which they began. Only the agent's thread calls it."""
 
     def __init__(self, actions: RolloutActions) -> None:
-        """`actions`: writes the records."""
+        """Start empty; `actions` stores the records."""
         self.actions = actions
-        self.rollouts: dict[str, Rollout] = {}  # emptied by `prune`
-        self.next_start_at_ms: dict[str, float] = {}  # ms; by id, removed as the rollout ends
+        self.rollouts: dict[str, Rollout] = {}  # bounded by `prune`
+        self.next_start_at_ms: dict[str, float] = {}  # by id; removed as the rollout ends
 
     def restore(self, id: str, record: dict[str, Any]) -> None:
-        """Take over a stored record."""
+        """Load a stored rollout."""
         self.rollouts[id] = Rollout.from_record(record)
 
     def add(self, rollout: Rollout) -> None:
-        """Record a new rollout. Raises OSError if the store cannot write; then it has not begun."""
+        """Store a new rollout. Raises OSError if the store cannot write; then the rollout has not begun."""
         self.save(rollout)
         self.rollouts[rollout.id] = rollout
         self.actions.note(
@@ -31,26 +31,26 @@
         )
 
     def get(self, id: str) -> Rollout:
-        """Return the rollout of this id; RefusedError if there is none."""
+        """Return the rollout with this id; RefusedError if there is none."""
         if id not in self.rollouts:
-            raise RefusedError(f"no change {id}")
+            raise RefusedError(f"this agent knows no change with the id {id}")
         return self.rollouts[id]
 
     def rollout_of(self, instance: str) -> Rollout | None:
-        """Return the rollout that has not ended and includes this instance; there is at most one."""
+        """Return the unfinished rollout that includes this instance; there is at most one."""
         for rollout in self.rollouts.values():
             if not rollout.ended and instance in rollout.steps:
                 return rollout
         return None
 
     def save(self, rollout: Rollout) -> None:
-        """Write the record; OSError if the store cannot."""
+        """Store a rollout; OSError if the store cannot write."""
         self.actions.save_record(RecordKind.ROLLOUT, rollout.id, rollout.to_record())
 
     def transition(self, rollout: Rollout, state: RolloutState, reason: str) -> None:
-        """Bring a rollout into another state. Raises OSError if the store cannot write.
+        """Change the state of a rollout. Raises OSError if the store cannot write.
 
-        What is not on record has not been decided, except a pause: it holds, and is logged, all the same.
+        A change that could not be stored is undone, except a pause: it stays in effect and is logged.
         """
         previous_state = rollout.state
         previous_reason = rollout.reason
@@ -89,7 +89,7 @@
         )
 
     def set_step(self, rollout: Rollout, instance: str, step: StepState) -> None:
-        """Record the progress of one instance. OSError if the store cannot write; then nothing changes."""
+        """Store the progress of one instance. OSError if the store cannot write; then nothing changes."""
         previous = rollout.steps[instance]
         rollout.steps[instance] = step
         try:
@@ -99,9 +99,9 @@
             raise
 
     def prune(self) -> None:
-        """Drop the oldest of the ended rollouts."""
+        """Drop the oldest ended rollouts, beyond `MAX_ENDED_ROLLOUTS`."""
         ended = [rollout.id for rollout in self.rollouts.values() if rollout.ended]
         for id in ended[: max(0, len(ended) - MAX_ENDED_ROLLOUTS)]:
-            with contextlib.suppress(OSError):  # it stays, and is dropped with the next
+            with contextlib.suppress(OSError):  # the rollout stays, and is dropped by a later call
                 self.actions.save_record(RecordKind.ROLLOUT, id, None)
                 del self.rollouts[id]
--- a/vetchford/fleet/rollout_validation.py
+++ b/vetchford/fleet/rollout_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a requested rollout before it begins. Nothing is changed; RefusedError says what is wrong."""
+"""Checks of a requested rollout before it begins. They change no state; RefusedError names the fault."""
 
 from vetchford.fleet.instance import InstanceState
 from vetchford.fleet.instance_manager import InstanceManager
@@ -8,7 +8,7 @@
 
 
 def find_submitted(rollout: Rollout, table: RolloutTable) -> Rollout | None:
-    """Return the rollout that an earlier, equal request with this id began.
+    """Return the rollout that an earlier, identical request with this id began.
 
     Raises RefusedError if the id belongs to another request.
     """
@@ -16,7 +16,10 @@
     if known is None:
         return None
     if (known.kind, known.targets, known.version) != (rollout.kind, rollout.targets, rollout.version):
-        raise RefusedError(f"id {rollout.id} is another change's ({known.kind} of {len(known.targets)})")
+        raise RefusedError(
+            f"id {rollout.id} is already used by another change "
+            f"({known.kind} of {len(known.targets)} instances)"
+        )
     return known
 
 
@@ -34,9 +37,9 @@
     if unknown:
         raise RefusedError(f"no such instance: {', '.join(unknown)}")
     if not rollout.targets:
-        raise RefusedError("it names no instance")
+        raise RefusedError("the change names no instance")
     if len(set(rollout.targets)) < len(rollout.targets):
-        raise RefusedError("an instance is named twice")
+        raise RefusedError(f"the change names an instance twice: {', '.join(rollout.targets)}")
 
 
 def _check_no_other_rollout(rollout: Rollout, table: RolloutTable) -> None:
