--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -1,6 +1,6 @@
-"""Rollouts over a world of processes that crash, hang and never get ready, with the agent killed in between.
+"""Rollouts over simulated processes that crash, hang or never become ready, with an agent that is killed.
 
-The world is the plain model: it knows each process and checks every act of the decisions against it.
+The simulated host is the model: it has the true state of each process and checks every action against it.
 """
 
 import copy
@@ -13,35 +13,35 @@
 from vetchford.fleet.rollout import ENDED_STATES, RefusedError, Rollout, RolloutState, StepState
 from vetchford.fleet.rollout_controller import RolloutController
 
-STOP_TIMEOUT, READY_TIMEOUT = 400.0, 1500.0  # ms
-ROUND = 50.0  # ms between two rounds of events
-ROLL_AT = 3000.0  # ms: all serve by then
-NEVER = 1e12  # ms
+STOP_TIMEOUT_MS, READY_TIMEOUT_MS = 400.0, 1500.0
+ROUND_INTERVAL_MS = 50.0  # between two rounds of events
+ROLL_AT_MS = 3000.0  # when all instances serve
+NEVER_MS = 1e12
 
 
-class KilledError(Exception):
-    """The agent dies here."""
+class AgentKilledError(Exception):
+    """Raised from an action to simulate that the agent is killed there."""
 
 
-class World:
-    """Processes by instance: when each is ready, when it will end, and what it does on SIGTERM."""
+class SimulatedHost:
+    """Processes by instance, with times of readiness and exit and whether they hang, and the store."""
 
     def __init__(self, seed):
         self.random, self.now, self.store = random.Random(seed), 0.0, {}
         self.processes, self.terminated_at, self.kills = {}, {}, []
         self.serving, self.minimum_available, self.counted = set(), 0, set()
-        self.acts_left, self.full, self.bad_versions = -1, False, ()
+        self.actions_until_kill, self.is_store_full, self.bad_versions = -1, False, ()
 
-    def maybe_die(self):
-        self.acts_left -= 1
-        if self.acts_left == 0:
-            raise KilledError
+    def kill_agent_if_due(self):
+        self.actions_until_kill -= 1
+        if self.actions_until_kill == 0:
+            raise AgentKilledError
 
-    # -- what the decisions act through
+    # -- rollout_actions.RolloutActions
 
     def save_record(self, kind, name, record):
-        self.maybe_die()
-        if self.full:
+        self.kill_agent_if_due()
+        if self.is_store_full:
             raise OSError("full")
         if record is None:
             self.store.pop((kind, name), None)
@@ -49,42 +49,42 @@
             self.store[kind, name] = copy.deepcopy(record)
 
     def spawn(self, name, version):
-        self.maybe_die()
+        self.kill_agent_if_due()
         assert name not in self.processes, "a second process of one instance"
         hangs = self.random.random() < 0.15
         ready_in = 1e9 if version in self.bad_versions else self.random.uniform(50, 400)
         self.processes[name] = {
             "version": version,
             "ready": self.now + ready_in,
-            "ends": NEVER,
+            "ends": NEVER_MS,
             "hangs": hangs,
         }
-        self.maybe_die()
+        self.kill_agent_if_due()
 
     def terminate(self, name):
-        self.maybe_die()
+        self.kill_agent_if_due()
         assert name in self.processes, "SIGTERM to no process"
         if name in self.serving and name in self.counted:
-            left = (self.serving & self.counted) - {name}
-            assert len(left) >= self.minimum_available, "under the minimum"
+            remaining = (self.serving & self.counted) - {name}
+            assert len(remaining) >= self.minimum_available, "under the minimum"
         self.serving.discard(name)
         process = self.processes[name]
         self.terminated_at.setdefault(name, self.now)
         if not process["hangs"]:
             process["ends"] = min(process["ends"], self.now + self.random.uniform(10, 300))
-        self.maybe_die()
+        self.kill_agent_if_due()
 
     def kill(self, name):
         assert name in self.processes, "SIGKILL to no process"
-        assert self.now - self.terminated_at[name] >= STOP_TIMEOUT, "killed before its stop timeout"
+        assert self.now - self.terminated_at[name] >= STOP_TIMEOUT_MS, "killed before its stop timeout"
         self.kills.append(name)
         self.processes[name]["ends"] = self.now
-        self.maybe_die()
+        self.kill_agent_if_due()
 
     def note(self, event, **fields):
         assert "event" not in fields
 
-    # -- its processes
+    # -- state of the processes
 
     def versions(self):
         return [process["version"] for process in self.processes.values()]
@@ -101,60 +101,60 @@
         return healthy
 
 
-def start_agent(world, names, restored):
-    controller = RolloutController(world)
+def start_agent(host, names, restored):
+    controller = RolloutController(host)
     for name in names:
-        settings = InstanceSettings(name[0], STOP_TIMEOUT, READY_TIMEOUT)
+        settings = InstanceSettings(name[0], STOP_TIMEOUT_MS, READY_TIMEOUT_MS)
         controller.declare(name, settings, "v1")
     if restored:
-        for (kind, name), record in world.store.items():
+        for (kind, name), record in host.store.items():
             controller.restore(kind, name, copy.deepcopy(record))
-    world.serving = set()
+    host.serving = set()
     for name in names:
-        process = world.processes.get(name)
-        controller.on_process_found(world.now, name, process["version"] if process else None)
+        process = host.processes.get(name)
+        controller.on_process_found(host.now, name, process["version"] if process else None)
     return controller
 
 
-class Play:
-    """One agent over eight instances, which starts them all and rolls them to another version."""
+class RolloutSimulation:
+    """One agent with eight instances, which starts them all and then rolls them to another version."""
 
     def __init__(self, seed, roll, random_exits, bad_versions):
-        self.world, self.random = World(seed), random.Random(seed + 1000)
-        self.world.bad_versions = bad_versions
+        self.host, self.random = SimulatedHost(seed), random.Random(seed + 1000)
+        self.host.bad_versions = bad_versions
         self.names = [f"{group}{number}" for group in "ab" for number in range(4)]
         self.roll, self.random_exits = roll, random_exits
-        self.submitted, self.deaths = False, 0
-        self.controller = start_agent(self.world, self.names, False)
+        self.submitted, self.kill_count = False, 0
+        self.controller = start_agent(self.host, self.names, False)
         self.submit_start()
 
     def submit_start(self):
-        self.controller.submit(self.world.now, Rollout("up", "start", self.names, batch=8))
+        self.controller.submit(self.host.now, Rollout("up", "start", self.names, batch=8))
 
-    def run(self, length, crashes):
-        while self.world.now < length:
-            self.world.now += ROUND
-            if crashes and self.random.random() < 0.2:
-                self.world.acts_left = self.random.randrange(1, 12)
+    def run(self, duration_ms, agent_crashes):
+        while self.host.now < duration_ms:
+            self.host.now += ROUND_INTERVAL_MS
+            if agent_crashes and self.random.random() < 0.2:
+                self.host.actions_until_kill = self.random.randrange(1, 12)
             try:
                 self.play_round()
-            except KilledError:
+            except AgentKilledError:
                 self.restart_agent()
 
     def play_round(self):
-        world, controller = self.world, self.controller
-        for name in list(world.processes):
+        host, controller = self.host, self.controller
+        for name in list(host.processes):
             self.maybe_exit(name)
-            if world.processes[name]["ends"] <= world.now:
-                world.end_process(name)
-                controller.on_process_exit(world.now, name, 0)
-        for name in list(world.processes):
-            controller.on_health_check(world.now, name, world.is_healthy(name))
-        if world.now >= ROLL_AT and not self.submitted and self.all_started():
+            if host.processes[name]["ends"] <= host.now:
+                host.end_process(name)
+                controller.on_process_exit(host.now, name, 0)
+        for name in list(host.processes):
+            controller.on_health_check(host.now, name, host.is_healthy(name))
+        if host.now >= ROLL_AT_MS and not self.submitted and self.all_started():
             self.submit_roll()
         elif self.submitted and "roll" not in controller.rollouts:
-            self.submitted = False  # the agent died before it was on record: submitted again
-        controller.on_tick(world.now)
+            self.submitted = False  # the agent was killed before the roll was stored: submitted again
+        controller.on_tick(host.now)
 
     def all_started(self):
         return self.controller.rollouts["up"].state in ENDED_STATES
@@ -162,11 +162,11 @@
     def maybe_exit(self, name):
         may_exit = self.random_exits and not self.submitted and self.all_started()
         if may_exit and self.random.random() < 0.0005:
-            self.world.processes[name]["ends"] = self.world.now
+            self.host.processes[name]["ends"] = self.host.now
 
     def submit_roll(self):
         self.submitted = True
-        self.world.minimum_available, self.world.counted = self.roll["minimum_available"], set(self.names)
+        self.host.minimum_available, self.host.counted = self.roll["minimum_available"], set(self.names)
         rollout = Rollout(
             "roll",
             "roll",
@@ -176,114 +176,118 @@
             minimum_ready_ms=300.0,
             **self.roll,
         )
-        self.controller.submit(self.world.now, rollout)
+        self.controller.submit(self.host.now, rollout)
 
     def restart_agent(self):
-        world = self.world
-        self.deaths += 1
-        world.acts_left = -1
-        world.terminated_at = {
-            name: at for name, at in world.terminated_at.items() if name in world.processes
+        host = self.host
+        self.kill_count += 1
+        host.actions_until_kill = -1
+        host.terminated_at = {
+            name: time for name, time in host.terminated_at.items() if name in host.processes
         }
         try:
-            self.controller = start_agent(world, self.names, True)
+            self.controller = start_agent(host, self.names, True)
         except RefusedError:
-            raise AssertionError("a restart that refuses") from None
+            raise AssertionError("the restarted agent refused its stored records") from None
         if "up" not in self.controller.rollouts:
             self.submit_start()
 
 
-def play(seed, crashes, length=12_000.0, on_failure="go_on", random_exits=True, bad_versions=()):
+def run_simulation(
+    seed, agent_crashes, duration_ms=12_000.0, on_failure="go_on", random_exits=True, bad_versions=()
+):
     roll = {"batch": 2, "minimum_available": 4, "on_failure": on_failure}
-    played = Play(seed, roll, random_exits, bad_versions)
-    played.run(length, crashes)
-    return played.world, played.controller, played.deaths
+    simulation = RolloutSimulation(seed, roll, random_exits, bad_versions)
+    simulation.run(duration_ms, agent_crashes)
+    return simulation.host, simulation.controller, simulation.kill_count
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_roll_updates_every_instance_within_minimum_available(seed):
-    world, controller, _ = play(seed, crashes=False, length=25_000.0)
+    host, controller, _ = run_simulation(seed, agent_crashes=False, duration_ms=25_000.0)
     assert controller.rollouts["roll"].state == RolloutState.FINISHED
-    assert world.versions() == ["v2"] * 8
-    assert set(world.kills) <= set(controller.rollouts["roll"].killed) | set(controller.rollouts["up"].killed)
+    assert host.versions() == ["v2"] * 8
+    assert set(host.kills) <= set(controller.rollouts["roll"].killed) | set(controller.rollouts["up"].killed)
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_restarted_agent_continues_rollout_without_duplicate_processes(seed):
-    world, controller, deaths = play(seed, crashes=True, length=60_000.0, random_exits=False)
-    assert deaths >= 2
+    host, controller, kill_count = run_simulation(
+        seed, agent_crashes=True, duration_ms=60_000.0, random_exits=False
+    )
+    assert kill_count >= 2
     assert controller.rollouts["roll"].state in ENDED_STATES
     for name, instance in controller.instances.items():
-        assert (instance.state in STATES_WITH_PROCESS) == (name in world.processes)
-        if name in world.processes and instance.state == InstanceState.SERVING:
-            assert world.processes[name]["version"] == "v2"
+        assert (instance.state in STATES_WITH_PROCESS) == (name in host.processes)
+        if name in host.processes and instance.state == InstanceState.SERVING:
+            assert host.processes[name]["version"] == "v2"
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_version_never_ready_is_rolled_back_within_minimum_available(seed):
-    world, controller, _ = play(
+    host, controller, _ = run_simulation(
         seed, False, 40_000.0, on_failure="back", random_exits=False, bad_versions=("v2",)
     )
-    change = controller.rollouts["roll"]
-    assert change.state == RolloutState.FAILED and change.reason == "gone back"
-    assert world.versions() == ["v1"] * 8
+    rollout = controller.rollouts["roll"]
+    assert rollout.state == RolloutState.FAILED and rollout.reason == "gone back"
+    assert host.versions() == ["v1"] * 8
 
 
 def test_version_never_ready_pauses_rollout_after_first_batch_until_resume():
-    world, controller, _ = play(
+    host, controller, _ = run_simulation(
         3, False, 12_000.0, on_failure="pause", random_exits=False, bad_versions=("v2",)
     )
-    change = controller.rollouts["roll"]
-    assert change.state == RolloutState.PAUSED and list(change.steps.values()).count(StepState.PENDING) >= 6
-    world.bad_versions = ()
-    controller.resume(world.now, "roll")
-    assert change.state == RolloutState.RUNNING and StepState.FAILED not in change.steps.values()
+    rollout = controller.rollouts["roll"]
+    assert rollout.state == RolloutState.PAUSED and list(rollout.steps.values()).count(StepState.PENDING) >= 6
+    host.bad_versions = ()
+    controller.resume(host.now, "roll")
+    assert rollout.state == RolloutState.RUNNING and StepState.FAILED not in rollout.steps.values()
 
 
-def all_serving(names="abc", group="g"):
-    world = World(1)
-    world.random = random.Random(5)
-    controller = RolloutController(world)
+def start_all_serving(names="abc", group="g"):
+    host = SimulatedHost(1)
+    host.random = random.Random(5)
+    controller = RolloutController(host)
     for name in names:
-        controller.declare(name, InstanceSettings(group, STOP_TIMEOUT, READY_TIMEOUT), "v1")
+        controller.declare(name, InstanceSettings(group, STOP_TIMEOUT_MS, READY_TIMEOUT_MS), "v1")
         controller.on_process_found(0.0, name, None)
     controller.submit(0.0, Rollout("up", "start", list(names), batch=9, minimum_ready_ms=0.0))
     for name in names:
         controller.on_health_check(1.0, name, True)
     controller.on_tick(10.0)
     assert controller.rollouts["up"].state == RolloutState.FINISHED
-    return world, controller
+    return host, controller
 
 
 def test_repeated_request_is_one_rollout_and_conflicting_requests_are_refused():
-    world, controller = all_serving()
+    host, controller = start_all_serving()
     first = controller.submit(20.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0))
     assert controller.submit(21.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=10.0)) is first
     with pytest.raises(RefusedError, match="id r is already used by another change"):
         controller.submit(22.0, Rollout("r", "restart", ["a"]))
     with pytest.raises(RefusedError, match="b is in change r, which is running"):
         controller.submit(22.0, Rollout("s", "stop", ["b", "c"]))
-    for wrong, why in (
+    for refused_rollout, text in (
         (Rollout("x", "stop", ["z"]), "no such instance: z"),
         (Rollout("x", "stop", []), "the change names no instance"),
         (Rollout("x", "melt", ["c"]), "kind is 'melt', which must be one of start, stop"),
         (Rollout("x", "stop", ["c", "c"]), "the change names an instance twice: c, c"),
         (Rollout("x", "stop", ["c"], minimum_available=3), "under the floor of 3"),
     ):
-        with pytest.raises(RefusedError, match=why):
-            controller.submit(23.0, wrong)
+        with pytest.raises(RefusedError, match=text):
+            controller.submit(23.0, refused_rollout)
 
 
 def test_hung_drain_is_killed_at_stop_timeout_and_reported():
-    world, controller = all_serving("a")
-    world.processes["a"]["hangs"] = True
-    world.now = 100.0
+    host, controller = start_all_serving("a")
+    host.processes["a"]["hangs"] = True
+    host.now = 100.0
     controller.submit(100.0, Rollout("stop", "stop", ["a"]))
-    controller.on_tick(100.0 + STOP_TIMEOUT - 1.0)
-    assert not world.kills
-    world.now = 100.0 + STOP_TIMEOUT
-    controller.on_tick(100.0 + STOP_TIMEOUT)
-    assert world.kills == ["a"] and controller.instances["a"].state == InstanceState.STOPPING
+    controller.on_tick(100.0 + STOP_TIMEOUT_MS - 1.0)
+    assert not host.kills
+    host.now = 100.0 + STOP_TIMEOUT_MS
+    controller.on_tick(100.0 + STOP_TIMEOUT_MS)
+    assert host.kills == ["a"] and controller.instances["a"].state == InstanceState.STOPPING
     controller.on_process_exit(510.0, "a", -9)
     rollout = controller.rollouts["stop"]
     assert rollout.state == RolloutState.FINISHED and rollout.killed == ["a"]
@@ -291,57 +295,57 @@
 
 
 def test_crash_loop_backs_off_until_instance_fails():
-    world, controller = all_serving("a")
-    now, starts = 100.0, []
+    host, controller = start_all_serving("a")
+    now, exits = 100.0, []
     for _ in range(400):
-        if "a" in world.processes:
-            del world.processes["a"]
-            starts.append(now)
+        if "a" in host.processes:
+            del host.processes["a"]
+            exits.append(now)
             controller.on_process_exit(now, "a", 1)
         now += 500.0
         controller.on_tick(now)
-    gaps = [b - a for a, b in zip(starts, starts[1:], strict=False)]
+    gaps = [later - earlier for earlier, later in zip(exits, exits[1:], strict=False)]
     assert controller.instances["a"].state == InstanceState.FAILED
-    assert len(starts) == MAX_CONSECUTIVE_RESTARTS + 1
+    assert len(exits) == MAX_CONSECUTIVE_RESTARTS + 1
     assert gaps == sorted(gaps) and gaps[-1] >= 8 * gaps[0]
 
 
 def test_full_store_pauses_rollout():
-    world, controller = all_serving()
+    host, controller = start_all_serving()
     controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
-    world.full = True
-    world.processes.pop("a")
+    host.is_store_full = True
+    host.processes.pop("a")
     controller.on_process_exit(300.0, "a", 0)
     rollout = controller.rollouts["r"]
     assert rollout.state == RolloutState.PAUSED and "the store failed" in rollout.reason
-    assert set(world.processes) == {"b", "c"}
-    world.full = False
+    assert set(host.processes) == {"b", "c"}
+    host.is_store_full = False
     controller.resume(400.0, "r")
-    assert set(world.processes) == {"a", "b", "c"}
+    assert set(host.processes) == {"a", "b", "c"}
 
 
 def test_full_store_delays_no_kill_and_restart_follows_once_it_writes():
-    world, controller = all_serving("ab")
-    world.processes["a"]["hangs"], world.now = True, 100.0
+    host, controller = start_all_serving("ab")
+    host.processes["a"]["hangs"], host.now = True, 100.0
     controller.submit(100.0, Rollout("stop", "stop", ["a"]))
-    world.full = True
-    del world.processes["b"]
+    host.is_store_full = True
+    del host.processes["b"]
     controller.on_process_exit(150.0, "b", 1)
-    world.now = 1000.0
+    host.now = 1000.0
     controller.on_tick(1000.0)
-    assert world.kills == ["a"] and "b" not in world.processes
+    assert host.kills == ["a"] and "b" not in host.processes
     assert "the store failed" in controller.instances["b"].reason
-    world.full = False
+    host.is_store_full = False
     controller.on_tick(2500.0)
-    assert "b" in world.processes
+    assert "b" in host.processes
 
 
 def test_abort_restarts_instances_out_of_service_and_takes_no_more():
-    world, controller = all_serving()
+    host, controller = start_all_serving()
     controller.submit(20.0, Rollout("r", "restart", ["a", "b", "c"], minimum_ready_ms=0.0))
     controller.abort(30.0, "r")
-    world.processes.pop("a")
+    host.processes.pop("a")
     controller.on_process_exit(200.0, "a", 0)
     controller.on_tick(300.0)
-    assert set(world.processes) == {"a", "b", "c"} and controller.rollouts["r"].state == RolloutState.ABORTED
+    assert set(host.processes) == {"a", "b", "c"} and controller.rollouts["r"].state == RolloutState.ABORTED
     assert not [name for name in "bc" if controller.instances[name].state != InstanceState.SERVING]
--- a/tests/fleet/test_rollout_record.py
+++ b/tests/fleet/test_rollout_record.py
@@ -1,4 +1,4 @@
-"""Stored rollouts and requests of tools keep their form: agents and tools of other versions read them."""
+"""Encoded form of stored rollouts and of tools' requests, which agents and tools of other versions read."""
 
 import copy
 import json
@@ -8,8 +8,8 @@
 from vetchford.fleet.instance import Instance, InstanceSettings, InstanceState
 from vetchford.fleet.rollout import Rollout, RolloutState, StepState
 
-# As version 0.2.0 wrote it in the middle of a roll.
-HALF_DONE = {
+# A record that version 0.2.0 stored during a roll.
+UNFINISHED_ROLL = {
     "id": "r1",
     "kind": "roll",
     "targets": ["n2", "n0", "n1"],
@@ -29,7 +29,7 @@
 
 
 def test_a_stored_rollout_round_trips_under_the_same_field_names():
-    rollout = Rollout.from_record(HALF_DONE)
+    rollout = Rollout.from_record(UNFINISHED_ROLL)
     assert (rollout.minimum_available, rollout.start_spacing_ms, rollout.minimum_ready_ms) == (
         1,
         100.0,
@@ -37,26 +37,26 @@
     )
     assert rollout.steps == {"n0": StepState.DONE, "n1": StepState.STARTING, "n2": StepState.PENDING}
     assert rollout.previous_versions["n1"] == "v1" and rollout.previously_wanted["n2"] is False
-    assert json.dumps(rollout.to_record(), sort_keys=True) == json.dumps(HALF_DONE, sort_keys=True)
+    assert json.dumps(rollout.to_record(), sort_keys=True) == json.dumps(UNFINISHED_ROLL, sort_keys=True)
 
 
 @pytest.mark.parametrize("state", list(RolloutState))
 def test_a_record_without_a_direction_rolls_back_only_if_its_state_says_so(state):
-    rollout = Rollout.from_record({**HALF_DONE, "state": state.value})
+    rollout = Rollout.from_record({**UNFINISHED_ROLL, "state": state.value})
     assert rollout.rolling_back is (state is RolloutState.ROLLING_BACK)
 
 
 def test_a_record_is_not_changed_by_later_steps():
-    rollout = Rollout.from_record(copy.deepcopy(HALF_DONE))
+    rollout = Rollout.from_record(copy.deepcopy(UNFINISHED_ROLL))
     record = rollout.to_record()
     rollout.steps["n1"] = StepState.DONE
     rollout.killed.append("n1")
     rollout.previous_versions["n2"] = "v0"
-    assert record == HALF_DONE
+    assert record == UNFINISHED_ROLL
 
 
 def test_a_paused_rollback_round_trips():
-    record = {**HALF_DONE, "state": "paused", "why": "asked to", "back": True}
+    record = {**UNFINISHED_ROLL, "state": "paused", "why": "asked to", "back": True}
     rollout = Rollout.from_record(record)
     assert rollout.rolling_back and rollout.to_record() == record
 
