--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -65,7 +65,7 @@
         instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
         if not instance.wanted and not self.rollout_of(instance.name):
             # The agent may have been killed before or after it sent SIGTERM, so SIGTERM is sent again.
-            self.stop(now_ms, instance, "adopted, but not wanted")
+            self.stop(now_ms, instance, "adopted, and not wanted")
 
     # -- events of a process
 
@@ -82,9 +82,7 @@
         instance.failed_checks = 0 if healthy else instance.failed_checks + 1
         if instance.failed_checks >= MAX_FAILED_CHECKS:
             instance.failed_checks = 0
-            self._transition(
-                now_ms, instance, InstanceState.STARTING, f"{MAX_FAILED_CHECKS} health checks failed"
-            )
+            self._transition(now_ms, instance, InstanceState.STARTING, "checks fail")
             instance.deadline_ms = now_ms + instance.settings.ready_timeout_ms
         elif healthy and now_ms - instance.state_since_ms > STABLE_AFTER_MS:
             instance.restarts = 0
@@ -106,14 +104,14 @@
 
     def on_spawn_failed(self, now_ms: float, name: str, reason: str) -> None:
         """Handle a failure to start a process."""
-        self._on_crash(now_ms, self.instances[name], f"process could not be started: {reason}")
+        self._on_crash(now_ms, self.instances[name], f"could not be started: {reason}")
 
     def _on_crash(self, now_ms: float, instance: Instance, reason: str) -> None:
         instance.restarts += 1
         is_crash_loop = instance.restarts > MAX_CONSECUTIVE_RESTARTS
         if self.rollout_of(instance.name) is not None or not instance.settings.restart or is_crash_loop:
             if is_crash_loop:
-                reason = f"{reason}, after {MAX_CONSECUTIVE_RESTARTS} consecutive restarts"
+                reason = f"{reason}, {MAX_CONSECUTIVE_RESTARTS} times in a row"
             self._transition(now_ms, instance, InstanceState.FAILED, reason)
             return
         self._transition(now_ms, instance, InstanceState.ABSENT, reason)
@@ -144,7 +142,7 @@
             self.actions.kill(instance.name)
 
     def _on_ready_timeout(self, now_ms: float, instance: Instance) -> None:
-        self.stop(now_ms, instance, f"not ready within {instance.settings.ready_timeout_ms:.0f} ms")
+        self.stop(now_ms, instance, "not ready in its time")
         if instance.wanted and not self.rollout_of(instance.name):
             instance.restarts += 1
             backoff = RESTART_BACKOFF_MS * 2.0 ** min(MAX_READY_BACKOFF_EXPONENT, instance.restarts)
@@ -152,7 +150,7 @@
 
     def _on_stop_timeout(self, now_ms: float, instance: Instance) -> None:
         instance.kill_count += 1
-        self._transition(now_ms, instance, InstanceState.STOPPING, "did not exit within its stop timeout")
+        self._transition(now_ms, instance, InstanceState.STOPPING, "did not end in its stop time")
         instance.deadline_ms = now_ms + KILL_RETRY_INTERVAL_MS
         rollout = self.rollout_of(instance.name)
         if rollout is not None and instance.name not in rollout.killed:
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -46,7 +46,7 @@
         """End a rollout whose steps have all ended."""
         failed = rollout.instances_at(StepState.FAILED)
         if failed:
-            self.table.transition(rollout, RolloutState.FAILED, f"instances failed: {', '.join(failed)}")
+            self.table.transition(rollout, RolloutState.FAILED, f"lost: {', '.join(failed)}")
         elif rollout.state == RolloutState.ROLLING_BACK:
             self.table.transition(rollout, RolloutState.FAILED, "gone back")
         else:
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -284,7 +284,7 @@
             rollout.reason = f"gone back: {rollout.reason}"
         elif failed:
             rollout.state = RolloutState.FAILED
-            rollout.reason = f"instances failed: {', '.join(failed)}"
+            rollout.reason = f"lost: {', '.join(failed)}"
         else:
             rollout.state = RolloutState.SUCCEEDED
             rollout.reason = "all done"
