--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -262,8 +262,16 @@
     assert plan.stdout == "would restart, 1 at once: n0@a1, n1@a1\n"
     for given, code, text in (
         (["--across", "roll", "--to", "v9", "all"], 2, "has no command for version 'v9'"),
-        (["--across", "stop", "--floor", "6", "n0@a0"], 2, "5 would be left serving, under the floor of 6"),
-        (["--across", "restart", "nobody"], 2, "it must name 1 to 1000 instances"),
+        (
+            ["--across", "stop", "--floor", "6", "n0@a0"],
+            2,
+            "5 of 6 instances would be left serving, under the floor of 6",
+        ),
+        (
+            ["--across", "restart", "nobody"],
+            2,
+            "the change names 0 instances: it must name 1 to 1000, each once",
+        ),
         (["--across", "pause", "none"], 2, "no change none is known here"),
         (["admit", "a1"], 0, "a0, a1, a2"),
         (["--across", "explain", "none"], 2, "no change none is known here"),
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -63,7 +63,7 @@
         net.agents["a000"].actions, "a000", net.agents, 9, fixed_members=True
     )
     assert {member.state for member in detector.membership.members.values()} == {SUSPECT}  # no message yet
-    detector.membership.apply_update(1.0, ("not listed", ALIVE, 3))
+    detector.membership.apply_update(1.0, ("unlisted", ALIVE, 3))
     detector.receive(1.0, "other", "ping", 1, "", [])
     assert sorted(detector.membership.members) == ["a001", "a002", "a003", "a004"]
     detector.tick(100.0)
--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -272,7 +272,10 @@
         (Rollout("x", "stop", []), "the change names no instance"),
         (Rollout("x", "melt", ["c"]), "kind is 'melt', which must be one of start, stop"),
         (Rollout("x", "stop", ["c", "c"]), "the change names an instance twice: c, c"),
-        (Rollout("x", "stop", ["c"], minimum_available=3), "under the floor of 3"),
+        (
+            Rollout("x", "stop", ["c"], minimum_available=3),
+            "1 of 2 instances would be left serving, under the floor of 3",
+        ),
     ):
         with pytest.raises(RefusedError, match=text):
             controller.submit(23.0, refused_rollout)
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -238,7 +238,7 @@
         self.leader = leader
 
     def step_down(self, now_ms: float, reason: str) -> None:
-        """End a candidacy or a leadership and follow no leader; a follower only restarts its timer."""
+        """End a candidacy or a leadership: become a follower without a leader, with a new timeout."""
         was_leading = self.role in LEADING_ROLES
         self.become_follower(now_ms, "")
         if was_leading:
@@ -246,7 +246,7 @@
             self.actions.on_deposed(now_ms, reason)
 
     def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
-        """Step down because a voter has voted in a term higher than ours (Raft, 5.1)."""
+        """Step down because a voter has voted in a higher term (Raft, 5.1)."""
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         if self.role != Role.FOLLOWER and message.term == self.campaign_term:
             self.step_down(now_ms, f"{sender} has voted in term {message.promised_term}, which is higher")
@@ -338,7 +338,7 @@
         self.count_pre_votes(now_ms)
 
     def on_pre_vote_response(self, now_ms: float, sender: str, message: PreVoteResponse) -> None:
-        """Count a pre-vote, and note the voter's term so that the term of our candidacy is higher."""
+        """Count a pre-vote, and note the voter's term so that the term of this candidacy is higher."""
         if self.role != Role.PRE_CANDIDATE or not message.granted or not self.has_valid_vote(sender):
             return
         self.ballot.add(sender)
@@ -372,7 +372,7 @@
         self.count_votes(now_ms)
 
     def count_votes(self, now_ms: float) -> None:
-        """Given a majority, write the newest record received with the votes again, in our term.
+        """Given a majority, write the newest record received with the votes again, in this agent's term.
 
         If that record changes the voters, a majority of both lists is needed. The record is committed only in
         the new term: a majority that has it in an older term does not prove a commit (Raft, 5.4.2).
@@ -435,13 +435,13 @@
                 self.send(name, heartbeat if self.progress.has_acknowledged(name, self.version) else append)
 
     def on_acknowledge(self, now_ms: float, sender: str, message: Acknowledge) -> None:
-        """Count an acknowledgement: the member has a record of our term on disk."""
+        """Count an acknowledgement: the member has a record of this agent's term on disk."""
         if self.role in LEADING_ROLES and message.term == self.campaign_term:
             self.progress.record_acknowledgement(now_ms, sender, message.version)
             self.commit_if_replicated(now_ms)
 
     def commit_if_replicated(self, now_ms: float) -> None:
-        """Commit the last written record once a majority has it; the first one of a term makes us leader."""
+        """Commit the last written record once a majority has it; the first commit completes the election."""
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
--- a/vetchford/fleet/consensus_messages.py
+++ b/vetchford/fleet/consensus_messages.py
@@ -80,7 +80,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="beat"):
-    """A sign of life of the leader of `term`, for a member that has acknowledged `version`."""
+    """A periodic message from the leader of `term` to a member that has acknowledged `version`."""
 
     term: int
     version: RecordVersion = msgspec.field(name="at")
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -241,7 +241,7 @@
         return term == self.record.promised_term and sender in (self.name, self.record.leader)
 
     def on_report_request(self, now_ms: float, sender: str, message: ReportRequest) -> None:
-        """Report to the leader; a deposed leader is told so by the record's messages instead."""
+        """Report to the leader; ignore a deposed leader, which learns of the higher term from the record."""
         if not self.is_current_leader(sender, message.term):
             return
         self.wait_reasons = dict(message.wait_reasons)
--- a/vetchford/fleet/election.py
+++ b/vetchford/fleet/election.py
@@ -8,16 +8,15 @@
 
 from vetchford.fleet.consensus_messages import RecordBody, RecordVersion
 
-ELECTION_TIMEOUT_MS = (
-    3000.0  # without a leader's message; six heartbeats, so that one stall does not depose the leader
-)
+# Without a leader's message; six heartbeats, so that one stall does not depose the leader.
+ELECTION_TIMEOUT_MS = 3000.0
 ELECTION_JITTER_MS = 2000.0  # random addition to the timeout, so that few agents become candidates at once
 JITTER_STEPS = 10_000  # number of distinct timeouts within the jitter
 TERMS_PER_ROUND = 64  # members that have a term of their own in each round of terms
 
 
 class ElectionTimer:
-    """Randomized timer that tells a follower without a leader when to start an election.
+    """Randomized timer after which a follower without a leader starts an election.
 
     Each timeout is drawn again (Raft, 5.2), so that two candidates do not split the votes repeatedly.
     """
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -23,7 +23,7 @@
 INDIRECT_PROBES = 3  # agents asked to probe; at 5 % loss all four probes fail in 1 of 10,000 cases
 SUSPICION_PERIODS = 3.0  # probe intervals, times `group_scale`, until a suspect is unreachable
 MAX_HEALTH_PENALTY = 4  # failed probes that count; an agent that gets no answers is likely at fault itself
-SUSPICION_SHARE_PER_PENALTY = 0.5  # part of the suspicion time added for each failed probe of our own
+SUSPICION_SHARE_PER_PENALTY = 0.5  # part of the suspicion time, added for each failed probe of this agent
 UNREACHABLE_RETENTION_MS = 120_000.0  # for which unreachable agents are kept, and probed after a partition
 UNREACHABLE_PROBE_PERIODS = 5  # probe intervals between two pings of unreachable agents
 STALL_THRESHOLD_MS = 1500.0  # between two calls of `tick`; a longer gap means that this process was stopped
@@ -41,7 +41,7 @@
     """Operations that the failure detector calls."""
 
     def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
-        """Send one datagram, which may be lost, late or duplicated."""
+        """Send a datagram, which may be lost, late or duplicated; `about`: target of a `PING_REQUEST`."""
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
     target: str
     indirect_at_ms: float  # when indirect probes are requested
     expires_at_ms: float  # when the probe has failed and the target is suspected
-    is_indirect: bool = False
+    indirect_requested: bool = False
     requester: str = ""  # the agent that asked for this indirect probe; empty for this agent's own probe
     requester_number: int = 0  # number of the requester's own probe
 
@@ -125,8 +125,8 @@
             del self.probes[number]
             if not probe.requester:
                 self.on_probe_failed(now_ms, probe)
-        elif now_ms >= probe.indirect_at_ms and not probe.is_indirect and not probe.requester:
-            probe.is_indirect = True
+        elif now_ms >= probe.indirect_at_ms and not probe.indirect_requested and not probe.requester:
+            probe.indirect_requested = True
             self.request_indirect_probes(number, probe.target)
 
     def on_probe_failed(self, now_ms: float, probe: Probe) -> None:
@@ -152,7 +152,7 @@
         elif (
             member.state == MemberState.UNREACHABLE
             and age_ms >= UNREACHABLE_RETENTION_MS
-            and not self.membership.fixed
+            and not self.membership.fixed_members
         ):
             self.membership.forget(name)
 
@@ -209,7 +209,7 @@
         """
         for update in updates:
             self.membership.apply_update(now_ms, update)
-        if sender not in self.membership.members and not self.membership.fixed:
+        if sender not in self.membership.members and not self.membership.fixed_members:
             self.membership.apply_update(now_ms, (sender, MemberState.ALIVE, 0))
         if kind == MessageKind.PING:
             self.send(sender, MessageKind.ACK, number)
--- a/vetchford/fleet/membership.py
+++ b/vetchford/fleet/membership.py
@@ -45,9 +45,8 @@
 
 
 UNKNOWN_INCARNATION = -1  # below every incarnation that is sent
-UNKNOWN_MEMBER = Member(
-    MemberState.ALIVE, UNKNOWN_INCARNATION, 0.0
-)  # stands for an agent before the first update about it
+# The state of an agent before the first update about it.
+UNKNOWN_MEMBER = Member(MemberState.ALIVE, UNKNOWN_INCARNATION, 0.0)
 
 
 class Membership:
@@ -64,16 +63,16 @@
         name: str,
         others: Iterable[str],
         incarnation: int,
-        fixed: bool,
+        fixed_members: bool,
         now_ms: float,
     ) -> None:
-        """Start with `others` alive, or suspected if `fixed` is set: see `FailureDetector`."""
+        """Start with `others` alive, or suspected if `fixed_members` is set: see `FailureDetector`."""
         self.actions = actions
         self.name = name
         self.incarnation = incarnation
-        self.fixed = fixed
+        self.fixed_members = fixed_members
         initial = Member(MemberState.ALIVE, 0, 0.0)
-        if fixed:
+        if fixed_members:
             initial = Member(MemberState.SUSPECT, UNKNOWN_INCARNATION, now_ms)
         self.members = {other: replace(initial) for other in sorted(others) if other != name}
         self.updates = UpdateQueue()
@@ -113,7 +112,7 @@
         if name == self.name:
             self.refute(state, incarnation)
             return
-        if name not in self.members and (state == MemberState.UNREACHABLE or self.fixed):
+        if name not in self.members and (state == MemberState.UNREACHABLE or self.fixed_members):
             return
         member = self.members.get(name, UNKNOWN_MEMBER)
         if incarnation < member.incarnation:
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -51,9 +51,7 @@
 class StartOutcome:
     """Result of `start_steps`."""
 
-    wait_reason: (
-        str  # why no more steps were started, as text for operators; empty if the rollout need not wait
-    )
+    wait_reason: str  # why no more steps were started, as text for operators; empty if there is no obstacle
     next_start_at_ms: float  # earliest time at which the next step may start
 
 
--- a/vetchford/fleet/rollout_request.py
+++ b/vetchford/fleet/rollout_request.py
@@ -45,7 +45,9 @@
     def check_targets_named(self, targets: list[str]) -> None:
         """Refuse no targets, a target named twice, and more targets than the record can hold."""
         if not targets or len(set(targets)) < len(targets) or len(targets) > MAX_TARGETS:
-            raise RefusedError(f"it must name 1 to {MAX_TARGETS} instances, each once")
+            raise RefusedError(
+                f"the change names {len(targets)} instances: it must name 1 to {MAX_TARGETS}, each once"
+            )
 
     def check_targets_seen(self, targets: list[str]) -> None:
         """Refuse targets of agents that are not members or have no fresh report."""
--- a/vetchford/fleet/rollout_rules.py
+++ b/vetchford/fleet/rollout_rules.py
@@ -32,7 +32,9 @@
     if kind == RolloutKind.STOP:
         remaining = available - affected
         if remaining < minimum:
-            raise RefusedError(f"{remaining} would be left serving, under the floor of {minimum}")
+            raise RefusedError(
+                f"{remaining} of {available} instances would be left serving, under the floor of {minimum}"
+            )
     elif kind != RolloutKind.START and minimum and affected and available <= minimum:
         raise RefusedError(
             f"{available} instances serve and the floor is {minimum}: no instance can be taken out of service"
