--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -24,9 +24,9 @@
 SUSPICION_PERIODS = 3.0  # probe intervals, times `group_scale`, until a suspect is unreachable
 MAX_HEALTH_PENALTY = 4  # failed probes that count; an agent that gets no answers is likely at fault itself
 SUSPICION_SHARE_PER_PENALTY = 0.5  # part of the suspicion time, added for each failed probe of this agent
-UNREACHABLE_RETENTION_MS = 120_000.0  # for which unreachable agents are kept, and probed after a partition
+UNREACHABLE_RETENTION_MS = 120_000.0  # for which they are kept and probed, in case a partition heals
 UNREACHABLE_PROBE_PERIODS = 5  # probe intervals between two pings of unreachable agents
-STALL_THRESHOLD_MS = 1500.0  # between two calls of `tick`; a longer gap means that this process was stopped
+STALL_THRESHOLD_MS = 1500.0  # between two ticks; fifteen missed ticks mean that this process was stopped
 
 
 class MessageKind(StrEnum):
--- a/vetchford/fleet/membership.py
+++ b/vetchford/fleet/membership.py
@@ -14,7 +14,7 @@
 from vetchford.fleet.membership_updates import MembershipUpdate, UpdateQueue
 
 SENDS_PER_UPDATE = 3.0  # times `group_scale`; about one agent in some thousands misses an update
-MAX_UPDATES = 8  # on one message, which stays below 1,400 bytes, a datagram, with names of 64 bytes
+MAX_UPDATES = 8  # on one message; keeps it below the 1,400 bytes of a datagram with names of 64 bytes
 
 
 class MemberState(StrEnum):
