--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -26,7 +26,7 @@
 )
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
-from vetchford.fleet.rollout_progress import RolloutProgress
+from vetchford.fleet.rollout_progress import RolloutPass
 from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
@@ -204,14 +204,14 @@
         """Make one pass over one rollout."""
         control = self.controls.active(rollout.id)
         availability = Availability(now_ms, self.view, proposal)
-        progress = RolloutProgress(availability, rollout, self.actions.note)
-        progress.apply_control(control)
-        progress.observe_steps()
+        rollout_pass = RolloutPass(availability, rollout, self.actions.note)
+        rollout_pass.apply_control(control)
+        rollout_pass.observe_steps()
         if rollout.state == RolloutState.RUNNING:
-            outcome = progress.start_steps(self.next_start_at_ms.get(rollout.id, 0.0))
+            outcome = rollout_pass.start_steps(self.next_start_at_ms.get(rollout.id, 0.0))
             self.wait_reasons[rollout.id] = outcome.wait_reason
             self.next_start_at_ms[rollout.id] = outcome.next_start_at_ms
-        if progress.finish(aborted=control.kind == ABORT):
+        if rollout_pass.finish(aborted=control.kind == ABORT):
             self.next_start_at_ms.pop(rollout.id, None)
             self.wait_reasons.pop(rollout.id, None)
 
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -55,7 +55,7 @@
     next_start_at_ms: float  # earliest time at which the next step may start
 
 
-class RolloutProgress:
+class RolloutPass:
     """One pass over one rollout of a record that is about to be proposed; modifies the rollout.
 
     Created for each pass, on the agent's thread.
