--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -128,7 +128,7 @@
 
         `store` is the new identity of the store.
         """
-        self.step_down(now_ms, "the store was emptied or restored")
+        self.step_down(now_ms, "the store is not what it was")
         self.identities.replace_own(store)
 
     # -- queries
@@ -193,7 +193,7 @@
         """
         self.timer.postpone(gap_ms)
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, f"this process did not run for {gap_ms:.0f} ms")
+            self.step_down(now_ms, "this process was stopped")
 
     def receive(self, now_ms: float, sender: str, encoded: EncodedMessage) -> None:
         """Handle a message of another agent's `ReplicatedRecord`; MalformedMessageError if not decodable."""
@@ -249,7 +249,7 @@
         """Step down because a voter has voted in a higher term (Raft, 5.1)."""
         self.highest_seen_term = max(self.highest_seen_term, message.promised_term)
         if self.role != Role.FOLLOWER and message.term == self.campaign_term:
-            self.step_down(now_ms, f"{sender} has voted in term {message.promised_term}, which is higher")
+            self.step_down(now_ms, f"{sender} has voted in a higher term")
 
     # -- follower: votes, and stores the leader's record
 
@@ -282,7 +282,7 @@
             if not self.copy.save_term(message.term):
                 return
             if self.role != Role.FOLLOWER:
-                self.step_down(now_ms, f"{sender} is a candidate in term {message.term}, which is higher")
+                self.step_down(now_ms, f"{sender} is a candidate in a higher term")
             self.become_follower(now_ms, "")
         self.send(sender, VoteGranted(message.term, self.version, self.body))
 
@@ -298,7 +298,7 @@
         if not self.save_appended(message):
             return
         if self.role != Role.FOLLOWER:
-            self.step_down(now_ms, f"{sender} leads in term {message.term}")
+            self.step_down(now_ms, f"{sender} leads in a higher term")
         if self.leader != sender:
             self.actions.note("leader_followed", driver=sender, term=message.term)
         self.become_follower(now_ms, sender)
@@ -400,7 +400,7 @@
             return
         responding = self.progress.responding_members(now_ms, ELECTION_TIMEOUT_MS)
         if not self.identities.is_quorum(responding, self.voters()):
-            self.step_down(now_ms, f"no majority of the voters has answered for {ELECTION_TIMEOUT_MS:.0f} ms")
+            self.step_down(now_ms, "no majority of the voters answers")
 
     def propose(self, now_ms: float, body: RecordBody) -> bool:
         """Write the next record; `on_committed` is called once a majority has it.
--- a/vetchford/fleet/order_guard.py
+++ b/vetchford/fleet/order_guard.py
@@ -29,20 +29,17 @@
             del self.reports_sent_at_ms[next(iter(self.reports_sent_at_ms))]
 
     def find_refusal(self, now_ms: float, sender: str, order: StepOrder, *, is_current_leader: bool) -> str:
-        """Return why an order must not be carried out, as text for operators; empty if it may be.
+        """Return why an order must not be carried out, as text for the log; empty if it may be.
 
         An order is carried out only if it is of the highest term that this agent has voted in
         (`is_current_leader`), is based on a report that this agent sent at most `MAX_ORDER_AGE_MS` ago, and
         this agent knows of no pause or abort of its rollout.
         """
         if not is_current_leader:
-            return (
-                f"{sender} ordered this in term {order.term}; this agent has voted in term "
-                f"{self.record.promised_term} and its leader is '{self.record.leader}'"
-            )
+            return f"term {order.term} of {sender}, voted in term {self.record.promised_term}"
         report_sent_at_ms = self.reports_sent_at_ms.get(order.number)
         if report_sent_at_ms is None or now_ms - report_sent_at_ms > MAX_ORDER_AGE_MS:
-            return f"report {order.number}, its basis, is unknown or over {MAX_ORDER_AGE_MS:.0f} ms old"
+            return "it rests on a report that is old"
         control = self.controls.active(order.step.rollout_id)
         if control.kind:
             return f"{control.kind}: {control.reason}"
