--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -96,7 +96,7 @@
         request_class = self.target.request_classes.get(method)
         if request_class is None:
             raise json_rpc.BadMessageError(
-                json_rpc.METHOD_NOT_FOUND, "field 'method' names no request class", rpc_id
+                json_rpc.METHOD_NOT_FOUND, "unknown method: no request class has this name", rpc_id
             )
         if not isinstance(rpc_id, int):
             raise json_rpc.BadFieldError("id", "must be an integer", rpc_id, json_rpc.INVALID_REQUEST)
