--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -211,7 +211,7 @@
 
     def _update_advice(self) -> None:
         read_delay_ratio = self.health.read_delay_ratio
-        self.published_load.update_open_fraction(read_delay_ratio, self.traffic.rejected_fraction())
+        self.published_load.update_wanted_fraction(read_delay_ratio, self.traffic.rejected_fraction())
         self.traffic.on_tick()
         self.published_load.publish(self.workload.speed())
         self.idle_timeout.update(read_delay_ratio, self.workload.cores_reading / self.workload.cores)
--- a/vetchford/admission/published_load.py
+++ b/vetchford/admission/published_load.py
@@ -37,7 +37,7 @@
         """Fraction of the usual traffic that is wanted."""
         self.published = NEVER_PUBLISHED
 
-    def update_open_fraction(self, read_delay_ratio: float, rejected_fraction: float) -> None:
+    def update_wanted_fraction(self, read_delay_ratio: float, rejected_fraction: float) -> None:
         """Move the wanted fraction by one tick.
 
         Args:
