--- a/vetchford/admission/concurrency_limits.py
+++ b/vetchford/admission/concurrency_limits.py
@@ -5,9 +5,9 @@
 
 import math
 
-RUNS_BY_COUNT = 64
+EQUAL_WEIGHT_RUNS = 64
 """Number of first runs of a class that weigh equally in the mean that is its base time."""
-CALLS_BY_COUNT = 16
+EQUAL_WEIGHT_CALLS = 16
 """Number of first calls that weigh equally in the mean that is the base time of calls."""
 BASE_TIME_WINDOW_MS = 60_000.0
 GRADIENT_PERIOD_MS = 500.0
@@ -132,7 +132,7 @@
         """Time of a call as the fleet measures; 0: no slowdown is known, infinite: calls are not answered."""
         self.max_call_time_ms = self._max_call_time_ms()
         self.gradient = GradientConcurrencyLimit(MIN_CALL_LIMIT, max(1.0, self.share))
-        self.base_time_ms = TimeWeightedAverage(CALLS_BY_COUNT)
+        self.base_time_ms = TimeWeightedAverage(EQUAL_WEIGHT_CALLS)
         self.in_flight = 0
         self.abandoned_call_ends_ms: list[float] = []
         """Times until which abandoned calls may still load the dependency; past times are removed."""
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -8,7 +8,7 @@
 from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
-from vetchford.admission.concurrency_limits import RUNS_BY_COUNT, TimeWeightedAverage
+from vetchford.admission.concurrency_limits import EQUAL_WEIGHT_RUNS, TimeWeightedAverage
 from vetchford.admission.settings import Effect, LoadSignal
 
 UNKNOWN_WORK_MS = 1.0
@@ -81,7 +81,7 @@
     skip_fraction: float
     """Fraction of the priority weight that remains if the dependency call is skipped; 0: never skipped."""
     service_time_per_unit: TimeWeightedAverage = field(
-        default_factory=lambda: TimeWeightedAverage(RUNS_BY_COUNT)
+        default_factory=lambda: TimeWeightedAverage(EQUAL_WEIGHT_RUNS)
     )
     """Mean run time over expected work, of runs that did not compete for the cores."""
     dependency_wait_ms: float = 0.0
