--- a/vetchford/admission/retry_after.py
+++ b/vetchford/admission/retry_after.py
@@ -58,4 +58,4 @@
         A rejected retry has found two servers full, and another attempt would only spread the overload. While
         many arrivals are retries or the fleet is full, the same holds for every request.
         """
-        return request.is_retry or self.fleet_full or self.traffic.retries_abound()
+        return request.is_retry or self.fleet_full or self.traffic.has_many_retries()
--- a/vetchford/admission/traffic.py
+++ b/vetchford/admission/traffic.py
@@ -30,7 +30,7 @@
         """Return rejections over arrivals."""
         return self.rejections / max(1.0, self.arrivals)
 
-    def retries_abound(self) -> bool:
+    def has_many_retries(self) -> bool:
         """Return whether so many arrivals are retries that other servers must be rejecting requests too."""
         return self.retries > MANY_RETRIES_ABOVE * self.arrivals
 
