--- a/vetchford/admission/retry_after.py
+++ b/vetchford/admission/retry_after.py
@@ -32,12 +32,12 @@
 
         The result is between half and all of `wanted_ms` times `factor`, limited to the longest retry-after.
         """
-        jitter = FIXED_FRACTION + JITTER_FRACTION * self._chance()
+        jitter = FIXED_FRACTION + JITTER_FRACTION * self._random_fraction()
         retry_after_ms = min(self.max_retry_after_ms, wanted_ms * self.factor) * jitter
         self.mean_ms += MEAN_WEIGHT * (retry_after_ms - self.mean_ms)
         return retry_after_ms
 
-    def _chance(self) -> float:
+    def _random_fraction(self) -> float:
         """Return a pseudo-random number from 0 to 1 that depends only on the seed and the number of draws."""
         self.draws += 1
         return zlib.crc32(b"%d:%d" % (self.seed, self.draws)) / RANDOM_RANGE
