--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -116,11 +116,11 @@
         "admission.workload",
     },
     "admission.published_load": {"admission.actions", "admission.settings"},
-    "admission.queue_times": set(),
+    "admission.client_waits": set(),
     "admission.rejection": set(),
     "admission.request": {"admission.concurrency_limits", "admission.settings"},
     "admission.retry_after": {"admission.request", "admission.traffic"},
-    "admission.retry_objective": {"admission.queue_times", "admission.request", "admission.retry_after"},
+    "admission.retry_objective": {"admission.client_waits", "admission.request", "admission.retry_after"},
     "admission.scheduler": {
         "admission.actions",
         "admission.capacity",
--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -1,6 +1,6 @@
 """The latency objective of an arriving request, reduced by the age of its attempt."""
 
-from vetchford.admission.queue_times import ClientWaitHistogram
+from vetchford.admission.client_waits import ClientWaitHistogram
 from vetchford.admission.request import AttemptTimes, RequestArrival, RequestClass
 from vetchford.admission.retry_after import RetryAfter
 
