--- a/vetchford/admission/health.py
+++ b/vetchford/admission/health.py
@@ -37,7 +37,7 @@
         self.ready = True
         """The readiness published last."""
         self.last_progress_at_ms = 0.0
-        self.notice_at_ms = math.inf
+        self.termination_notice_at_ms = math.inf
         """Time of the termination notice; infinite before it."""
         self.latest_deadline_ms = math.inf
         """Latest deadline of any request; infinite before the termination notice."""
@@ -62,7 +62,7 @@
 
     def start_draining(self, now_ms: float, answers_due_at_ms: float) -> None:
         """Note the termination notice; all answers are due by `answers_due_at_ms`."""
-        self.notice_at_ms = now_ms
+        self.termination_notice_at_ms = now_ms
         self.latest_deadline_ms = answers_due_at_ms - DRAIN_MARGIN_MS
         self.update_readiness()
 
@@ -76,7 +76,7 @@
 
     def is_past_drain_grace(self, arrived_at_ms: float) -> bool:
         """Return whether a request arrived after the grace period of a drain."""
-        return arrived_at_ms > self.notice_at_ms + self.workload.settings.drain_grace_ms
+        return arrived_at_ms > self.termination_notice_at_ms + self.workload.settings.drain_grace_ms
 
     def makes_no_progress(self, now_ms: float) -> bool:
         """Return whether the server is stalled: all slots are taken and no run left the cores for too long.
@@ -101,7 +101,7 @@
 
     def update_readiness(self) -> None:
         """Publish readiness if it has changed; a ready server is not stalled, overloaded or draining."""
-        ready = not self.stalled and not self.is_overloaded() and self.notice_at_ms == math.inf
+        ready = not self.stalled and not self.is_overloaded() and self.termination_notice_at_ms == math.inf
         if ready != self.ready:
             self.ready = ready
             self.actions.set_readiness(ready)
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -146,7 +146,7 @@
 
     def _rejection_counter(self, index: int) -> str:
         """Return the counter for a rejection: by the server's state, else by whether it was queued."""
-        if self.controller.health.notice_at_ms < math.inf:
+        if self.controller.health.termination_notice_at_ms < math.inf:
             return "rejected_draining"
         if self.controller.health.stalled:
             return "rejected_stalled"
