--- a/vetchford/admission/actions.py
+++ b/vetchford/admission/actions.py
@@ -33,8 +33,8 @@
     def share(self, index: int) -> None:
         """Answer a request with the result of the request that it repeats, once that result is known."""
 
-    def call(self, index: int, cut_at_ms: float) -> None:
-        """Make the dependency call that a request waits for, and abandon it at the clock time `cut_at_ms`."""
+    def call(self, index: int, abandon_at_ms: float) -> None:
+        """Make the dependency call that a request waits for; abandon it at the clock time `abandon_at_ms`."""
 
     def skip(self, index: int) -> None:
         """Resume the run of a request without the dependency call that it waits for."""
--- a/vetchford/admission/dependency_calls.py
+++ b/vetchford/admission/dependency_calls.py
@@ -28,11 +28,11 @@
             if request is None:
                 return
             self.capacity.call_started(now_ms, request)
-            cut_at_ms = self.cut_off_ms(now_ms, request, dependency.max_call_time_ms)
+            abandon_at_ms = self.abandon_at_ms(now_ms, request, dependency.max_call_time_ms)
             del workload.waiting[request.index]
             request.state = RequestState.CALLING
             dependency.in_flight += 1
-            self.actions.call(request.index, cut_at_ms)
+            self.actions.call(request.index, abandon_at_ms)
 
     def call_order(self, request: Request) -> tuple[float, float, int]:
         """Return the sort key of calls; the greatest is made first: the most costly to lose, then the oldest.
@@ -42,7 +42,7 @@
         loss = self.workload.priority(request) * (1.0 - request.request_class.skip_fraction)
         return loss, -request.arrived_at_ms, -request.index
 
-    def cut_off_ms(self, now_ms: float, request: Request, max_call_time_ms: float) -> float:
+    def abandon_at_ms(self, now_ms: float, request: Request, max_call_time_ms: float) -> float:
         """Return the clock time at which a call that is made now is abandoned.
 
         That is the earliest of the request's deadline, the end of the longest call time and the cutoff of the
--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -67,9 +67,9 @@
         """Answer with the result of the request it repeats."""
         self._act_on("share", index)
 
-    def call(self, index: int, cut_at_ms: float) -> None:
+    def call(self, index: int, abandon_at_ms: float) -> None:
         """Make its call; rounded down, so that no call outlives its cut, and 0 would mean the default."""
-        self._act_on("goCall", index, cutAt=max(1, self.origin_ns + math.floor(cut_at_ms * NS_PER_MS)))
+        self._act_on("goCall", index, cutAt=max(1, self.origin_ns + math.floor(abandon_at_ms * NS_PER_MS)))
 
     def skip(self, index: int) -> None:
         """Go on without its call."""
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -93,9 +93,9 @@
         else:
             self.idempotency_cache.add_follower(original, index)
 
-    def call(self, index: int, cut_at_ms: float) -> None:
+    def call(self, index: int, abandon_at_ms: float) -> None:
         """Make the dependency call that the run waits for."""
-        deadline_unix_ms = self.clock.origin_unix_ms + cut_at_ms
+        deadline_unix_ms = self.clock.origin_unix_ms + abandon_at_ms
         self.calls.start(
             index, self.requests[index], self.clock.now_ms(), deadline_unix_ms, self._is_idempotent(index)
         )
