--- a/tests/bulkheads/test_bulkheads_model.py
+++ b/tests/bulkheads/test_bulkheads_model.py
@@ -240,7 +240,7 @@
                 and calls.may_acquire(bulkhead, 4.0, settings)
             ]
             chosen = calls.next_bulkhead(now, eligible)
-            callable_requests = bulkheads.calls.callable(float(now), waiting, 4.0)
+            callable_requests = bulkheads.calls.callable_requests(float(now), waiting, 4.0)
             assert callable_requests == [other for other in preferred if other.bulkhead == chosen]
             if callable_requests and len(calling) < 4:
                 waiting.remove(callable_requests[0])
--- a/vetchford/admission/capacity.py
+++ b/vetchford/admission/capacity.py
@@ -85,7 +85,7 @@
         Requests of the bulkheads in `blocked` are left out.
         """
 
-    def callable(self, now_ms: float) -> Sequence[Request]:
+    def callable_requests(self, now_ms: float) -> Sequence[Request]:
         """Return waiting requests, the first of which in call order may make its call now."""
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
--- a/vetchford/admission/dependency_calls.py
+++ b/vetchford/admission/dependency_calls.py
@@ -24,7 +24,7 @@
         workload = self.workload
         dependency = workload.dependency
         while workload.waiting and dependency is not None and dependency.may_call(now_ms):
-            request = max(self.capacity.callable(now_ms), default=None, key=self.call_order)
+            request = max(self.capacity.callable_requests(now_ms), default=None, key=self.call_order)
             if request is None:
                 return
             self.capacity.call_started(now_ms, request)
--- a/vetchford/admission/shared_capacity.py
+++ b/vetchford/admission/shared_capacity.py
@@ -67,7 +67,7 @@
             return [each for each in workload.queued.values() if each.request_class.skip_fraction]
         return list(workload.queued.values())
 
-    def callable(self, now_ms: float) -> Sequence[Request]:
+    def callable_requests(self, now_ms: float) -> Sequence[Request]:
         """Return all requests that wait for a call."""
         return list(self.workload.waiting.values())
 
--- a/vetchford/bulkheads/bulkhead_capacity.py
+++ b/vetchford/bulkheads/bulkhead_capacity.py
@@ -118,9 +118,11 @@
             blocked,
         )
 
-    def callable(self, now_ms: float) -> Sequence[Request]:
+    def callable_requests(self, now_ms: float) -> Sequence[Request]:
         """Return the waiting requests of the bulkhead that makes a call next."""
-        return self.bulkheads.calls.callable(now_ms, self.workload.waiting.values(), self._call_limit())
+        return self.bulkheads.calls.callable_requests(
+            now_ms, self.workload.waiting.values(), self._call_limit()
+        )
 
     def call_cutoff_ms(self, now_ms: float, request: Request) -> float:
         """Return the end of the bulkhead's call budget, or the time when an answer would be too late."""
--- a/vetchford/bulkheads/call_sharing.py
+++ b/vetchford/bulkheads/call_sharing.py
@@ -89,7 +89,7 @@
             startable.setdefault(bulkhead, []).append(request)
         return startable
 
-    def callable(self, now_ms: float, waiting: Iterable[Request], calls: float) -> list[Request]:
+    def callable_requests(self, now_ms: float, waiting: Iterable[Request], calls: float) -> list[Request]:
         """Return the waiting requests of the bulkhead that calls next; empty if all are at their limits.
 
         Requests that may skip their call are included only while no request waits that must call, because
