--- a/tests/admission/test_recorded_decisions.py
+++ b/tests/admission/test_recorded_decisions.py
@@ -119,7 +119,7 @@
             elif request.state == RequestState.SHARING and draw < 0.05:
                 controller.run_ended(now, index, "completed", 0.0)
             elif not request.answered and draw > 0.9995:
-                controller.client_gone(now, index)
+                controller.client_disconnected(now, index)
         for tick_at in sorted(each for each in actions.timers if each <= now):
             actions.timers.remove(tick_at)
             controller.on_tick(now, rng.random(), controller.workload.running + rng.random())
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -92,7 +92,7 @@
         for request in self.workload.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.health.latest_deadline_ms)
 
-    def client_gone(self, now_ms: float, index: int) -> None:
+    def client_disconnected(self, now_ms: float, index: int) -> None:
         """Cancel a request whose client no longer waits for an answer."""
         request = self.workload.requests[index]
         if request.answered:
--- a/vetchford/admission/events.py
+++ b/vetchford/admission/events.py
@@ -15,7 +15,7 @@
     def request_arrived(self, now_ms: float, arrival: RequestArrival) -> None:
         """Handle a request that was read from its client."""
 
-    def client_gone(self, now_ms: float, index: int) -> None:
+    def client_disconnected(self, now_ms: float, index: int) -> None:
         """Handle that the client of a request no longer waits for an answer."""
 
     def run_blocked(self, now_ms: float, index: int) -> None:
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -152,10 +152,10 @@
         else:
             self.request_admission.request_arrived(self.controller, client, request)
 
-    def client_gone(self, client: Client) -> None:
+    def client_disconnected(self, client: Client) -> None:
         """Abandon the open requests of a client whose connection broke."""
         if self.controller is not None:  # without a controller, no request was admitted
-            self.request_admission.client_gone(self.controller, client)
+            self.request_admission.client_disconnected(self.controller, client)
 
     # -- events of the worker pool and the records service
 
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -180,7 +180,7 @@
 
     def _finish_reading(self) -> None:
         if self.state.broken:
-            self.admission.post(self.admission.client_gone, self)
+            self.admission.post(self.admission.client_disconnected, self)
         self.run_or_post(self._set_reading_done)
 
     def reply(self, parts: list[bytes]) -> None:
@@ -295,7 +295,7 @@
         self.state.broken = True
         self.outgoing = []
         shut(self.sock)
-        self.admission.post(self.admission.client_gone, self)
+        self.admission.post(self.admission.client_disconnected, self)
 
     def _close_if_finished(self) -> None:
         for step in self.state.close_steps():
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -21,7 +21,7 @@
     def request_arrived(self, client: Any, request: IncomingRequest) -> None:
         """Handle a request that was read from the connection `client`."""
 
-    def client_gone(self, client: Any) -> None:
+    def client_disconnected(self, client: Any) -> None:
         """Handle the loss of the connection `client`."""
 
 
--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -46,14 +46,14 @@
         self.metrics.log_sampled("balancer_bad_message", code=error.code, problem=str(error))
         client.answer(request.rpc_id, json_rpc.error(request.rpc_id, error.code, str(error)))
 
-    def client_gone(self, controller: AdmissionController, client: Client) -> None:
+    def client_disconnected(self, controller: AdmissionController, client: Client) -> None:
         """Abandon the unanswered requests of a client whose connection broke."""
         indices = [index for index, entry in self.requests.unanswered() if entry.client is client]
         for index in indices:
             if self.requests.is_unanswered(index):
                 self.requests[index].answered = True
                 self.metrics.increment("callers_gone")
-                controller.client_gone(self.clock.now_ms(), index)
+                controller.client_disconnected(self.clock.now_ms(), index)
 
     def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
         """Reject the queued requests of a client that is not trusted any more.
@@ -63,7 +63,7 @@
         for index, entry in self.requests.unanswered():
             if entry.client is client and index in controller.workload.queued:
                 self.answers.reject(entry, True, 0.0, "rejected_distrusted")
-                controller.client_gone(self.clock.now_ms(), index)
+                controller.client_disconnected(self.clock.now_ms(), index)
 
     def deliver_shared_result(self, controller: AdmissionController, shared_result: SharedResult) -> None:
         """Answer a repeated request with the result of its original."""
