--- a/vetchford/server/request_admission.py
+++ b/vetchford/server/request_admission.py
@@ -55,7 +55,7 @@
                 self.metrics.increment("callers_gone")
                 controller.client_disconnected(self.clock.now_ms(), index)
 
-    def reject_queued_of(self, controller: AdmissionController, client: Client) -> None:
+    def reject_queued_requests(self, controller: AdmissionController, client: Client) -> None:
         """Reject the queued requests of a client that is not trusted any more.
 
         The worker pool did not know one of its requests, so they did not come through a load balancer.
--- a/vetchford/server/run_events.py
+++ b/vetchford/server/run_events.py
@@ -88,7 +88,7 @@
         # The worker pool will never report an end of this run, so the run is ended here.
         client = self.requests[index].client
         # Before `run_ended` frees a core, which would start the client's next queued request.
-        self.request_admission.reject_queued_of(controller, client)
+        self.request_admission.reject_queued_requests(controller, client)
         self.run_ended(controller, request_id, SUPERSEDED, 0.0, "")
         client.run_or_post(client.stop_reading)
 
