--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -297,6 +297,6 @@
         self.transport.begin_incarnation(incarnation, self.incarnation_counter.nonce)
 
 
-def measure() -> LoadSampler:
+def make_load_sampler() -> LoadSampler:
     """Create the sampler to which the admission actor reports its calls."""
     return LoadSampler()
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -137,7 +137,7 @@
         from vetchford.coordination import fleet_member  # not imported by a server without a fleet
 
         admission = self.admission
-        admission.load_sampler = fleet_member.measure()
+        admission.load_sampler = fleet_member.make_load_sampler()
         try:
             return fleet_member.FleetMember(
                 settings,
