--- a/tests/coordination/test_load_sampler.py
+++ b/tests/coordination/test_load_sampler.py
@@ -15,7 +15,7 @@
 
 
 def sample(sampler, now_ms, started_at_ms=(), usual_ms=40.0, counts=None):
-    return sampler.figures(now_ms, started_at_ms, usual_ms, counts or {}, 10.0, 100.0)
+    return sampler.metrics(now_ms, started_at_ms, usual_ms, counts or {}, 10.0, 100.0)
 
 
 def test_a_server_without_calls_reports_no_metrics_of_the_records_service():
--- a/vetchford/coordination/load_sampler.py
+++ b/vetchford/coordination/load_sampler.py
@@ -59,7 +59,7 @@
 
 
 class LoadSampler:
-    """Collects ended calls by `call_ended`, and returns the metrics by `figures` a few times a second.
+    """Collects ended calls by `call_ended`, and returns the metrics by `metrics` a few times a second.
 
     Not thread-safe: only for the thread of the admission actor.
     """
@@ -82,7 +82,7 @@
         if outcome == OVERDUE:
             self.overdue_calls.append(call)
 
-    def figures(
+    def metrics(
         self,
         now_ms: float,
         started_at_ms: Iterable[float],
--- a/vetchford/server/admission_actor.py
+++ b/vetchford/server/admission_actor.py
@@ -252,14 +252,14 @@
     # -- load reports and the summary
 
     def sample_load(self, report: Callable[[dict[str, float]], None]) -> None:
-        """Call `report` with the figures for the other servers of the fleet; see `LoadSampler.figures`."""
+        """Call `report` with the metrics for the other servers of the fleet; see `LoadSampler.metrics`."""
         controller = self.controller
         if controller is None or self.load_sampler is None:
             return
         dependency = controller.workload.dependency
         in_flight = controller.workload.in_flight
         usual_duration_ms = dependency.base_time_ms.value if dependency is not None else 0.0
-        figures = self.load_sampler.figures(
+        metrics = self.load_sampler.metrics(
             self.clock.now_ms(),
             self.state.calls.start_times(),
             usual_duration_ms,
@@ -267,7 +267,7 @@
             in_flight.used_bytes,
             in_flight.memory_bytes,
         )
-        report(figures)
+        report(metrics)
 
     def fleet_signals_changed(self, signals: FleetSignals) -> None:
         """Pass the load signals of the fleet to the controller."""
