--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -157,7 +157,7 @@
     member = make_fleet_member()
     member.request_probe_lease()
     assert PROBE_LEASE_NAME in member.lease_client.requests
-    member.leave()
+    member.release_leases_for_shutdown()
     member.signal_policy.records_health.set_state(
         member.now(), RecordsState.UNAVAILABLE, "its calls are lost"
     )
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -168,14 +168,14 @@
         if signals is not None:
             self.apply_signals(signals)
 
-    def allow(self, record: dict[str, Any]) -> None:
+    def apply_reloaded_settings(self, record: dict[str, Any]) -> None:
         """Apply reloaded settings on which signals are permitted."""
         self.settings = self.settings.reloaded(record)
         log.info(
             "fleet_settings_reloaded", records=self.settings.acts_on_records, full=self.settings.acts_on_full
         )
 
-    def leave(self) -> None:
+    def release_leases_for_shutdown(self) -> None:
         """Release all leases at the shutdown, so that other servers need not wait, and request no more."""
         self.is_leaving = True
         for lease_name in list(self.lease_client.requests):
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -124,7 +124,7 @@
     def start_shutdown(self, signalled_at_unix_ms: float, stop_ms: float) -> None:
         """Start a graceful shutdown; the process is killed `stop_ms` after the signal."""
         if self.fleet_member is not None:
-            self.fleet_member.post(self.fleet_member.leave)
+            self.fleet_member.post(self.fleet_member.release_leases_for_shutdown)
         self.admission.post(
             self.admission.shutdown_requested, signalled_at_unix_ms, stop_ms, self.settings.drain_grace_ms
         )
@@ -164,7 +164,7 @@
 
     def _change_own_settings(self, own: OwnSettings) -> None:
         if self.fleet_member is not None and own.fleet:
-            self.fleet_member.post(self.fleet_member.allow, own.fleet)
+            self.fleet_member.post(self.fleet_member.apply_reloaded_settings, own.fleet)
 
 
 def serve(
