--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -287,7 +287,7 @@
 
     def receive(self, now: float, sender: str, message: ServerMessage) -> None:
         """Forgets its vote first."""
-        if isinstance(message, VoteRequest) and message.term > self.election.highest_term:
+        if isinstance(message, VoteRequest) and message.term > self.election.highest_seen_term:
             self.election.voted_for = ""
         super().receive(now, sender, message)
 
--- a/vetchford/leases/leader_election.py
+++ b/vetchford/leases/leader_election.py
@@ -91,7 +91,7 @@
         self.servers = sorted(servers)
         self.seed = seed
         self.draw_count = 0
-        self.highest_term = epoch * TERMS_PER_ROUND  # seen so far
+        self.highest_seen_term = epoch * TERMS_PER_ROUND
         self.may_vote_from_ms = now_ms + VOTE_VALIDITY_MS  # an earlier vote may still be valid
         self.voted_for = ""
         self.vote_expires_at_ms = 0.0
@@ -165,12 +165,12 @@
     def on_vote_request(self, now_ms: float, sender: str, request: VoteRequest) -> None:
         """Vote for `sender`, or deny it the vote."""
         if not self._may_vote_for(now_ms, sender, request.term):
-            denial = VoteDenied(term=self.highest_term, requested_term=request.term)
+            denial = VoteDenied(term=self.highest_seen_term, requested_term=request.term)
             self.actions.send_lease_message(sender, denial)
             return
         if self.term and request.term > self.term:
             self._step_down(now_ms, f"{sender} stands for a higher term")
-        self.highest_term = request.term
+        self.highest_seen_term = request.term
         self.voted_for = sender
         self.vote_expires_at_ms = now_ms + VOTE_VALIDITY_MS
         if sender != self.name:
@@ -187,14 +187,17 @@
         is_vote_free = not self.voted_for or now_ms >= self.vote_expires_at_ms or self.voted_for == candidate
         is_lease_server = candidate in self.servers
         return (
-            is_lease_server and is_vote_free and term >= self.highest_term and now_ms >= self.may_vote_from_ms
+            is_lease_server
+            and is_vote_free
+            and term >= self.highest_seen_term
+            and now_ms >= self.may_vote_from_ms
         )
 
     # -- candidate and leader
 
     def on_vote_denied(self, now_ms: float, sender: str, denial: VoteDenied) -> None:
         """Step down if the voter has seen a higher term than that of this server."""
-        self.highest_term = max(self.highest_term, denial.term)
+        self.highest_seen_term = max(self.highest_seen_term, denial.term)
         if self.term and denial.requested_term == self.term and denial.term > self.term:
             self._step_down(now_ms, f"{sender} knows a higher term")
 
@@ -219,9 +222,9 @@
 
     def _become_candidate(self, now_ms: float) -> None:
         """Become a candidate under a term that no other server uses."""
-        round_number = self.highest_term // TERMS_PER_ROUND + 1
-        self.highest_term = round_number * TERMS_PER_ROUND + self.servers.index(self.name)
-        self.term = self.highest_term
+        round_number = self.highest_seen_term // TERMS_PER_ROUND + 1
+        self.highest_seen_term = round_number * TERMS_PER_ROUND + self.servers.index(self.name)
+        self.term = self.highest_seen_term
         self.last_leader_contact_ms = now_ms
         self._request_votes(now_ms)
 
