--- a/vetchford/bench_adapter/simulator_actions.py
+++ b/vetchford/bench_adapter/simulator_actions.py
@@ -67,12 +67,14 @@
         """Answer a retry with the result of the original request."""
         self._append_for("share", index)
 
-    def call(self, index: int, cut_at_ms: float) -> None:
+    def call(self, index: int, abandon_at_ms: float) -> None:
         """Make the dependency call of a request.
 
         The time is rounded down, so that no call ends after it, and to at least 1, as 0 means the default.
         """
-        self._append_for("goCall", index, cutAt=max(1, self.origin_ns + math.floor(cut_at_ms * NS_PER_MS)))
+        self._append_for(
+            "goCall", index, cutAt=max(1, self.origin_ns + math.floor(abandon_at_ms * NS_PER_MS))
+        )
 
     def skip(self, index: int) -> None:
         """Continue a run without its dependency call."""
