--- a/testkit/__init__.py
+++ b/testkit/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that a server meets, by the protocol page; tests and benchmarks use the same."""
+"""Fakes, fault injection and simulations that tests and benchmarks share."""
--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -1,4 +1,4 @@
-"""Forces the order of two sides of a race: one is held at a named point until the test lets it through."""
+"""Checkpoints that force the order of two threads in a race by holding one until the test releases it."""
 
 import queue
 import threading
@@ -8,45 +8,52 @@
 from testkit.fakes.peers import WAIT_TIMEOUT_S
 
 SHORT = 0.3
-"""Seconds that the other side gets where a guard holds it; where none does it needs a ms."""
+"""How long a test waits for the second thread where the code under test makes it wait.
+
+A thread that is not made to wait needs about a millisecond.
+"""
 
 
 class Checkpoint:
-    """A point at which the first thread that comes is held; the others go through."""
+    """A point that holds the first thread that reaches it; later threads pass."""
 
-    def __init__(self, holds: Callable[[], bool] = lambda: True) -> None:
-        """Create a checkpoint nobody has come to.
+    def __init__(self, should_hold: Callable[[], bool] = lambda: True) -> None:
+        """Create a checkpoint that no thread has reached.
 
         Args:
-            holds: tells whether the calling thread is one to hold.
+            should_hold: returns whether the calling thread may be held.
         """
-        self.holds = holds
-        self.first = threading.Lock()
+        self.should_hold = should_hold
+        self.first_thread = threading.Lock()
         self.reached = threading.Event()
-        self.through = threading.Event()
+        self.released = threading.Event()
 
     def come(self) -> None:
-        """Pass the checkpoint, or be held until it is opened."""
-        if self.holds() and self.first.acquire(blocking=False):
+        """Return at once, or hold the calling thread until the checkpoint is opened."""
+        if self.should_hold() and self.first_thread.acquire(blocking=False):
             self.reached.set()
-            assert self.through.wait(WAIT_TIMEOUT_S), "held for good: the test never let it through"
+            assert self.released.wait(WAIT_TIMEOUT_S), (
+                f"held for {WAIT_TIMEOUT_S} s: the test did not open the checkpoint"
+            )
 
-    def before(self, act: Callable[..., Any]) -> Callable[..., Any]:
-        """Return a function that passes the checkpoint and then calls `act`."""
+    def before(self, function: Callable[..., Any]) -> Callable[..., Any]:
+        """Return a function that passes the checkpoint and then calls `function`."""
 
-        def held(*given: Any) -> Any:
+        def call_after_checkpoint(*arguments: Any) -> Any:
             self.come()
-            return act(*given)
+            return function(*arguments)
 
-        return held
+        return call_after_checkpoint
 
     def wait(self) -> None:
-        """Return once a thread is held: the proof that the order occurred."""
-        assert self.reached.wait(WAIT_TIMEOUT_S), "nobody came to the checkpoint"
+        """Wait until a thread is held, which proves that the intended order occurred."""
+        assert self.reached.wait(WAIT_TIMEOUT_S), (
+            f"no thread reached the checkpoint within {WAIT_TIMEOUT_S} s"
+        )
 
     def open(self) -> None:
-        """Let the held thread go on."""
-        self.through.set()
+        """Release the held thread."""
+        self.released.set()
 
 
 class Wrapped:
@@ -57,15 +64,15 @@
         self.__dict__.update(inner=inner, **replaced)
 
     def __getattr__(self, name: str) -> Any:
-        """Return what is not replaced."""
+        """Return an attribute of `inner` that is not replaced."""
         return getattr(self.inner, name)
 
 
 class HeldLock:
-    """A lock whose holders come to the checkpoint right after its release."""
+    """A lock that passes its checkpoint right after each release."""
 
     def __init__(self, checkpoint: Checkpoint) -> None:
-        """Create a lock with its checkpoint."""
+        """Create a lock that passes `checkpoint` after each release."""
         self.inner = threading.Lock()
         self.checkpoint = checkpoint
 
@@ -74,21 +81,21 @@
         self.inner.acquire()
 
     def __exit__(self, *problem: object) -> None:
-        """Release the lock and come to the checkpoint."""
+        """Release the lock and pass the checkpoint."""
         self.inner.release()
         self.checkpoint.come()
 
 
-def run_in_thread(act: Callable[[], Any]) -> tuple[threading.Thread, list[Any]]:
-    """Start `act` in a thread; return the thread and the list to which the result is appended."""
+def run_in_thread(function: Callable[[], Any]) -> tuple[threading.Thread, list[Any]]:
+    """Start `function` in a thread; return the thread and the list to which its result is appended."""
     results: list[Any] = []
-    thread = threading.Thread(target=lambda: results.append(act()), daemon=True)
+    thread = threading.Thread(target=lambda: results.append(function()), daemon=True)
     thread.start()
     return thread, results
 
 
 class PostedEvents:
-    """Stands in for the admission actor and queues the events that are posted to it."""
+    """A fake admission actor that queues the events posted to it."""
 
     def __init__(self) -> None:
         """Create an empty queue."""
@@ -98,19 +105,19 @@
         """Return the name of an event handler in place of the handler."""
         return name
 
-    def post(self, act: str, *given: Any) -> None:
+    def post(self, handler: str, *arguments: Any) -> None:
         """Queue an event."""
-        self.events.put((act, *given))
+        self.events.put((handler, *arguments))
 
     post_when_room = post
 
-    def take(self, wanted: str) -> tuple[Any, ...]:
-        """Return the arguments of the next event of that name; those before it are dropped.
+    def take(self, event: str) -> tuple[Any, ...]:
+        """Return the arguments of the next event of this name; drop the events before it.
 
         Raises:
-            queue.Empty: none came in time.
+            queue.Empty: no such event was posted within `WAIT_TIMEOUT_S`.
         """
         while True:
             entry = self.events.get(timeout=WAIT_TIMEOUT_S)
-            if entry[0] == wanted:
+            if entry[0] == event:
                 return entry[1:]
--- a/testkit/faults/fault_schedule.py
+++ b/testkit/faults/fault_schedule.py
@@ -14,15 +14,15 @@
 MIN_CLOCK_RATE = 0.9
 MAX_CLOCK_RATE = 1.1
 SIDE_FRACTION = 0.25
-"""Chance of each other agent to be on the same side of a cut."""
+"""Probability that another agent is on the same side of a partition."""
 MIN_DURATION_S = 0.5
 MAX_DURATION_S = 5.0
 
 
 class FaultKind(StrEnum):
-    """Faults of a schedule: of links as in `relay`, then of agents.
+    """Faults of a schedule: link faults as in `relay`, then agent faults.
 
-    A schedule is drawn by position, so that the order of members belongs to what a seed means.
+    A schedule draws members by position: reordering them changes the schedule of every seed.
     """
 
     CUT = "cut"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultStep:
-    """One fault of an agent or its links, `at_s` after the start, healed `duration_s` later."""
+    """A fault of an agent or its links that begins `at_s` after the start and ends `duration_s` later."""
 
     at_s: float
     kind: FaultKind
@@ -53,51 +53,51 @@
 
 
 class FaultSchedule:
-    """Faults drawn before anything runs, so that the same seed gives the same schedule.
+    """Faults drawn before any process runs, so that the same seed gives the same schedule.
 
-    `clocks` gives offset and rate of each agent's clock, in the form of `runtime/clock.py`.
+    `clocks` has the offset and rate of each agent's clock, in the format of `runtime/clock.py`.
     """
 
     def __init__(self, names: list[str], seed: int, seconds: float, count: int) -> None:
         """Draw the schedule.
 
         Args:
-            names: the agents.
-            seed: determines all of the schedule.
-            seconds: the time within which faults begin.
+            names: of the agents.
+            seed: determines the whole schedule.
+            seconds: duration within which faults begin.
             count: the number of faults.
         """
-        chance = random.Random(seed)
-        self.clocks = {name: _draw_clock(chance) for name in names}
-        times = sorted(chance.uniform(0.0, seconds) for _ in range(count))
-        self.steps = [_draw_step(chance, names, at_s) for at_s in times]
+        rng = random.Random(seed)
+        self.clocks = {name: _draw_clock(rng) for name in names}
+        times = sorted(rng.uniform(0.0, seconds) for _ in range(count))
+        self.steps = [_draw_step(rng, names, at_s) for at_s in times]
 
     def play(self, cluster: ProcessCluster) -> dict[str, int]:
-        """Bring the faults about and heal them all; return how often each occurred."""
+        """Inject the faults and end them all; return how often each was injected."""
         return _Playback(cluster, self.steps).run()
 
 
-def _draw_clock(chance: random.Random) -> str:
-    offset_s = chance.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S)
-    rate = chance.uniform(MIN_CLOCK_RATE, MAX_CLOCK_RATE)
+def _draw_clock(rng: random.Random) -> str:
+    offset_s = rng.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S)
+    rate = rng.uniform(MIN_CLOCK_RATE, MAX_CLOCK_RATE)
     return f"{offset_s:.3f} {rate:.4f}"
 
 
-def _draw_step(chance: random.Random, names: list[str], at_s: float) -> FaultStep:
-    kind = chance.choice(tuple(FaultKind))
-    agent = chance.choice(names)
-    others = [name for name in names if chance.random() < SIDE_FRACTION]
-    duration_s = chance.uniform(MIN_DURATION_S, MAX_DURATION_S)
+def _draw_step(rng: random.Random, names: list[str], at_s: float) -> FaultStep:
+    kind = rng.choice(tuple(FaultKind))
+    agent = rng.choice(names)
+    others = [name for name in names if rng.random() < SIDE_FRACTION]
+    duration_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
     return FaultStep(at_s, kind, agent, frozenset({agent, *others}), duration_s)
 
 
 @dataclass(order=True, slots=True)
 class _Recovery:
-    """The end of a fault; in order of time, then of the faults."""
+    """The end of a fault; recoveries are ordered by time, then by the number of the fault."""
 
     at_s: float
     number: int
-    act: Callable[[], object] = field(compare=False)
+    recover: Callable[[], object] = field(compare=False)
     agent: str = field(compare=False, default="")
 
 
@@ -109,7 +109,7 @@
         self.steps = steps
         self.recoveries: list[_Recovery] = []
         self.counts: dict[str, int] = {}
-        self.old_stores: set[str] = set()
+        self.agents_with_old_store: set[str] = set()
         self.started_at = time.monotonic()
 
     def run(self) -> dict[str, int]:
@@ -117,9 +117,9 @@
             self._recover(until_s=step.at_s)
             self._wait(step.at_s)
             if step.kind in AGENT_FAULTS:
-                self._break_agent(step)
+                self._inject_agent_fault(step)
             else:
-                self._break_links(step)
+                self._inject_link_fault(step)
         self._recover()
         self.cluster.links.heal()
         return self.counts
@@ -131,43 +131,47 @@
         while self.recoveries and self.recoveries[0].at_s <= until_s:
             recovery = heapq.heappop(self.recoveries)
             self._wait(recovery.at_s)
-            recovery.act()
+            recovery.recover()
 
-    def _occurred(self, step: FaultStep, kind: FaultKind, recover: Callable[[], object], agent: str) -> None:
+    def _schedule_recovery(
+        self, step: FaultStep, kind: FaultKind, recover: Callable[[], object], agent: str
+    ) -> None:
         number = sum(self.counts.values())
         recovery = _Recovery(step.at_s + step.duration_s, number, recover, agent)
         heapq.heappush(self.recoveries, recovery)
         self.counts[kind.value] = self.counts.get(kind.value, 0) + 1
 
-    def _break_agent(self, step: FaultStep) -> None:
+    def _inject_agent_fault(self, step: FaultStep) -> None:
         agent = step.agent
-        if agent not in self.cluster.running or any(one.agent == agent for one in self.recoveries):
+        if agent not in self.cluster.running or any(recovery.agent == agent for recovery in self.recoveries):
             return
         kind = step.kind
-        if kind is FaultKind.OLD_STORE and 2 * len(self.old_stores | {agent}) >= len(self.cluster.names):
-            kind = FaultKind.KILL  # a majority that lost its stores is a test of its own
+        if kind is FaultKind.OLD_STORE and 2 * len(self.agents_with_old_store | {agent}) >= len(
+            self.cluster.names
+        ):
+            kind = FaultKind.KILL  # the loss of most stores is covered by a separate test
         if kind is FaultKind.FREEZE:
             self.cluster.freeze(agent)
-            self._occurred(step, kind, lambda: self.cluster.thaw(agent), agent)
+            self._schedule_recovery(step, kind, lambda: self.cluster.thaw(agent), agent)
             return
         self.cluster.kill(agent)
         if kind is FaultKind.OLD_STORE:
-            self.old_stores.add(agent)
-            self._age_store(agent)
-        self._occurred(step, kind, lambda: self.cluster.start(agent), agent)
+            self.agents_with_old_store.add(agent)
+            self._save_or_restore_store(agent)
+        self._schedule_recovery(step, kind, lambda: self.cluster.start(agent), agent)
 
-    def _age_store(self, agent: str) -> None:
-        """The first time the store is saved, later it is put back."""
+    def _save_or_restore_store(self, agent: str) -> None:
+        """Save the agent's store the first time; restore the saved store later."""
         if self.cluster.has_saved_store(agent):
             self.cluster.restore_store(agent)
         else:
             self.cluster.save_store(agent)
 
-    def _break_links(self, step: FaultStep) -> None:
+    def _inject_link_fault(self, step: FaultStep) -> None:
         self.cluster.record_event(step.kind.value, side=sorted(step.side))
         links = self._links(step)
         self.cluster.links.fault(step.kind.value, links)
-        self._occurred(step, step.kind, lambda: self.cluster.links.fault("heal", links), agent="")
+        self._schedule_recovery(step, step.kind, lambda: self.cluster.links.fault("heal", links), agent="")
 
     def _links(self, step: FaultStep) -> list[Link]:
         if step.kind is FaultKind.CUT:
--- a/testkit/faults/history_checker.py
+++ b/testkit/faults/history_checker.py
@@ -1,20 +1,20 @@
-"""Checks the history of a fleet against its invariants, without knowledge of how agents decide."""
+"""Checker of a fleet's history against its invariants; independent of the implementation of agents."""
 
 from collections.abc import Iterable
 from typing import Any
 
 DETECTION_TIME_S = 4.0
-"""After this time the leader must know of a failed instance: the age of a report and of a health check."""
+"""Time within which the leader must know of a failed instance: age of a report plus age of a health check."""
 
 
 class HistoryChecker:
-    """Reads events in the order of their time and collects violations of the invariants."""
+    """Reads events in order of time and collects violations of the invariants."""
 
     def __init__(self, minimum_available: int) -> None:
-        """Begin with no event.
+        """Create a checker that has read no event.
 
         Args:
-            minimum_available: the instances that a rollout must leave serving.
+            minimum_available: number of instances that a rollout must leave serving.
         """
         self.minimum_available = minimum_available
         self.violations: list[str] = []
@@ -24,7 +24,7 @@
         self.failed_at: list[float] = []
 
     def on_event(self, event: dict[str, Any]) -> None:
-        """Take the next event."""
+        """Check the next event."""
         kind = event["event"]
         if kind == "leader_elected":
             self._leader_elected(event)
@@ -34,25 +34,29 @@
             self._instance_state_changed(event)
 
     def _leader_elected(self, event: dict[str, Any]) -> None:
-        """One leader a term."""
+        """Check that each term has at most one leader."""
         agent = event.get("agent", "")
         if self.leaders.setdefault(event["term"], agent) != agent:
             self.violations.append(f"two leaders in term {event['term']}")
 
     def _order_accepted(self, event: dict[str, Any]) -> None:
-        """Fencing: an agent obeys no order of a term before the newest it knows, nor of another's term."""
+        """Check fencing: agents accept no order of an older term or of an agent that does not lead."""
         agent = event.get("agent", "")
         term = event["term"]
         leader = event["driver"]
         newest_term = self.newest_terms.get(agent, 0)
         if term < newest_term:
-            self.violations.append(f"{agent} obeyed term {term} after {newest_term}")
+            self.violations.append(
+                f"{agent} accepted an order of term {term} after one of term {newest_term}"
+            )
         self.newest_terms[agent] = max(term, newest_term)
         if self.leaders.get(term, leader) != leader:
-            self.violations.append(f"an order of {leader} under another's term {term}")
+            self.violations.append(
+                f"{agent} accepted an order of {leader} in term {term}, which {self.leaders[term]} leads"
+            )
 
     def _instance_state_changed(self, event: dict[str, Any]) -> None:
-        """Minimum available: no rollout takes an instance out where too few others serve."""
+        """Check the minimum: no rollout drains an instance while too few others serve."""
         instance = f"{event['instance']}@{event.get('agent', '')}"
         state = event["now"]
         if state == "serving":
@@ -71,13 +75,13 @@
         available = len(self.serving)
         if "change" in event["why"] and available + undetected < self.minimum_available:
             self.violations.append(
-                f"{instance} taken out with {available} others serving, "
+                f"{instance} was drained with {available} others serving, "
                 f"minimum {self.minimum_available}: {event['why']}"
             )
 
 
 def violations(events: Iterable[dict[str, Any]], minimum_available: int) -> list[str]:
-    """Return what the events, in order of time, show against fencing, leadership and the minimum."""
+    """Return the violations of fencing, leadership and the minimum in events that are in order of time."""
     checker = HistoryChecker(minimum_available)
     for event in events:
         checker.on_event(event)
--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -1,4 +1,4 @@
-"""Several agents in processes of their own, with links between them that break, and one history of it all."""
+"""A cluster of agent processes with links that a test can break, and one history of all events."""
 
 import datetime
 import functools
@@ -20,7 +20,7 @@
 from vetchford.fleet.history_store import Store
 
 InstanceCommand = Callable[[str, str, str], list[str]]
-"""Command of an instance by its agent, name and address."""
+"""Returns the command of an instance from its agent, name and address."""
 
 FINAL_STATES = ("finished", "broken", "aborted")
 STORE_FILES = ("store", "store-wal", "store-shm")
@@ -34,7 +34,7 @@
 STATUS_TIMEOUT_S = 1.0
 LOG_TAIL_CHARACTERS = 2000
 START_BATCH = 100
-"""More than a cluster has instances: all are started at once."""
+"""More than the instances of any cluster, so that all are started at once."""
 
 
 def _fake_instance(behaviour: str) -> InstanceCommand:
@@ -45,7 +45,7 @@
 
 
 class ProcessCluster(Cluster):
-    """A fleet of agents with their instances."""
+    """A fleet of agents and their instances."""
 
     def __init__(
         self,
@@ -57,16 +57,16 @@
         stop: str = "1s",
         relays: bool = True,
     ) -> None:
-        """Write the configurations; no agent is started.
+        """Write the configurations without starting an agent.
 
         Args:
-            folder: where each agent has a directory with its configuration, store and logs.
-            agents: how many; they are named a0, a1, ...
-            instances: how many each agent has; they are named n0, n1, ...
-            seed: determines what lossy links lose.
-            commands: the command of an instance; by default `testkit.fakes.instance`.
+            folder: has a directory for each agent, with its configuration, store and logs.
+            agents: number of agents, named a0, a1, ...
+            instances: number of instances of each agent, named n0, n1, ...
+            seed: determines which datagrams are lost.
+            commands: returns the command of an instance; by default `testkit.fakes.instance`.
             stop: `stop_ms` of the instances.
-            relays: whether agents speak through relays; without, no link can be broken.
+            relays: whether agents connect through relays; links without relays cannot be broken.
         """
         super().__init__(folder, [f"a{n}" for n in range(agents)])
         self.seed = seed
@@ -76,10 +76,10 @@
         self.programs = {name: ("127.0.0.1", self.ports.pop()) for name in self.names}
         self.links = Links(self.programs if relays else {}, seed)
         self.clocks: dict[str, str] = {}
-        """Offset and rate of the clocks of agents that are started from now on, see `runtime/clock.py`."""
+        """Offset and rate of each agent's clock, applied when the agent starts; see `runtime/clock.py`."""
         self.history: list[dict[str, Any]] = []
         self.addresses: dict[str, str] = {}
-        """Addresses of instances by `instance@agent`."""
+        """Instance addresses by `instance@agent`."""
         for name in self.names:
             self._write_configuration(name, instances, relays)
 
@@ -120,7 +120,7 @@
     # -- agents
 
     def socket_path(self, name: str) -> str:
-        """Return the path of the socket on which an agent answers the tool."""
+        """Return the path of the Unix socket on which an agent answers requests."""
         return str(self.folder / name / "s")
 
     def start(self, *names: str) -> Self:
@@ -129,7 +129,7 @@
             self._start_agent(name)
         for name in names or self.names:
             self.wait_until(
-                functools.partial(self._answers, name), START_TIMEOUT_S, f"{name} does not answer"
+                functools.partial(self._is_answering, name), START_TIMEOUT_S, f"agent {name} does not answer"
             )
         return self
 
@@ -143,10 +143,10 @@
         self.running[name] = process
         self.record_event("agent_begun", agent=name)
 
-    def _answers(self, name: str) -> bool:
+    def _is_answering(self, name: str) -> bool:
         if self.running[name].poll() is not None:
             log = (self.folder / name / "agent.log").read_text()
-            raise RuntimeError(f"{name} ended: {log[-LOG_TAIL_CHARACTERS:]}")
+            raise RuntimeError(f"agent {name} exited before it answered: {log[-LOG_TAIL_CHARACTERS:]}")
         try:
             ask(self.socket_path(name), {"ask": "status"}, STATUS_TIMEOUT_S)
         except UnreachableError:
@@ -154,33 +154,33 @@
         return True
 
     def kill(self, name: str) -> None:
-        """Kill an agent; its instances go on."""
+        """Kill an agent; its instances keep running."""
         self.record_event("agent_killed", agent=name)
         super().kill(name)
 
     def freeze(self, name: str) -> None:
-        """Stop an agent as it stands."""
+        """Suspend an agent (SIGSTOP)."""
         self.record_event("agent_frozen", agent=name)
         super().freeze(name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen agent go on."""
+        """Resume a frozen agent (SIGCONT)."""
         super().thaw(name)
         self.record_event("agent_thawed", agent=name)
 
     def has_saved_store(self, name: str) -> bool:
-        """Return whether `save_store` was called for the agent."""
+        """Return whether a saved store of the agent exists."""
         return (self.folder / name / ("store" + SAVED_SUFFIX)).exists()
 
     def save_store(self, name: str) -> None:
-        """Save the store of an agent that does not run, to be put back by `restore_store`."""
+        """Save the store of a stopped agent for `restore_store`."""
         for part in STORE_FILES:
             current = self.folder / name / part
             if current.exists():
                 shutil.copyfile(current, self.folder / name / (part + SAVED_SUFFIX))
 
     def restore_store(self, name: str) -> None:
-        """Put the saved store in place of the present one, as a restored backup would be."""
+        """Replace the agent's store by the saved one, as restoring a backup does."""
         for part in STORE_FILES:
             current = self.folder / name / part
             current.unlink(missing_ok=True)
@@ -194,16 +194,16 @@
         """Return an agent's reply to a request about the fleet.
 
         Raises:
-            UnreachableError: it did not reply within `timeout_s`.
+            UnreachableError: the agent did not reply within `timeout_s`.
         """
         return ask(self.socket_path(name), {"ask": "across", "request": request}, timeout_s)
 
     def peers(self, name: str) -> dict[str, Any]:
-        """Return what an agent knows of the other agents and of the replicated record."""
+        """Return an agent's view of the other agents and of the replicated record."""
         return self.ask(name, {"ask": "peers"}, QUICK_REQUEST_TIMEOUT_S)
 
     def leader(self, among: list[str] | None = None) -> str:
-        """Return the agent that says it leads; empty if there is none."""
+        """Return the agent that reports itself as leader; empty if there is none."""
         for name in among or self.names:
             if name in self.running and self._leads(name):
                 return name
@@ -217,20 +217,20 @@
 
     def wait_for_leader(self, among: list[str] | None = None, timeout_s: float = ELECTION_TIMEOUT_S) -> str:
         """Wait until an agent leads and return it."""
-        self.wait_until(lambda: self.leader(among), timeout_s, "nobody leads")
+        self.wait_until(lambda: self.leader(among), timeout_s, "no agent leads")
         return self.leader(among)
 
     def request_rollout(
-        self, name: str, id: str, kind: str, targets: list[str] | None = None, **terms: Any
+        self, name: str, id: str, kind: str, targets: list[str] | None = None, **fields: Any
     ) -> dict[str, Any]:
         """Ask an agent for a fleet rollout and return its reply.
 
         Args:
             name: the agent.
-            id: of the rollout; the same rollout may be requested again.
+            id: of the rollout; a repeated request with the same id is allowed.
             kind: start, stop, restart or roll.
-            targets: instances as `instance@agent`, by default all.
-            terms: fields of the request other than their defaults here.
+            targets: instances as `instance@agent`; by default all.
+            fields: fields of the request that replace the defaults below.
         """
         rollout = {
             "id": id,
@@ -242,12 +242,12 @@
             "spacing": 0.0,
             "soak": 200.0,
             "on_failure": "pause",
-            **terms,
+            **fields,
         }
         return self.ask(name, {"ask": "span", "change": rollout})
 
     def find_rollout(self, id: str, among: list[str] | None = None) -> dict[str, Any]:
-        """Return the newest record of a rollout that any agent has; its state is empty if none has one."""
+        """Return the newest record of a rollout on any agent; its state is empty if no agent has one."""
         found: list[dict[str, Any]] = []
         for name in among or self.names:
             if name not in self.running:
@@ -258,7 +258,9 @@
                 continue
             if "state" in answer:
                 found.append(answer)
-        return max(found, key=lambda one: (one["term"], one["revision"]), default={"state": "", "steps": {}})
+        return max(
+            found, key=lambda record: (record["term"], record["revision"]), default={"state": "", "steps": {}}
+        )
 
     def wait_for_rollout(
         self, id: str, timeout_s: float, states: tuple[str, ...] = FINAL_STATES
@@ -267,11 +269,13 @@
         try:
             self.wait_until(lambda: self.find_rollout(id)["state"] in states, timeout_s)
         except AssertionError:
-            raise AssertionError(f"{id} is {self.find_rollout(id)}") from None
+            raise AssertionError(
+                f"rollout {id} not in {states} within {timeout_s} s: {self.find_rollout(id)}"
+            ) from None
         return self.find_rollout(id)
 
     def start_instances(self) -> None:
-        """Start all instances by a rollout and wait for its end."""
+        """Start all instances by a rollout and wait until it has finished."""
         self.wait_until(self._accepts_start, ROLLOUT_TIMEOUT_S, "up")
         self.wait_for_rollout("up", ROLLOUT_TIMEOUT_S, ("finished",))
 
@@ -281,7 +285,7 @@
     # -- processes of instances
 
     def process_table(self) -> dict[str, list[int]]:
-        """Return the process ids of each instance that runs, by `instance@agent`."""
+        """Return the process ids of each running instance, by `instance@agent`."""
         table: dict[str, list[int]] = {}
         for name in self.names:
             for instance, processes in self.find_processes(name).items():
@@ -291,7 +295,7 @@
         return table
 
     def find_processes(self, name: str) -> dict[str, list[supervisor.FoundProcess]]:
-        """Return an agent's processes by instance; the caller closes their `pidfd`."""
+        """Return the processes of an agent's instances, by instance; the caller closes their `pidfd`."""
         store = Store(str(self.folder / name / "store"))
         token = next((body["token"] for kind, _, body in store.records() if kind == "agent"), "")
         store.close()
@@ -308,7 +312,7 @@
         self.links.close()
 
     def __enter__(self) -> Self:
-        """Return the cluster; nothing is started."""
+        """Return the cluster without starting a process."""
         return self
 
     def __exit__(self, *problem: object) -> None:
@@ -318,17 +322,20 @@
     # -- history
 
     def record_event(self, event: str, **fields: Any) -> None:
-        """Add an event of the test's own to the history."""
+        """Add an event of the test itself to the history."""
         self.history.append({"at": time.time(), "event": event, **fields})
 
     def events(self) -> list[dict[str, Any]]:
-        """Return the test's own events and all that agents logged, in order of time: they share a clock."""
+        """Return the events of the test and the log events of all agents, in order of time.
+
+        Log timestamps of all agents come from the machine's clock, so that they can be compared.
+        """
         events = list(self.history)
         for name in self.names:
-            events += self._logged(name)
+            events += self._log_events(name)
         return sorted(events, key=lambda entry: entry["at"])
 
-    def _logged(self, name: str) -> list[dict[str, Any]]:
+    def _log_events(self, name: str) -> list[dict[str, Any]]:
         entries = []
         for line in (self.folder / name / "agent.log").read_text().splitlines():
             try:
--- a/testkit/faults/server_cluster.py
+++ b/testkit/faults/server_cluster.py
@@ -1,6 +1,6 @@
-"""Several servers of one fleet in processes of their own.
+"""A cluster of server processes of one fleet.
 
-Links between them break; one records service serves them all.
+A test can break the links between the servers; all servers call one records service.
 """
 
 import functools
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsSpeed:
-    """Calls that a records service executes at once, their time, and how its speed changes.
+    """Number of calls that a records service executes at once, their duration, and how its speed changes.
 
-    `factors` are steps (seconds from the start, factor of the full speed).
+    `factors` has steps (seconds from the start, factor of the full speed).
     """
 
     slots: int
@@ -41,7 +41,7 @@
 
 
 class ServerCluster(Cluster):
-    """A fleet of servers, each with its worker pool."""
+    """A fleet of servers, each with a worker pool of its own."""
 
     def __init__(
         self,
@@ -54,17 +54,17 @@
         pools_file: str = "",
         **fleet_settings: Any,
     ) -> None:
-        """Start the peers and write the configurations; no server is started.
+        """Start the fakes and write the configurations without starting a server.
 
         Args:
-            folder: where configurations and logs are written.
-            count: the number of servers; they are named s0, s1, ...
-            settings: the platform's settings of each server.
-            records_speed: of the records service that all of them call.
-            together: whether the servers speak to each other.
-            seed: determines what lossy links lose.
+            folder: for configurations and logs.
+            count: number of servers, named s0, s1, ...
+            settings: platform settings of each server.
+            records_speed: of the records service.
+            together: whether the servers connect to each other.
+            seed: determines which datagrams are lost.
             pools_file: configuration of bulkheads, if any.
-            fleet_settings: keys of the record `together` beside names and addresses.
+            fleet_settings: keys of the record `together` besides names and addresses.
         """
         super().__init__(folder, [f"s{n}" for n in range(count)])
         self.settings = settings
@@ -100,7 +100,7 @@
         self.write_fleet_settings(name)
 
     def write_fleet_settings(self, name: str, **changed: Any) -> None:
-        """Write the file of `--with`; a running server reads it again on SIGHUP."""
+        """Write the file for `--with`; a running server rereads the file on SIGHUP."""
         listen = f"127.0.0.1:{self.programs[name][1]}"
         servers = {
             other: self.links.address(name, other) if self.together and other != name else listen
@@ -119,13 +119,13 @@
         (self.folder / f"{name}.vet").write_text("version: 1\ntogether: {\n" + "\n".join(lines) + "\n}\n")
 
     def start(self, *names: str) -> Self:
-        """Start these servers, by default all, and wait until they serve."""
+        """Start these servers, by default all, and wait until they accept requests."""
         for name in names or self.names:
             with (self.folder / f"{name}.log").open("a") as log:
                 self.running[name] = subprocess.Popen(self._command(name), cwd=PROJECT_ROOT, stderr=log)
         for name in names or self.names:
-            serves = functools.partial(self.events, "serving", name)
-            self.wait_until(serves, START_TIMEOUT_S, f"{name} does not serve")
+            is_serving = functools.partial(self.events, "serving", name)
+            self.wait_until(is_serving, START_TIMEOUT_S, f"server {name} does not serve")
         return self
 
     def _command(self, name: str) -> list[str]:
@@ -138,7 +138,7 @@
         return command
 
     def events(self, event: str, *names: str) -> list[dict[str, Any]]:
-        """Return what these servers, by default all, logged under that name, in order of time."""
+        """Return the log entries of this event of these servers, by default all, in order of time."""
         found = []
         for name in names or self.names:
             for line in self._log_lines(name):
@@ -154,15 +154,15 @@
         return path.read_text().splitlines() if path.exists() else []
 
     def stop(self, *names: str) -> None:
-        """Drain these servers, by default all that run; each must exit with 0."""
+        """Drain these servers, by default all running ones, and check that each exits with status 0."""
         stopping = names or tuple(self.running)
         for name in stopping:
             self.running[name].send_signal(signal.SIGTERM)
         for name in stopping:
-            assert self.running.pop(name).wait(DRAIN_TIMEOUT_S) == 0, name
+            assert self.running.pop(name).wait(DRAIN_TIMEOUT_S) == 0, f"server {name} failed to drain"
 
     def internal_errors(self) -> list[str]:
-        """Return the lines of the logs that tell of mistakes in the servers."""
+        """Return the log lines that report internal errors of servers."""
         return [
             line[:LOG_LINE_CHARACTERS]
             for name in self.names
@@ -171,25 +171,28 @@
         ]
 
     def __enter__(self) -> Self:
-        """Return the cluster; no server is started."""
+        """Return the cluster without starting a server."""
         return self
 
     def __exit__(self, *problem: object) -> None:
-        """Kill what still runs and close the links."""
+        """Kill the running servers, close the links and stop the fakes."""
         self.kill_all()
         self.links.close()
-        for peer in (self.worker_pools, self.records_service):
-            if peer.process.is_alive():
-                peer.process.terminate()
+        for fake in (self.worker_pools, self.records_service):
+            if fake.process.is_alive():
+                fake.process.terminate()
 
 
 def max_concurrent_leases(cluster: ServerCluster) -> int:
-    """Return how many servers held a lease at once, by what they logged: they share a clock."""
-    steps = [(entry["timestamp"], 1) for entry in cluster.events("lease_acquired")]
+    """Return the largest number of leases held at once, according to the log events of all servers.
+
+    All servers run on one machine, so that their log timestamps can be compared.
+    """
+    changes = [(entry["timestamp"], 1) for entry in cluster.events("lease_acquired")]
     for event in ("lease_released", "lease_lost"):
-        steps += [(entry["timestamp"], -1) for entry in cluster.events(event)]
-    held = most = 0
-    for _, step in sorted(steps):
-        held += step
-        most = max(most, held)
-    return most
+        changes += [(entry["timestamp"], -1) for entry in cluster.events(event)]
+    held = maximum = 0
+    for _, change in sorted(changes):
+        held += change
+        maximum = max(maximum, held)
+    return maximum
--- a/testkit/faults/waiting.py
+++ b/testkit/faults/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for a condition that another thread or process brings about."""
+"""Polling for a condition that another thread or process makes true."""
 
 import time
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from testkit.fakes.peers import WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.002
-"""Suits conditions that only read memory."""
+"""Suitable for conditions that only read memory."""
 
 
 def wait_until(
@@ -16,10 +16,10 @@
     timeout_s: float = WAIT_TIMEOUT_S,
     poll_interval_s: float = POLL_INTERVAL_S,
 ) -> None:
-    """Return once `condition()` is true.
+    """Wait until `condition()` is true.
 
     Raises:
-        AssertionError: it was not within `timeout_s`; the message ends with `what`.
+        AssertionError: the condition was not true within `timeout_s`; the message ends with `what`.
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
