--- a/testkit/fakes/__init__.py
+++ b/testkit/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake peers on loopback: balancers, worker pool, records service, instances."""
+"""Fakes on loopback: test client, load generator, worker pool, records service, instance."""
--- a/testkit/fakes/instance.py
+++ b/testkit/fakes/instance.py
@@ -1,8 +1,13 @@
-"""An instance that keeps the drain contract or breaks it.
+"""A fake instance that drains correctly or fails in a given way.
 
 Usage: python -m testkit.fakes.instance ADDRESS BEHAVIOUR
 
-BEHAVIOUR: good; hang (never ends on SIGTERM); deaf (never ready); crash (ends at once); early (after 1 s).
+BEHAVIOUR is one of:
+    good    becomes ready, and drains on SIGTERM
+    hang    does not exit on SIGTERM
+    deaf    never becomes ready
+    crash   exits at once
+    early   exits by itself after 1 s
 """
 
 import contextlib
@@ -14,18 +19,18 @@
 import time
 
 CRASH_STATUS = 3
-EARLY_EXIT_S = 1.0
+EARLY_EXIT_DELAY_S = 1.0
 DRAIN_S = 0.1
-FOREVER_S = 1e6
+HANG_S = 1e6
 MAX_REQUEST_BYTES = 4096
 
 
 def main(address: str, behaviour: str) -> int:
-    """Serve health checks until SIGTERM and return the exit status."""
+    """Answer health checks until SIGTERM and return the exit status."""
     if behaviour == "crash":
         return CRASH_STATUS
     draining = threading.Event()
-    signal.signal(signal.SIGTERM, lambda *given: draining.set())
+    signal.signal(signal.SIGTERM, lambda *arguments: draining.set())
     host, port = address.split(":")
     listener = socket.create_server((host, int(port)), reuse_port=False)
 
@@ -44,10 +49,10 @@
     threading.Thread(target=serve, daemon=True).start()
     print(f"serving pid={os.getpid()} version={os.environ.get('VETCHFORD_VERSION')}", flush=True)
     if behaviour == "early":
-        time.sleep(EARLY_EXIT_S)
+        time.sleep(EARLY_EXIT_DELAY_S)
         return 0
     draining.wait()
-    time.sleep(FOREVER_S if behaviour == "hang" else DRAIN_S)
+    time.sleep(HANG_S if behaviour == "hang" else DRAIN_S)
     return 0
 
 
--- a/testkit/fakes/load_generator.py
+++ b/testkit/fakes/load_generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests are sent by their schedule, whatever became of others, and timed from it."""
+"""Open-loop load: requests are sent by a schedule, independent of replies, and timed from it."""
 
 import base64
 import json
@@ -14,21 +14,21 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_IN_FLIGHT = 32
-"""Requests on a connection, by the protocol."""
-SHARE_FROM = 2
-"""A connection with so many in flight gets no more while a new one may be opened."""
+"""Requests per connection that the protocol allows."""
+MIN_IN_FLIGHT_TO_SPREAD = 2
+"""A connection with this many requests in flight gets no further one while another can be opened."""
 REJECTED_CODE = -32050
-REPEAT_AFTER_S = 0.3
+REPEAT_DELAY_S = 0.3
 WORK_DEVIATION = 0.15
-"""Standard deviation of the work of a request, as a part of its mean."""
+"""Standard deviation of the work of a request, as a fraction of the mean."""
 IDLE_CLOSE_RACE_S = 0.06
-"""A request sent so shortly before the close of a connection crossed the close."""
+"""A request sent within this time before the close of its connection crossed the close."""
 TIMEOUT_MARGIN_MS = 150.0
 REQUEST_MEMORY_KB = 24.0
 REQUEST_STANDING = 0.5
 CONNECT_TIMEOUT_S = 2.0
 READ_INTERVAL_S = 0.05
-LAST_ANSWER_MARGIN_S = 1.0
+LAST_REPLY_MARGIN_S = 1.0
 MAX_READ_BYTES = 65_536
 MAX_RESPONSE_TIME_US = 60_000_000
 HEADER_END = b"\r\n\r\n"
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """Requests of one class: how many a second, when, and what each takes.
+    """The requests of one class: their rate, their period and the work of each.
 
-    `work_ms` is the mean on a core, `calls` the number of dependency calls; `keyed` requests carry an
-    idempotency key. They are sent from `start_s` to `end_s`.
+    `work_ms` is the mean time on a core, `calls` the number of dependency calls; `keyed` requests carry an
+    idempotency key. Requests are sent from `start_s` to `end_s`.
     """
 
     request_class: str
@@ -54,7 +54,7 @@
 
 
 class Outcome(NamedTuple):
-    """When a request was to be sent, in seconds from the start, and whether it succeeded in time."""
+    """The scheduled time of a request, in seconds from the start, and whether it succeeded in time."""
 
     scheduled_at_s: float
     in_time: bool
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What became of the requests of a class."""
+    """Counts of the requests of a class by outcome."""
 
     sent: int = 0
     in_time: int = 0
@@ -70,19 +70,19 @@
     rejected: int = 0
     failed: int = 0
     unsent: int = 0
-    """Of those sent: no connection took them."""
+    """Requests, counted in `sent` too, for which no connection was available."""
     with_retry_after: int = 0
-    """Of the rejected."""
+    """Rejected requests whose reply has a retry-after."""
     response_times_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RESPONSE_TIME_US, 3))
-    """Of those that succeeded."""
+    """Response times of the requests that succeeded."""
     succeeded_at_s: list[float] = field(default_factory=list)
-    """When those in time were answered, from the start."""
+    """Times at which requests succeeded in time, from the start."""
     outcomes: list[Outcome] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class ScheduledRequest:
-    """A request of the schedule, `at_s` from the start; a repeat has the key of an earlier one."""
+    """A request to be sent `at_s` after the start; a repeat has the key of an earlier request."""
 
     traffic: TrafficClass
     at_s: float
@@ -93,18 +93,18 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection of one balancer."""
+    """A client connection."""
 
     number: int
     sock: socket.socket
     in_flight: dict[int, ScheduledRequest] = field(default_factory=dict)
     buffer: bytearray = field(default_factory=bytearray)
     closing: bool = False
-    """Takes no new request."""
+    """Whether the connection is closed or the server has announced its close; no request is sent on it."""
 
 
 class LostRequest(NamedTuple):
-    """A request that was open on a connection as it ended."""
+    """A request in flight on a connection that ended."""
 
     at_s: float
     key: str
@@ -113,32 +113,32 @@
 def draw_schedule(
     traffic: Sequence[TrafficClass], seconds: float, seed: int, repeat_fraction: float = 0.0
 ) -> list[ScheduledRequest]:
-    """Return a schedule with exponential gaps between requests, in order of time; the seed determines it.
+    """Return a schedule with exponential gaps between requests, in order of time.
 
     Args:
-        traffic: the classes.
-        seconds: the time until the last request.
-        seed: of the schedule.
-        repeat_fraction: the part of keyed requests that come again after `REPEAT_AFTER_S`.
+        traffic: classes of requests.
+        seconds: time until the last request.
+        seed: determines the schedule.
+        repeat_fraction: fraction of keyed requests that are repeated after `REPEAT_DELAY_S`.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     schedule: list[ScheduledRequest] = []
-    for one in traffic:
-        at_s = one.start_s + chance.expovariate(one.rate_per_s)
-        while at_s < min(one.end_s, seconds):
-            key = f"{chance.getrandbits(128):032x}"
-            schedule.append(ScheduledRequest(one, at_s, key, is_repeat=False))
-            if one.keyed and chance.random() < repeat_fraction:
-                schedule.append(ScheduledRequest(one, at_s + REPEAT_AFTER_S, key, is_repeat=True))
-            at_s += chance.expovariate(one.rate_per_s)
+    for traffic_class in traffic:
+        at_s = traffic_class.start_s + rng.expovariate(traffic_class.rate_per_s)
+        while at_s < min(traffic_class.end_s, seconds):
+            key = f"{rng.getrandbits(128):032x}"
+            schedule.append(ScheduledRequest(traffic_class, at_s, key, is_repeat=False))
+            if traffic_class.keyed and rng.random() < repeat_fraction:
+                schedule.append(ScheduledRequest(traffic_class, at_s + REPEAT_DELAY_S, key, is_repeat=True))
+            at_s += rng.expovariate(traffic_class.rate_per_s)
     schedule.sort(key=lambda request: request.at_s)
     for request in schedule:
-        request.work_ms = max(1.0, chance.gauss(1.0, WORK_DEVIATION) * request.traffic.work_ms)
+        request.work_ms = max(1.0, rng.gauss(1.0, WORK_DEVIATION) * request.traffic.work_ms)
     return schedule
 
 
 class LoadGenerator:
-    """Sends requests to a server from the connections of several balancers."""
+    """Sends requests to a server on several client connections."""
 
     def __init__(
         self,
@@ -154,14 +154,14 @@
         """Draw the schedule.
 
         Args:
-            port: of the server on loopback.
-            traffic: the classes of requests.
-            seconds: the time until the last request.
-            objective_ms: the response time up to which a result is in time.
-            timeout_ms: the age at which balancers give a request up.
+            port: loopback port of the server.
+            traffic: classes of requests.
+            seconds: time until the last request.
+            objective_ms: response time up to which a result is in time.
+            timeout_ms: age at which the client gives up on a request.
             seed: determines the schedule.
-            connections: how many at most, each of a balancer of its own.
-            repeat_fraction: the part of keyed requests that are sent once more.
+            connections: maximum number of connections, each with a client number of its own.
+            repeat_fraction: fraction of keyed requests that are repeated.
         """
         self.port = port
         self.seconds = seconds
@@ -169,13 +169,13 @@
         self.timeout_ms = timeout_ms
         self.max_connections = connections
         self.plan = draw_schedule(traffic, seconds, seed, repeat_fraction)
-        self.counts = {one.request_class: RequestCounts() for one in traffic}
+        self.counts = {traffic_class.request_class: RequestCounts() for traffic_class in traffic}
         self.repeat_counts = RequestCounts()
         self.lost: list[LostRequest] = []
         self.crossed_close = 0
-        """Requests that were sent just as their idle connection was closed."""
+        """Number of requests sent while the server was closing their idle connection."""
         self.violations: list[str] = []
-        """What breaks a rule of the protocol."""
+        """Violations of the protocol by the server, one text each."""
         self.body_by_key: dict[str, bytes] = {}
         self.connections: list[Connection] = []
         self.selector = selectors.DefaultSelector()
@@ -184,7 +184,7 @@
         self.all_sent = False
 
     def run(self, start_at_s: float) -> dict[str, RequestCounts]:
-        """Send the schedule from this Unix time on and return what became of it, by request class."""
+        """Send the schedule, beginning at this Unix time, and return the counts by request class."""
         self.started_at_s = start_at_s
         reader = threading.Thread(target=self._read)
         reader.start()
@@ -197,7 +197,8 @@
         reader.join()
         for connection in self.connections:
             self.violations += [
-                f"no answer to a {request.traffic.request_class}" for request in connection.in_flight.values()
+                f"no reply to a request of class {request.traffic.request_class}"
+                for request in connection.in_flight.values()
             ]
             connection.sock.close()
         return self.counts
@@ -220,7 +221,7 @@
             connection.in_flight[number] = request
         try:
             connection.sock.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
-        except OSError:  # closed while it was idle: the request never arrived
+        except OSError:  # the server closed the idle connection, so that the request did not arrive
             with self.lock:
                 connection.closing = True
                 end_was_seen = connection.in_flight.pop(number, None) is None
@@ -249,12 +250,12 @@
         return json.dumps(message).encode()
 
     def _choose_connection(self) -> Connection | None:
-        """Return the one with the fewest in flight, or a new one; `None` if there is none to use."""
+        """Return the connection with the fewest requests in flight or a new one; `None` if none is usable."""
         with self.lock:
             usable = [connection for connection in self.connections if not connection.closing]
             chosen = min(usable, key=lambda connection: len(connection.in_flight), default=None)
-            is_shared = chosen is not None and len(chosen.in_flight) >= SHARE_FROM
-            if chosen is None or (is_shared and len(usable) < self.max_connections):
+            is_busy = chosen is not None and len(chosen.in_flight) >= MIN_IN_FLIGHT_TO_SPREAD
+            if chosen is None or (is_busy and len(usable) < self.max_connections):
                 chosen = self._connect({connection.number for connection in usable})
             if chosen is None or len(chosen.in_flight) >= MAX_IN_FLIGHT:
                 return None
@@ -274,8 +275,8 @@
     # -- receiving
 
     def _read(self) -> None:
-        last_answer_s = self.seconds + self.timeout_ms / MS_PER_S + LAST_ANSWER_MARGIN_S
-        deadline_s = self.started_at_s + last_answer_s
+        last_reply_s = self.seconds + self.timeout_ms / MS_PER_S + LAST_REPLY_MARGIN_S
+        deadline_s = self.started_at_s + last_reply_s
         while time.time() < deadline_s and not self._is_complete():
             for key, _ in self.selector.select(READ_INTERVAL_S):
                 self._read_connection(key.data)
@@ -290,13 +291,13 @@
             data = b""
         if not data:
             self.selector.unregister(connection.sock)
-            self._connection_ended(connection)
+            self._handle_end(connection)
             return
         connection.buffer += data
-        self._take_messages(connection)
+        self._handle_messages(connection)
 
-    def _connection_ended(self, connection: Connection) -> None:
-        """What is in flight is lost, but for what was sent just as an idle connection was closed."""
+    def _handle_end(self, connection: Connection) -> None:
+        """Count the requests in flight as lost, unless all were sent just before the connection ended."""
         now_s = time.time() - self.started_at_s
         with self.lock:
             connection.closing = True
@@ -307,7 +308,7 @@
         else:
             self.lost += [LostRequest(now_s, request.key) for request in unanswered]
 
-    def _take_messages(self, connection: Connection) -> None:
+    def _handle_messages(self, connection: Connection) -> None:
         buffer = connection.buffer
         while (header_end := buffer.find(HEADER_END)) >= 0:
             start = header_end + len(HEADER_END)
@@ -317,15 +318,15 @@
             message = json.loads(buffer[start:end])
             del buffer[:end]
             if "id" in message:
-                self._answered(connection, message)
+                self._handle_reply(connection, message)
             else:
-                connection.closing = True  # the notification that it is closing
+                connection.closing = True  # the notification that the server closes the connection
 
-    def _answered(self, connection: Connection, message: dict[str, Any]) -> None:
+    def _handle_reply(self, connection: Connection, message: dict[str, Any]) -> None:
         with self.lock:
             request = connection.in_flight.pop(message["id"], None)
         if request is None:
-            self.violations.append("a second answer")
+            self.violations.append("a reply with an id that no request in flight has")
             return
         now_s = time.time() - self.started_at_s
         response_time_ms = (now_s - request.at_s) * MS_PER_S
@@ -334,7 +335,9 @@
         counts.outcomes.append(Outcome(request.at_s, in_time))
         if response_time_ms > self.timeout_ms + TIMEOUT_MARGIN_MS:
             request_class = request.traffic.request_class
-            self.violations.append(f"an answer to a {request_class} after {response_time_ms:.0f} ms")
+            self.violations.append(
+                f"a reply to a request of class {request_class} after {response_time_ms:.0f} ms"
+            )
         if "result" in message:
             self._check_result(request, message["result"])
             counts.response_times_us.record_value(max(1, int(response_time_ms * US_PER_MS)))
@@ -350,4 +353,4 @@
 
     def _check_result(self, request: ScheduledRequest, result: dict[str, Any]) -> None:
         if base64.b64decode(result["content"]) != b"done " + request.key.encode():
-            self.violations.append("a result that no run of the request made")
+            self.violations.append("a result with the key of another request")
--- a/testkit/fakes/peers.py
+++ b/testkit/fakes/peers.py
@@ -1,4 +1,7 @@
-"""Peers that do what a test tells them, on loopback ports; waits end in a failure only."""
+"""Fakes on loopback that a test controls step by step.
+
+Their waits take `WAIT_TIMEOUT_S` only where the test fails.
+"""
 
 import base64
 import contextlib
@@ -11,7 +14,7 @@
 from typing import Any, BinaryIO
 
 WAIT_TIMEOUT_S = 20.0
-"""No verdict hangs on it but that of a server that does nothing."""
+"""A wait takes this long only if the server does nothing, so that the value decides no passing test."""
 
 SETTINGS: dict[str, Any] = {
     "familyInfo": {
@@ -51,24 +54,24 @@
     "caps": {"retryAfter": True, "maxRetryAfter": 1_000_000_000},
 }
 
-WARM_FOR_MS = 5000
+STARTED_MS_AGO = 5000
 RUN_TIME_MS = 40
 MS_PER_S = 1000.0
 RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"
-"""`SO_LINGER` with which a close resets the connection."""
+"""`SO_LINGER` value that makes a close reset the connection."""
 
 
 def lines_until_end(lines: BinaryIO) -> Iterator[bytes]:
-    """Yield the lines of a connection; a reset is as good as its end."""
+    """Yield the lines of a connection until it is closed or reset."""
     with contextlib.suppress(OSError):
         yield from lines
 
 
 class Peer:
-    """A listening peer of the server; what it reads is queued, the kind first."""
+    """A fake service that the server connects to; queues what it reads as tuples that begin with the kind."""
 
     def __init__(self, up: bool = True) -> None:
-        """Bind a port of loopback; connections are refused until `listen` if it is not `up`."""
+        """Bind a loopback port; refuse connections until `listen` unless `up`."""
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
@@ -77,7 +80,7 @@
             self.listen()
 
     def listen(self) -> None:
-        """Take connections from now on."""
+        """Start accepting connections."""
         self.listener.listen()
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -87,35 +90,38 @@
                 self.serve(self.listener.accept()[0])
 
     def serve(self, sock: socket.socket) -> None:
-        """Read a new connection in a thread of its own."""
+        """Start a thread that reads a new connection."""
         threading.Thread(target=self.read, args=(sock, sock.makefile("rb")), daemon=True).start()
 
     def read(self, sock: socket.socket, lines: BinaryIO) -> None:
-        """Queue what comes on a connection, until its end."""
+        """Queue what the server sends on a connection, until the connection ends."""
         raise NotImplementedError
 
-    def take(self, *wanted: str) -> tuple[Any, ...]:
-        """Return the next of these kinds; what comes before is passed over.
+    def take(self, *kinds: str) -> tuple[Any, ...]:
+        """Return the next entry of one of these kinds; drop the entries before it.
 
         Raises:
-            queue.Empty: none came in time.
+            queue.Empty: no such entry came within `WAIT_TIMEOUT_S`.
         """
         while True:
             entry = self.received.get(timeout=WAIT_TIMEOUT_S)
-            if entry[0] in wanted:
+            if entry[0] in kinds:
                 return entry
 
-    def received_none_of(self, *unwanted: str) -> bool:
-        """Return whether nothing of these kinds has come; empties the queue."""
+    def received_none_of(self, *kinds: str) -> bool:
+        """Empty the queue and return whether it had no entry of these kinds."""
         entries = [self.received.get() for _ in range(self.received.qsize())]
-        return not [entry for entry in entries if entry[0] in unwanted]
+        return not [entry for entry in entries if entry[0] in kinds]
 
 
 class WorkerPoolPeer(Peer):
-    """Answers `bind` and `poll` by itself; keeps its notices for the next link."""
+    """A worker pool that answers `bind` and `poll` by itself and whose runs the test ends.
+
+    Notices are kept, and those that the server has not read are sent again on its next connection.
+    """
 
     def __init__(self, cold: bool = False, up: bool = True) -> None:
-        """Listen; `bind` is answered once `up` is set."""
+        """Start listening; `bind` is answered once `up` is set."""
         self.cold = cold
         self.notices: list[dict[str, Any]] = []
         self.last_number = 0
@@ -127,7 +133,7 @@
         super().__init__()
 
     def read(self, sock: socket.socket, lines: BinaryIO) -> None:
-        """Queue messages as (type, message) but for `poll`."""
+        """Queue messages other than `poll` as (type, message)."""
         for line in lines_until_end(lines):
             message = json.loads(line)
             if message["type"] == "poll":
@@ -138,45 +144,48 @@
                 self._bind(sock, message["n"])
             self.received.put((message["type"], message))
 
-    def _bind(self, sock: socket.socket, last_read: int) -> None:
+    def _bind(self, sock: socket.socket, last_read_number: int) -> None:
         self.up.wait()
         self.sock = sock
-        self.send({"type": "bound", "state": "chilly" if self.cold else "hot", "took": WARM_FOR_MS})
+        self.send({"type": "bound", "state": "chilly" if self.cold else "hot", "took": STARTED_MS_AGO})
         for notice in self.notices:
-            if notice["n"] > last_read:
+            if notice["n"] > last_read_number:
                 self.send(notice)
 
     def send(self, message: dict[str, Any] | None, raw: bytes | None = None) -> None:
-        """Send a message, or bytes as they are; a notice that a cut link loses comes on the next."""
-        assert self.sock is not None, "no server is bound"
+        """Send a message, or the bytes `raw` unchanged.
+
+        A notice that a broken connection loses is sent again on the next connection.
+        """
+        assert self.sock is not None, "no server has connected to the worker pool"
         with contextlib.suppress(OSError):
             self.sock.sendall(raw or json.dumps(message).encode() + b"\n")
 
     def notify(self, kind: str, job: str, **fields: Any) -> None:
-        """Send the next notice."""
+        """Send the next notice about a run."""
         self.last_number += 1
         self.notices.append({"type": kind, "n": self.last_number, "job": job, **fields})
         self.send(self.notices[-1])
 
     def finish(self, job: str, data: bytes = b"done", state: str = "complete") -> None:
-        """Report a run's result."""
+        """Send the notice that a run has ended, with its result."""
         self.notify("finished", job, state=state, took=RUN_TIME_MS, data=base64.b64encode(data).decode())
 
     def block(self, job: str, data: bytes = b"ask") -> None:
-        """Report that a run waits for a dependency call."""
+        """Send the notice that a run waits for a dependency call."""
         self.notify("blocked", job, data=base64.b64encode(data).decode())
 
     def disconnect(self) -> None:
-        """End the link to the server."""
-        assert self.sock is not None, "no server is bound"
+        """Close the connection to the server."""
+        assert self.sock is not None, "no server has connected to the worker pool"
         self.sock.shutdown(socket.SHUT_RDWR)
 
 
 class RecordsPeer(Peer):
-    """Queues calls as ("OP", id, body, connection) and ("UNOP", id, connection)."""
+    """A records service that queues ("OP", id, body, socket) for a call, ("UNOP", id, socket) for its end."""
 
     def read(self, sock: socket.socket, lines: BinaryIO) -> None:
-        """Queue calls and their cancellation."""
+        """Queue calls and cancellations."""
         for line in lines_until_end(lines):
             words = line.decode().split()
             if words[0] == "OP":
@@ -187,24 +196,24 @@
 
 
 class Balancer:
-    """One connection of a balancer to a server."""
+    """A client connection to a server."""
 
     def __init__(self, port: int) -> None:
-        """Connect to a server on loopback."""
+        """Connect to the server at this loopback port."""
         self.sock = socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT_S)
         self.file = self.sock.makefile("rb")
 
     def send_bytes(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         self.sock.sendall(data)
 
     def send(self, message: Any) -> None:
-        """Send a message, or the bytes of one, with its header."""
+        """Send a message, or its encoded body, with a header."""
         body = message if isinstance(message, bytes) else json.dumps(message).encode()
         self.send_bytes(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def request(self, rpc_id: int, method: str = "read", **fields: Any) -> Any:
-        """Send a request and return its `txn`; a field given as `None` is left out."""
+        """Send a request and return its `txn`; omit the fields that are `None`."""
         params = {
             "txn": f"{rpc_id:016x}",
             "door": time.time() * MS_PER_S,
@@ -216,12 +225,12 @@
             "cpu": 20.0,
             **fields,
         }
-        given = {key: value for key, value in params.items() if value is not None}
-        self.send({"jsonrpc": "2.0", "id": rpc_id, "method": method, "params": given})
+        present = {key: value for key, value in params.items() if value is not None}
+        self.send({"jsonrpc": "2.0", "id": rpc_id, "method": method, "params": present})
         return params["txn"]
 
     def receive(self) -> Any:
-        """Return the next message; `None` at the end of the connection."""
+        """Return the next message; `None` once the server has closed the connection."""
         header = self.file.readline()
         if not header:
             return None
@@ -229,14 +238,14 @@
         return json.loads(self.file.read(int(header.split(b":")[1])))
 
     def reset(self) -> None:
-        """Reset the connection; nothing more is read."""
+        """Reset the connection, discarding unread data."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.file.close()
         self.sock.close()
 
 
 def registry_socket() -> socket.socket:
-    """Return a datagram socket to which a server sends its reports."""
+    """Return a datagram socket that receives the readiness reports of a server."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.settimeout(WAIT_TIMEOUT_S)
--- a/testkit/fakes/records_service.py
+++ b/testkit/fakes/records_service.py
@@ -1,4 +1,4 @@
-"""A records service with a fixed number of slots that slows by schedule: to a tenth, to nothing, and back."""
+"""A records service with a fixed number of slots whose speed follows a schedule."""
 
 import contextlib
 import socket
@@ -16,7 +16,7 @@
 
 
 class Call(NamedTuple):
-    """A call by its id on the connection it came on."""
+    """A call; its id is unique on the connection `sock`."""
 
     id: bytes
     sock: socket.socket
@@ -24,27 +24,27 @@
 
 
 class FakeRecordsService:
-    """Answers each call after its time, and rejects calls while too many wait."""
+    """A records service that answers each call after its duration and rejects calls while too many wait."""
 
     def __init__(
         self, slots: int, call_ms: float, speed: StepSchedule, max_waiting: int = MAX_WAITING_CALLS
     ) -> None:
-        """Listen on a port of loopback.
+        """Start listening on a loopback port.
 
         Args:
-            slots: calls that are executed at once.
-            call_ms: time of a call at full speed.
-            speed: factor of the full speed.
-            max_waiting: calls without a slot beyond which further ones are rejected.
+            slots: number of calls that are executed at once.
+            call_ms: duration of a call at full speed.
+            speed: factor of the full speed over time.
+            max_waiting: number of calls waiting for a slot from which further calls are rejected.
         """
         self.call_ms = call_ms
         self.speed = speed
         self.max_waiting = max_waiting
         self.capacity = ProcessorSharing(self._rate, speed.seconds_to_next_step, self._finished, slots)
         self.answered_at_s: list[float] = []
-        """When calls were answered, in seconds from the start."""
+        """Times at which calls were executed, in seconds from the start."""
         self.executed: dict[str, int] = {}
-        """How often calls had their effect, by body."""
+        """Number of executions by body of the call."""
         self.cancelled = 0
         self.rejected = 0
         self.in_flight: set[Call] = set()
@@ -107,7 +107,7 @@
 def serve(
     pipe: "Connection[Any, Any]", slots: int, call_ms: float, speed: Sequence[tuple[float, float]]
 ) -> None:
-    """Run a records service as a `FakeProcess`; its counts are those of the class."""
+    """Run a records service as a `FakeProcess`, which returns the counts of the service."""
     service = FakeRecordsService(slots, call_ms, StepSchedule(speed))
     pipe.send(service.listener.getsockname()[1])
     while (started_at_s := pipe.recv()) is not None:
--- a/testkit/fakes/server_process.py
+++ b/testkit/fakes/server_process.py
@@ -1,4 +1,4 @@
-"""The whole server in a process of its own."""
+"""A server process between fakes."""
 
 import json
 import os
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """How a server under test is started.
+    """Options of a server under test.
 
-    `up` and `records_up` say whether its worker pool and records service answer from the beginning, `cold`
-    whether the pool's cores are cold. `sockets` is the limit that the server is told of, `max_files` the one
-    that the system sets, if any. `arguments` are those of `vetchford serve`. Without `has_records` the
-    platform names no records service.
+    `up` and `records_up` say whether the worker pool and the records service answer from the start, `cold`
+    whether the pool's cores are cold. `sockets` is the limit in the server's configuration, `max_files` the
+    limit that the system sets, if any. `arguments` are those of `vetchford serve`. Without `has_records` the
+    configuration names no records service.
     """
 
     up: bool = True
@@ -51,19 +51,19 @@
 
 
 class ServerProcess:
-    """The whole server in a process of its own, in front of the fakes."""
+    """A server process connected to a fake worker pool, a fake records service and a registry socket."""
 
     COMMAND: tuple[str, ...] = (sys.executable, "-m", "vetchford", "serve")
-    if os.environ.get("VETCHFORD_RUN"):  # how the operators start it
+    if os.environ.get("VETCHFORD_RUN"):  # the start command of the release build
         COMMAND = ("/bin/sh", "-c", os.environ["VETCHFORD_RUN"])
 
     def __init__(self, folder: Path, options: ServerOptions = DEFAULT_OPTIONS, **settings: Any) -> None:
-        """Start the server and wait until it listens, and until it has reported if its pool is `up`.
+        """Start the server and wait until it listens and, if its pool is `up`, has reported as ready.
 
         Args:
-            folder: for its configuration.
-            options: how it is started.
-            settings: in place of the platform's settings of that name.
+            folder: for the configuration.
+            options: of the server.
+            settings: platform settings that replace the default ones.
         """
         self.options = options
         self.pool = WorkerPoolPeer(options.cold, options.up)
@@ -106,14 +106,14 @@
             self.log.append(line)
             if found := re.search(r"listen=\S+?:(\d+)", line):
                 return int(found[1])
-        raise AssertionError(self.log)
+        raise AssertionError(f"the server exited before it listened: {self.log}")
 
     def _read_log(self) -> None:
         assert self.process.stdout is not None
         self.log.extend(self.process.stdout)
 
     def write_config(self, listen: str = "127.0.0.1:0") -> None:
-        """Write the configuration; a running server reads it again on SIGHUP."""
+        """Write the configuration; a running server rereads the file on SIGHUP."""
         configuration = {
             "name": "n1",
             "listen": listen,
@@ -128,7 +128,7 @@
         self.config.write_text(json.dumps(configuration))
 
     def move_peers(self) -> tuple[WorkerPoolPeer, RecordsPeer, socket.socket]:
-        """Reload with new peers at other addresses and return the old ones; the pool's runs go on."""
+        """Reload with new fakes at other addresses and return the old fakes; the pool's runs continue."""
         old = self.pool, self.records, self.members
         self.pool = WorkerPoolPeer()
         self.records = RecordsPeer()
@@ -140,15 +140,15 @@
         return old
 
     def balancer(self) -> Balancer:
-        """Return a new connection of a balancer."""
+        """Return a new client connection."""
         return Balancer(self.port)
 
     def receive_report(self) -> list[str]:
-        """Return the words of the next report to the registry."""
+        """Return the words of the next readiness report."""
         return self.members.recv(MAX_REPORT_BYTES).decode().split()
 
     def stop(self) -> str:
-        """Drain the server, which must exit with 0, and return what it logged."""
+        """Drain the server, check that it exits with status 0, and return its log."""
         self.process.send_signal(signal.SIGTERM)
         assert self.process.wait(WAIT_TIMEOUT_S) == 0, "".join(self.log)
         self.log_reader.join(WAIT_TIMEOUT_S)
@@ -159,7 +159,7 @@
         return self
 
     def __exit__(self, *problem: object) -> None:
-        """Kill the server; fail if a part of it broke."""
+        """Kill the server; fail if it logged an internal error."""
         self.process.kill()
         self.process.wait()
         assert "part_broke" not in "".join(self.log), "".join(self.log)
--- a/testkit/fakes/worker_pool.py
+++ b/testkit/fakes/worker_pool.py
@@ -1,6 +1,7 @@
-"""A worker pool whose runs share its cores, with a neighbour that takes a part of them by schedule.
+"""A worker pool whose runs share its cores, of which another program takes a scheduled part.
 
-A request's body tells what it takes: `KEY WORK CALLS`, ms on a core and dependency calls, made half way.
+The body of a request gives its work as `KEY WORK CALLS`: an idempotency key, ms on a core, and the number of
+dependency calls, which are made halfway.
 """
 
 import base64
@@ -18,15 +19,15 @@
 from testkit.fakes.schedule import CONSTANT_ZERO, StepSchedule
 
 MAX_KEPT_NOTICES = 4000
-"""By the protocol: the last that a new link may ask for."""
-WARM_FOR_MS = 60_000
+"""Notices that a server may ask for on a new link, by the protocol."""
+STARTED_MS_AGO = 60_000
 CALL_POINT = 0.5
-"""The part of its work that a run has done when it makes its calls."""
+"""Fraction of its work that a run has done when it makes its calls."""
 
 
 @dataclass(slots=True)
 class Run:
-    """A request that is executed: what is left of its calls, and its work between them."""
+    """A run: its remaining calls, its work, and the work between two calls."""
 
     key: str
     calls_left: int
@@ -35,17 +36,17 @@
 
 
 class FakeWorkerPool:
-    """Keeps the protocol's rules for links, commands and numbers of notices."""
+    """A worker pool that follows the protocol for links, commands and notice numbers."""
 
     def __init__(self, cores: float, neighbour: StepSchedule) -> None:
-        """Listen on a port of loopback; `neighbour` is the part of the cores that it takes."""
+        """Start listening on a loopback port; another program takes the fraction `neighbour` of the cores."""
         self.cores = cores
         self.neighbour = neighbour
-        self.capacity = ProcessorSharing(self._rate, neighbour.seconds_to_next_step, self._reached)
+        self.capacity = ProcessorSharing(self._rate, neighbour.seconds_to_next_step, self._end_work_section)
         self.lock = threading.Lock()
         self.runs: dict[str, Run] = {}
         self.ran: dict[str, int] = {}
-        """How often requests ran, by the key of their body."""
+        """Number of runs by the key in the body of the request."""
         self.work_ms = 0.0
         self.last_number = 0
         self.sock: socket.socket | None = None
@@ -79,20 +80,20 @@
             elif kind in ("supply", "pass"):
                 self.capacity.add(message["job"], self.runs[message["job"]].work_between_calls_ms)
 
-    def _bind(self, last_read: int) -> None:
-        """Answer a new link with the notices after `last_read`.
+    def _bind(self, last_read_number: int) -> None:
+        """Answer `bind` on a new link and send the notices after `last_read_number`.
 
-        One that has read none although some were sent is a server that started anew: its notices are numbered
-        from 1, and the runs of the server before it are over. Numbers that went on would make the new server
-        miss notices that it can never get, and send its commands again. (A server whose link breaks before it
-        has read its first notice would be taken for a new one; no link to a pool is broken here.)
+        A server that has read no notice although some were sent has restarted: notice numbers start again
+        from 1, and the runs of the previous server end. If the numbers continued, the new server would wait
+        for notices that it can never get, and send its commands again. A server whose link breaks before it
+        has read its first notice would also be taken for a restarted one; tests break no link to this pool.
         """
         with self.lock:
-            if last_read == 0 and self.last_number:
+            if last_read_number == 0 and self.last_number:
                 self._forget_runs()
-            self._send({"type": "bound", "state": "hot", "took": WARM_FOR_MS})
+            self._send({"type": "bound", "state": "hot", "took": STARTED_MS_AGO})
             for notice in self.notices:
-                if notice["n"] > last_read:
+                if notice["n"] > last_read_number:
                     self._send(notice)
 
     def _forget_runs(self) -> None:
@@ -110,7 +111,7 @@
 
     def _spawn(self, job: str, body: bytes) -> None:
         if job in self.runs:
-            return  # by the protocol nothing happens
+            return  # the protocol requires that a repeated command has no effect
         key, work, calls = body.decode().split()[:3]
         work_ms = float(work)
         first_part_ms = CALL_POINT * work_ms if int(calls) else work_ms
@@ -119,11 +120,11 @@
         self.runs[job] = Run(key, int(calls), work_ms, first_part_ms)
         self.capacity.add(job, first_part_ms)
 
-    def _reached(self, job: str) -> None:
-        """A run is at its next call, or done."""
+    def _end_work_section(self, job: str) -> None:
+        """Make the next call of a run, or end the run."""
         run = self.runs.get(job)
         if run is None:
-            return  # ended with its server just as it was done
+            return  # the run ended with its server while its work was finishing
         if run.calls_left:
             run.calls_left -= 1
             self._notify("blocked", job, data=base64.b64encode(run.key.encode()).decode())
@@ -140,7 +141,10 @@
             self._send(notice)
 
     def _send(self, message: dict[str, Any]) -> None:
-        """Under the lock. What a broken link loses is sent on the next one."""
+        """Send a message; the caller holds the lock.
+
+        A notice that a broken link loses is sent again on the next link.
+        """
         if self.sock is None:
             return
         with contextlib.suppress(OSError):
@@ -148,7 +152,7 @@
 
 
 def serve_many(pipe: "Connection[Any, Any]", count: int, cores: float) -> None:
-    """Run several worker pools as one `FakeProcess`, which counts their runs together."""
+    """Run several worker pools as one `FakeProcess`, which returns their runs added up."""
     pools = [FakeWorkerPool(cores, CONSTANT_ZERO) for _ in range(count)]
     pipe.send([pool.listener.getsockname()[1] for pool in pools])
     while pipe.recv() is not None:
@@ -161,7 +165,7 @@
 
 
 def serve(pipe: "Connection[Any, Any]", cores: float, neighbour: Sequence[tuple[float, float]]) -> None:
-    """Run a worker pool as a `FakeProcess`; its counts are those of the class."""
+    """Run a worker pool as a `FakeProcess`, which returns the counts of the pool."""
     pool = FakeWorkerPool(cores, StepSchedule(neighbour))
     pipe.send(pool.listener.getsockname()[1])
     while (started_at_s := pipe.recv()) is not None:
