--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -255,7 +255,7 @@
     """Among 20 alive at 5 % loss, each stopped for a second now and then."""
     net = Network(20, 7, loss=0.05, doubled=0.05)
     while net.now < seconds * 1000.0:
-        name = f"a{net.chance.randrange(20):03}"
+        name = f"a{net.rng.randrange(20):03}"
         net.slow[name] = 1000.0
         net.run(net.now + 1000.0)
         del net.slow[name]
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -191,9 +191,9 @@
         found = dict(zip(mutations, thread_pool.map(leases.schedules_until_caught, mutations), strict=True))
     return {
         "schedules": count,
-        "wrong": [one["wrong"] for one in played if one["wrong"]][:3],
-        "turns": sum(one["turns"] for one in played),
-        "stuck": sum(one["after"] < 3 for one in played),
+        "wrong": [one["violations"] for one in played if one["violations"]][:3],
+        "turns": sum(one["acquired"] for one in played),
+        "stuck": sum(one["acquired_after_healing"] < 3 for one in played),
         "planted_found_after": found,
     }
 
--- a/testkit/simulation/__init__.py
+++ b/testkit/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Programs in virtual time on simulated networks."""
+"""Simulations in virtual time: agents, failure detectors, load gossip and leases on simulated networks."""
--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -1,4 +1,4 @@
-"""A machine of a simulated fleet: its disk, its processes, and the agent while it runs."""
+"""A machine of a simulated fleet: its disk, its processes and its agent."""
 
 import copy
 from dataclasses import dataclass
@@ -22,20 +22,20 @@
 MIN_DRAIN_MS = 10
 MAX_DRAIN_MS = 300
 HANGING_FRACTION = 0.05
-"""Of the processes: those that do not end on SIGTERM."""
+"""Fraction of the processes that do not exit on SIGTERM."""
 FLEET_RECORDS = ("book", "orders")
 INSTANCE_RECORDS = ("instance", "change")
 STORE_KEY = "store"
 
 Disk = dict[Any, Any]
-"""Records by (kind, name), and the identity of the store by `STORE_KEY`."""
+"""Records by (kind, name), and the identity of the store under `STORE_KEY`."""
 
 
 class KilledError(Exception):
-    """The agent dies here, between two of its acts."""
+    """The simulated agent is killed between two of its actions."""
 
     def __init__(self, machine: "Machine") -> None:
-        """Name the machine of the agent."""
+        """Create the error for the agent of `machine`."""
         super().__init__(machine.name)
         self.machine = machine
 
@@ -52,10 +52,10 @@
 
 
 class Machine:
-    """One agent's machine; carries out the acts of the agent's decisions."""
+    """The machine of one agent; implements the actions that the agent's controllers call."""
 
     def __init__(self, world: "World", name: str, instances: list[str]) -> None:
-        """Begin with an empty disk and no process."""
+        """Create a machine with an empty disk and no process."""
         self.world = world
         self.name = name
         self.instances = instances
@@ -68,16 +68,16 @@
         self.rollouts: RolloutController | None = None
         self.incarnation = 0
         self.inbox: list[tuple[Any, ...]] = []
-        """What came while the agent was frozen."""
+        """Messages and process exits that came while the agent was frozen."""
         self.acts = 0
-        """Acts of the agent so far."""
+        """Number of actions of the agent so far."""
         self.dies_at_act = 0
-        """The act at which it dies; 0: none."""
+        """Number of the action at which the agent is killed; 0 for none."""
 
     # -- start and end of the agent
 
     def start(self) -> None:
-        """Start the agent on what its disk has."""
+        """Start the agent with the records on its disk."""
         self.incarnation += 1
         self.disk.setdefault(STORE_KEY, f"{self.name}.{self.incarnation}")
         self.rollouts = RolloutController(self)
@@ -101,25 +101,25 @@
             self.rollouts.on_process_found(self.world.now, name, process.version if process else None)
 
     def stop(self) -> None:
-        """End the agent; its instances go on."""
+        """Stop the agent; its instances keep running."""
         self.coordinator = None
         self.rollouts = None
         self.inbox.clear()
 
     def replace_store(self) -> None:
-        """Take a new identity: others knew a later incarnation, so that the disk has lost votes."""
+        """Give the store a new identity, as its votes were lost: other agents knew a later incarnation."""
         assert self.coordinator is not None
         self.coordinator.record.replace_store(self.world.now, f"{self.name}.{self.incarnation}")
         self.disk[STORE_KEY] = self.coordinator.record.store
 
     def restart(self, fault: str) -> None:
-        """Start the agent again after a fault of its disk or process, unless it is back already."""
+        """Start the agent again after a fault of its disk or process, unless it runs already."""
         if self.coordinator is not None:
             return
         if fault == "old_disk":
             kept = {key: body for key, body in self.disk.items() if not is_fleet_record(key)}
             self.disk = {key: body for key, body in self.old_disk.items() if is_fleet_record(key)} | kept
-        elif fault == "no_disk":  # the loss of the instances' records is a case of `test_rollout_model`
+        elif fault == "no_disk":  # `test_rollout_model` covers the loss of instance records
             self.disk = {key: body for key, body in self.disk.items() if key[0] in INSTANCE_RECORDS}
         self.start()
         if fault in ("old_disk", "no_disk"):
@@ -129,7 +129,7 @@
         """Return whether the agent runs and is not frozen."""
         return self.coordinator is not None and self.world.now >= self.frozen_until_ms
 
-    # -- acts of the decisions
+    # -- actions
 
     def _act(self) -> None:
         self.acts += 1
@@ -137,14 +137,14 @@
             raise KilledError(self)
 
     def save_record(self, kind: str, name: str, record: dict[str, Any] | None) -> None:
-        """Write a record to the disk; `None` deletes it.
+        """Write a record to the disk; `None` deletes the record.
 
         Raises:
             OSError: the disk is full.
         """
         self._act()
         if self.disk_full:
-            raise OSError("full")
+            raise OSError("simulated disk is full")
         if record is None:
             self.disk.pop((kind, name), None)
         else:
@@ -161,24 +161,24 @@
         return True
 
     def spawn(self, name: str, version: str) -> None:
-        """Start a process of an instance; one of the version `bad` is never ready."""
-        assert name not in self.processes, "a second process of one instance"
-        chance = self.world.chance
+        """Start the process of an instance; a process of the version `bad` never becomes ready."""
+        assert name not in self.processes, f"instance {name} already has a process"
+        rng = self.world.rng
         ready_at_ms = NEVER_MS
         if version != "bad":
-            ready_at_ms = self.world.now + chance.uniform(MIN_START_MS, MAX_START_MS)
-        hangs = chance.random() < HANGING_FRACTION
+            ready_at_ms = self.world.now + rng.uniform(MIN_START_MS, MAX_START_MS)
+        hangs = rng.random() < HANGING_FRACTION
         self._act()
         self.processes[name] = Process(version, ready_at_ms, hangs)
 
     def terminate(self, name: str) -> None:
-        """Let the process drain, once the minimum is checked."""
+        """Check the minimum available and start draining the process."""
         self._act()
         self.world.check_minimum(self, name)
         process = self.processes[name]
         process.draining = True
         if not process.hangs:
-            process.ends_at_ms = self.world.now + self.world.chance.uniform(MIN_DRAIN_MS, MAX_DRAIN_MS)
+            process.ends_at_ms = self.world.now + self.world.rng.uniform(MIN_DRAIN_MS, MAX_DRAIN_MS)
 
     def kill(self, name: str) -> None:
         """End the process at once."""
@@ -189,21 +189,21 @@
         self.world.history.append({"at": self.world.now, "agent": self.name, "event": event, **fields})
 
     def report(self, rollouts: set[str]) -> AgentReport:
-        """Return what the agent reports of its instances and of the steps of these rollouts."""
+        """Return the agent's report of its instances and of the steps of these rollouts."""
         controller = self.rollouts
         assert controller is not None
         return {
             "instances": {
-                one.name: {
-                    "state": one.state,
-                    "unseen": one.awaiting_first_check,
-                    "group": one.settings.group,
-                    "version": one.running_version or one.version,
+                instance.name: {
+                    "state": instance.state,
+                    "unseen": instance.awaiting_first_check,
+                    "group": instance.settings.group,
+                    "version": instance.running_version or instance.version,
                     "declared": "v1",
-                    "wanted": one.wanted,
-                    "change": owner.id if (owner := controller.rollout_of(one.name)) else "",
+                    "wanted": instance.wanted,
+                    "change": owner.id if (owner := controller.rollout_of(instance.name)) else "",
                 }
-                for one in controller.instances.values()
+                for instance in controller.instances.values()
             },
             "locals": step_results(controller, rollouts),
             "versions": ["v2", "bad"],
@@ -217,21 +217,21 @@
     # -- time
 
     def serves(self, name: str) -> bool:
-        """Return whether an instance's health check is good now."""
+        """Return whether an instance is ready and not draining."""
         process = self.processes.get(name)
         return process is not None and process.ready_at_ms <= self.world.now and not process.draining
 
     def tick(self) -> None:
-        """End processes, and let the agent act on all that has come."""
+        """End the processes that are due, and run the agent with the messages and exits received."""
         self._end_processes()
         if not self.can_act():
             return
         assert self.rollouts is not None
         assert self.coordinator is not None
         now = self.world.now
-        waiting = self.inbox
+        received = self.inbox
         self.inbox = []
-        for kind, *arguments in waiting:
+        for kind, *arguments in received:
             if kind != "exited":
                 self.coordinator.receive(now, *arguments)
             elif arguments[0] not in self.processes:
@@ -255,5 +255,5 @@
 
 
 def is_fleet_record(key: Any) -> bool:
-    """Return whether a key of a disk is of the fleet's record or controls, not of the machine's instances."""
+    """Return whether a disk key belongs to the fleet's record or controls, not to the machine's instances."""
     return key != STORE_KEY and key[0] in FLEET_RECORDS
--- a/testkit/simulation/agent_mutations.py
+++ b/testkit/simulation/agent_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the decisions, to see that the simulated schedules find each of them."""
+"""Mutations of the agent's decisions, each of which the simulated schedules must detect."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -16,42 +16,42 @@
 
 
 @contextlib.contextmanager
-def replaced(*places: tuple[Any, str, Any]) -> Iterator[None]:
-    """Set each (owner, attribute, value) within the context."""
-    before = [(owner, name, getattr(owner, name)) for owner, name, _ in places]
-    for owner, name, value in places:
+def replaced(*replacements: tuple[Any, str, Any]) -> Iterator[None]:
+    """Set each (owner, attribute, value) within the context and restore the old values after it."""
+    originals = [(owner, name, getattr(owner, name)) for owner, name, _ in replacements]
+    for owner, name, value in replacements:
         setattr(owner, name, value)
     try:
         yield
     finally:
-        for owner, name, value in before:
+        for owner, name, value in originals:
             setattr(owner, name, value)
 
 
 def no_fencing() -> contextlib.AbstractContextManager[None]:
-    """Take whoever sends for the leader, whatever term was voted in."""
+    """Accept every sender as the leader, whatever term the agent has voted in."""
 
-    def unfenced(act: Callable[..., None], below: int) -> Callable[..., None]:
+    def without_fencing(handler: Callable[..., None], term_offset: int) -> Callable[..., None]:
         def on_message(self: Any, now: float, sender: str, message: Any) -> None:
-            self.copy.promised_term = min(self.copy.promised_term, message.term - below)
-            act(self, now, sender, message)
+            self.copy.promised_term = min(self.copy.promised_term, message.term - term_offset)
+            handler(self, now, sender, message)
 
         return on_message
 
     return replaced(
-        (ReplicatedRecord, "on_append", unfenced(ReplicatedRecord.on_append, 0)),
-        (ReplicatedRecord, "on_vote_request", unfenced(ReplicatedRecord.on_vote_request, 1)),
+        (ReplicatedRecord, "on_append", without_fencing(ReplicatedRecord.on_append, 0)),
+        (ReplicatedRecord, "on_vote_request", without_fencing(ReplicatedRecord.on_vote_request, 1)),
         (FleetCoordinator, "is_current_leader", lambda self, sender, term: True),
     )
 
 
 def minimum_by_stale_reports() -> contextlib.AbstractContextManager[None]:
-    """Count instances by reports of any age."""
+    """Count available instances by reports of any age."""
     return replaced((fleet_view, "MAX_REPORT_AGE_MS", UNLIMITED_AGE_MS))
 
 
 def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
-    """Count an instance that was ordered out and still serves."""
+    """Count as available the instances that were ordered to drain and still serve."""
 
     def count(self: Any, rollout: Any) -> int:
         return sum(instance["state"] == "serving" for instance in self.instances().values())
@@ -60,19 +60,21 @@
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
-    """Let a store that lost its votes go on under its old identity."""
+    """Keep the old identity of a store that has lost its votes."""
     start: Callable[[Any], None] = Machine.start
 
-    def start_as_before(self: Any) -> None:
+    def start_with_old_identity(self: Any) -> None:
         self.disk["store"] = f"{self.name}.1"
         start(self)
 
-    return replaced((Machine, "replace_store", lambda self: None), (Machine, "start", start_as_before))
+    return replaced(
+        (Machine, "replace_store", lambda self: None), (Machine, "start", start_with_old_identity)
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A mutation, the options of `agents.play` for it and the seeds of schedules that must show it."""
+    """A mutation, its options of `agents.play` and the seeds of schedules that must detect it."""
 
     apply: Callable[[], contextlib.AbstractContextManager[None]]
     options: dict[str, Any]
@@ -94,12 +96,12 @@
 
 
 def schedules_until_caught(name: str, applied: bool = True, seeds: range | None = None) -> int:
-    """Return the number of schedules until a mutation broke an invariant or assertion; 0 if none did.
+    """Return the number of schedules run until one violated an invariant or assertion; 0 if none did.
 
     Args:
         name: a key of `MUTATIONS`.
-        applied: false runs the same schedules on the code as it is.
-        seeds: of the schedules, if not those of the mutation.
+        applied: false runs the same schedules without the mutation.
+        seeds: of the schedules; by default those of the mutation.
     """
     mutation = MUTATIONS[name]
     for count, seed in enumerate(seeds or mutation.seeds, 1):
--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -1,6 +1,6 @@
-"""Lease servers and clients in virtual time under faults, and a checker that knows nothing of how they work.
+"""Lease servers and clients in virtual time under faults, and a checker independent of their implementation.
 
-Seeded mutations of the protocol at the end of the module must be found by the checker.
+The checker must detect each of the protocol mutations at the end of the module.
 """
 
 from collections.abc import Callable
@@ -21,65 +21,92 @@
 SERVERS = ("s0", "s1", "s2")
 LEASE_NAME = "deep"
 ALL_SERVERS_FRACTION = 0.2
-"""Chance that all lease servers restart, instead of what is down."""
+"""Probability that a restart fault restarts all lease servers, not only the dead processes."""
+MS_PER_S = 1000.0
+EPOCH_MS = 100.0
+"""Unit of the epoch of a lease server; a server restarted within it has the same epoch again."""
+MIN_WORK_MS = 500.0
+MAX_WORK_MS = 8000.0
+"""Bounds of the time for which a program uses a lease."""
+MAX_PAUSE_MS = 2000.0
+"""Maximum time between the release of a lease and the next request."""
+CLOCK_RATE_ERROR = 0.1
+MIN_FAULT_GAP_MS = 300.0
+MAX_FAULT_GAP_MS = 3000.0
+MIN_SLOW_DELAY_MS = 100.0
+MAX_SLOW_DELAY_MS = 2500.0
+ELECTION_TIMEOUT_MS = 30_000.0
+POLL_INTERVAL_MS = 50.0
+PARTITION_MS = 10_000.0
+"""Time for which a replaced leader remains cut off."""
+LOSS_FRACTION = 0.05
+DUPLICATE_FRACTION = 0.1
+FIRST_LEASES_MS = 12_000.0
+"""Time for the first leases before a mutated leader is replaced."""
+MUTATION_FAULTS_S = 60.0
+SCHEDULE_FAULTS_S = 120.0
+HEALED_RUN_MS = 30_000.0
 
 
 class Program:
-    """One process: a lease server where it is listed, and a client that holds leases for random times."""
+    """A process with a lease client, and with a lease server if its name is in `SERVERS`.
+
+    The client holds the lease for random times.
+    """
 
     server_class, client_class = LeaseServer, LeaseClient
 
     def __init__(self, port: Port, capacity: int, zones: int) -> None:
-        """Start the process; its zone is one of `zones`."""
+        """Start the process in one of `zones` zones."""
         self.port = port
         self.busy_until = 0.0
-        self.rest_until = 0.0
+        self.next_request_at = 0.0
         self.events: list[tuple[str, dict[str, Any]]] = []
         now = port.now()
         number = int(port.name[1:])
         self.server: LeaseServer | None = None
         if port.name in SERVERS:
-            epoch = int(port.world.now / 100.0)
+            epoch = int(port.world.now / EPOCH_MS)
             self.server = self.server_class(
                 self, port.name, SERVERS, {LEASE_NAME: capacity}, number, epoch, now
             )
         self.client = self.client_class(self, port.name, SERVERS, f"z{number % zones}", port.incarnation)
 
     def send_lease_message(self, to: str, message: LeaseMessage) -> None:
-        """Sends over the simulated network."""
+        """Send a message over the simulated network."""
         self.port.send(to, message)
 
     def log_event(self, event: str, **fields: Any) -> None:
-        """Keeps the event."""
+        """Record the event."""
         self.events.append((event, fields))
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> None:
-        """Delivers a message to the server or the client."""
+        """Deliver a message to the server or the client."""
         if isinstance(message, ClientMessage):
             self.client.receive(now, sender, message)
         elif self.server is not None:
             self.server.receive(now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Runs timers, and begins or ends the work that needs the lease."""
+        """Run the timers, and begin or end the work that needs the lease."""
         if self.server is not None:
             self.server.tick(now)
         self.client.tick(now)
-        chance = self.port.world.chance
+        rng = self.port.world.rng
         fencing_token = self.client.fencing_token(now, LEASE_NAME)
         if LEASE_NAME not in self.client.requests:
-            if now >= self.rest_until:
+            if now >= self.next_request_at:
                 self.client.acquire(now, LEASE_NAME)
                 self.busy_until = 0.0
         elif fencing_token and not self.busy_until:
-            self.busy_until = now + chance.uniform(500.0, 8000.0)
+            self.busy_until = now + rng.uniform(MIN_WORK_MS, MAX_WORK_MS)
         elif self.busy_until and (now >= self.busy_until or not fencing_token):
             self.client.release(LEASE_NAME)
-            self.rest_until = now + chance.uniform(0.0, 2000.0)
+            self.next_request_at = now + rng.uniform(0.0, MAX_PAUSE_MS)
 
 
 class LeaseSimulation:
-    """One run: `violations` has what breaks a promise, `acquired` how many leases each process had."""
+    """A simulation: `violations` has the violated guarantees, `acquired` the number of leases by process."""
 
     def __init__(
         self,
@@ -90,24 +117,33 @@
         program: type[Program] = Program,
         **network: Any,
     ) -> None:
-        """`network`: settings of `World`."""
+        """Start the simulation.
+
+        Args:
+            seed: determines the whole run.
+            count: number of processes.
+            capacity: number of leases that may be held at once.
+            zones: number of zones.
+            program: class of the processes.
+            network: options of `World`.
+        """
         self.capacity = capacity
         self.violations: list[str] = []
         self.acquired: dict[str, int] = {}
         self.faults: dict[str, int] = {}
-        self.newest_token: dict[int, int] = {}  # by slot
-        self.slot_of: dict[str, int] = {}  # by holder, as of the last step
+        self.newest_token: dict[int, int] = {}  # highest fencing token by slot
+        self.slot_of: dict[str, int] = {}  # by holder, as of the last check
         self.world = World(
             [f"s{n}" for n in range(count)],
             seed,
             lambda port: program(port, capacity, zones),
-            slope=0.1,
+            clock_rate_error=CLOCK_RATE_ERROR,
             **network,
         )
-        self.world.after = self.check
+        self.world.after_step = self.check
 
     def check(self) -> None:
-        """Looks for violations; called after each step of the simulation."""
+        """Check the guarantees; called after each event of the simulation."""
         now = self.world.now
         slot_of: dict[str, int] = {}
         for name in self.world.running():
@@ -117,9 +153,11 @@
                 slot_of[name] = program.client.slot(LEASE_NAME)
                 self._check_token(name, slot_of[name], token)
         if len(slot_of) > self.capacity:
-            self.violations.append(f"{now:.0f}: {len(slot_of)} at once: {slot_of}")
+            self.violations.append(
+                f"at {now:.0f} ms {len(slot_of)} leases were held, capacity {self.capacity}: {slot_of}"
+            )
         if len(set(slot_of.values())) < len(slot_of):
-            self.violations.append(f"{now:.0f}: two in one slot: {slot_of}")
+            self.violations.append(f"at {now:.0f} ms two processes held the same slot: {slot_of}")
         self.slot_of = slot_of
 
     def _check_token(self, name: str, slot: int, token: int) -> None:
@@ -128,41 +166,41 @@
             self.acquired[name] = self.acquired.get(name, 0) + 1
         if token < newest:
             self.violations.append(
-                f"{self.world.now:.0f}: {name} holds slot {slot} under {token} after {newest}"
+                f"at {self.world.now:.0f} ms {name} held slot {slot} with token {token} after {newest}"
             )
         self.newest_token[slot] = max(token, newest)
 
     def run_with_faults(self, seconds: float) -> None:
-        """Runs on, with a random fault each few seconds, until a violation is found."""
-        world, chance = self.world, self.world.chance
-        end = world.now + seconds * 1000.0
-        while world.now < end and not self.violations:
-            world.run(world.now + chance.uniform(300.0, 3000.0))
-            kind = chance.choice(FAULT_KINDS)
-            name = chance.choice(sorted(world.incarnations))
+        """Run for this time with a random fault every few seconds; stop at the first violation."""
+        world, rng = self.world, self.world.rng
+        end_ms = world.now + seconds * MS_PER_S
+        while world.now < end_ms and not self.violations:
+            world.run(world.now + rng.uniform(MIN_FAULT_GAP_MS, MAX_FAULT_GAP_MS))
+            kind = rng.choice(FAULT_KINDS)
+            name = rng.choice(sorted(world.incarnations))
             self.faults[kind] = self.faults.get(kind, 0) + 1
             FAULTS[kind](world, name)
 
     def replace_leader(self) -> None:
-        """Cuts a server off from the leader until another leads, and just then cuts off the old leader.
+        """Cut the leader off from another server until that server leads, then partition the network.
 
-        The holders of its leases are on its side of the partition.
+        The old leader and the holders of its leases are on one side of the partition.
         """
-        world, end = self.world, self.world.now + 30_000.0
+        world, end_ms = self.world, self.world.now + ELECTION_TIMEOUT_MS
         servers = {name: world.programs[name].server for name in SERVERS}
         leader = next((name for name in SERVERS if servers[name].leads(world.clock(name))), None)
         if leader is None:
             return
-        rival = next(name for name in SERVERS if name != leader)
-        world.cut |= {(leader, rival)}
-        while world.now < end and not world.programs[rival].server.leads(world.clock(rival)):
-            world.run(world.now + 50.0)
+        new_leader = next(name for name in SERVERS if name != leader)
+        world.cut |= {(leader, new_leader)}
+        while world.now < end_ms and not world.programs[new_leader].server.leads(world.clock(new_leader)):
+            world.run(world.now + POLL_INTERVAL_MS)
         holders = {name for name in world.incarnations if name not in SERVERS and name in self.slot_of}
         world.split({leader} | holders)
-        world.run(world.now + 10_000.0)
+        world.run(world.now + PARTITION_MS)
 
     def heal(self) -> None:
-        """Ends all faults: heals the network, thaws and restarts processes."""
+        """End all faults: heal the network, thaw frozen processes and restart dead ones."""
         self.world.heal()
         for name in sorted(self.world.incarnations):
             if name in self.world.frozen:
@@ -175,7 +213,7 @@
 
 
 def _split(world: World, name: str) -> None:
-    world.split({name, world.chance.choice(sorted(world.incarnations))})
+    world.split({name, world.rng.choice(sorted(world.incarnations))})
 
 
 def _heal(world: World, name: str) -> None:
@@ -196,28 +234,28 @@
 
 
 def _restart_all(world: World, name: str) -> None:
-    for gone in sorted(world.incarnations):
-        if gone not in world.programs:
-            world.start(gone)
+    for other in sorted(world.incarnations):
+        if other not in world.programs:
+            world.start(other)
 
 
 def _slow(world: World, name: str) -> None:
-    world.slow[name] = world.chance.uniform(100.0, 2500.0)
+    world.slow[name] = world.rng.uniform(MIN_SLOW_DELAY_MS, MAX_SLOW_DELAY_MS)
 
 
 def _restart_all_servers(world: World, name: str) -> None:
-    for server in SERVERS if world.chance.random() < ALL_SERVERS_FRACTION else ():
+    for server in SERVERS if world.rng.random() < ALL_SERVERS_FRACTION else ():
         world.kill(server)
     _restart_all(world, name)
 
 
 def _cut_pair(world: World, name: str) -> None:
-    one, other = world.chance.sample(SERVERS, 2)
+    one, other = world.rng.sample(SERVERS, 2)
     world.cut |= {(one, other), (other, one)}
 
 
 def _cut_one_way(world: World, name: str) -> None:
-    one, other = world.chance.sample(SERVERS, 2)
+    one, other = world.rng.sample(SERVERS, 2)
     world.cut |= {(one, other)}
 
 
@@ -233,7 +271,7 @@
     "pair": _cut_pair,
     "one way": _cut_one_way,
 }
-FAULT_KINDS = (  # healing is twice as likely as any fault
+FAULT_KINDS = (  # `heal` is listed twice, so that it is twice as likely as each fault
     "split",
     "heal",
     "freeze",
@@ -252,19 +290,19 @@
 
 
 class GrantsAtOnce(LeaseServer):
-    """A new leader does not wait until the leases of its predecessor have expired."""
+    """A mutation: a new leader does not wait until the leases of its predecessor have expired."""
 
     def on_elected(self, now: float, term: int) -> None:
-        """Grants from now on."""
+        """Grant leases from the election on."""
         super().on_elected(now, term)
         self.grants_from_ms = 0.0
 
 
 class CountsFromAnswer(LeaseClient):
-    """Counts the lease from when its answer came."""
+    """A mutation: a client counts the duration of a lease from the receipt of the reply."""
 
     def receive(self, now: float, sender: str, message: ClientMessage) -> None:
-        """Extends the lease past what was granted."""
+        """Extend the lease beyond the granted time."""
         super().receive(now, sender, message)
         request = self.requests.get(message.lease_name)
         if not isinstance(message, LeaseGranted) or request is None:
@@ -274,19 +312,19 @@
 
 
 class IgnoresClock(LeaseClient):
-    """Holds what it was granted until it is told otherwise."""
+    """A mutation: a client holds a granted lease without checking its expiry."""
 
     def fencing_token(self, now: float, lease_name: str) -> int:
-        """The token, also of a lease that has expired."""
+        """Return the fencing token, even if the lease has expired."""
         request = self.requests.get(lease_name)
         return request.fencing_token if request is not None else 0
 
 
 class VotesTwice(LeaseServer):
-    """Votes for a higher term also while its vote for another still binds."""
+    """A mutation: a server votes for a higher term while its previous vote still binds."""
 
     def receive(self, now: float, sender: str, message: ServerMessage) -> None:
-        """Forgets its vote first."""
+        """Forget the previous vote and handle the message."""
         if isinstance(message, VoteRequest) and message.term > self.election.highest_term:
             self.election.voted_for = ""
         super().receive(now, sender, message)
@@ -301,31 +339,31 @@
 
 
 def schedules_until_caught(mutation: str, maximum: int = 60) -> int:
-    """How many schedules it takes until a mutation is found; 0: it was not."""
+    """Return the number of schedules until the checker detected a mutation; 0 if it did not."""
     program = type("MutatedProgram", (Program,), MUTATIONS[mutation])
     for seed in range(1, maximum + 1):
-        simulation = LeaseSimulation(seed, program=program, loss=0.05, doubled=0.1)
-        simulation.world.run(12_000.0)
+        simulation = LeaseSimulation(seed, program=program, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+        simulation.world.run(FIRST_LEASES_MS)
         simulation.replace_leader()
         simulation.heal()
-        simulation.run_with_faults(60.0)
+        simulation.run_with_faults(MUTATION_FAULTS_S)
         if simulation.violations:
             return seed
     return 0
 
 
 def run_schedule(seed: int) -> dict[str, Any]:
-    """One schedule of faults, healed after it; then the leader is replaced."""
-    simulation = LeaseSimulation(seed, loss=0.05, doubled=0.1)
-    simulation.run_with_faults(120.0)
-    before = sum(simulation.acquired.values())
+    """Run one schedule of faults, heal the network and replace the leader; return what was observed."""
+    simulation = LeaseSimulation(seed, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    simulation.run_with_faults(SCHEDULE_FAULTS_S)
+    acquired_under_faults = sum(simulation.acquired.values())
     simulation.heal()
-    simulation.world.run(simulation.world.now + 30_000.0)
-    after = sum(simulation.acquired.values()) - before
+    simulation.world.run(simulation.world.now + HEALED_RUN_MS)
+    acquired_after_healing = sum(simulation.acquired.values()) - acquired_under_faults
     simulation.replace_leader()
     return {
-        "wrong": simulation.violations[:3],
-        "turns": before + after,
-        "after": after,
+        "violations": simulation.violations[:3],
+        "acquired": acquired_under_faults + acquired_after_healing,
+        "acquired_after_healing": acquired_after_healing,
         "faults": simulation.faults,
     }
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -16,7 +16,7 @@
 
 
 class StateChange(NamedTuple):
-    """When an agent took another for something else, and for what."""
+    """A change of the membership state of `about` in the view of `agent`."""
 
     at_ms: float
     agent: str
@@ -25,26 +25,27 @@
 
 
 class Network:
-    """Agents by name, all of one fleet; the seed determines everything.
+    """The failure detectors of one fleet and the network between them; the seed determines the whole run.
 
-    A test changes `dead`, `side` (of the partition; 0 unless named) and `slow` (ms of additional delay).
+    A test may change `dead`, `side` (side of a partition by name, by default 0) and `slow` (additional delay
+    in ms by name).
     """
 
     def __init__(self, count: int, seed: int, loss: float = 0.0, doubled: float = 0.0) -> None:
         """Start all agents.
 
         Args:
-            count: how many; they are named a000, a001, ...
+            count: number of agents, named a000, a001, ...
             seed: of the run.
-            loss: part of the messages that are lost.
-            doubled: part of the messages that are sent twice.
+            loss: fraction of messages that are lost.
+            doubled: fraction of messages that are sent twice.
         """
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.loss = loss
         self.doubled = doubled
         self.now = 0.0
         self.queue: list[tuple[float, int, str, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = 0
+        self.event_count = 0
         self.dead: set[str] = set()
         self.slow: dict[str, float] = {}
         self.side: dict[str, int] = {}
@@ -53,27 +54,27 @@
         names = [f"a{number:03}" for number in range(count)]
         self.agents = {name: FailureDetector(Port(self, name), name, names, seed) for name in names}
         for name in names:
-            self._schedule(self.chance.uniform(0.0, MAX_FIRST_TICK_MS), name, self._tick, name)
+            self._schedule(self.rng.uniform(0.0, MAX_FIRST_TICK_MS), name, self._tick, name)
 
     def _schedule(self, delay_ms: float, name: str, act: Callable[..., None], *arguments: Any) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (self.now + delay_ms, self.count, name, act, arguments))
+        self.event_count += 1
+        heapq.heappush(self.queue, (self.now + delay_ms, self.event_count, name, act, arguments))
 
     def send(self, sender: str, to: str, *message: Any) -> None:
         """Send a message, unless the network loses it."""
         self.sent += 1
         if self.side.get(sender, 0) != self.side.get(to, 0):
             return
-        copies = 2 if self.chance.random() < self.doubled else 1
+        copies = 2 if self.rng.random() < self.doubled else 1
         for _ in range(copies):
-            if self.chance.random() < self.loss:
+            if self.rng.random() < self.loss:
                 continue
-            delay_ms = self.chance.uniform(MIN_DELAY_MS, MAX_DELAY_MS)
+            delay_ms = self.rng.uniform(MIN_DELAY_MS, MAX_DELAY_MS)
             delay_ms = delay_ms + self.slow.get(to, 0.0) + self.slow.get(sender, 0.0)
             self._schedule(delay_ms, to, self._deliver, to, sender, *message)
 
     def run(self, until_ms: float) -> None:
-        """Run all that happens up to this time; dead agents do nothing."""
+        """Run all events up to this time; skip events of dead agents."""
         while self.queue and self.queue[0][0] <= until_ms:
             self.now, _, name, act, arguments = heapq.heappop(self.queue)
             if name not in self.dead:
@@ -88,7 +89,7 @@
         self.agents[to].receive(self.now, sender, *message)
 
     def views(self, of: str) -> set[MemberState]:
-        """Return what the other agents that live take an agent for."""
+        """Return the states of an agent in the views of the other live agents."""
         return {
             agent.membership.state(of)
             for name, agent in self.agents.items()
@@ -97,18 +98,18 @@
 
 
 class Port:
-    """How one agent's failure detector acts on the network."""
+    """The network interface of one agent's failure detector."""
 
     def __init__(self, network: Network, name: str) -> None:
-        """Act as the agent of that name."""
+        """Create the interface of the agent `name`."""
         self.network = network
         self.name = name
 
     def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
-        """Send a message, which must not carry more updates than allowed."""
+        """Send a message and check that it carries no more updates than allowed."""
         assert len(updates) <= MAX_UPDATES + 1
         self.network.send(self.name, to, kind, number, about, list(updates))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
-        """Keep the change."""
+        """Record the change."""
         self.network.state_changes.append(StateChange(self.network.now, self.name, name, state))
