--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,10 @@
-"""A roll over twenty real servers under load, the agent killed again and again and some instances stalled.
+"""A rollout over twenty servers under load, with an agent that is killed repeatedly and two frozen servers.
 
 Usage: python -m benchmarks.fleet [--quick]
 
-Each server has a worker pool by time and a load of its own, sixteen tasks a second, a third of them keyed.
-Two servers are frozen (SIGSTOP) when the roll begins, so that they hang in their drain and are killed at
-their stop time. Scaled down: one machine, and all parts on loopback.
+Each server has a fake worker pool and a load of sixteen requests a second, a third of them with an
+idempotency key. Two servers are frozen (SIGSTOP) when the rollout begins, so that they do not drain and are
+killed at their stop time. All processes run on one machine and connect over loopback.
 """
 
 import json
@@ -20,7 +20,7 @@
 import time
 from typing import Any
 
-from benchmarks.pools import LIMIT, settings
+from benchmarks.pools import CLIENT_TIMEOUT_MS, LATENCY_OBJECTIVE_MS, settings
 from testkit.fakes import worker_pool
 from testkit.fakes.fake_process import FakeProcess
 from testkit.fakes.load_generator import LoadGenerator, TrafficClass
@@ -29,45 +29,75 @@
 from vetchford.fleet.health_checker import is_ready
 from vetchford.fleet.history_store import Store
 
-COUNT, BATCH, FLOOR, FROZEN = 20, 4, 12, (5, 13)
+COUNT, BATCH, MINIMUM_AVAILABLE = 20, 4, 12  # instances
+FROZEN = (5, 13)  # numbers of the frozen instances
+FIRST_PORT = 21_000
+LAST_PORT = 29_000
+POOL_CORES = 2.0
+SERVER_STOP_MS = 3200
+START_ATTEMPTS = 500
+START_POLL_S = 0.02
+LOG_TAIL_CHARACTERS = 2000
+ROLLOUT_POLL_S = 0.05
+KILLS, QUICK_KILLS = 30, 5
+KILL_SEED = 11
+MIN_KILL_GAP_S = 0.1
+MAX_KILL_GAP_S = 1.0
+LOAD_S, QUICK_LOAD_S = 75.0, 20.0
+CONNECTIONS_PER_SERVER = 4
+START_SOAK_MS = 100.0
+SOAK_MS, QUICK_SOAK_MS = 5000.0, 300.0
+START_TIMEOUT_S = 30.0
+ROLLOUT_TIMEOUT_S = 60.0
+LOAD_START_DELAY_S = 0.5
+ROLLOUT_START_DELAY_S = 1.5  # the load has begun
+MINIMUM_POLL_S = 0.05
+STATUS_REQUESTS = 30
+MS_PER_S = 1000.0
+TRAFFIC = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
 ROOT = pathlib.Path(__file__).parent.parent
 
 
 def free_ports(count: int) -> list[int]:
-    """Below the range that the system hands out for outgoing connections, so that none of these takes one."""
+    """Return `count` unused ports below the ephemeral range, so that no outgoing connection takes one.
+
+    Raises:
+        RuntimeError: fewer than `count` ports are unused.
+    """
     found = []
-    for port in range(21_000, 29_000):
+    for port in range(FIRST_PORT, LAST_PORT):
         with socket.socket() as sock:
             if sock.connect_ex(("127.0.0.1", port)) != 0:
                 found.append(port)
         if len(found) == count:
             return found
-    raise RuntimeError("no free ports")
+    raise RuntimeError(f"only {len(found)} of {count} ports are free between {FIRST_PORT} and {LAST_PORT}")
 
 
-def written(folder: pathlib.Path, ports: list[int], pools: list[int]) -> None:
-    told, entries = settings(), []
-    told["familyInfo"]["below"] = "silent"
-    for at, port in enumerate(ports):
-        config = folder / f"n{at:02}.json"
+def write_configuration(folder: pathlib.Path, ports: list[int], pool_ports: list[int]) -> None:
+    """Write the configurations of the servers and of the agent."""
+    server_settings, entries = settings(), []
+    server_settings["familyInfo"]["below"] = "silent"
+    for number, port in enumerate(ports):
+        config = folder / f"n{number:02}.json"
         config.write_text(
             json.dumps(
                 {
-                    "name": f"n{at:02}",
+                    "name": f"n{number:02}",
                     "listen": f"127.0.0.1:{port}",
-                    "pool": f"127.0.0.1:{pools[at]}",
+                    "pool": f"127.0.0.1:{pool_ports[number]}",
                     "records": "127.0.0.1:9",
                     "members": "127.0.0.1:9",
-                    "seed": f"{at + 1:x}",
-                    "stop_ms": 3200,
+                    "seed": f"{number + 1:x}",
+                    "stop_ms": SERVER_STOP_MS,
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
-                    "settings": told,
+                    "settings": server_settings,
                 }
             )
         )
         command = json.dumps([sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)])
-        entries.append(f'n{at:02}: {{command: {command}, listen: "127.0.0.1:{port}", stop_ms: 3500ms}}')
-    roll = json.dumps(
+        entries.append(f'n{number:02}: {{command: {command}, listen: "127.0.0.1:{port}", stop_ms: 3500ms}}')
+    next_version = json.dumps(
         [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(folder / "{name}.json")]
     )
     (folder / "fleet.vet").write_text(
@@ -81,7 +111,7 @@
                 "instances: {",
                 *entries,
                 "}",
-                f"versions: v2: {roll}",
+                f"versions: v2: {next_version}",
                 "}",
             ]
         )
@@ -89,93 +119,114 @@
 
 
 class Agent:
+    """An agent process."""
+
     def __init__(self, folder: pathlib.Path) -> None:
+        """Create the agent of the configuration in `folder` without starting it."""
         self.folder, self.path, self.process = folder, f"{folder}/s", None
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Start the agent and wait until it answers.
+
+        Raises:
+            RuntimeError: the agent does not answer in time; the message is the end of its log.
+        """
         command = [sys.executable, "-m", "vetchford", "agent", "--with", str(self.folder / "fleet.vet")]
         with (self.folder / "agent.log").open("a") as log:
             self.process = subprocess.Popen(command, cwd=ROOT, stderr=log)
-        for _ in range(500):
+        for _ in range(START_ATTEMPTS):
             try:
                 return ask(self.path, {"ask": "status"})
             except Exception:
-                time.sleep(0.02)
-        raise RuntimeError((self.folder / "agent.log").read_text()[-2000:])
+                time.sleep(START_POLL_S)
+        raise RuntimeError((self.folder / "agent.log").read_text()[-LOG_TAIL_CHARACTERS:])
 
     def kill(self) -> None:
+        """Kill the agent; its instances keep running."""
         self.process.kill()
         self.process.wait()
 
-    def wait(self, change: str, patience: float) -> dict[str, Any]:
-        until = time.monotonic() + patience
-        while (found := ask(self.path, {"ask": "find", "id": change}))["state"] in ("running", "back"):
-            if time.monotonic() > until:
+    def wait_for_rollout(self, id: str, timeout_s: float) -> dict[str, Any]:
+        """Wait until a rollout has ended or is paused, at most `timeout_s`, and return its record."""
+        deadline = time.monotonic() + timeout_s
+        while (rollout := ask(self.path, {"ask": "find", "id": id}))["state"] in ("running", "back"):
+            if time.monotonic() > deadline:
                 break
-            time.sleep(0.05)
-        return found
+            time.sleep(ROLLOUT_POLL_S)
+        return rollout
 
 
 def main() -> int:
+    """Run the benchmark and return the exit status."""
     quick = "--quick" in sys.argv
-    kills, chance = (5 if quick else 30), random.Random(11)
+    kills, rng = (QUICK_KILLS if quick else KILLS), random.Random(KILL_SEED)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        pools = FakeProcess(worker_pool.serve_many, COUNT, 2.0)
+        pools = FakeProcess(worker_pool.serve_many, COUNT, POOL_CORES)
         ports = free_ports(COUNT)
-        written(folder, ports, pools.ports)
+        write_configuration(folder, ports, pools.ports)
         agent = Agent(folder)
-        agent.begin()
-        names = [f"n{at:02}" for at in range(COUNT)]
+        agent.start()
+        names = [f"n{number:02}" for number in range(COUNT)]
         try:
-            return measured(agent, names, ports, pools, kills, chance, quick)
+            return measure(agent, names, ports, pools, kills, rng, quick)
         finally:
             agent.kill()
             store = Store(str(folder / "store"))
             token = next(body["token"] for kind, _, body in store.records() if kind == "agent")
-            for several in supervisor.find_processes(token).values():
-                for process, _ in several:
+            for processes in supervisor.find_processes(token).values():
+                for process, _ in processes:
                     process.signal(signal.SIGKILL)
 
 
-def measured(
+def measure(
     agent: Agent,
     names: list[str],
     ports: list[int],
     pools: FakeProcess,
     kills: int,
-    chance: random.Random,
+    rng: random.Random,
     quick: bool,
 ) -> int:
-    started = {"id": "up", "kind": "start", "targets": names, "batch": COUNT, "soak": 100.0}
-    ask(agent.path, {"ask": "change", **started})
-    agent.wait("up", 30.0)
-    seconds = 20.0 if quick else 75.0
-    flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
+    """Start all instances, run the rollout under load, print the figures and return the exit status."""
+    start = {"id": "up", "kind": "start", "targets": names, "batch": COUNT, "soak": START_SOAK_MS}
+    ask(agent.path, {"ask": "change", **start})
+    agent.wait_for_rollout("up", START_TIMEOUT_S)
+    seconds = QUICK_LOAD_S if quick else LOAD_S
     loads = [
-        LoadGenerator(port, flows, seconds, 1800.0, LIMIT, seed=at, connections=4)
-        for at, port in enumerate(ports)
+        LoadGenerator(
+            port,
+            TRAFFIC,
+            seconds,
+            LATENCY_OBJECTIVE_MS,
+            CLIENT_TIMEOUT_MS,
+            seed=number,
+            connections=CONNECTIONS_PER_SERVER,
+        )
+        for number, port in enumerate(ports)
     ]
-    begin = time.time() + 0.5
-    threads = [threading.Thread(target=load.run, args=(begin,)) for load in loads]
-    least, over = [COUNT], threading.Event()
+    load_starts_at_s = time.time() + LOAD_START_DELAY_S
+    threads = [threading.Thread(target=load.run, args=(load_starts_at_s,)) for load in loads]
+    min_serving, has_ended = [COUNT], threading.Event()
 
-    def floor() -> None:
-        while not over.is_set():
-            least[0] = min(
-                least[0],
-                sum(is_ready(f"127.0.0.1:{port}") for at, port in enumerate(ports) if at not in FROZEN),
+    def watch_minimum() -> None:
+        while not has_ended.is_set():
+            min_serving[0] = min(
+                min_serving[0],
+                sum(
+                    is_ready(f"127.0.0.1:{port}") for number, port in enumerate(ports) if number not in FROZEN
+                ),
             )
-            time.sleep(0.05)
+            time.sleep(MINIMUM_POLL_S)
 
     for thread in threads:
         thread.start()
-    time.sleep(1.5)
-    watcher = threading.Thread(target=floor)
+    time.sleep(ROLLOUT_START_DELAY_S)
+    watcher = threading.Thread(target=watch_minimum)
     watcher.start()
-    before = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
-    for at in FROZEN:
-        os.kill(before[names[at]]["pid"], signal.SIGSTOP)
+    before = {instance["name"]: instance for instance in ask(agent.path, {"ask": "status"})["instances"]}
+    for number in FROZEN:
+        os.kill(before[names[number]]["pid"], signal.SIGSTOP)
     roll = {
         "ask": "change",
         "id": "roll",
@@ -183,75 +234,76 @@
         "targets": names,
         "version": "v2",
         "batch": BATCH,
-        "floor": FLOOR,
-        "soak": 300.0 if quick else 5000.0,
+        "floor": MINIMUM_AVAILABLE,
+        "soak": QUICK_SOAK_MS if quick else SOAK_MS,
         "on_failure": "go_on",
     }
     ask(agent.path, roll)
-    killed = within = 0
+    killed = killed_while_running = 0
     while killed < kills:
-        time.sleep(chance.uniform(0.1, 1.0))
-        within += ask(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
+        time.sleep(rng.uniform(MIN_KILL_GAP_S, MAX_KILL_GAP_S))
+        killed_while_running += ask(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
         agent.kill()
         killed += 1
-        agent.begin()
-        ask(agent.path, roll)  # the tool's command once more: the same change
-    ended = agent.wait("roll", 60.0)
-    over.set()
+        agent.start()
+        ask(agent.path, roll)  # a repeated request with the same id
+    ended = agent.wait_for_rollout("roll", ROLLOUT_TIMEOUT_S)
+    has_ended.set()
     for thread in (*threads, watcher):
         thread.join()
-    status = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
+    status = {instance["name"]: instance for instance in ask(agent.path, {"ask": "status"})["instances"]}
     token = next(
         body["token"] for kind, _, body in Store(f"{agent.folder}/store").records() if kind == "agent"
     )
-    table = {
-        name: [process.pid for process, _ in several]
-        for name, several in supervisor.find_processes(token).items()
+    process_table = {
+        name: [process.pid for process, _ in processes]
+        for name, processes in supervisor.find_processes(token).items()
     }
-    wrong = {word for load in loads for word in load.violations}
-    times = []
-    for _ in range(30):
-        began = time.monotonic()
+    violations = {violation for load in loads for violation in load.violations}
+    response_times_s = []
+    for _ in range(STATUS_REQUESTS):
+        started_at_s = time.monotonic()
         ask(agent.path, {"ask": "status"})
-        times.append(time.monotonic() - began)
+        response_times_s.append(time.monotonic() - started_at_s)
     ran = pools.stop()["ran"]
-    allowed = {names.index(name) for name in ended["killed"]}
-    lost = sum(len(load.lost) for at, load in enumerate(loads) if at not in allowed)
-    out = {
+    killed_servers = {names.index(name) for name in ended["killed"]}
+    lost = sum(len(load.lost) for number, load in enumerate(loads) if number not in killed_servers)
+    figures = {
         "instances": COUNT,
         "agent_killed": killed,
-        "while_rolling": within,
+        "while_rolling": killed_while_running,
         "change": ended["state"],
         "why": ended["why"],
         "killed_at_stop_time": ended["killed"],
-        "known_states": sum(one["state"] == "serving" for one in status.values()),
-        "matches_process_table": table == {name: [one["pid"]] for name, one in status.items()},
-        "new_version": sum(one["version"] == "v2" for one in status.values()),
-        "least_serving": least[0],
-        "floor": FLOOR,
-        "tried": sum(tally.sent - tally.unsent for load in loads for tally in load.counts.values()),
-        "served": sum(tally.in_time + tally.late for load in loads for tally in load.counts.values()),
+        "known_states": sum(instance["state"] == "serving" for instance in status.values()),
+        "matches_process_table": process_table
+        == {name: [instance["pid"]] for name, instance in status.items()},
+        "new_version": sum(instance["version"] == "v2" for instance in status.values()),
+        "least_serving": min_serving[0],
+        "floor": MINIMUM_AVAILABLE,
+        "tried": sum(counts.sent - counts.unsent for load in loads for counts in load.counts.values()),
+        "served": sum(counts.in_time + counts.late for load in loads for counts in load.counts.values()),
         "lost": lost,
-        "lost_with_killed": sum(len(loads[at].lost) for at in allowed),
+        "lost_with_killed": sum(len(loads[number].lost) for number in killed_servers),
         "broken": sum(len(load.violations) for load in loads),
-        "what": sorted(wrong)[:4],
+        "what": sorted(violations)[:4],
         "ran_twice": sum(count > 1 for count in ran.values()),
-        "status_median_ms": round(sorted(times)[15] * 1000.0, 2),
+        "status_median_ms": round(sorted(response_times_s)[STATUS_REQUESTS // 2] * MS_PER_S, 2),
         "quick": quick,
     }
-    good = (
+    is_good = (
         ended["state"] == "finished"
-        and out["matches_process_table"]
-        and out["new_version"] == COUNT
-        and out["known_states"] == COUNT
-        and least[0] >= FLOOR
+        and figures["matches_process_table"]
+        and figures["new_version"] == COUNT
+        and figures["known_states"] == COUNT
+        and min_serving[0] >= MINIMUM_AVAILABLE
         and not lost
-        and not out["ran_twice"]
-        and not out["broken"]
-        and set(ended["killed"]) <= {names[at] for at in FROZEN}
+        and not figures["ran_twice"]
+        and not figures["broken"]
+        and set(ended["killed"]) <= {names[number] for number in FROZEN}
     )
-    print(json.dumps({"good": good, **out}))
-    return 0 if good else 1
+    print(json.dumps({"good": is_good, **figures}))
+    return 0 if is_good else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -1,20 +1,18 @@
-"""Several agents and one fleet: rolls among faults, mistakes that must be found, how fast a death is seen.
+"""Several agents of one fleet: rollouts under faults, mutations that must be detected, and failure detection.
 
 Usage: python -m benchmarks.fleets [--quick] [--schedules N] [--from SEED] [--at-once N] [--only-processes]
 
-1. Virtual time: schedules of faults over five agents of four instances; in each a roll, and nothing may
-break. 2. Mistakes planted into the decisions: each must be found.
-3. Processes: five agents, four real servers each, under load, a roll, and a generated schedule of faults
-between
-   them, with clocks that go wrong. In full 200 schedules, which takes hours on one machine one after the
-   other;
-   `--schedules` says how many, `--at-once` how many side by side.
-4. The time until all see a death, agree after a healing and one drives, with agents in processes of their
-own, and
-   messages and bytes an agent sends; the view alone at 200 and 500 in virtual time.
-
-Scaled down: one machine, all parts on loopback; in a quick run one schedule of processes, and 5 and 20
-agents.
+1. Virtual time: schedules of faults over five agents with four instances each. Each schedule has a rollout
+   and must show no violation.
+2. Mutations of the agents' decisions in virtual time: each must be detected.
+3. Processes: five agents with four servers each, under load, with a rollout, a generated schedule of link and
+   agent faults, and wrong clocks. A full run has 200 schedules, which take hours one after the other;
+   `--schedules` sets their number, `--at-once` how many run in parallel.
+4. Agent processes: the time until all detect a death, until all agree after a recovery and until an agent
+   leads, and the messages and bytes sent per agent. Detection among 200 and 500 agents in virtual time.
+
+All processes run on one machine and connect over loopback. A quick run has one schedule of processes, and 5
+and 20 agents.
 """
 
 import contextlib
@@ -29,7 +27,7 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from typing import Any
 
-from benchmarks.pools import LIMIT, settings
+from benchmarks.pools import CLIENT_TIMEOUT_MS, LATENCY_OBJECTIVE_MS, settings
 from testkit.fakes import worker_pool
 from testkit.fakes.fake_process import FakeProcess
 from testkit.fakes.load_generator import LoadGenerator, TrafficClass
@@ -42,121 +40,181 @@
 from vetchford.fleet.agent_client import UnreachableError
 from vetchford.fleet.membership import MemberState
 
-AGENTS, EACH, FLOOR = 5, 4, 12
-
-
-def schedule(seed: int) -> tuple[int, list[str], str, dict[str, int]]:
+AGENTS = 5
+INSTANCES_PER_AGENT = 4
+INSTANCES = AGENTS * INSTANCES_PER_AGENT
+MINIMUM_AVAILABLE = 12  # instances
+FIRST_VIRTUAL_SEED = 1000
+VIRTUAL_SCHEDULES, QUICK_VIRTUAL_SCHEDULES = 4000, 28
+MAX_REPORTED = 4  # violations
+POOL_CORES = 2.0
+SERVER_STOP_MS = 3200
+CONNECTIONS_PER_SERVER = 4
+LOAD_AFTER_FAULTS_S = 8.0
+LOAD_START_DELAY_S = 0.5
+ROLLOUT_START_DELAY_S = 1.0  # the load has begun
+SOAK_MS = 500.0
+REQUEST_TIMEOUT_S = 30.0
+ROLLOUT_TIMEOUT_S = 60.0
+RECOVERY_TIMEOUT_S = 30.0
+HEALTH_CHECK_TIMEOUT_S = 20.0
+MAX_ERROR_CHARACTERS = 2000
+TRAFFIC = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
+MS_PER_S = 1000.0
+
+CLUSTER_SEED = 3
+SAMPLED_AGENTS = 8
+START_TIMEOUT_S = 60.0
+TRAFFIC_PERIOD_S = 2.0  # in which messages and bytes are counted
+DETECTION_TIMEOUT_S = 90.0
+# Aims by number of agents: three periods of suspicion for each doubling, and propagation.
+MAX_DETECTION_S = {5: 20.0, 20: 30.0, 60: 40.0}
+
+SETTLE_MS = 5_000.0  # before the death of an agent
+DETECTION_TIMEOUT_MS = 120_000.0
+DETECTION_POLL_MS = 500.0
+PAUSING_AGENTS = 20
+PAUSING_SEED = 7
+LOSS_FRACTION = 0.05
+DUPLICATE_FRACTION = 0.05
+PAUSE_MS = 1000.0
+GAP_BETWEEN_PAUSES_MS = 500.0
+FALSE_ALARM_S, QUICK_FALSE_ALARM_S = 600.0, 30.0
+
+
+def play_virtual_schedule(seed: int) -> tuple[int, list[str], str, dict[str, int]]:
+    """Play a schedule; return its seed, violations, final state of the rollout and fault counts."""
     try:
         world = agents.play(seed)
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
-    span = world.find_rollout("r1")
-    return seed, world.violations(), span["state"] if span else "none", world.faults
-
-
-def virtual(count: int) -> dict[str, Any]:
-    faults: dict[str, int] = {}
-    bad, ends = [], {}
-    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as thread_pool:
-        for seed, found, end, met in thread_pool.imap_unordered(schedule, range(1000, 1000 + count)):
-            ends[end] = ends.get(end, 0) + 1
-            if found or end not in ("finished", "broken"):
-                bad.append((seed, found[:2], end))
-            for kind, times in met.items():
-                faults[kind] = faults.get(kind, 0) + times
-    return {"schedules": count, "ends": ends, "faults": faults, "wrong": bad[:4]}
-
-
-def planted() -> dict[str, int]:
-    with multiprocessing.Pool(len(MUTATIONS)) as thread_pool:
-        return dict(
-            zip(sorted(MUTATIONS), thread_pool.map(schedules_until_caught, sorted(MUTATIONS)), strict=True)
-        )
+    rollout = world.find_rollout("r1")
+    return seed, world.violations(), rollout["state"] if rollout else "none", world.faults
+
+
+def play_virtual_schedules(count: int) -> dict[str, Any]:
+    """Play this many schedules in virtual time; return final states, fault counts and failed schedules."""
+    fault_counts: dict[str, int] = {}
+    failed, final_states = [], {}
+    seeds = range(FIRST_VIRTUAL_SEED, FIRST_VIRTUAL_SEED + count)
+    with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as process_pool:
+        for seed, found, state, faults in process_pool.imap_unordered(play_virtual_schedule, seeds):
+            final_states[state] = final_states.get(state, 0) + 1
+            if found or state not in ("finished", "broken"):
+                failed.append((seed, found[:2], state))
+            for kind, times in faults.items():
+                fault_counts[kind] = fault_counts.get(kind, 0) + times
+    return {
+        "schedules": count,
+        "ends": final_states,
+        "faults": fault_counts,
+        "wrong": failed[:MAX_REPORTED],
+    }
+
+
+def detect_mutations() -> dict[str, int]:
+    """Return the number of schedules until each mutation was detected; 0 if it was not."""
+    names = sorted(MUTATIONS)
+    with multiprocessing.Pool(len(MUTATIONS)) as process_pool:
+        return dict(zip(names, process_pool.map(schedules_until_caught, names), strict=True))
 
 
 # -- processes
 
 
-def of_processes(seed: int, seconds: float, faults: int) -> dict[str, Any]:
-    """One roll of twenty real servers under load while links, agents and stores break."""
-    pools = FakeProcess(worker_pool.serve_many, AGENTS * EACH, 2.0)
-    told = settings()
-    told["familyInfo"]["below"] = "silent"
+def play_processes(seed: int, seconds: float, faults: int) -> dict[str, Any]:
+    """Run a rollout over twenty servers under load with link, agent and store faults; return the figures."""
+    pools = FakeProcess(worker_pool.serve_many, INSTANCES, POOL_CORES)
+    server_settings = settings()
+    server_settings["familyInfo"]["below"] = "silent"
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        ports = iter(pools.ports)
+        pool_ports = iter(pools.ports)
 
         def command(agent: str, instance: str, address: str) -> list[str]:
             config = folder / f"{agent}-{instance}.json"
-            if address != "{listen}":  # else the command that a roll goes to
-                given = {"name": instance, "listen": address, "pool": f"127.0.0.1:{next(ports)}"}
-                given |= {"records": "127.0.0.1:9", "members": "127.0.0.1:9", "seed": "5e", "stop_ms": 3200}
-                given |= {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128}, "settings": told}
-                config.write_text(json.dumps(given))
+            if address != "{listen}":  # the placeholder stands in the command of the next version
+                configuration = {"name": instance, "listen": address, "pool": f"127.0.0.1:{next(pool_ports)}"}
+                configuration |= {"records": "127.0.0.1:9", "members": "127.0.0.1:9", "seed": "5e"}
+                configuration |= {"stop_ms": SERVER_STOP_MS}
+                configuration |= {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128}}
+                configuration |= {"settings": server_settings}
+                config.write_text(json.dumps(configuration))
             return [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)]
 
-        with ProcessCluster(folder, AGENTS, EACH, seed, command, stop="3500ms") as rig:
-            script = FaultSchedule(rig.names, seed, seconds, faults)
-            rig.clocks = script.clocks
+        with ProcessCluster(folder, AGENTS, INSTANCES_PER_AGENT, seed, command, stop="3500ms") as rig:
+            schedule = FaultSchedule(rig.names, seed, seconds, faults)
+            rig.clocks = schedule.clocks
             rig.start()
             rig.wait_for_leader()
             rig.start_instances()
-            flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
             loads = {
                 key: LoadGenerator(
                     int(address.rpartition(":")[2]),
-                    flows,
-                    seconds + 8.0,
-                    1800.0,
-                    LIMIT,
-                    seed=at,
-                    connections=4,
+                    TRAFFIC,
+                    seconds + LOAD_AFTER_FAULTS_S,
+                    LATENCY_OBJECTIVE_MS,
+                    CLIENT_TIMEOUT_MS,
+                    seed=number,
+                    connections=CONNECTIONS_PER_SERVER,
                 )
-                for at, (key, address) in enumerate(rig.addresses.items())
+                for number, (key, address) in enumerate(rig.addresses.items())
             }
-            begin = time.time() + 0.5
-            threads = [threading.Thread(target=load.run, args=(begin,)) for load in loads.values()]
+            load_starts_at_s = time.time() + LOAD_START_DELAY_S
+            threads = [threading.Thread(target=load.run, args=(load_starts_at_s,)) for load in loads.values()]
             for thread in threads:
                 thread.start()
-            time.sleep(1.0)
-            roll = {"version": "v2", "batch": 3, "floor": FLOOR, "on_failure": "go_on", "soak": 500.0}
-            rig.request_rollout(rig.names[seed % AGENTS], "r1", "roll", **roll)
-            made = script.play(rig)
+            time.sleep(ROLLOUT_START_DELAY_S)
+            rollout = {
+                "version": "v2",
+                "batch": 3,
+                "floor": MINIMUM_AVAILABLE,
+                "on_failure": "go_on",
+                "soak": SOAK_MS,
+            }
+            rig.request_rollout(rig.names[seed % AGENTS], "r1", "roll", **rollout)
+            fault_counts = schedule.play(rig)
             ended = rig.find_rollout("r1")
-            if not ended["state"]:  # it was asked of an agent that was cut off, or died with it
+            if not ended[
+                "state"
+            ]:  # the agent that received the request was cut off, or died before it was stored
                 rig.wait_until(
-                    lambda: "refused" not in rig.request_rollout(rig.wait_for_leader(), "r1", "roll", **roll),
-                    30.0,
+                    lambda: (
+                        "refused" not in rig.request_rollout(rig.wait_for_leader(), "r1", "roll", **rollout)
+                    ),
+                    REQUEST_TIMEOUT_S,
                 )
-            ended = rig.wait_for_rollout("r1", 60.0)
+            ended = rig.wait_for_rollout("r1", ROLLOUT_TIMEOUT_S)
             for thread in threads:
                 thread.join()
             rig.wait_until(
                 lambda: rig.ask(rig.wait_for_leader(), {"ask": "all"})["unknown"] == [],
-                30.0,
-                "all seen again",
+                RECOVERY_TIMEOUT_S,
+                "no instance has an unknown state",
             )
-            # An agent that was begun anew just now still checks those that it took over.
+            # An agent that has just been restarted still checks the instances that it adopted.
             with contextlib.suppress(AssertionError):
-                rig.wait_until(lambda: up(rig) == len(rig.addresses), 20.0)
-            seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
-            table = rig.process_table()
+                rig.wait_until(lambda: count_serving(rig) == len(rig.addresses), HEALTH_CHECK_TIMEOUT_S)
+            instances = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
+            process_table = rig.process_table()
             events = rig.events()
             ran = pools.stop()["ran"]
             killed = set(ended["killed"])
             return {
                 "seed": seed,
-                "faults": made,
+                "faults": fault_counts,
                 "met_on_links": rig.links.met(),
                 "change": ended["state"],
                 "why": ended["why"],
-                "wrong": violations(events, FLOOR)[:4],
+                "wrong": violations(events, MINIMUM_AVAILABLE)[:MAX_REPORTED],
                 "drivers": sum(entry["event"] == "leader_elected" for entry in events),
                 "orders": sum(entry["event"] == "order_accepted" for entry in events),
-                "matches_process_table": all(len(table.get(key, [])) == 1 for key in rig.addresses),
-                "new_version": sum(one["version"] == "v2" for one in seen.values()),
-                "serving": sum(one["state"] == "serving" for one in seen.values()),
-                "tried": sum(t.sent - t.unsent for load in loads.values() for t in load.counts.values()),
+                "matches_process_table": all(len(process_table.get(key, [])) == 1 for key in rig.addresses),
+                "new_version": sum(instance["version"] == "v2" for instance in instances.values()),
+                "serving": sum(instance["state"] == "serving" for instance in instances.values()),
+                "tried": sum(
+                    counts.sent - counts.unsent for load in loads.values() for counts in load.counts.values()
+                ),
                 "lost": sum(len(load.lost) for key, load in loads.items() if key not in killed),
                 "lost_with_killed": sum(len(load.lost) for key, load in loads.items() if key in killed),
                 "ran_twice": sum(count > 1 for count in ran.values()),
@@ -164,168 +222,182 @@
             }
 
 
-def up(rig: ProcessCluster) -> int:
-    seen = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
-    return sum(one["state"] == "serving" for one in seen.values())
+def count_serving(rig: ProcessCluster) -> int:
+    """Return the number of instances that serve in the leader's view."""
+    instances = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
+    return sum(instance["state"] == "serving" for instance in instances.values())
 
 
-def told(seed: int, seconds: float, faults: int) -> dict[str, Any]:
-    """As `of_processes`; a schedule that could not be played to its end is told with its reason."""
+def play_processes_or_report(seed: int, seconds: float, faults: int) -> dict[str, Any]:
+    """Return the figures of `play_processes`, or the error that ended the schedule."""
     try:
-        return of_processes(seed, seconds, faults)
+        return play_processes(seed, seconds, faults)
     except Exception as problem:
-        return {"seed": seed, "broke": f"{type(problem).__name__}: {problem}"[:2000]}
-
-
-def sound(one: dict[str, Any]) -> bool:
-    return "broke" not in one and (
-        not one["wrong"]
-        and one["matches_process_table"]
-        and not one["lost"]
-        and not one["ran_twice"]
-        and not one["broken"]
-        and one["serving"] == AGENTS * EACH
-        and one["change"] == "finished"
-        and one["new_version"] == AGENTS * EACH
+        return {"seed": seed, "broke": f"{type(problem).__name__}: {problem}"[:MAX_ERROR_CHARACTERS]}
+
+
+def meets_aims(figures: dict[str, Any]) -> bool:
+    """Return whether a schedule ended without violations and with all instances on the new version."""
+    return "broke" not in figures and (
+        not figures["wrong"]
+        and figures["matches_process_table"]
+        and not figures["lost"]
+        and not figures["ran_twice"]
+        and not figures["broken"]
+        and figures["serving"] == INSTANCES
+        and figures["change"] == "finished"
+        and figures["new_version"] == INSTANCES
     )
 
 
-# -- the view and the driver, by number of agents
+# -- failure detection and election by number of agents
 
 
-def sizes(count: int) -> dict[str, Any]:
-    """Agents in processes of their own, started at once; one machine gone; then all agree again."""
+def measure_agents(count: int) -> dict[str, Any]:
+    """Start agent processes, kill one and start it again; return the times and the traffic."""
     with (
         tempfile.TemporaryDirectory() as name,
-        ProcessCluster(pathlib.Path(name), count, 1, 3, relays=False) as rig,
+        ProcessCluster(pathlib.Path(name), count, 1, CLUSTER_SEED, relays=False) as rig,
     ):
-        began = time.monotonic()
+        started_at_s = time.monotonic()
         rig.start()
-        rig.wait_for_leader(timeout_s=60.0)
-        driven = time.monotonic() - began
+        rig.wait_for_leader(timeout_s=START_TIMEOUT_S)
+        election_s = time.monotonic() - started_at_s
 
-        def views(of: str, among: list[str]) -> set[str]:
+        def views(agent: str, among: list[str]) -> set[str]:
             found = set()
             for other in among:
                 try:
-                    found |= {row["view"] for row in rig.peers(other)["peers"] if row["name"] == of}
+                    found |= {row["view"] for row in rig.peers(other)["peers"] if row["name"] == agent}
                 except UnreachableError:
                     found.add("no answer")
             return found
 
-        sampled = rig.names[:: max(1, count // 8)]
-        rig.wait_until(lambda: all(views(name, sampled) <= {"there"} for name in sampled), 60.0, "all there")
+        sampled = rig.names[:: max(1, count // SAMPLED_AGENTS)]
+        rig.wait_until(
+            lambda: all(views(name, sampled) <= {"there"} for name in sampled),
+            START_TIMEOUT_S,
+            "all agents see each other",
+        )
         before = {name: rig.peers(name) for name in sampled}
-        at = time.monotonic()
-        time.sleep(2.0)
+        counted_from_s = time.monotonic()
+        time.sleep(TRAFFIC_PERIOD_S)
         after = {name: rig.peers(name) for name in sampled}
-        passed = time.monotonic() - at
-        sent = [after[name]["bytes_sent"] - before[name]["bytes_sent"] for name in sampled]
-        messages = [after[name]["datagrams_sent"] - before[name]["datagrams_sent"] for name in sampled]
-        driver = rig.leader()
-        gone = next(name for name in reversed(rig.names) if name != driver)
-        others = [name for name in sampled if name != gone]
-        rig.kill(gone)
-        at = time.monotonic()
-        rig.wait_until(lambda: views(gone, others) == {"not seen"}, 90.0, "the death is seen")
-        seen = time.monotonic() - at
-        rig.start(gone)
-        at = time.monotonic()
-        rig.wait_until(lambda: views(gone, others) == {"there"}, 60.0, "it is seen again")
+        period_s = time.monotonic() - counted_from_s
+        bytes_sent = [after[name]["bytes_sent"] - before[name]["bytes_sent"] for name in sampled]
+        datagrams_sent = [after[name]["datagrams_sent"] - before[name]["datagrams_sent"] for name in sampled]
+        leader = rig.leader()
+        killed = next(name for name in reversed(rig.names) if name != leader)
+        others = [name for name in sampled if name != killed]
+        rig.kill(killed)
+        killed_at_s = time.monotonic()
+        rig.wait_until(
+            lambda: views(killed, others) == {"not seen"},
+            DETECTION_TIMEOUT_S,
+            f"the death of {killed} is detected",
+        )
+        detection_s = time.monotonic() - killed_at_s
+        rig.start(killed)
+        restarted_at_s = time.monotonic()
+        rig.wait_until(
+            lambda: views(killed, others) == {"there"},
+            START_TIMEOUT_S,
+            f"the restart of {killed} is detected",
+        )
         return {
-            "driven_s": round(driven, 1),
-            "death_seen_s": round(seen, 1),
-            "healed_s": round(time.monotonic() - at, 1),
-            "bytes_per_s": round(sum(sent) / len(sent) / passed),
-            "datagrams_per_s": round(sum(messages) / len(messages) / passed, 1),
+            "driven_s": round(election_s, 1),
+            "death_seen_s": round(detection_s, 1),
+            "healed_s": round(time.monotonic() - restarted_at_s, 1),
+            "bytes_per_s": round(sum(bytes_sent) / len(bytes_sent) / period_s),
+            "datagrams_per_s": round(sum(datagrams_sent) / len(datagrams_sent) / period_s, 1),
         }
 
 
-def view_alone(count: int) -> float:
-    """Seconds until all of so many see a death, in virtual time."""
-    net = Network(count, 1)
-    net.run(5_000.0)
-    net.dead.add("a001")
-    while net.views("a001") != {MemberState.UNREACHABLE} and net.now < 120_000.0:
-        net.run(net.now + 500.0)
-    return round((net.now - 5_000.0) / 1000.0, 1)
-
-
-def false_burials(seconds: float) -> int:
-    """Among 20 alive at 5 % loss, each stopped for a second now and then."""
-    net = Network(20, 7, loss=0.05, doubled=0.05)
-    while net.now < seconds * 1000.0:
-        name = f"a{net.rng.randrange(20):03}"
-        net.slow[name] = 1000.0
-        net.run(net.now + 1000.0)
-        del net.slow[name]
-        net.run(net.now + 500.0)
-    return sum(state == MemberState.UNREACHABLE for _, _, _, state in net.state_changes)
-
-
-def summed(played: list[dict[str, Any]]) -> dict[str, Any]:
-    """All schedules together, and whole those that are not sound."""
-    met: dict[str, int] = {}
-    for one in [one for one in played if "broke" not in one]:
-        met_there = {f"met {kind}": times for kind, times in one["met_on_links"].items()}
-        for kind, times in (one["faults"] | met_there).items():
-            met[kind] = met.get(kind, 0) + times
+def measure_detection(count: int) -> float:
+    """Return the seconds in virtual time until all of `count` agents have detected a death."""
+    network = Network(count, 1)
+    network.run(SETTLE_MS)
+    network.dead.add("a001")
+    while network.views("a001") != {MemberState.UNREACHABLE} and network.now < DETECTION_TIMEOUT_MS:
+        network.run(network.now + DETECTION_POLL_MS)
+    return round((network.now - SETTLE_MS) / MS_PER_S, 1)
+
+
+def count_false_alarms(seconds: float) -> int:
+    """Return how often a live agent was seen as unreachable under loss and pauses of one agent at a time."""
+    network = Network(PAUSING_AGENTS, PAUSING_SEED, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    while network.now < seconds * MS_PER_S:
+        name = f"a{network.rng.randrange(PAUSING_AGENTS):03}"
+        network.slow[name] = PAUSE_MS
+        network.run(network.now + PAUSE_MS)
+        del network.slow[name]
+        network.run(network.now + GAP_BETWEEN_PAUSES_MS)
+    return sum(state == MemberState.UNREACHABLE for _, _, _, state in network.state_changes)
+
+
+def summarize(schedules: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the sums over all schedules, and the figures of those that miss the aims."""
+    fault_counts: dict[str, int] = {}
+    for figures in [figures for figures in schedules if "broke" not in figures]:
+        counts_on_links = {f"met {kind}": times for kind, times in figures["met_on_links"].items()}
+        for kind, times in (figures["faults"] | counts_on_links).items():
+            fault_counts[kind] = fault_counts.get(kind, 0) + times
     keys = ("tried", "lost", "lost_with_killed", "ran_twice", "broken", "drivers", "orders")
     return {
-        "schedules": len(played),
-        "sound": sum(map(sound, played)),
-        "faults": met,
-        **{key: sum(one.get(key, 0) for one in played) for key in keys},
-        "unsound": [one for one in played if not sound(one)],
+        "schedules": len(schedules),
+        "sound": sum(map(meets_aims, schedules)),
+        "faults": fault_counts,
+        **{key: sum(figures.get(key, 0) for figures in schedules) for key in keys},
+        "unsound": [figures for figures in schedules if not meets_aims(figures)],
     }
 
 
-def given(option: str, default: str) -> str:
+def read_option(option: str, default: str) -> str:
+    """Return the argument that follows `option` on the command line."""
     return sys.argv[sys.argv.index(option) + 1] if option in sys.argv else default
 
 
 def main() -> int:
+    """Run the benchmark, print the figures and return the exit status."""
     quick = "--quick" in sys.argv
-    count = int(given("--schedules", "1" if quick else "200"))
-    out: dict[str, Any] = {"quick": quick}
+    count = int(read_option("--schedules", "1" if quick else "200"))
+    results: dict[str, Any] = {"quick": quick}
     if "--only-processes" not in sys.argv:
-        out["virtual"] = virtual(28 if quick else 4000)
-        print("virtual:", out["virtual"], flush=True)
-        out["planted_found_after"] = planted()
-        print("planted:", out["planted_found_after"], flush=True)
-    out["processes"] = []
-    begin = int(given("--from", "21"))
+        results["virtual"] = play_virtual_schedules(QUICK_VIRTUAL_SCHEDULES if quick else VIRTUAL_SCHEDULES)
+        print("virtual:", results["virtual"], flush=True)
+        results["planted_found_after"] = detect_mutations()
+        print("planted:", results["planted_found_after"], flush=True)
+    results["processes"] = []
+    first_seed = int(read_option("--from", "21"))
     seconds, faults = (8.0, 5) if quick else (20.0, 12)
     with ProcessPoolExecutor(
-        int(given("--at-once", "1")), multiprocessing.get_context("spawn")
-    ) as thread_pool:
-        played = [thread_pool.submit(told, seed, seconds, faults) for seed in range(begin, begin + count)]
-        for one in as_completed(played):
-            out["processes"].append(one.result())
-            print("processes:", out["processes"][-1], flush=True)
-    out["schedules_sound"] = sum(map(sound, out["processes"]))
+        int(read_option("--at-once", "1")), multiprocessing.get_context("spawn")
+    ) as process_pool:
+        schedules = [
+            process_pool.submit(play_processes_or_report, seed, seconds, faults)
+            for seed in range(first_seed, first_seed + count)
+        ]
+        for schedule in as_completed(schedules):
+            results["processes"].append(schedule.result())
+            print("processes:", results["processes"][-1], flush=True)
+    results["schedules_sound"] = sum(map(meets_aims, results["processes"]))
     if "--only-processes" in sys.argv:
-        good = out["schedules_sound"] == count
-        print(json.dumps({"good": good, **summed(out["processes"])}))
-        return 0 if good else 1
-    out["agents"] = {n: sizes(n) for n in ((5, 20) if quick else (5, 20, 60))}
-    print("agents:", out["agents"], flush=True)
-    out["view_alone_death_s"] = {n: view_alone(n) for n in ((60,) if quick else (200, 500))}
-    out["false_burials"] = false_burials(30.0 if quick else 600.0)
-    bound = {
-        5: 20.0,
-        20: 30.0,
-        60: 40.0,
-    }  # s: three periods of suspicion for each doubling, and the way there
-    good = (
-        not out["virtual"]["wrong"]
-        and all(out["planted_found_after"].values())
-        and all(map(sound, out["processes"]))
-        and all(one["death_seen_s"] <= bound[n] for n, one in out["agents"].items())
-        and not out["false_burials"]
+        is_good = results["schedules_sound"] == count
+        print(json.dumps({"good": is_good, **summarize(results["processes"])}))
+        return 0 if is_good else 1
+    results["agents"] = {n: measure_agents(n) for n in ((5, 20) if quick else (5, 20, 60))}
+    print("agents:", results["agents"], flush=True)
+    results["view_alone_death_s"] = {n: measure_detection(n) for n in ((60,) if quick else (200, 500))}
+    results["false_burials"] = count_false_alarms(QUICK_FALSE_ALARM_S if quick else FALSE_ALARM_S)
+    is_good = (
+        not results["virtual"]["wrong"]
+        and all(results["planted_found_after"].values())
+        and all(map(meets_aims, results["processes"]))
+        and all(figures["death_seen_s"] <= MAX_DETECTION_S[n] for n, figures in results["agents"].items())
+        and not results["false_burials"]
     )
-    print(json.dumps({"good": good, **out}))
-    return 0 if good else 1
+    print(json.dumps({"good": is_good, **results}))
+    return 0 if is_good else 1
 
 
 if __name__ == "__main__":
--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -144,7 +144,7 @@
         """
         self._act()
         if self.disk_full:
-            raise OSError("simulated disk is full")
+            raise OSError("full")
         if record is None:
             self.disk.pop((kind, name), None)
         else:
