--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Starts one server between fake peers, sends it a request, and prints what each side sees.
+"""Starts a server between fakes, sends a request, and prints the messages of each side.
 
 Run by `scripts/demo`. Worker pool, records service and registry are fakes of `testkit` on loopback.
 """
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Prints the request, the work that the fake worker pool got, the answer, and the server's log."""
+    """Print the request, the command to the fake worker pool, the reply, and the server's log."""
     with tempfile.TemporaryDirectory() as folder, ServerProcess(Path(folder)) as server:
         print(f"server listens on 127.0.0.1:{server.port}, process {server.process.pid}")
         client = server.balancer()
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt: the tests and commands that fail because of a fault that is not mended yet.
+"""Reads KNOWN-RED.txt: the tests and commands that fail because of a known fault.
 
 An entry is a test id or a command on a line of its own, then indented lines `command:`, `seen:` and `issue:`.
 
@@ -14,10 +14,10 @@
 
 
 class MalformedEntryError(ValueError):
-    """An entry of KNOWN-RED.txt lacks a field, or has one that is unknown."""
+    """An entry of KNOWN-RED.txt has a missing or an unknown field."""
 
     def __init__(self, entry: str, problem: str) -> None:
-        """`entry`: its first line."""
+        """Create the error for the entry that begins with the line `entry`."""
         super().__init__(f"KNOWN-RED.txt: {entry}: {problem}")
         self.entry = entry
         self.problem = problem
@@ -25,19 +25,23 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test or command that fails."""
+    """A failing test or command."""
 
     name: str
     fields: dict[str, str]
 
     @property
     def is_test(self) -> bool:
-        """Whether it is a test id, which pytest can pass over."""
+        """Whether the name is a test id, which pytest can deselect."""
         return self.name.startswith(TEST_FOLDER)
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Return the entries in their order; raise MalformedEntryError for one that is not whole."""
+    """Return the entries in their order.
+
+    Raises:
+        MalformedEntryError: an entry has a missing or an unknown field.
+    """
     entries: list[KnownRed] = []
     for line in text.splitlines():
         if not line.strip():
@@ -47,7 +51,10 @@
             continue
         field, _, value = line.strip().partition(":")
         if not entries or field not in FIELDS:
-            raise MalformedEntryError(entries[-1].name if entries else line, f"unknown field {field!r}")
+            raise MalformedEntryError(
+                entries[-1].name if entries else line,
+                f"unknown field {field!r}, expected one of {', '.join(FIELDS)}",
+            )
         entries[-1].fields[field] = value.strip()
     for entry in entries:
         missing = [field for field in FIELDS if not entry.fields.get(field)]
@@ -57,12 +64,12 @@
 
 
 def read() -> list[KnownRed]:
-    """Return the entries of the file; none where there is no file."""
+    """Return the entries of the file; an empty list if there is no file."""
     return parse(KNOWN_RED.read_text(encoding="utf-8")) if KNOWN_RED.exists() else []
 
 
 def main() -> None:
-    """Print pytest's arguments that pass over exactly the listed tests."""
+    """Print the arguments by which pytest deselects exactly the listed tests."""
     for entry in read():
         if entry.is_test:
             print(f"--deselect={entry.name}")
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files: what others see of vetchford, recorded from the code before the renames."""
+"""Golden files: the external behaviour of vetchford, recorded before its identifiers were renamed."""
--- a/tests/golden/agent_under_test.py
+++ b/tests/golden/agent_under_test.py
@@ -1,4 +1,4 @@
-"""One agent over a few fake instances, in a folder of its own; known by its settings and socket alone."""
+"""An agent process with fake instances, accessed through its settings file and its socket only."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
     "VETCHFORD_INSTANCE",
     "VETCHFORD_TOKEN",
     "VETCHFORD_VERSION",
-)  # of an instance's environment: by them an agent finds its processes again, also those of an older agent
+)  # environment variables by which an agent finds the processes of its instances after a restart
 
 
 def start_process(command: list[str], **options: Any) -> subprocess.Popen[str]:
@@ -25,9 +25,9 @@
 
 
 class AgentUnderTest:
-    """Instances n0, n1 ... that obey, or behave as `behaviours` say."""
+    """An agent with the instances n0, n1, ... of the given behaviours (see `testkit.fakes.instance`)."""
 
-    def __init__(self, folder: Path, behaviours: list[str], more: str = "") -> None:
+    def __init__(self, folder: Path, behaviours: list[str], extra_settings: str = "") -> None:
         self.folder, self.socket, self.process = folder, str(folder / "agent.sock"), None
         self.ports = [harness.free_port() for _ in behaviours]
         instances = ", ".join(
@@ -47,11 +47,11 @@
         v2: [{python}, "-S", {script}, "{{listen}}", "good"]
         bad: [{python}, "-S", {script}, "{{listen}}", "crash"]
     }}
-    {more}
+    {extra_settings}
 }}
 """)
-        # Rules: the folder, the ports of the instances and the identity of a store differ from run to run;
-        # the name of a class of the code, in the text of a TypeError, is not what others go by.
+        # The folder, the ports of the instances and the identity of a store differ between runs. A TypeError
+        # contains the name of an internal class, which is not part of the external behaviour.
         self.rules = harness.Normaliser(
             {str(folder): "DIR", **{str(port): f"<port {n}>" for n, port in enumerate(self.ports)}},
             [(r"\b[0-9a-f]{32}\b", "<identity>"), (r"\b\w+\.__init__\(\)", "<class>.__init__()")],
@@ -70,7 +70,7 @@
             stdout=subprocess.DEVNULL,
         )
         self.log = harness.LineCollector(self.process.stderr)
-        harness.wait_until(self._listens, "the agent listens")
+        harness.wait_until(self._listens, "the agent listens on its socket")
         return self
 
     def _listens(self) -> bool:
@@ -79,45 +79,47 @@
             return sock.connect_ex(self.socket) == 0
 
     def ask(self, request: Any) -> Any:
-        """One request on the agent's socket and its answer, as they are."""
+        """Send one request on the agent's socket and return the reply unchanged."""
         line = request if isinstance(request, bytes) else json.dumps(request).encode() + b"\n"
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(harness.TIMEOUT)
+            sock.settimeout(harness.TIMEOUT_S)
             sock.connect(self.socket)
             with sock.makefile("rwb") as lines:
                 lines.write(line)
                 lines.flush()
                 return json.loads(lines.readline())
 
-    def shown(self, answer: Any) -> Any:
-        """With the rules applied; keys keep their order."""
-        return self.rules.tree(answer, VOLATILE)
+    def normalise(self, reply: Any) -> Any:
+        """Return a reply without the values that differ between runs; keys keep their order."""
+        return self.rules.tree(reply, VOLATILE)
 
-    def wait_for(self, change: str, state: str) -> dict[str, Any]:
-        def reached() -> bool:
-            return self.ask({"ask": "find", "id": change}).get("state") == state
+    def wait_for(self, rollout_id: str, state: str) -> dict[str, Any]:
+        """Wait until a rollout is in a state and return its record."""
 
-        harness.wait_until(reached, f"{change} is {state}")
-        return self.ask({"ask": "find", "id": change})
+        def is_in_state() -> bool:
+            return self.ask({"ask": "find", "id": rollout_id}).get("state") == state
 
-    def tool(self, *arguments: str, soak: str = "200") -> dict[str, Any]:
-        """A command of `vetchford fleet`: status, output and error lines."""
-        ran = harness.run("fleet", "--socket", self.socket, "--soak", soak, "--patience", "25", *arguments)
+        harness.wait_until(is_in_state, f"rollout {rollout_id} is {state}")
+        return self.ask({"ask": "find", "id": rollout_id})
+
+    def run_command(self, *arguments: str, soak: str = "200") -> dict[str, Any]:
+        """Run a command of `vetchford fleet` and return its exit status, output and error lines."""
+        result = harness.run("fleet", "--socket", self.socket, "--soak", soak, "--patience", "25", *arguments)
         return {
-            "status": ran.returncode,
-            "out": self.rules.text(ran.stdout),
-            "err": self.rules.text(ran.stderr),
+            "status": result.returncode,
+            "out": self.rules.text(result.stdout),
+            "err": self.rules.text(result.stderr),
         }
 
     def instances(self) -> dict[str, dict[str, Any]]:
-        return {one["name"]: one for one in self.ask({"ask": "status"})["instances"]}
+        return {instance["name"]: instance for instance in self.ask({"ask": "status"})["instances"]}
 
     def __enter__(self) -> "AgentUnderTest":
         return self.start()
 
     def __exit__(self, *problem: object) -> None:
         try:
-            pids = [one["pid"] for one in self.instances().values() if one["pid"]]
+            pids = [instance["pid"] for instance in self.instances().values() if instance["pid"]]
         except OSError:
             pids = []
         if self.process.poll() is None:
--- a/tests/golden/fake_peers.py
+++ b/tests/golden/fakes.py
@@ -1,4 +1,4 @@
-"""Peers of one server on loopback that keep the raw bytes; they know nothing of the program's packages."""
+"""Fakes around a server process that keep the raw bytes; independent of the program's packages."""
 
 import base64
 import contextlib
@@ -54,13 +54,13 @@
 }
 
 
-class FakePeer:
-    """A listener on loopback; what `read` finds goes into a queue."""
+class FakeService:
+    """A service on loopback that the server connects to; `read` queues what it receives."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.heard: queue.Queue[tuple[Any, ...]] = queue.Queue()
+        self.received: queue.Queue[tuple[Any, ...]] = queue.Queue()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -72,20 +72,20 @@
             threading.Thread(target=self._read_all, args=(sock,), daemon=True).start()
 
     def _read_all(self, sock: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # a reset is as good as an end
+        with contextlib.suppress(OSError):  # the connection was reset
             self.read(sock, sock.makefile("rb"))
 
     def read(self, sock: socket.socket, lines: Any) -> None:
-        """To be given by each kind of peer."""
+        """Queue what the server sends on a connection."""
         raise NotImplementedError
 
-    def next(self) -> tuple[Any, ...]:
-        """The next entry; queue.Empty after the harness's time."""
-        return self.heard.get(timeout=harness.TIMEOUT)
+    def next_received(self) -> tuple[Any, ...]:
+        """Return the next entry; raise queue.Empty after `harness.TIMEOUT_S`."""
+        return self.received.get(timeout=harness.TIMEOUT_S)
 
 
-class FakeWorkerPool(FakePeer):
-    """Answers `bind` and `poll`; other lines are queued raw. Polls are kept apart: their times vary."""
+class FakeWorkerPool(FakeService):
+    """A worker pool that answers `bind` and `poll`; queues all lines except polls, whose times vary."""
 
     def __init__(self) -> None:
         self.polls: list[bytes] = []
@@ -98,45 +98,45 @@
             message = json.loads(line)
             if message["type"] == "poll":
                 self.polls.append(line)
-                self.write({"type": "polled", "ref": message["ref"], "gauges": [0.2, 0]})
+                self.send({"type": "polled", "ref": message["ref"], "gauges": [0.2, 0]})
                 continue
             if message["type"] == "bind":
                 self.sock = sock
-                self.write({"type": "bound", "state": "hot", "took": 5000})
-            self.heard.put((line,))
+                self.send({"type": "bound", "state": "hot", "took": 5000})
+            self.received.put((line,))
 
-    def write(self, message: dict[str, Any]) -> None:
+    def send(self, message: dict[str, Any]) -> None:
         assert self.sock is not None
         self.sock.sendall(json.dumps(message).encode() + b"\n")
 
     def _notify(self, kind: str, job: str, **fields: Any) -> None:
         self.notice_number += 1
-        self.write({"type": kind, "n": self.notice_number, "job": job, **fields})
+        self.send({"type": kind, "n": self.notice_number, "job": job, **fields})
 
     def finish(self, job: str, data: bytes = b"done", state: str = "complete") -> None:
-        """The notice that a run has ended."""
+        """Send the notice that a run has ended."""
         self._notify("finished", job, state=state, took=40, data=base64.b64encode(data).decode())
 
     def block(self, job: str, data: bytes = b"ask") -> None:
-        """The notice that a run waits for a call."""
+        """Send the notice that a run waits for a call."""
         self._notify("blocked", job, data=base64.b64encode(data).decode())
 
 
-class FakeRecordsService(FakePeer):
-    """Queues the raw line, the raw body with its end, and the connection."""
+class FakeRecordsService(FakeService):
+    """A records service that queues (line, body with its line end, socket), unchanged."""
 
     def read(self, sock: socket.socket, lines: Any) -> None:
         for line in lines:
             words = line.split()
             body = lines.read(int(words[3]) + 2) if words[0] == b"OP" else b""
-            self.heard.put((line, body, sock))
+            self.received.put((line, body, sock))
 
 
-class FakeBalancer:
-    """One connection to the server; replies come as raw head and raw body."""
+class RawClient:
+    """A client connection to the server that returns header and body of replies unchanged."""
 
     def __init__(self, port: int) -> None:
-        self.sock = socket.create_connection(("127.0.0.1", port), harness.TIMEOUT)
+        self.sock = socket.create_connection(("127.0.0.1", port), harness.TIMEOUT_S)
         self.file = self.sock.makefile("rb")
 
     def send_raw(self, data: bytes) -> None:
@@ -146,7 +146,7 @@
         self.send_raw(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def request(self, rpc_id: Any, method: str = "read", **fields: Any) -> None:
-        """A request that is good but for what `fields` change; None leaves a field out."""
+        """Send a valid request with some fields replaced; None omits a field."""
         params = {
             "txn": f"t{rpc_id}",
             "door": time.time() * 1000.0,
@@ -162,26 +162,26 @@
         message["params"] = {key: value for key, value in params.items() if value is not None}
         self.send_body(json.dumps(message).encode())
 
-    def reply(self) -> list[str] | None:
-        """Head and body of the next message; None at the end of the stream, also if it is reset.
+    def receive(self) -> list[str] | None:
+        """Return header and body of the next message; None once the connection is closed or reset.
 
-        Rule: the number after "later" is drawn, so it and the length of its message are replaced.
+        The number after "later" is random, so that this number and the length of its message are replaced.
         """
         try:
-            head = self.file.readline()
+            header = self.file.readline()
         except ConnectionResetError:
             return None
-        if not head:
+        if not header:
             return None
         blank = self.file.readline()
         assert blank == b"\r\n", blank
-        length = int(head.split(b":")[1])
+        length = int(header.split(b":")[1])
         body = self.file.read(length)
         assert len(body) == length
-        shown = re.sub(rb'"later":\d+', b'"later":<ms>', body)
-        if shown != body:
-            head = re.sub(rb"\d+", b"<length>", head)
-        return [(head + blank).decode("latin-1"), shown.decode("latin-1")]
+        normalised = re.sub(rb'"later":\d+', b'"later":<ms>', body)
+        if normalised != body:
+            header = re.sub(rb"\d+", b"<length>", header)
+        return [(header + blank).decode("latin-1"), normalised.decode("latin-1")]
 
     def close(self) -> None:
         self.file.close()
@@ -189,13 +189,13 @@
 
 
 class ServerUnderTest:
-    """`vetchford serve` in a process of its own between the fakes."""
+    """A `vetchford serve` process between fakes."""
 
     def __init__(self, folder: Path, *arguments: str, **settings: Any) -> None:
         self.pool, self.records = FakeWorkerPool(), FakeRecordsService()
         self.registry = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.registry.bind(("127.0.0.1", 0))
-        self.registry.settimeout(harness.TIMEOUT)
+        self.registry.settimeout(harness.TIMEOUT_S)
         config = folder / "config.json"
         config.write_text(
             json.dumps(
@@ -221,8 +221,8 @@
             text=True,
         )
         self.log = harness.LineCollector(self.process.stderr)
-        harness.wait_until(self._listens, "the server listens")
-        [self.bind_line] = self.pool.next()
+        harness.wait_until(self._listens, "the server logs its port")
+        [self.bind_line] = self.pool.next_received()
         self.first_report = self.registry.recv(64)
 
     def _listens(self) -> bool:
@@ -232,8 +232,8 @@
             self.port = int(found[1])
         return found is not None
 
-    def balancer(self) -> FakeBalancer:
-        return FakeBalancer(self.port)
+    def connect_client(self) -> RawClient:
+        return RawClient(self.port)
 
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
--- a/tests/golden/harness.py
+++ b/tests/golden/harness.py
@@ -1,7 +1,7 @@
-"""What the golden tests share: the program under test, explicit normalisation, comparison with the data.
+"""Common parts of the golden tests: running the program under test, normalisation, and comparison.
 
-`VETCHFORD_GOLDEN_ROOT` names another checkout whose program is run instead of this one's, and
-`VETCHFORD_GOLDEN_RECORD=1` writes the data instead of comparing with it; `README.md` has the commands.
+`VETCHFORD_GOLDEN_ROOT` selects another checkout whose program is run instead of this one's, and
+`VETCHFORD_GOLDEN_RECORD=1` writes the data instead of comparing with them; `README.md` has the commands.
 """
 
 import json
@@ -19,67 +19,70 @@
 HERE = Path(__file__).parent
 DATA = HERE / "data"
 CHECKOUT = HERE.parent.parent
-ROOT = Path(os.environ.get("VETCHFORD_GOLDEN_ROOT") or CHECKOUT)  # whose program runs
+ROOT = Path(os.environ.get("VETCHFORD_GOLDEN_ROOT") or CHECKOUT)  # checkout of the program under test
 RECORDING = os.environ.get("VETCHFORD_GOLDEN_RECORD") == "1"
-TIMEOUT = 30.0  # seconds; only a program that does nothing runs into it
-FAKE_INSTANCE = CHECKOUT / "testkit" / "fakes" / "instance.py"  # run by path: it needs no package
+TIMEOUT_S = 30.0  # reached only if the program under test does nothing
+POLL_INTERVAL_S = 0.02
+FAKE_INSTANCE = CHECKOUT / "testkit" / "fakes" / "instance.py"  # run by its path, as it imports no package
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listens on."""
+    """Return a loopback port on which no process listens."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return sock.getsockname()[1]
 
 
 def environment(**extra: str) -> dict[str, str]:
-    """Ours, without what the program would read, and with a terminal of a fixed width."""
-    kept = {key: value for key, value in os.environ.items() if not key.startswith(("ROUTER_", "VETCHFORD_"))}
-    return {**kept, "COLUMNS": "120", "TZ": "UTC", "PYTHONWARNINGS": "ignore", **extra}
+    """Return the environment without variables that the program reads, and with a fixed terminal width."""
+    inherited = {
+        key: value for key, value in os.environ.items() if not key.startswith(("ROUTER_", "VETCHFORD_"))
+    }
+    return {**inherited, "COLUMNS": "120", "TZ": "UTC", "PYTHONWARNINGS": "ignore", **extra}
 
 
 def command(*arguments: str) -> list[str]:
-    """The command line of the program under test; to be run in `ROOT`."""
+    """Return the command line of the program under test, to be run in `ROOT`."""
     return [sys.executable, "-m", "vetchford", *arguments]
 
 
 def run(*arguments: str, **extra: str) -> subprocess.CompletedProcess[str]:
-    """One command of the program, from its start to its end."""
+    """Run a command of the program to its end."""
     return subprocess.run(
         command(*arguments),
         cwd=ROOT,
         env=environment(**extra),
         capture_output=True,
         text=True,
-        timeout=TIMEOUT,
+        timeout=TIMEOUT_S,
     )
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Returns once it holds; AssertionError after TIMEOUT."""
-    deadline = time.monotonic() + TIMEOUT
+    """Wait until `condition()` is true; raise AssertionError after `TIMEOUT_S`."""
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, f"not within {TIMEOUT} s: {what}"
-        time.sleep(0.02)
+        assert time.monotonic() < deadline, f"not within {TIMEOUT_S} s: {what}"
+        time.sleep(POLL_INTERVAL_S)
 
 
 class Normaliser:
-    """Replaces what differs from run to run, by rules that are all listed here and at its making."""
+    """Replaces text that differs between runs by fixed text."""
 
     def __init__(self, literal: Mapping[str, str], patterns: Sequence[tuple[str, str]] = ()) -> None:
-        """`literal`: texts such as a folder or a port and what stands for each; `patterns`: regular ones."""
+        """Set the replacements: of literal texts such as a folder or a port, then of regular expressions."""
         self.literal = sorted(literal.items(), key=lambda pair: -len(pair[0]))
-        self.patterns = [(re.compile(pattern), shown) for pattern, shown in patterns]
+        self.patterns = [(re.compile(pattern), replacement) for pattern, replacement in patterns]
 
     def text(self, value: str) -> str:
-        """The text with each rule applied, literal ones first."""
-        for found, shown in self.literal:
-            value = value.replace(found, shown)
-        for pattern, shown in self.patterns:
-            value = pattern.sub(shown, value)
+        """Return a text with all replacements made."""
+        for literal, replacement in self.literal:
+            value = value.replace(literal, replacement)
+        for pattern, replacement in self.patterns:
+            value = pattern.sub(replacement, value)
         return value
 
     def tree(self, value: Any, volatile: frozenset[str] = frozenset()) -> Any:
-        """Of plain data; numbers under keys of `volatile` become "<number>"."""
+        """Return plain data with all replacements made, and "<number>" for numbers under `volatile` keys."""
         if isinstance(value, dict):
             return {
                 self.text(key): "<number>"
@@ -93,7 +96,7 @@
 
 
 def compare(name: str, actual: Any) -> None:
-    """With `data/NAME.json`; on a difference the first keys that differ are shown."""
+    """Compare with `data/NAME.json`, key by key, so that a failure names the first key that differs."""
     path = DATA / f"{name}.json"
     if RECORDING:
         path.write_text(json.dumps(actual, indent=1, ensure_ascii=True) + "\n", encoding="utf-8")
@@ -108,7 +111,7 @@
 
 
 class LineCollector:
-    """Reads a process's output in a thread of its own, so that it never blocks on a full pipe."""
+    """Collects the output lines of a process in a thread, so that the process never blocks on a full pipe."""
 
     def __init__(self, stream: Any) -> None:
         self.lines: list[str] = []
@@ -120,5 +123,5 @@
             self.lines.append(line)
 
     def find(self, pattern: str) -> re.Match[str] | None:
-        """The first line that has it."""
+        """Return the first match of a pattern in the lines."""
         return next((found for line in list(self.lines) if (found := re.search(pattern, line))), None)
--- a/tests/golden/record_store.py
+++ b/tests/golden/record_store.py
@@ -1,7 +1,7 @@
-"""Writes data/store.sql by the agent of VETCHFORD_GOLDEN_ROOT, killed in the middle of a roll.
+"""Records data/store.sql: the store of the agent of VETCHFORD_GOLDEN_ROOT, killed during a rollout.
 
-Rules: the clock of the day in the history becomes 1000 and one more an entry, the agent's token "golden"; the
-checksum of the token's record is made anew, as it is a plain CRC-32 of its text.
+The times in the history are replaced by 1001, 1002, ..., the agent's token by "golden", and the checksum of
+the token's record, a CRC-32 of its text, is computed again.
 """
 
 import json
@@ -16,6 +16,7 @@
 
 
 def main() -> int:
+    """Record the store and return the exit status."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         with AgentUnderTest(folder, ["good", "good", "good"]) as agent:
@@ -35,16 +36,16 @@
             agent.process.kill()
             agent.process.wait()
             print(agent.rules.tree(agent.log.lines[-1]), file=sys.stderr)
-        base = sqlite3.connect(folder / "store")
+        database = sqlite3.connect(folder / "store")
         text = json.dumps({"token": "golden"}, sort_keys=True)
-        base.execute(
+        database.execute(
             "UPDATE newest SET body = ?, sum = ? WHERE kind = 'agent'", (text, zlib.crc32(text.encode()))
         )
-        base.execute("UPDATE history SET body = ? WHERE kind = 'agent'", (text,))
-        base.execute("UPDATE history SET at = 1000 + rowid")
-        base.commit()
-        DUMP.write_text("\n".join(base.iterdump()) + "\n", encoding="utf-8")
-        base.close()
+        database.execute("UPDATE history SET body = ? WHERE kind = 'agent'", (text,))
+        database.execute("UPDATE history SET at = 1000 + rowid")
+        database.commit()
+        DUMP.write_text("\n".join(database.iterdump()) + "\n", encoding="utf-8")
+        database.close()
     return 0
 
 
--- a/tests/golden/test_codecs.py
+++ b/tests/golden/test_codecs.py
@@ -1,4 +1,4 @@
-"""Fixed messages through the codecs: bytes that are written, and what bytes are read as."""
+"""Guards the encoded bytes and the decoding of fixed messages."""
 
 from golden import codecs, harness
 
@@ -73,7 +73,7 @@
     return data.decode("latin-1")
 
 
-def test_what_is_written():
+def test_encoded_messages_are_unchanged():
     rejected = {
         f"{give_up} {wait}": text(codecs.rpc_rejected(7, give_up, wait))
         for give_up in (False, True)
@@ -96,21 +96,21 @@
     )
 
 
-def test_frames_are_read_back_and_spoilt_ones_are_refused_by_their_word():
+def test_frames_decode_to_their_fields_and_malformed_frames_are_refused():
     encoded = {name: codecs.frame_encoded(fields) for name, fields in FRAMES.items()}
     for name, fields in FRAMES.items():
         assert codecs.frame_decoded(encoded[name]) == fields, name
-    whole = b"".join(encoded.values())
-    pieces = [whole[at : at + 7] for at in range(0, len(whole), 7)]
+    stream = b"".join(encoded.values())
+    pieces = [stream[at : at + 7] for at in range(0, len(stream), 7)]
     assert codecs.frames_of_stream(pieces) == list(FRAMES.values())
-    good = encoded["beat"]
-    spoilt = {
-        "short": good[:10],
-        "cut": good[:-1],
-        "longer": good + b"x",
-        "another beginning": b"xx" + good[2:],
-        "another version": good[:2] + b"\2" + good[3:],
-        "too long": good[:4] + b"\x7f\0\0\0" + good[8:],
-        "a bit": good[:-1] + bytes([good[-1] ^ 1]),
+    valid = encoded["beat"]
+    malformed = {
+        "short": valid[:10],
+        "cut": valid[:-1],
+        "longer": valid + b"x",
+        "another beginning": b"xx" + valid[2:],
+        "another version": valid[:2] + b"\2" + valid[3:],
+        "too long": valid[:4] + b"\x7f\0\0\0" + valid[8:],
+        "a bit": valid[:-1] + bytes([valid[-1] ^ 1]),
     }
-    harness.compare("frames_spoilt", {name: codecs.frame_decoded(data) for name, data in spoilt.items()})
+    harness.compare("frames_spoilt", {name: codecs.frame_decoded(data) for name, data in malformed.items()})
--- a/tests/golden/test_commands.py
+++ b/tests/golden/test_commands.py
@@ -1,4 +1,4 @@
-"""Output, error lines and exit status of each command, and the settings that were understood."""
+"""Output, error lines and exit status of each command, and the settings read."""
 
 import json
 from concurrent.futures import ThreadPoolExecutor
@@ -6,9 +6,9 @@
 import pytest
 
 from golden import harness
-from golden.fake_peers import SETTINGS
+from golden.fakes import SETTINGS
 
-AT_ONCE = 4  # commands that run beside each other
+PARALLEL_COMMANDS = 4
 
 PLATFORM = {
     "name": "n1",
@@ -245,17 +245,17 @@
 }
 
 
-def record(folder, *arguments):
-    """Rule: the folder of the test reads DIR."""
-    ran = harness.run(*(word.replace("DIR", str(folder)) for word in arguments))
+def run_command(folder, *arguments):
+    """Run a command and return its results, with DIR in place of the folder of the test."""
+    result = harness.run(*(word.replace("DIR", str(folder)) for word in arguments))
     rules = harness.Normaliser({str(folder): "DIR"})
-    return {"status": ran.returncode, "out": rules.text(ran.stdout), "err": rules.text(ran.stderr)}
+    return {"status": result.returncode, "out": rules.text(result.stdout), "err": rules.text(result.stderr)}
 
 
-def record_all(folder, commands):
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        found = pool.map(lambda arguments: record(folder, *arguments), commands.values())
-        return dict(zip(commands, found, strict=True))
+def run_commands(folder, commands):
+    with ThreadPoolExecutor(PARALLEL_COMMANDS) as pool:
+        results = pool.map(lambda arguments: run_command(folder, *arguments), commands.values())
+        return dict(zip(commands, results, strict=True))
 
 
 @pytest.fixture
@@ -279,7 +279,7 @@
 
 
 def test_usage_help_and_results(folder):
-    harness.compare("commands", record_all(folder, USAGES))
+    harness.compare("commands", run_commands(folder, USAGES))
 
 
 def test_each_kind_of_wrong_settings(tmp_path):
@@ -287,7 +287,7 @@
     for number, (name, text) in enumerate(WRONG_SETTINGS.items()):
         (tmp_path / f"{number}.vet").write_text(text, encoding="utf-8")
         commands[name] = ("check", "--with", f"DIR/{number}.vet")
-    harness.compare("wrong_settings", record_all(tmp_path, commands))
+    harness.compare("wrong_settings", run_commands(tmp_path, commands))
 
 
 def test_each_kind_of_wrong_platform_file(tmp_path):
@@ -295,4 +295,4 @@
     for number, (name, changed) in enumerate(WRONG_PLATFORM.items()):
         (tmp_path / f"{number}.json").write_text(json.dumps({**PLATFORM, **changed}), encoding="utf-8")
         commands[name] = ("check", "--config", f"DIR/{number}.json")
-    harness.compare("wrong_platform", record_all(tmp_path, commands))
+    harness.compare("wrong_platform", run_commands(tmp_path, commands))
--- a/tests/golden/test_peer_messages.py
+++ b/tests/golden/test_peer_messages.py
@@ -1,6 +1,6 @@
-"""Frames, greetings and messages between our own processes, as a fake peer on loopback hears and says them.
+"""Guards the frames and messages between agents and between servers, as a fake peer receives and sends them.
 
-The fake takes frames apart with `struct`, msgspec and xxhash alone: it shares nothing with the program.
+The fakes encode and decode frames with `struct`, msgspec and xxhash and share no code with the program.
 """
 
 import re
@@ -14,64 +14,64 @@
 
 from golden import harness
 from golden.agent_under_test import AgentUnderTest
-from golden.fake_peers import ServerUnderTest
+from golden.fakes import ServerUnderTest
 
-HEAD = struct.Struct(">2sBBIQ")
-DRAWN = ("number", "life", "fence")
-MOST_FIXED = 100_000  # numbers above it are incarnations or hold a time of the day
-LONG = re.compile(r"[0-9a-f]{32}")
+FRAME_HEADER = struct.Struct(">2sBBIQ")
+VARIABLE_KEYS = ("number", "life", "fence")
+MAX_FIXED_NUMBER = 100_000  # larger numbers are incarnations or contain a time of day
+IDENTITY = re.compile(r"[0-9a-f]{32}")
 
 
-def frame(sender, sequence, kind, body):
+def encode_frame(sender, sequence, kind, body):
     data = msgspec.msgpack.encode(["pay", sender, 1, 77, sequence, kind, body])
-    return HEAD.pack(b"vf", 1, 0, len(data), xxhash.xxh3_64_intdigest(data)) + data
+    return FRAME_HEADER.pack(b"vf", 1, 0, len(data), xxhash.xxh3_64_intdigest(data)) + data
 
 
-def opened(data):
-    magic, version, reserved, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size : HEAD.size + length]
+def decode_frame(data):
+    magic, version, reserved, length, checksum = FRAME_HEADER.unpack_from(data)
+    body = data[FRAME_HEADER.size : FRAME_HEADER.size + length]
     assert xxhash.xxh3_64_intdigest(body) == checksum
     return [magic.decode(), version, reserved], msgspec.msgpack.decode(body)
 
 
-def shown(message, key=""):
-    """Rules: identities, revisions, and numbers that are drawn, counted or of the time are replaced."""
+def normalise(message, key=""):
+    """Return a message with identities, revisions, and random, counted or time-dependent numbers replaced."""
     if isinstance(message, dict):
-        return {name: shown(inner, name) for name, inner in message.items()}
+        return {name: normalise(inner, name) for name, inner in message.items()}
     if key in ("at", "force") and message[1]:
         return [message[0], "<revision>"]
     if isinstance(message, list):
-        return [shown(inner) for inner in message]
+        return [normalise(inner) for inner in message]
     if isinstance(message, str):
-        return LONG.sub("<identity>", message)
+        return IDENTITY.sub("<identity>", message)
     number = isinstance(message, int) and not isinstance(message, bool)
-    return "<number>" if number and (key in DRAWN or message > MOST_FIXED) else message
+    return "<number>" if number and (key in VARIABLE_KEYS or message > MAX_FIXED_NUMBER) else message
 
 
-def envelope(head, message):
-    """Rule: life, nonce and sequence of the sender are replaced."""
+def normalise_envelope(header, message):
+    """Return the header and the fields of a frame with life, nonce and sequence replaced."""
     fleet, sender, life, nonce, sequence, kind, body = message
     assert life > 0 and nonce >= 0 and sequence > 0
-    return [*head, fleet, sender, "<life>", "<nonce>", "<sequence>", kind, shown(body)]
+    return [*header, fleet, sender, "<life>", "<nonce>", "<sequence>", kind, normalise(body)]
 
 
-def without_news(said):
-    """Rule: what rides on a datagram of a membership view, and its number, depend on when it is sent."""
-    body = said[-1]
-    assert all(len(piece) == 3 for piece in body[-1])
-    return [*said[:-1], [*body[:-3], "<number>", body[-2], [["<name>", "<state>", "<incarnation>"]]]]
+def normalise_membership(fields):
+    """Return a membership datagram with its number and its updates replaced, which depend on timing."""
+    body = fields[-1]
+    assert all(len(update) == 3 for update in body[-1])
+    return [*fields[:-1], [*body[:-3], "<number>", body[-2], [["<name>", "<state>", "<incarnation>"]]]]
 
 
 class FakeAgent:
-    """Agent b of three: answers a's greeting, votes for it, holds what it writes; keeps the first of each."""
+    """Agent b of three, which votes for a and stores its record; keeps the first message of each kind."""
 
     def __init__(self, port, candidate=False):
         self.candidate, self.sock = candidate, None
         self.listener = socket.create_server(("127.0.0.1", port))
         self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.datagrams.bind(("127.0.0.1", port))
-        self.datagrams.settimeout(harness.TIMEOUT)
-        self.first, self.sequence, self.lock = {}, 0, threading.Lock()
+        self.datagrams.settimeout(harness.TIMEOUT_S)
+        self.first_by_name, self.sequence, self.lock = {}, 0, threading.Lock()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
@@ -83,18 +83,18 @@
         except OSError:
             pass
 
-    def say(self, sock, kind, body):
+    def send(self, sock, kind, body):
         self.sock = sock
         self.sequence += 1
-        sock.sendall(frame("b", self.sequence, kind, body))
+        sock.sendall(encode_frame("b", self.sequence, kind, body))
 
     def read(self, sock, stream):
         try:
-            while head := stream.read(HEAD.size):
-                parts, message = opened(head + stream.read(HEAD.unpack(head)[3]))
+            while head := stream.read(FRAME_HEADER.size):
+                header, message = decode_frame(head + stream.read(FRAME_HEADER.unpack(head)[3]))
                 kind, body = message[5:]
                 name = f"book: {body['do']}" if kind == "book" else kind
-                self.first.setdefault(name, envelope(parts, message))
+                self.first_by_name.setdefault(name, normalise_envelope(header, message))
                 self.answer(sock, kind, body)
         except OSError:
             pass
@@ -102,11 +102,11 @@
     def answer(self, sock, kind, body):
         store = {"store": "b" * 32}
         if kind == "hello":
-            self.say(sock, "hello", {"to": "a", "knows": [0, 0]})
+            self.send(sock, "hello", {"to": "a", "knows": [0, 0]})
         elif self.candidate:
-            return  # says only what the test has it say
+            return  # the test sends the messages
         elif kind == "look":
-            self.say(
+            self.send(
                 sock,
                 "seen",
                 {
@@ -119,38 +119,42 @@
         elif kind == "book":
             do = body["do"]
             if do == "would":
-                self.say(sock, "book", {"do": "answer", "yes": True, "promised": 0, **store})
+                self.send(sock, "book", {"do": "answer", "yes": True, "promised": 0, **store})
             elif do == "promise":
                 held = {"at": [0, 0], "body": {}}
-                self.say(sock, "book", {"do": "promised", "term": body["term"], **held, **store})
+                self.send(sock, "book", {"do": "promised", "term": body["term"], **held, **store})
             elif do in ("beat", "hold"):
-                self.say(sock, "book", {"do": "held", "term": body["term"], "at": body["at"], **store})
+                self.send(sock, "book", {"do": "held", "term": body["term"], "at": body["at"], **store})
 
-    def datagram(self, kind):
-        """The first of a kind."""
+    def receive_datagram(self, kind):
+        """Return the next datagram of a kind."""
         while True:
-            head, message = opened(self.datagrams.recv(2000))
+            header, message = decode_frame(self.datagrams.recv(2000))
             if message[6][0] == kind:
-                return without_news(envelope(head, message))
+                return normalise_membership(normalise_envelope(header, message))
 
     def close(self):
         self.listener.close()
         self.datagrams.close()
 
 
-def test_an_agent_greets_is_chosen_and_polls(tmp_path):
+def test_messages_of_an_agent_that_becomes_leader(tmp_path):
     ports = {name: harness.free_port() for name in "abc"}
     fake = FakeAgent(ports["b"])
     agents = ", ".join(f'{name}: "127.0.0.1:{port}"' for name, port in ports.items())
-    more = f'peers: {{fleet: "pay", name: "a", listen: "127.0.0.1:{ports["a"]}", agents: {{{agents}}}}}'
+    extra_settings = (
+        f'peers: {{fleet: "pay", name: "a", listen: "127.0.0.1:{ports["a"]}", agents: {{{agents}}}}}'
+    )
     wanted = {"hello", "book: would", "book: promise", "book: hold", "book: beat", "look", "beat"}
     try:
-        with AgentUnderTest(tmp_path, ["good"], more) as agent:
-            first = fake.datagram("ping")
-            harness.wait_until(lambda: wanted <= set(fake.first), f"{wanted} of {set(fake.first)}")
+        with AgentUnderTest(tmp_path, ["good"], extra_settings) as agent:
+            first = fake.receive_datagram("ping")
+            harness.wait_until(
+                lambda: wanted <= set(fake.first_by_name), f"{wanted} of {set(fake.first_by_name)}"
+            )
             harness.wait_until(
                 lambda: agent.ask({"ask": "across", "request": {"ask": "peers"}})["book"]["role"] == "drives",
-                "it drives",
+                "the agent leads",
             )
             answers = {
                 request: sorted(agent.ask({"ask": "across", "request": {"ask": request}}))
@@ -161,12 +165,12 @@
             harness.compare(
                 "peer_agent",
                 {
-                    "streams": {name: fake.first[name] for name in sorted(wanted)},
+                    "streams": {name: fake.first_by_name[name] for name in sorted(wanted)},
                     "datagram": first,
                     "keys of answers": answers,
                     "find, unknown": refused,
                     "record": {
-                        key: shown(value)
+                        key: normalise(value)
                         for key, value in peers["book"].items()
                         if key not in ("at", "voters")
                     },
@@ -176,12 +180,14 @@
         fake.close()
 
 
-def test_an_agent_follows_and_obeys(tmp_path):
-    """The other part: b stands, writes and orders; what a answers to each of its messages."""
+def test_replies_of_an_agent_that_follows_a_leader(tmp_path):
+    """Agent b stands for election, writes the record and sends an order; a's reply to each is compared."""
     ports = {name: harness.free_port() for name in "abc"}
     fake = FakeAgent(ports["b"], candidate=True)
     agents = ", ".join(f'{name}: "127.0.0.1:{port}"' for name, port in ports.items())
-    more = f'peers: {{fleet: "pay", name: "a", listen: "127.0.0.1:{ports["a"]}", agents: {{{agents}}}}}'
+    extra_settings = (
+        f'peers: {{fleet: "pay", name: "a", listen: "127.0.0.1:{ports["a"]}", agents: {{{agents}}}}}'
+    )
     store, empty = {"store": "b" * 32}, {"log": [], "spans": {}}
     body = {"members": {"a": 0, "b": 0, "c": 0}, "voters": {"a": "", "b": "", "c": ""}, **empty}
     act = {"span": "s", "id": "s/1", "kind": "start", "name": "n0", "version": "", "soak": 100.0}
@@ -196,44 +202,50 @@
     ]
     seen = []
     try:
-        with AgentUnderTest(tmp_path, ["good"], more) as agent:
-            harness.wait_until(lambda: "hello" in fake.first and fake.sock, "its greeting")
-            for expected, kind, said in script:
+        with AgentUnderTest(tmp_path, ["good"], extra_settings) as agent:
+            harness.wait_until(lambda: "hello" in fake.first_by_name and fake.sock, "the agent greets")
+            for expected, kind, sent in script:
                 names = [expected, f"book: {expected}"]
                 for name in names:
-                    fake.first.pop(name, None)
-                fake.say(fake.sock, kind, said)
-                harness.wait_until(lambda names=names: any(name in fake.first for name in names), expected)
-                answer = next(fake.first[name] for name in names if name in fake.first)
-                seen.append({"to": shown([kind, said]), "answer": agent.rules.tree(answer)})
+                    fake.first_by_name.pop(name, None)
+                fake.send(fake.sock, kind, sent)
+                harness.wait_until(
+                    lambda names=names: any(name in fake.first_by_name for name in names), expected
+                )
+                answer = next(fake.first_by_name[name] for name in names if name in fake.first_by_name)
+                seen.append({"to": normalise([kind, sent]), "answer": agent.rules.tree(answer)})
             order = {"number": 1, "term": 129, "revision": 1, "act": act}
-            fake.say(fake.sock, "order", order)
-            harness.wait_until(lambda: agent.instances()["n0"]["state"] == "serving", "the order is obeyed")
-            seen.append({"to": ["order", order], "change": agent.shown(agent.wait_for("s/1", "finished"))})
+            fake.send(fake.sock, "order", order)
+            harness.wait_until(
+                lambda: agent.instances()["n0"]["state"] == "serving", "the ordered instance serves"
+            )
+            seen.append(
+                {"to": ["order", order], "change": agent.normalise(agent.wait_for("s/1", "finished"))}
+            )
         harness.compare("peer_agent_follows", seen)
     finally:
         fake.close()
 
 
 class FakeServer:
-    """Server s2 of three, by datagrams alone: votes for whoever asks; keeps the first of each kind."""
+    """Server s2 of three, which votes for each candidate; keeps the first datagram of each kind."""
 
     def __init__(self, port, to):
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", port))
         self.sock.settimeout(0.5)
-        self.to, self.sequence, self.first, self.voted = ("127.0.0.1", to), 0, {}, ""
+        self.to, self.sequence, self.first_by_name, self.voted = ("127.0.0.1", to), 0, {}, ""
 
-    def say(self, body):
+    def send(self, body):
         self.sequence += 1
-        self.sock.sendto(frame("s2", self.sequence, "news", body), self.to)
+        self.sock.sendto(encode_frame("s2", self.sequence, "news", body), self.to)
 
-    def listen(self, wanted):
-        """Until each of `wanted` was heard; answers on the way."""
-        deadline = time.monotonic() + harness.TIMEOUT
-        while not wanted <= set(self.first) and time.monotonic() < deadline:
+    def receive_until(self, wanted):
+        """Receive and answer datagrams until each name in `wanted` was received."""
+        deadline = time.monotonic() + harness.TIMEOUT_S
+        while not wanted <= set(self.first_by_name) and time.monotonic() < deadline:
             try:
-                head, message = opened(self.sock.recv(2000))
+                header, message = decode_frame(self.sock.recv(2000))
             except TimeoutError:
                 continue
             kind, *rest = message[6]
@@ -244,25 +256,25 @@
                 if kind == "view"
                 else kind
             )
-            said = envelope(head, message)
-            if kind == "rows":  # rule: of a row the name and how many figures it has
-                said[-1] = ["rows", [[row[0], len(row), len(row[4])] for row in rest[0]]]
+            fields = normalise_envelope(header, message)
+            if kind == "rows":  # the figures vary: only their number is compared
+                fields[-1] = ["rows", [[row[0], len(row), len(row[4])] for row in rest[0]]]
             if kind == "view":
-                said = without_news(said)
-            self.first.setdefault(name, said)
+                fields = normalise_membership(fields)
+            self.first_by_name.setdefault(name, fields)
             if kind == "view" and rest[0] == "ping":
-                self.say(["view", "ack", rest[1], "s2", []])
+                self.send(["view", "ack", rest[1], "s2", []])
             if name == "turn: vote":
                 self.voted = rest[0]["term"]
-                self.say(["turn", {"do": "voted", "term": self.voted, "number": rest[0]["number"]}])
+                self.send(["turn", {"do": "voted", "term": self.voted, "number": rest[0]["number"]}])
             if name == "turn: leads":
                 want = {"turn": "probe", "life": 1, "wish": 1, "zone": "all", "number": 1, "do": "want"}
-                self.say(["turn", want])
-        assert wanted <= set(self.first), set(self.first)
+                self.send(["turn", want])
+        assert wanted <= set(self.first_by_name), set(self.first_by_name)
 
 
-def together(folder, ports, name):
-    servers = ", ".join(f'{one}: "127.0.0.1:{port}"' for one, port in ports.items())
+def write_fleet_settings(folder, ports, name):
+    servers = ", ".join(f'{server}: "127.0.0.1:{port}"' for server, port in ports.items())
     path = folder / "together.vet"
     path.write_text(
         f'version: 1\ntogether: {{fleet: "pay", name: "{name}", listen: "127.0.0.1:{ports[name]}", '
@@ -271,13 +283,13 @@
     return str(path)
 
 
-def test_a_server_tells_its_load_and_stands_for_the_leases(tmp_path):
+def test_messages_of_a_server_that_gossips_and_stands_for_lease_leader(tmp_path):
     ports = {name: harness.free_port() for name in ("s1", "s2", "s3")}
     fake = FakeServer(ports["s2"], ports["s1"])
     wanted = {"view: ping", "rows", "turn: vote", "turn: leads", "turn: wait"}
     try:
-        with ServerUnderTest(tmp_path, "--with", together(tmp_path, ports, "s1")):
-            fake.listen(wanted)
-            harness.compare("peer_server", {name: fake.first[name] for name in sorted(wanted)})
+        with ServerUnderTest(tmp_path, "--with", write_fleet_settings(tmp_path, ports, "s1")):
+            fake.receive_until(wanted)
+            harness.compare("peer_server", {name: fake.first_by_name[name] for name in sorted(wanted)})
     finally:
         fake.sock.close()
--- a/tests/golden/test_server_bytes.py
+++ b/tests/golden/test_server_bytes.py
@@ -1,4 +1,4 @@
-"""Each protocol of a server process, byte for byte, between fake peers on loopback."""
+"""Guards the bytes that a server sends to clients, worker pool, records service and registry."""
 
 import base64
 import json
@@ -9,7 +9,7 @@
 import pytest
 
 from golden import harness
-from golden.fake_peers import ServerUnderTest
+from golden.fakes import ServerUnderTest
 
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
@@ -20,113 +20,113 @@
         yield running
 
 
-def shown(data):
-    """Bytes as text. Rule: the milliseconds in `OP id wait length`, what is left of a limit, are replaced."""
+def normalise(data):
+    """Return bytes as text, with the remaining time in `OP id wait length` replaced."""
     return re.sub(r"^(OP \S+) \d+ (\d+\r\n)$", r"\1 <ms> \2", data.decode("latin-1"))
 
 
-def test_lines_of_the_worker_pool_and_the_records_service_and_replies(server):
-    seen = {"bind": shown(server.bind_line), "heartbeat": shown(server.first_report)}
-    client = server.balancer()
+def test_messages_to_the_worker_pool_the_records_service_and_the_client(server):
+    seen = {"bind": normalise(server.bind_line), "heartbeat": normalise(server.first_report)}
+    client = server.connect_client()
 
     client.request(1, content=base64.b64encode(bytes(range(256))).decode())
-    [seen["spawn"]] = map(shown, server.pool.next())
+    [seen["spawn"]] = map(normalise, server.pool.next_received())
     server.pool.finish("t1", b"\xff\0result")
-    seen["result"] = client.reply()
+    seen["result"] = client.receive()
 
     client.request(2, txn="call")
-    server.pool.next()
+    server.pool.next_received()
     server.pool.block("call", b"\r\nask\0")
-    line, body, sock = server.records.next()
-    seen["call"] = [shown(line), shown(body)]
+    line, body, sock = server.records.next_received()
+    seen["call"] = [normalise(line), normalise(body)]
     sock.sendall(b"call DONE 6\r\n\r\nyes\0\r\n")
-    [seen["supply"]] = map(shown, server.pool.next())
+    [seen["supply"]] = map(normalise, server.pool.next_received())
     server.pool.finish("call")
-    seen["result after a call"] = client.reply()
+    seen["result after a call"] = client.receive()
 
     for state in ("error", "cancelled", "unknown"):
         client.request(3, txn=f"end{state}")
-        server.pool.next()
+        server.pool.next_received()
         server.pool.finish(f"end{state}", state=state)
-        seen[f"run ended: {state}"] = client.reply()
+        seen[f"run ended: {state}"] = client.receive()
 
     harness.wait_until(lambda: bool(server.pool.polls), "a poll")
-    seen["poll"] = re.sub(r'"\d+-\d+"', '"<number>-<number>"', shown(server.pool.polls[0]))
+    seen["poll"] = re.sub(r'"\d+-\d+"', '"<number>-<number>"', normalise(server.pool.polls[0]))
     client.close()
     harness.compare("server_peers", seen)
 
 
 def begin_call(server, method, **fields):
-    """A request whose run waits for a call: its client, and the call's connection."""
-    client = server.balancer()
+    """Send a request whose run waits for a call; return its client and the call's socket."""
+    client = server.connect_client()
     client.request(1, method, txn="job", **fields)
-    server.pool.next()
+    server.pool.next_received()
     server.pool.block("job")
-    _, _, sock = server.records.next()
+    _, _, sock = server.records.next_received()
     return client, sock
 
 
 def test_calls_that_do_not_succeed(tmp_path):
-    """Each on a server of its own, as one learns from the calls before."""
+    """Each call has a server of its own, as a server learns from earlier calls."""
     seen = {}
     for word in (b"WAIT", b"EMPTY", b"ERROR", b"PAST"):
         with ServerUnderTest(tmp_path) as server:
             client, sock = begin_call(server, "read")
             sock.sendall(b"job %b\r\n" % word)
-            [line] = server.pool.next()
+            [line] = server.pool.next_received()
             server.pool.finish("job")
-            seen[f"{word.decode()}, goes on without"] = [shown(line), client.reply()]
+            seen[f"{word.decode()}, goes on without"] = [normalise(line), client.receive()]
     with ServerUnderTest(tmp_path) as server:
         client, sock = begin_call(server, "pay", unique=KEY)
         sock.sendall(b"job WAIT\r\n")
-        line, body, sock = server.records.next()
+        line, body, sock = server.records.next_received()
         sock.sendall(b"job DONE 2\r\nok\r\n")
-        [supplied] = server.pool.next()
+        [supplied] = server.pool.next_received()
         server.pool.finish("job")
-        seen["WAIT, called again"] = [shown(line), shown(body), shown(supplied), client.reply()]
+        seen["WAIT, called again"] = [normalise(line), normalise(body), normalise(supplied), client.receive()]
     with ServerUnderTest(tmp_path) as server:
         client, sock = begin_call(server, "pay", unique=KEY)
         sock.sendall(b"job ERROR\r\n")
-        seen["ERROR, failed"] = client.reply()
+        seen["ERROR, failed"] = client.receive()
     with ServerUnderTest(tmp_path) as server:
         client, _ = begin_call(server, "read")
-        line, _, _ = server.records.next()
-        [passed] = server.pool.next()
+        line, _, _ = server.records.next_received()
+        [passed] = server.pool.next_received()
         server.pool.finish("job")
-        seen["no reply"] = [shown(line), shown(passed), client.reply()]
+        seen["no reply"] = [normalise(line), normalise(passed), client.receive()]
     harness.compare("server_calls", seen)
 
 
 def test_repeats_of_a_keyed_request_get_one_result_of_one_run(server):
-    seen, one, two = {}, server.balancer(), server.balancer()
-    one.request(1, "pay", txn="a1", unique=KEY)
-    [seen["spawn"]] = map(shown, server.pool.next())
-    two.request(2, "pay", txn="a2", unique=KEY)
-    two.send_body(b'{"jsonrpc":"2.0","id":9,"method":"check"}')  # read behind the repeat
-    seen["check behind it"] = two.reply()
+    seen, first_client, second_client = {}, server.connect_client(), server.connect_client()
+    first_client.request(1, "pay", txn="a1", unique=KEY)
+    [seen["spawn"]] = map(normalise, server.pool.next_received())
+    second_client.request(2, "pay", txn="a2", unique=KEY)
+    second_client.send_body(b'{"jsonrpc":"2.0","id":9,"method":"check"}')  # received after the repeat
+    seen["check behind it"] = second_client.receive()
     server.pool.finish("a1", b"paid")
-    seen["first"], seen["repeat while it runs"] = one.reply(), two.reply()
-    two.request(3, "pay", txn="a4", unique=KEY)
-    seen["repeat after it"] = two.reply()
-    one.close()
-    two.close()
+    seen["first"], seen["repeat while it runs"] = first_client.receive(), second_client.receive()
+    second_client.request(3, "pay", txn="a4", unique=KEY)
+    seen["repeat after it"] = second_client.receive()
+    first_client.close()
+    second_client.close()
     with pytest.raises(queue.Empty):
-        server.pool.heard.get_nowait()
+        server.pool.received.get_nowait()
     harness.compare("server_repeats", seen)
 
 
-def test_refusals(server):
-    """Requests that are wrong or too late, each on a connection of its own."""
+def test_rejected_requests(server):
+    """Malformed and late requests, each on a connection of its own."""
     seen = {}
 
     def reply_to(send):
-        client = server.balancer()
+        client = server.connect_client()
         send(client)
-        reply = client.reply()
+        reply = client.receive()
         client.close()
         return reply
 
-    good = {"txn": "x1", "door": 1.0, "ram": 10.0, "content": "Ym9keQ=="}
+    valid = {"txn": "x1", "door": 1.0, "ram": 10.0, "content": "Ym9keQ=="}
     bodies = {
         "check": b'{"jsonrpc":"2.0","id":1,"method":"check"}',
         "check, string id": b'{"jsonrpc":"2.0","id":"a\\u00e9\\"","method":"check","params":{"x":1}}',
@@ -149,11 +149,11 @@
         "id too long": b'{"jsonrpc":"2.0","id":"%b","method":"check"}' % (b"x" * 65),
         "params a list": b'{"jsonrpc":"2.0","id":4,"method":"read","params":[]}',
         "params missing": b'{"jsonrpc":"2.0","id":4,"method":"read"}',
-        "door long ago": json.dumps({"jsonrpc": "2.0", "id": 4, "method": "read", "params": good}).encode(),
+        "door long ago": json.dumps({"jsonrpc": "2.0", "id": 4, "method": "read", "params": valid}).encode(),
     }
     for name, body in bodies.items():
         seen[name] = reply_to(lambda client, body=body: client.send_body(body))
-    wrong = {
+    malformed_values = {
         "txn": (None, "", "a b", "x" * 65, "\u00e9", 7),
         "door": (None, "now", True, 1e13),
         "standing": ("1", 2, -0.5),
@@ -165,30 +165,30 @@
         "ram": (None, 0, 2000.5),
         "unique": ("", "x" * 129, 3),
     }
-    for field, values in wrong.items():
+    for field, values in malformed_values.items():
         for value in values:
-            given = {field: value}
+            fields = {field: value}
             seen[f"{field}: {str(value)[:20]}"] = reply_to(
-                lambda client, given=given: client.request(6, **given)
+                lambda client, fields=fields: client.request(6, **fields)
             )
     seen["almost out of time"] = reply_to(lambda client: client.request(7, txn="late", limit=10))
-    old = {"unique": "b" * 32, "door": time.time() * 1000.0 - 70_000.0}
-    seen["older than its deadline"] = reply_to(lambda client: client.request(8, "pay", txn="old", **old))
+    expired = {"unique": "b" * 32, "door": time.time() * 1000.0 - 70_000.0}
+    seen["older than its deadline"] = reply_to(lambda client: client.request(8, "pay", txn="old", **expired))
     harness.compare("server_refusals", seen)
 
 
 def test_a_connection_with_many_bad_messages_is_closed(server):
-    client = server.balancer()
+    client = server.connect_client()
     for _ in range(12):
         client.send_body(b"{")
     replies = []
-    while (reply := client.reply()) is not None:
+    while (reply := client.receive()) is not None:
         replies.append(reply)
     client.close()
     harness.compare("server_flood", replies)
 
 
-def test_streams_that_cannot_be_followed_are_closed(server):
+def test_malformed_streams_are_closed(server):
     seen = {}
     for name, data in {
         "no length": b"Content-Type: x\r\n\r\n",
@@ -198,58 +198,58 @@
         "body too long": b"Content-Length: 8193\r\n\r\n",
         "head too long": b"X: " + b"y" * 1100,
     }.items():
-        client = server.balancer()
+        client = server.connect_client()
         client.send_raw(data)
-        seen[name] = client.reply()
+        seen[name] = client.receive()
         client.close()
-    client = server.balancer()
+    client = server.connect_client()
     client.send_raw(b"content-LENGTH :  41 \r\nX: y\r\n\r\n" + b'{"jsonrpc":"2.0","id":1,"method":"check"}')
-    seen["a head that is odd and good"] = client.reply()
+    seen["a head that is odd and good"] = client.receive()
     client.close()
     harness.compare("server_streams", seen)
 
 
-def test_what_is_refused_under_overload(tmp_path):
-    """How each kind of refusal reads, without who gets which; and what is over the limit of a connection."""
+def test_rejections_under_overload(tmp_path):
+    """Guards the text of each kind of rejection, and the reply beyond the limit of a connection."""
     with ServerUnderTest(tmp_path) as server:
-        client = server.balancer()
+        client = server.connect_client()
         for number in range(30):
             client.request(number, txn=f"o{number}", cpu=4000.0, limit=1200)
-        replies = [client.reply() for _ in range(30)]
+        replies = [client.receive() for _ in range(30)]
         client.close()
         kinds = {json.dumps([head, re.sub(r'"id":\d+', '"id":<id>', body)]) for head, body in replies}
-        full = server.balancer()
+        full_client = server.connect_client()
         for number in range(66):
-            full.request(number + 100, txn=f"f{number}", cpu=10.0, limit=40_000)
+            full_client.request(number + 100, txn=f"f{number}", cpu=10.0, limit=40_000)
         seen = {
             "kinds": sorted({re.sub(r"Length: \d+", "Length: <length>", kind) for kind in kinds}),
-            "over the limit of a connection": [full.reply(), full.reply()],
+            "over the limit of a connection": [full_client.receive(), full_client.receive()],
         }
-        full.close()
+        full_client.close()
         harness.compare("server_overload", seen)
 
 
-def test_the_end_of_a_server(tmp_path):
-    """Notice to each connection, the last heartbeat, the work that is finished first, the exit status."""
+def test_shutdown_of_a_server(tmp_path):
+    """Guards the notification to clients, the last report, the results of running requests, and the exit."""
     seen = {}
     with ServerUnderTest(tmp_path) as server:
-        seen["heartbeats"] = [shown(server.first_report)]
-        idle, busy = server.balancer(), server.balancer()
-        busy.request(1, txn="last")
-        server.pool.next()
-        idle.send_body(b'{"jsonrpc":"2.0","id":5,"method":"check"}')
-        seen["check before"] = idle.reply()
+        seen["heartbeats"] = [normalise(server.first_report)]
+        idle_client, busy_client = server.connect_client(), server.connect_client()
+        busy_client.request(1, txn="last")
+        server.pool.next_received()
+        idle_client.send_body(b'{"jsonrpc":"2.0","id":5,"method":"check"}')
+        seen["check before"] = idle_client.receive()
         server.terminate()
-        until = time.monotonic() + harness.TIMEOUT
-        while time.monotonic() < until and seen["heartbeats"][-1].endswith("UP"):
-            report = shown(server.registry.recv(64))
+        deadline = time.monotonic() + harness.TIMEOUT_S
+        while time.monotonic() < deadline and seen["heartbeats"][-1].endswith("UP"):
+            report = normalise(server.registry.recv(64))
             if report != seen["heartbeats"][-1]:
                 seen["heartbeats"].append(report)
-        seen["to an idle one"] = idle.reply()
-        seen["its end"] = idle.reply()
-        seen["to a busy one"] = busy.reply()
+        seen["to an idle one"] = idle_client.receive()
+        seen["its end"] = idle_client.receive()
+        seen["to a busy one"] = busy_client.receive()
         server.pool.finish("last", b"done")
-        seen["its result"] = busy.reply()
-        seen["its end too"] = busy.reply()
-        seen["exit status"] = server.process.wait(harness.TIMEOUT)
+        seen["its result"] = busy_client.receive()
+        seen["its end too"] = busy_client.receive()
+        seen["exit status"] = server.process.wait(harness.TIMEOUT_S)
     harness.compare("server_shutdown", seen)
--- a/tests/golden/test_store.py
+++ b/tests/golden/test_store.py
@@ -1,4 +1,4 @@
-"""A store that the code before the renames wrote, with a roll half done in it, is gone on from."""
+"""Guards that an agent completes a rollout found in a store of an older version."""
 
 import json
 import os
@@ -16,21 +16,23 @@
 )
 
 DUMP = harness.DATA / "store.sql"
-VERSIONS = ("v2", "1", "1")  # that run as the new agent starts: the roll of r1 had done the first
+VERSIONS = ("v2", "1", "1")  # of the running instances: rollout r1 has replaced the first one
 
 
 def load_store(path, token):
-    """The dump as a store. Its token is made anew: two runs at once would take each other's processes."""
+    """Create a store from the dump, with a new token, as parallel runs would adopt each other's processes."""
     text = json.dumps({"token": token}, sort_keys=True)
-    base = sqlite3.connect(path)
-    base.executescript(DUMP.read_text(encoding="utf-8"))
+    database = sqlite3.connect(path)
+    database.executescript(DUMP.read_text(encoding="utf-8"))
     replaced = (text, zlib.crc32(text.encode()))
-    assert base.execute("UPDATE newest SET body = ?, sum = ? WHERE kind = 'agent'", replaced).rowcount == 1
-    base.commit()
-    base.close()
+    assert (
+        database.execute("UPDATE newest SET body = ?, sum = ? WHERE kind = 'agent'", replaced).rowcount == 1
+    )
+    database.commit()
+    database.close()
 
 
-def test_the_roll_in_an_old_store_is_carried_to_its_end(tmp_path):
+def test_a_rollout_in_an_old_store_is_completed(tmp_path):
     token = uuid.uuid4().hex
     load_store(tmp_path / "store", token)
     agent = AgentUnderTest(tmp_path, ["good", "good", "good"])
@@ -45,19 +47,19 @@
     try:
         with agent:
             before = agent.instances()
-            assert {name: one["pid"] for name, one in before.items()} == {
+            assert {name: instance["pid"] for name, instance in before.items()} == {
                 f"n{n}": process.pid for n, process in enumerate(running)
             }
             end = agent.wait_for("r1", "finished")
             after = agent.instances()
-            assert after["n0"]["pid"] == before["n0"]["pid"]  # it had been rolled already
-            assert {one["version"] for one in after.values()} == {"v2"}
+            assert after["n0"]["pid"] == before["n0"]["pid"]  # had the new version already
+            assert {instance["version"] for instance in after.values()} == {"v2"}
             old = [entry["name"] for entry in agent.ask({"ask": "history", "most": 1000})["history"]]
             harness.compare(
                 "store_end",
                 {
-                    "roll": agent.shown(end),
-                    "status": agent.shown(agent.ask({"ask": "status"})),
+                    "roll": agent.normalise(end),
+                    "status": agent.normalise(agent.ask({"ask": "status"})),
                     "names in the history": sorted(set(old)),
                 },
             )
--- a/tests/testkit/test_fake_worker_pool.py
+++ b/tests/testkit/test_fake_worker_pool.py
@@ -1,4 +1,4 @@
-"""The stand-in worker pool keeps the protocol's rules for links and numbers of notices."""
+"""Guards that the fake worker pool follows the protocol for links and notice numbers."""
 
 import base64
 import json
@@ -12,20 +12,22 @@
 
 
 class Link:
-    def __init__(self, workers, last_read):
-        self.sock = socket.create_connection(workers.listener.getsockname(), WAIT_TIMEOUT_S)
+    """A link of a server to the worker pool."""
+
+    def __init__(self, pool, last_read_number):
+        self.sock = socket.create_connection(pool.listener.getsockname(), WAIT_TIMEOUT_S)
         self.lines = self.sock.makefile("rb")
-        self.say({"type": "bind", "n": last_read})
-        assert self.hear()["type"] == "bound"
+        self.send({"type": "bind", "n": last_read_number})
+        assert self.receive()["type"] == "bound"
 
-    def say(self, message):
+    def send(self, message):
         self.sock.sendall(json.dumps(message).encode() + b"\n")
 
     def spawn(self, job, key, work=1.0, calls=0):
         data = base64.b64encode(f"{key} {work} {calls}".encode()).decode()
-        self.say({"type": "spawn", "job": job, "kind": "read", "data": data})
+        self.send({"type": "spawn", "job": job, "kind": "read", "data": data})
 
-    def hear(self):
+    def receive(self):
         return json.loads(self.lines.readline())
 
     def close(self):
@@ -34,47 +36,47 @@
 
 
 @pytest.fixture
-def workers():
+def pool():
     return FakeWorkerPool(2.0, StepSchedule([(0.0, 0.0)]))
 
 
-def test_notices_are_numbered_from_1_again_for_a_server_that_starts_anew(workers):
-    first = Link(workers, 0)
+def test_notice_numbers_start_again_from_1_for_a_restarted_server(pool):
+    first = Link(pool, 0)
     first.spawn("a", "one")
-    assert first.hear()["n"] == 1
+    assert first.receive()["n"] == 1
     first.spawn("b", "two")
-    assert first.hear()["n"] == 2
+    assert first.receive()["n"] == 2
     first.close()
-    second = Link(workers, 0)
+    second = Link(pool, 0)
     second.spawn("c", "three")
-    notice = second.hear()
+    notice = second.receive()
     assert (notice["n"], notice["job"]) == (1, "c")
 
 
-def test_a_new_link_of_the_same_server_is_told_what_the_last_one_lost(workers):
-    first = Link(workers, 0)
+def test_a_new_link_of_the_same_server_gets_the_notices_that_the_last_link_lost(pool):
+    first = Link(pool, 0)
     first.spawn("a", "one")
-    assert first.hear()["n"] == 1
+    assert first.receive()["n"] == 1
     first.spawn("b", "two", 300.0)
-    first.spawn("b", "two", 300.0)  # runs already: nothing happens
-    first.say({"type": "poll", "ref": "read"})  # the pool has read all before it
-    assert first.hear()["ref"] == "read"
+    first.spawn("b", "two", 300.0)  # repeated command: has no effect
+    first.send({"type": "poll", "ref": "read"})  # its reply shows that the pool has read all earlier commands
+    assert first.receive()["ref"] == "read"
     first.close()
-    second = Link(workers, 1)
-    notice = second.hear()
+    second = Link(pool, 1)
+    notice = second.receive()
     assert (notice["n"], notice["job"]) == (2, "b")
-    assert workers.ran == {"one": 1, "two": 1}
+    assert pool.ran == {"one": 1, "two": 1}
 
 
-def test_runs_of_a_server_that_is_gone_tell_the_next_one_nothing(workers):
-    first = Link(workers, 0)
+def test_runs_of_a_previous_server_send_no_notice_to_the_next_server(pool):
+    first = Link(pool, 0)
     first.spawn("a", "one")
-    assert first.hear()["n"] == 1
+    assert first.receive()["n"] == 1
     first.spawn("old", "two", 150.0)
-    first.say({"type": "poll", "ref": "read"})
-    assert first.hear()["ref"] == "read"
+    first.send({"type": "poll", "ref": "read"})
+    assert first.receive()["ref"] == "read"
     first.close()
-    second = Link(workers, 0)
-    second.spawn("new", "three", 300.0)  # longer than the old run had left
-    notice = second.hear()
+    second = Link(pool, 0)
+    second.spawn("new", "three", 300.0)  # longer than the remaining time of the old run
+    notice = second.receive()
     assert (notice["n"], notice["job"]) == (1, "new")
