--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -73,12 +73,12 @@
 SETTLE_MS = 5_000.0  # before the death of an agent
 DETECTION_TIMEOUT_MS = 120_000.0
 DETECTION_POLL_MS = 500.0
-PAUSING_AGENTS = 20
-PAUSING_SEED = 7
+FALSE_ALARM_AGENTS = 20
+FALSE_ALARM_SEED = 7
 LOSS_FRACTION = 0.05
 DUPLICATE_FRACTION = 0.05
-PAUSE_MS = 1000.0
-GAP_BETWEEN_PAUSES_MS = 500.0
+DELAY_MS = 1000.0
+GAP_BETWEEN_DELAYS_MS = 500.0
 FALSE_ALARM_S, QUICK_FALSE_ALARM_S = 600.0, 30.0
 
 
@@ -142,12 +142,12 @@
                 config.write_text(json.dumps(configuration))
             return [sys.executable, "-O", "-m", "vetchford", "serve", "--config", str(config)]
 
-        with ProcessCluster(folder, AGENTS, INSTANCES_PER_AGENT, seed, command, stop="3500ms") as rig:
-            schedule = FaultSchedule(rig.names, seed, seconds, faults)
-            rig.clocks = schedule.clocks
-            rig.start()
-            rig.wait_for_leader()
-            rig.start_instances()
+        with ProcessCluster(folder, AGENTS, INSTANCES_PER_AGENT, seed, command, stop="3500ms") as cluster:
+            schedule = FaultSchedule(cluster.names, seed, seconds, faults)
+            cluster.clocks = schedule.clocks
+            cluster.start()
+            cluster.wait_for_leader()
+            cluster.start_instances()
             loads = {
                 key: LoadGenerator(
                     int(address.rpartition(":")[2]),
@@ -158,7 +158,7 @@
                     seed=number,
                     connections=CONNECTIONS_PER_SERVER,
                 )
-                for number, (key, address) in enumerate(rig.addresses.items())
+                for number, (key, address) in enumerate(cluster.addresses.items())
             }
             load_starts_at_s = time.time() + LOAD_START_DELAY_S
             threads = [threading.Thread(target=load.run, args=(load_starts_at_s,)) for load in loads.values()]
@@ -172,44 +172,49 @@
                 "on_failure": "go_on",
                 "soak": SOAK_MS,
             }
-            rig.request_rollout(rig.names[seed % AGENTS], "r1", "roll", **rollout)
-            fault_counts = schedule.play(rig)
-            ended = rig.find_rollout("r1")
+            cluster.request_rollout(cluster.names[seed % AGENTS], "r1", "roll", **rollout)
+            fault_counts = schedule.play(cluster)
+            ended = cluster.find_rollout("r1")
             if not ended[
                 "state"
             ]:  # the agent that received the request was cut off, or died before it was stored
-                rig.wait_until(
+                cluster.wait_until(
                     lambda: (
-                        "refused" not in rig.request_rollout(rig.wait_for_leader(), "r1", "roll", **rollout)
+                        "refused"
+                        not in cluster.request_rollout(cluster.wait_for_leader(), "r1", "roll", **rollout)
                     ),
                     REQUEST_TIMEOUT_S,
                 )
-            ended = rig.wait_for_rollout("r1", ROLLOUT_TIMEOUT_S)
+            ended = cluster.wait_for_rollout("r1", ROLLOUT_TIMEOUT_S)
             for thread in threads:
                 thread.join()
-            rig.wait_until(
-                lambda: rig.ask(rig.wait_for_leader(), {"ask": "all"})["unknown"] == [],
+            cluster.wait_until(
+                lambda: cluster.ask(cluster.wait_for_leader(), {"ask": "all"})["unknown"] == [],
                 RECOVERY_TIMEOUT_S,
                 "no instance has an unknown state",
             )
             # An agent that has just been restarted still checks the instances that it adopted.
             with contextlib.suppress(AssertionError):
-                rig.wait_until(lambda: count_serving(rig) == len(rig.addresses), HEALTH_CHECK_TIMEOUT_S)
-            instances = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
-            process_table = rig.process_table()
-            events = rig.events()
+                cluster.wait_until(
+                    lambda: count_serving(cluster) == len(cluster.addresses), HEALTH_CHECK_TIMEOUT_S
+                )
+            instances = cluster.ask(cluster.wait_for_leader(), {"ask": "all"})["instances"]
+            process_table = cluster.process_table()
+            events = cluster.events()
             ran = pools.stop()["ran"]
             killed = set(ended["killed"])
             return {
                 "seed": seed,
                 "faults": fault_counts,
-                "met_on_links": rig.links.met(),
+                "met_on_links": cluster.links.met(),
                 "change": ended["state"],
                 "why": ended["why"],
                 "wrong": violations(events, MINIMUM_AVAILABLE)[:MAX_REPORTED],
                 "drivers": sum(entry["event"] == "leader_elected" for entry in events),
                 "orders": sum(entry["event"] == "order_accepted" for entry in events),
-                "matches_process_table": all(len(process_table.get(key, [])) == 1 for key in rig.addresses),
+                "matches_process_table": all(
+                    len(process_table.get(key, [])) == 1 for key in cluster.addresses
+                ),
                 "new_version": sum(instance["version"] == "v2" for instance in instances.values()),
                 "serving": sum(instance["state"] == "serving" for instance in instances.values()),
                 "tried": sum(
@@ -222,9 +227,9 @@
             }
 
 
-def count_serving(rig: ProcessCluster) -> int:
+def count_serving(cluster: ProcessCluster) -> int:
     """Return the number of instances that serve in the leader's view."""
-    instances = rig.ask(rig.wait_for_leader(), {"ask": "all"})["instances"]
+    instances = cluster.ask(cluster.wait_for_leader(), {"ask": "all"})["instances"]
     return sum(instance["state"] == "serving" for instance in instances.values())
 
 
@@ -257,49 +262,49 @@
     """Start agent processes, kill one and start it again; return the times and the traffic."""
     with (
         tempfile.TemporaryDirectory() as name,
-        ProcessCluster(pathlib.Path(name), count, 1, CLUSTER_SEED, relays=False) as rig,
+        ProcessCluster(pathlib.Path(name), count, 1, CLUSTER_SEED, relays=False) as cluster,
     ):
         started_at_s = time.monotonic()
-        rig.start()
-        rig.wait_for_leader(timeout_s=START_TIMEOUT_S)
+        cluster.start()
+        cluster.wait_for_leader(timeout_s=START_TIMEOUT_S)
         election_s = time.monotonic() - started_at_s
 
         def views(agent: str, among: list[str]) -> set[str]:
             found = set()
             for other in among:
                 try:
-                    found |= {row["view"] for row in rig.peers(other)["peers"] if row["name"] == agent}
+                    found |= {row["view"] for row in cluster.peers(other)["peers"] if row["name"] == agent}
                 except UnreachableError:
                     found.add("no answer")
             return found
 
-        sampled = rig.names[:: max(1, count // SAMPLED_AGENTS)]
-        rig.wait_until(
+        sampled = cluster.names[:: max(1, count // SAMPLED_AGENTS)]
+        cluster.wait_until(
             lambda: all(views(name, sampled) <= {"there"} for name in sampled),
             START_TIMEOUT_S,
             "all agents see each other",
         )
-        before = {name: rig.peers(name) for name in sampled}
+        before = {name: cluster.peers(name) for name in sampled}
         counted_from_s = time.monotonic()
         time.sleep(TRAFFIC_PERIOD_S)
-        after = {name: rig.peers(name) for name in sampled}
+        after = {name: cluster.peers(name) for name in sampled}
         period_s = time.monotonic() - counted_from_s
         bytes_sent = [after[name]["bytes_sent"] - before[name]["bytes_sent"] for name in sampled]
         datagrams_sent = [after[name]["datagrams_sent"] - before[name]["datagrams_sent"] for name in sampled]
-        leader = rig.leader()
-        killed = next(name for name in reversed(rig.names) if name != leader)
+        leader = cluster.leader()
+        killed = next(name for name in reversed(cluster.names) if name != leader)
         others = [name for name in sampled if name != killed]
-        rig.kill(killed)
+        cluster.kill(killed)
         killed_at_s = time.monotonic()
-        rig.wait_until(
+        cluster.wait_until(
             lambda: views(killed, others) == {"not seen"},
             DETECTION_TIMEOUT_S,
             f"the death of {killed} is detected",
         )
         detection_s = time.monotonic() - killed_at_s
-        rig.start(killed)
+        cluster.start(killed)
         restarted_at_s = time.monotonic()
-        rig.wait_until(
+        cluster.wait_until(
             lambda: views(killed, others) == {"there"},
             START_TIMEOUT_S,
             f"the restart of {killed} is detected",
@@ -324,14 +329,14 @@
 
 
 def count_false_alarms(seconds: float) -> int:
-    """Return how often a live agent was seen as unreachable under loss and pauses of one agent at a time."""
-    network = Network(PAUSING_AGENTS, PAUSING_SEED, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    """Return how often a live agent was seen as unreachable under loss and delays of one agent at a time."""
+    network = Network(FALSE_ALARM_AGENTS, FALSE_ALARM_SEED, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
     while network.now < seconds * MS_PER_S:
-        name = f"a{network.rng.randrange(PAUSING_AGENTS):03}"
-        network.slow[name] = PAUSE_MS
-        network.run(network.now + PAUSE_MS)
+        name = f"a{network.rng.randrange(FALSE_ALARM_AGENTS):03}"
+        network.slow[name] = DELAY_MS
+        network.run(network.now + DELAY_MS)
         del network.slow[name]
-        network.run(network.now + GAP_BETWEEN_PAUSES_MS)
+        network.run(network.now + GAP_BETWEEN_DELAYS_MS)
     return sum(state == MemberState.UNREACHABLE for _, _, _, state in network.state_changes)
 
 
