--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -230,7 +230,7 @@
 
 def test_connections_that_are_no_peers_are_refused_and_counted_and_delay_nobody(rig):
     name = rig.leader()
-    listen = rig.links.links[next(other for other in rig.names if other != name), name].to
+    listen = rig.links.links[next(other for other in rig.names if other != name), name].target_address
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"vf\x09" + b"\0" * 40, b"vf\x01\0\xff\xff\xff\xff" + b"\0" * 8):
         with socket.create_connection(listen) as sock:
             sock.sendall(data)
@@ -326,7 +326,7 @@
     home, port = tmp_path / "twin", free_ports(60)[-1]
     home.mkdir()
     text = (rig.folder / name / "fleet.vet").read_text().replace(str(rig.folder / name), str(home))
-    listen = rig.links.links[driver, name].to
+    listen = rig.links.links[driver, name].target_address
     text = text.replace(f"{listen[0]}:{listen[1]}", f"127.0.0.1:{port}")
     (home / "fleet.vet").write_text(text)
     command = [sys.executable, "-m", "vetchford", "agent", "--with", str(home / "fleet.vet")]
