--- a/testkit/fakes/peers.py
+++ b/testkit/fakes/peers.py
@@ -67,7 +67,7 @@
         yield from lines
 
 
-class Peer:
+class ScriptedService:
     """A fake service that the server connects to; queues what it reads as tuples that begin with the kind."""
 
     def __init__(self, up: bool = True) -> None:
@@ -114,7 +114,7 @@
         return not [entry for entry in entries if entry[0] in kinds]
 
 
-class WorkerPoolPeer(Peer):
+class ScriptedWorkerPool(ScriptedService):
     """A worker pool that answers `bind` and `poll` by itself and whose runs the test ends.
 
     Notices are kept, and those that the server has not read are sent again on its next connection.
@@ -181,7 +181,7 @@
         self.sock.shutdown(socket.SHUT_RDWR)
 
 
-class RecordsPeer(Peer):
+class ScriptedRecordsService(ScriptedService):
     """A records service that queues ("OP", id, body, socket) for a call, ("UNOP", id, socket) for its end."""
 
     def read(self, sock: socket.socket, lines: BinaryIO) -> None:
--- a/testkit/fakes/server_process.py
+++ b/testkit/fakes/server_process.py
@@ -17,8 +17,8 @@
     SETTINGS,
     WAIT_TIMEOUT_S,
     Balancer,
-    RecordsPeer,
-    WorkerPoolPeer,
+    ScriptedRecordsService,
+    ScriptedWorkerPool,
     registry_socket,
 )
 
@@ -66,8 +66,8 @@
             settings: platform settings that replace the default ones.
         """
         self.options = options
-        self.pool = WorkerPoolPeer(options.cold, options.up)
-        self.records = RecordsPeer(options.records_up)
+        self.pool = ScriptedWorkerPool(options.cold, options.up)
+        self.records = ScriptedRecordsService(options.records_up)
         self.members = registry_socket()
         self.config = folder / "config.json"
         self.settings = settings
@@ -127,11 +127,11 @@
         }
         self.config.write_text(json.dumps(configuration))
 
-    def move_peers(self) -> tuple[WorkerPoolPeer, RecordsPeer, socket.socket]:
+    def move_peers(self) -> tuple[ScriptedWorkerPool, ScriptedRecordsService, socket.socket]:
         """Reload with new fakes at other addresses and return the old fakes; the pool's runs continue."""
         old = self.pool, self.records, self.members
-        self.pool = WorkerPoolPeer()
-        self.records = RecordsPeer()
+        self.pool = ScriptedWorkerPool()
+        self.records = ScriptedRecordsService()
         self.members = registry_socket()
         self.pool.notices = old[0].notices
         self.pool.last_number = old[0].last_number
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from testkit.fakes.peers import WAIT_TIMEOUT_S, RecordsPeer
+from testkit.fakes.peers import WAIT_TIMEOUT_S, ScriptedRecordsService
 from testkit.faults.checkpoints import SHORT, Checkpoint, HeldLock, PostedEvents, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.runtime.metrics import Metrics
@@ -17,7 +17,7 @@
 
 def test_a_connection_cancelled_as_its_call_ends_is_not_reused():
     """The reply to a call arrives between the look-up of its connection in `cancel_call` and the cancel."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     deadline_unix_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, deadline_unix_ms, b"ask", False)
@@ -44,7 +44,7 @@
 
 def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
     """The end of one call dispatches the next waiting call, which is cancelled right after."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 2, admission, Metrics())  # one call in flight
     deadline_unix_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, deadline_unix_ms, b"ask", True)
@@ -66,7 +66,7 @@
 
 def test_a_reused_connection_remembers_a_bounded_number_of_request_ids():
     """Consecutive calls, each before the connection was idle for long, could all share one connection."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     deadline_unix_ms, connections, max_remembered = time.time() * 1000.0 + 60_000.0, set(), 0
     for number in range(1, 601):
