--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -14,7 +14,7 @@
     """Print the request, the command to the fake worker pool, the reply, and the server's log."""
     with tempfile.TemporaryDirectory() as folder, ServerProcess(Path(folder)) as server:
         print(f"server listens on 127.0.0.1:{server.port}, process {server.process.pid}")
-        client = server.balancer()
+        client = server.connect_client()
         request_id = client.request(1, method="read")
         print(f"client sent request {request_id} of class 'read'")
         _, spawn = server.pool.take("spawn")
--- a/testkit/fakes/peers.py
+++ b/testkit/fakes/peers.py
@@ -195,7 +195,7 @@
                 self.received.put(("UNOP", words[1], sock))
 
 
-class Balancer:
+class ScriptedClient:
     """A client connection to a server."""
 
     def __init__(self, port: int) -> None:
--- a/testkit/fakes/server_process.py
+++ b/testkit/fakes/server_process.py
@@ -16,7 +16,7 @@
 from testkit.fakes.peers import (
     SETTINGS,
     WAIT_TIMEOUT_S,
-    Balancer,
+    ScriptedClient,
     ScriptedRecordsService,
     ScriptedWorkerPool,
     registry_socket,
@@ -139,9 +139,9 @@
         self.process.send_signal(signal.SIGHUP)
         return old
 
-    def balancer(self) -> Balancer:
+    def connect_client(self) -> ScriptedClient:
         """Return a new client connection."""
-        return Balancer(self.port)
+        return ScriptedClient(self.port)
 
     def receive_report(self) -> list[str]:
         """Return the words of the next readiness report."""
--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -29,7 +29,7 @@
 
 
 def test_a_light_request_starts_on_a_reserved_slot_and_the_log_counts_it(server):
-    client = server.balancer()
+    client = server.connect_client()
     payment_jobs = [
         client.request(request_id, "pay", unique=f"{request_id:032x}") for request_id in range(1, 7)
     ]
@@ -49,7 +49,7 @@
 
 
 def test_sighup_with_full_bulkheads_keeps_them_and_logs_that_changes_wait_for_the_next_start(server):
-    client = server.balancer()
+    client = server.connect_client()
     jobs = [client.request(request_id, "pay", unique=f"{request_id:032x}") for request_id in range(1, 7)]
     server.pool.take("spawn")
     server.pool.take("spawn")
@@ -70,7 +70,7 @@
 
 
 def test_draining_with_full_bulkheads_answers_every_request(server):
-    client = server.balancer()
+    client = server.connect_client()
     for request_id in range(1, 9):
         client.request(request_id, "pay", unique=f"{request_id:032x}", limit=3000)
     for _ in range(2):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import vetchford
-from testkit.fakes.peers import SETTINGS, Balancer
+from testkit.fakes.peers import SETTINGS, ScriptedClient
 from testkit.fakes.server_process import ServerOptions, ServerProcess
 from vetchford.admission.concurrency_limits import DependencyConcurrencyLimit
 from vetchford.admission.controller import AdmissionController
@@ -20,7 +20,7 @@
     "GOOD",
     "ROOT",
     "SETTINGS",
-    "Balancer",
+    "ScriptedClient",
     "Recorder",
     "ServerOptions",
     "ServerProcess",
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -6,7 +6,7 @@
 import threading
 
 import pytest
-from helpers import Balancer
+from helpers import ScriptedClient
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S
 from testkit.faults.checkpoints import SHORT, Checkpoint, PostedEvents, Wrapped, run_in_thread
@@ -51,7 +51,7 @@
     checkpoint, listener = Checkpoint(), under_test.listener
     listener.add = checkpoint.before(listener.add)
     listener.start()
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     client.request(1)
     checkpoint.wait()
     closing_thread, drained = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
@@ -68,7 +68,7 @@
     listener, accept_errors = under_test.listener, [OSError(errno.EMFILE, "too many")]
     listening_sock = listener.sock
     listener.idle_poller.start()  # without the accepting thread, connections wait in the backlog
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     client.request(1)
     accept_calls = []
 
@@ -101,7 +101,7 @@
         return sock, address
 
     listener.sock = Wrapped(listening_sock, accept=accept)
-    reset_client, other_client = Balancer(under_test.port), Balancer(under_test.port)
+    reset_client, other_client = ScriptedClient(under_test.port), ScriptedClient(under_test.port)
     other_client.request(1)
     if accepted_by == "accept":
         listener.start()
@@ -119,7 +119,7 @@
     """The process is paused past the close timeout before a connection accepted in `close` is read."""
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     client.request(1)
     listener.close()  # the poller does not run yet, as if the process were paused
     wait_until(
@@ -138,7 +138,7 @@
     monkeypatch.setattr(connection_limits, "DRAIN_CLOSE_TIMEOUT_S", 0.0)
     listener = under_test.listener
     listener.start()
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     messages, send = [], client.sock.sendall
     client.send_bytes = messages.append
     client.request(1)
@@ -172,7 +172,7 @@
 
     monkeypatch.setattr(ClientConnection, "read_before_close", held_read_before_close)
     listener.start()
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     checkpoint.wait()
     client.request(1)
     sock = next(iter(listener.connections)).sock
@@ -245,7 +245,7 @@
 
     listener.idle_poller.epoll = Wrapped(listener.idle_poller.epoll, modify=refuse)
     listener.start()
-    client = Balancer(under_test.port)
+    client = ScriptedClient(under_test.port)
     client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
     assert client.receive()["id"] == 1 and client.receive() is None
     wait_until(lambda: not listener.connections, "the connection is removed from the table")
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 import pytest
-from helpers import SETTINGS, Balancer, ServerOptions, ServerProcess
+from helpers import SETTINGS, ScriptedClient, ServerOptions, ServerProcess
 from rpc_values import IDEMPOTENCY_KEY, content
 
 
 def test_a_request_with_a_dependency_call_is_served_with_all_bodies_unchanged(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, content=base64.b64encode(bytes(range(256))).decode())
     spawned = server.pool.take("spawn")[1]
     assert (spawned["job"], spawned["kind"]) == (job, "read")
@@ -30,7 +30,7 @@
 
 
 def test_answers_are_sent_as_runs_end_and_a_rejection_carries_a_retry_after(server):
-    client = server.balancer()
+    client = server.connect_client()
     jobs = [client.request(n) for n in (1, 2, 3)]
     # A request whose client waits only 10 ms is rejected at once and never runs.
     client.request(4, limit=10)
@@ -52,7 +52,7 @@
 
 
 def test_retries_with_one_idempotency_key_get_one_result_of_one_run(server):
-    client, retrying_client = server.balancer(), server.balancer()
+    client, retrying_client = server.connect_client(), server.connect_client()
     job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     retrying_client.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY)
@@ -69,7 +69,7 @@
 
 
 def test_a_retry_after_the_key_window_runs_as_a_new_request(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", txn="b1", unique=IDEMPOTENCY_KEY, door=time.time() * 1000.0 - 70_000.0)
     rejection = client.receive()  # too old to run; its idempotency key is dropped
     assert rejection["error"]["code"] == -32050
@@ -80,7 +80,7 @@
 
 
 def test_a_retry_of_a_failed_run_fails_and_does_not_run(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", txn="c1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.finish(job, state="error")
@@ -92,7 +92,7 @@
 
 def test_before_the_worker_pool_is_bound_the_server_is_not_ready_and_rejects(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(up=False)) as server:
-        client = server.balancer()
+        client = server.connect_client()
         client.send({"jsonrpc": "2.0", "id": 1, "method": "check"})
         assert client.receive()["result"] == {"serving": False}
         client.request(2)
@@ -104,7 +104,7 @@
 
 
 def test_a_reload_moves_all_peers_under_load_and_a_wrong_configuration_changes_nothing(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     old_pool = server.pool
     old_pool.take("spawn")
@@ -141,7 +141,7 @@
 
 
 def test_a_graceful_shutdown_answers_open_requests_rejects_late_ones_and_exits_with_0(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     server.process.terminate()
@@ -149,7 +149,7 @@
         pass
     assert client.receive()["method"] == "closing"
     with pytest.raises(OSError):  # new connections are refused
-        Balancer(server.port)
+        ScriptedClient(server.port)
     server.pool.finish(job)
     assert client.receive()["id"] == 1
     client.sock.close()
@@ -159,7 +159,7 @@
 
 def test_a_graceful_shutdown_fails_a_run_that_never_ends_before_the_kill(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(stop_ms=1200)) as server:
-        client = server.balancer()
+        client = server.connect_client()
         client.request(1)
         server.pool.take("spawn")
         server.process.terminate()
@@ -169,13 +169,13 @@
 
 
 def test_a_killed_server_can_restart_on_its_address_at_once(server, tmp_path):
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1, "pay", txn="k1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.kill()
     server.process.wait()
     with ServerProcess(tmp_path, ServerOptions(listen=f"127.0.0.1:{server.port}", cold=True)) as restarted:
-        client = restarted.balancer()
+        client = restarted.connect_client()
         # The restarted server knows no requests of its previous incarnation.
         job = client.request(1, "pay", txn="k2", unique=IDEMPOTENCY_KEY)
         assert restarted.pool.take("spawn")[1]["job"] == job
@@ -184,14 +184,14 @@
 
 
 def test_a_run_that_never_ends_is_failed_at_its_deadline(server):
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1, limit=700)
     server.pool.take("spawn")
     assert client.receive()["error"]["code"] == -32051  # the request may have had an effect
 
 
 def test_a_paused_process_loses_no_answer(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     server.process.send_signal(signal.SIGSTOP)
@@ -205,7 +205,7 @@
 
 
 def test_an_idempotency_key_with_another_body_is_another_request(server):
-    client, unknown_client = server.balancer(), server.balancer()
+    client, unknown_client = server.connect_client(), server.connect_client()
     job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     unknown_client.request(1, "pay", txn="a2", unique=IDEMPOTENCY_KEY, content="YmFk")
@@ -214,14 +214,14 @@
     assert unknown_client.receive()["error"]["code"] == -32051
     server.pool.finish(job, b"paid")
     assert content(client.receive()) == b"paid"
-    server.balancer().request(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
+    server.connect_client().request(1, "pay", txn="a3", unique=IDEMPOTENCY_KEY, content="YmFk")
     assert server.pool.take("spawn")[1]["job"] == "a3"  # "a2" never ran, so it left no result to share
 
 
 def test_a_server_without_a_records_service_serves_reloads_and_survives_a_stray_call(tmp_path):
     info = {**SETTINGS["familyInfo"], "below": "silent"}
     with ServerProcess(tmp_path, ServerOptions(has_records=False), familyInfo=info) as server:
-        client = server.balancer()
+        client = server.connect_client()
         calling_job = client.request(1, txn="o1", limit=900)
         job = client.request(2, "pay", txn="o2", unique=IDEMPOTENCY_KEY)
         for _ in range(2):
--- a/tests/server/test_server_clients.py
+++ b/tests/server/test_server_clients.py
@@ -10,7 +10,7 @@
 
 
 def test_a_client_that_does_not_read_delays_no_other_client(server):
-    unread_client = server.balancer()
+    unread_client = server.connect_client()
     unread_client.sock.settimeout(0.2)  # s, for each write; the number of messages sent does not matter
     health_check = b'{"jsonrpc":"2.0","id":1,"method":"check"}'
     with contextlib.suppress(OSError):
@@ -18,7 +18,7 @@
             unread_client.send_bytes(
                 (b"Content-Length: %d\r\n\r\n%b" % (len(health_check), health_check)) * 1000
             )
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     server.pool.finish(job)
@@ -26,7 +26,7 @@
 
 
 def test_a_half_closed_connection_still_gets_its_answers(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     client.sock.shutdown(socket.SHUT_WR)
     server.pool.take("spawn")
@@ -35,7 +35,7 @@
 
 
 def test_a_connection_reset_loses_no_answer_of_other_clients(server):
-    reset_client, other_client = server.balancer(), server.balancer()
+    reset_client, other_client = server.connect_client(), server.connect_client()
     reset_job = reset_client.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
     other_job = other_client.request(1, txn="f2")
     for _ in range(2):
@@ -52,7 +52,7 @@
     # With 1000 clients and a `callerIdle` of 20 ms, an idle connection is hardly used again.
     info = {**SETTINGS["familyInfo"], "callerIdle": 20_000_000, "callers": 1000}
     with ServerProcess(tmp_path, familyInfo=info) as server:
-        idle_client, waiting_client = server.balancer(), server.balancer()
+        idle_client, waiting_client = server.connect_client(), server.connect_client()
         job = waiting_client.request(1)
         server.pool.take("spawn")
         assert idle_client.receive()["method"] == "closing" and idle_client.receive() is None
@@ -107,13 +107,13 @@
 def test_bad_messages_get_their_error_codes_and_the_connection_stays_open(server):
     for index, (message, code, rpc_id) in enumerate(BAD_MESSAGES):
         if index % 5 == 0:  # fewer on each connection than the number that closes it
-            client = server.balancer()
+            client = server.connect_client()
         if isinstance(message, dict) and message.get("params") and message["params"].get("door") == 1.0:
             message = {**message, "params": {**message["params"], "door": time.time() * 1000.0}}
         client.send(message)
         reply = client.receive()
         assert (reply["error"]["code"], reply["id"]) == (code, rpc_id), message
-    client = server.balancer()
+    client = server.connect_client()
     client.request(8)
     server.pool.take("spawn")
     client.request(8, txn="ab")  # an answer with this id would be taken for that of the open request
@@ -125,7 +125,7 @@
 
 
 def test_a_connection_with_too_many_bad_messages_is_closed(server):
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1)
     server.pool.take("spawn")
     for _ in range(20):
@@ -137,7 +137,7 @@
 
 
 def test_notifications_do_not_close_the_connection(server):
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1)
     server.pool.take("spawn")
     for _ in range(30):
@@ -151,7 +151,7 @@
 
 
 def test_requests_over_the_limit_of_a_connection_are_rejected_and_it_stays_open(server):
-    client = server.balancer()
+    client = server.connect_client()
     for rpc_id in range(1, 65 + 20):  # the last 20 exceed the limit; counted as bad, they would close it
         client.request(rpc_id)
     rejections = [client.receive() for _ in range(20)]
@@ -161,7 +161,7 @@
 
 
 def test_a_client_whose_requests_the_worker_pool_does_not_know_is_rejected_and_closed(server):
-    client, unknown_client = server.balancer(), server.balancer()
+    client, unknown_client = server.connect_client(), server.connect_client()
     for rpc_id in range(1, 6):
         unknown_client.request(rpc_id, txn=f"b{rpc_id}")
     for _ in range(2):  # one run on each core; the other requests are queued
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"Content-Le", b"Content-Length: 70\r\n\r\n{"])
 def test_a_silent_connection_or_an_incomplete_message_times_out(server, sent):
-    client = server.balancer()
+    client = server.connect_client()
     client.send_bytes(sent)
     while client.receive() is not None:
         pass
@@ -191,8 +191,8 @@
 
 def test_silent_connections_do_not_lock_out_other_clients(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(sockets=40)) as server:
-        silent_clients = [server.balancer() for _ in range(60)]  # more than may be open
-        client = server.balancer()
+        silent_clients = [server.connect_client() for _ in range(60)]  # more than may be open
+        client = server.connect_client()
         client.request(1)
         server.pool.take("spawn")
         server.pool.finish(f"{1:016x}")
@@ -213,7 +213,7 @@
     ],
 )
 def test_an_unparsable_stream_is_closed_after_its_open_requests_are_answered(server, head):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     client.send_bytes(head)
@@ -227,7 +227,9 @@
 @pytest.mark.parametrize(("sockets", "max_files"), [(40, None), (1024, 24)])
 def test_a_full_connection_table_accepts_new_clients_as_others_leave(tmp_path, sockets, max_files):
     with ServerProcess(tmp_path, ServerOptions(sockets=sockets, max_files=max_files)) as server:
-        clients = [server.balancer() for _ in range(30)]  # more than may be open: some wait in the backlog
+        clients = [
+            server.connect_client() for _ in range(30)
+        ]  # more than may be open: some wait in the backlog
         job = clients[0].request(1)
         server.pool.take("spawn")
         server.pool.finish(job)
--- a/tests/server/test_server_records.py
+++ b/tests/server/test_server_records.py
@@ -13,7 +13,7 @@
 
 
 def test_a_timed_out_call_is_cancelled_and_its_late_reply_is_dropped(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     server.pool.block(job, b"first")
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("reply", ["WAIT", "EMPTY", "ERROR", "PAST", "cut", "nonsense"])
 def test_a_call_is_retried_only_if_it_never_ran(server, reply):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block(job)
@@ -62,7 +62,7 @@
     ],
 )
 def test_an_unreadable_reply_fails_only_its_own_call(server, unreadable):
-    client = server.balancer()
+    client = server.connect_client()
     jobs = [client.request(n, "pay", txn=f"s{n}", unique=f"{n:032x}") for n in (1, 2)]
     connections = []
     for job in jobs:
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("surplus", [b"t1 DONE 5\r\nfirst\r\n", b"other WAIT\r\n", b"t1 DO"])
 def test_surplus_bytes_after_a_reply_are_not_read_as_the_next_reply(server, surplus):
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1, txn="t1")
     server.pool.take("spawn")
     server.pool.block("t1")
@@ -94,7 +94,7 @@
 
 
 def test_a_connection_closed_by_the_service_is_not_reused(server):
-    client = server.balancer()
+    client = server.connect_client()
     for job in ("v1", "v2"):
         client.request(int(job[1]), txn=job)
         server.pool.take("spawn")
@@ -110,7 +110,7 @@
 
 def test_calls_refused_while_the_service_is_down_are_retried_once_it_is_up(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(records_up=False)) as server:
-        client = server.balancer()
+        client = server.connect_client()
         job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
         server.pool.take("spawn")
         server.pool.block(job)
@@ -124,7 +124,7 @@
 
 def test_a_call_in_flight_when_the_records_service_moves_ends_on_its_old_connection(tmp_path):
     with ServerProcess(tmp_path, familyInfo=LONG_CALL_TIMEOUT) as server:
-        client = server.balancer()
+        client = server.connect_client()
         job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
         server.pool.take("spawn")
         server.pool.block(job)
--- a/tests/server/test_server_worker_pool.py
+++ b/tests/server/test_server_worker_pool.py
@@ -5,7 +5,7 @@
 
 
 def test_a_reconnect_delivers_each_notice_once_and_starts_no_run_twice(server):
-    client = server.balancer()
+    client = server.connect_client()
     ended_job = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
     running_job = client.request(2, txn="d2")
     for _ in range(2):
@@ -27,7 +27,7 @@
 
 def test_commands_are_queued_while_the_link_is_down_and_sent_on_the_next(tmp_path):
     with ServerProcess(tmp_path) as server:
-        client = server.balancer()
+        client = server.connect_client()
         server.pool.up.clear()  # links are accepted, but nothing is answered on them
         server.pool.disconnect()
         job = client.request(1)
@@ -42,7 +42,7 @@
 
 
 def test_malformed_messages_of_the_worker_pool_are_counted_and_ignored(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1)
     server.pool.take("spawn")
     for line in (
@@ -64,7 +64,7 @@
     server.pool.take("spawn")
     server.pool.send({"type": "unknown", "state": "spawn", "job": "e2"})
     assert client.receive()["error"]["code"] == -32051  # the end of this run will never be reported
-    client = server.balancer()
+    client = server.connect_client()
     client.request(3, txn="e3")
     server.pool.take("spawn")
     server.pool.notify("finished", "e3", state="complete", took="long", data=None)
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -103,7 +103,7 @@
 
 def test_sigterm_before_the_worker_pool_is_bound_answers_a_started_message_and_never_reports_ready(tmp_path):
     with ServerProcess(tmp_path, ServerOptions(up=False)) as server:
-        client = server.balancer()
+        client = server.connect_client()
         messages, send = [], client.sock.sendall
         client.send_bytes = messages.append
         client.request(7)
@@ -129,7 +129,7 @@
 
 
 def test_a_reload_and_a_second_sigterm_during_shutdown_change_only_addresses(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
@@ -145,7 +145,7 @@
 
 
 def test_a_shutdown_without_worker_pool_link_and_registry_answers_all_requests(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.members.close()  # the registry receives no reports any more
@@ -158,7 +158,7 @@
 
 
 def test_a_retry_during_shutdown_gets_the_result_of_the_first_attempt(server):
-    client, retrying_client = server.balancer(), server.balancer()
+    client, retrying_client = server.connect_client(), server.connect_client()
     job = client.request(1, "pay", txn="a1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.process.terminate()
@@ -195,7 +195,7 @@
         )
         try:
             assert template.receive_report() == ["HB", "n1", "UP"]
-            client = template.balancer()
+            client = template.connect_client()
             job = client.request(1)
             template.pool.take("spawn")
             process.terminate()
@@ -213,7 +213,7 @@
 
 def client_with_small_receive_buffer(server):
     """Return a client whose kernel buffers few bytes that the client has not read."""
-    client = server.balancer()
+    client = server.connect_client()
     client.sock.close()
     client.sock = socket.socket()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -242,7 +242,7 @@
         job = client.request(rpc_id)
         assert server.pool.take("spawn")[1]["job"] == job
         server.pool.finish(job, os.urandom(size))
-    other_client = server.balancer()
+    other_client = server.connect_client()
     other_client.request(1, txn="ff")
     server.pool.finish(server.pool.take("spawn")[1]["job"])
     assert other_client.receive()["id"] == 1
@@ -277,7 +277,7 @@
 
 
 def test_a_reload_with_other_settings_applies_only_addresses(server):
-    client = server.balancer()
+    client = server.connect_client()
     server.settings = {
         "requestClasses": [{**SETTINGS["requestClasses"][1], "effect": "read_like", "name": "read"}],
         "customers": [{"name": "other", "quotaPerS": 1.0}],
--- a/tests/server/test_worker_pool_races.py
+++ b/tests/server/test_worker_pool_races.py
@@ -10,7 +10,7 @@
 
 @pytest.mark.parametrize("fault", ["unreadable line", "unreadable field", "missing"])
 def test_an_incomplete_notice_is_replayed_on_a_new_link(server, fault):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, "pay", txn="d1", unique=IDEMPOTENCY_KEY)
     other_job = client.request(2, txn="d2")
     for _ in range(2):
@@ -45,7 +45,7 @@
 
 
 def test_a_notice_unreadable_on_replay_fails_its_run_without_a_reconnect_loop(server):
-    client = server.balancer()
+    client = server.connect_client()
     job = client.request(1, txn="e1")
     server.pool.take("spawn")
     server.pool.notify("finished", job, state="complete", took="long", data=None)
@@ -59,7 +59,7 @@
 
 def test_a_command_confirmed_two_links_ago_is_not_resent(server):
     """A repeated reply would be taken for that of a later call; a repeated spawn could start a second run."""
-    client = server.balancer()
+    client = server.connect_client()
     client.request(1, "pay", txn="f1", unique=IDEMPOTENCY_KEY)
     server.pool.take("spawn")
     server.pool.block("f1")
