--- a/testkit/fakes/server_process.py
+++ b/testkit/fakes/server_process.py
@@ -127,7 +127,7 @@
         }
         self.config.write_text(json.dumps(configuration))
 
-    def move_peers(self) -> tuple[ScriptedWorkerPool, ScriptedRecordsService, socket.socket]:
+    def move_services(self) -> tuple[ScriptedWorkerPool, ScriptedRecordsService, socket.socket]:
         """Reload with new fakes at other addresses and return the old fakes; the pool's runs continue."""
         old = self.pool, self.records, self.members
         self.pool = ScriptedWorkerPool()
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -109,7 +109,7 @@
     old_pool = server.pool
     old_pool.take("spawn")
     for rpc_id in (2, 3):  # two reloads
-        old_pool, old_records, _ = server.move_peers()
+        old_pool, old_records, _ = server.move_services()
         assert server.pool.take("bind")[1]["n"] == old_pool.last_number  # notice numbers continue
         assert server.receive_report() == ["HB", "n1", "UP"]
         server.pool.finish(job)
@@ -227,7 +227,7 @@
         for _ in range(2):
             server.pool.take("spawn")
         server.pool.block(calling_job)  # without a service, this request alone fails at its deadline
-        server.move_peers()
+        server.move_services()
         server.pool.take("bind")
         server.pool.finish(job, b"done")
         assert content(client.receive()) == b"done"
--- a/tests/server/test_server_records.py
+++ b/tests/server/test_server_records.py
@@ -129,7 +129,7 @@
         server.pool.take("spawn")
         server.pool.block(job)
         connection = server.records.take("OP")[3]
-        server.move_peers()
+        server.move_services()
         server.pool.take("bind")
         connection.sendall(b"%b DONE 1\r\n!\r\n" % job.encode())
         assert server.pool.take("supply")[1]["job"] == job
--- a/tests/server/test_signal_races.py
+++ b/tests/server/test_signal_races.py
@@ -134,14 +134,14 @@
     server.pool.take("spawn")
     server.process.terminate()
     assert client.receive()["method"] == "closing"
-    old_peers = server.move_peers()  # sends SIGHUP
+    old_services = server.move_services()  # sends SIGHUP
     assert server.pool.take("bind")[1]["n"] == 0
     assert server.receive_report() == ["HB", "n1", "OUT"]
     server.process.terminate()
     server.pool.finish(job, b"paid")
     assert content(client.receive()) == b"paid"
     assert server.process.wait(WAIT_TIMEOUT_S) == 0
-    assert old_peers[0].received_none_of("spawn") and server.pool.received_none_of("spawn")
+    assert old_services[0].received_none_of("spawn") and server.pool.received_none_of("spawn")
 
 
 def test_a_shutdown_without_worker_pool_link_and_registry_answers_all_requests(server):
@@ -282,7 +282,7 @@
         "requestClasses": [{**SETTINGS["requestClasses"][1], "effect": "read_like", "name": "read"}],
         "customers": [{"name": "other", "quotaPerS": 1.0}],
     }
-    server.move_peers()
+    server.move_services()
     server.pool.take("bind")
     assert server.receive_report() == ["HB", "n1", "UP"]
     job = client.request(1, "pay", unique=IDEMPOTENCY_KEY)  # request class and tenant from before the reload
