--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -7,7 +7,7 @@
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S
 
-SHORT = 0.3
+GUARDED_WAIT_S = 0.3
 """How long a test waits for the second thread where the code under test makes it wait.
 
 A thread that is not made to wait needs about a millisecond.
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -9,7 +9,7 @@
 from helpers import ScriptedClient
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S
-from testkit.faults.checkpoints import SHORT, Checkpoint, PostedEvents, Wrapped, run_in_thread
+from testkit.faults.checkpoints import GUARDED_WAIT_S, Checkpoint, PostedEvents, Wrapped, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.protocol import json_rpc
 from vetchford.runtime.metrics import Metrics
@@ -55,7 +55,7 @@
     client.request(1)
     checkpoint.wait()
     closing_thread, drained = run_in_thread(lambda: (listener.close(), listener.is_drained())[1])
-    closing_thread.join(SHORT)
+    closing_thread.join(GUARDED_WAIT_S)
     checkpoint.open()
     closing_thread.join(WAIT_TIMEOUT_S)
     assert drained == [False]
@@ -228,7 +228,7 @@
     checkpoint.wait()
     connection.keeps_open = False
     try:
-        timed_out_registered = connection.timed_out.get(timeout=SHORT)
+        timed_out_registered = connection.timed_out.get(timeout=GUARDED_WAIT_S)
     except queue.Empty:
         timed_out_registered = None
     checkpoint.open()
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -4,7 +4,7 @@
 import time
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S, ScriptedRecordsService
-from testkit.faults.checkpoints import SHORT, Checkpoint, HeldLock, PostedEvents, run_in_thread
+from testkit.faults.checkpoints import GUARDED_WAIT_S, Checkpoint, HeldLock, PostedEvents, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.records_client import RecordsClient
@@ -30,9 +30,9 @@
     checkpoint.wait()
     service_sock.sendall(b"a DONE 2\r\nok\r\n")
     assert admission.take("call_ended")[0] == 1  # `on_call_ended` is called next
-    call_end_handled.wait(SHORT)  # without the lock, the connection would be idle by now
+    call_end_handled.wait(GUARDED_WAIT_S)  # without the lock, the connection would be idle by now
     calling_thread, _ = run_in_thread(lambda: records.start_call("b", 2, deadline_unix_ms, b"ask", False))
-    calling_thread.join(SHORT)
+    calling_thread.join(GUARDED_WAIT_S)
     checkpoint.open()
     cancelling_thread.join(WAIT_TIMEOUT_S)
     calling_thread.join(WAIT_TIMEOUT_S)
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S
-from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped
+from testkit.faults.checkpoints import GUARDED_WAIT_S, Checkpoint, Wrapped
 from testkit.faults.waiting import wait_until
 from vetchford.coordination.fleet_member import FleetMember
 from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME
@@ -96,7 +96,7 @@
     side.transport.start_stream(number, wrapped)
     gate.wait()
     side.transport.close_link(number)
-    assert not closed.wait(SHORT)
+    assert not closed.wait(GUARDED_WAIT_S)
     gate.open()
     assert closed.wait(WAIT_TIMEOUT_S)
     mine.close()
