--- a/testkit/faults/checkpoints.py
+++ b/testkit/faults/checkpoints.py
@@ -28,7 +28,7 @@
         self.reached = threading.Event()
         self.released = threading.Event()
 
-    def come(self) -> None:
+    def pass_or_wait(self) -> None:
         """Return at once, or hold the calling thread until the checkpoint is opened."""
         if self.should_hold() and self.first_thread.acquire(blocking=False):
             self.reached.set()
@@ -40,7 +40,7 @@
         """Return a function that passes the checkpoint and then calls `function`."""
 
         def call_after_checkpoint(*arguments: Any) -> Any:
-            self.come()
+            self.pass_or_wait()
             return function(*arguments)
 
         return call_after_checkpoint
@@ -83,7 +83,7 @@
     def __exit__(self, *problem: object) -> None:
         """Release the lock and pass the checkpoint."""
         self.inner.release()
-        self.checkpoint.come()
+        self.checkpoint.pass_or_wait()
 
 
 def run_in_thread(function: Callable[[], Any]) -> tuple[threading.Thread, list[Any]]:
@@ -111,7 +111,7 @@
 
     post_when_room = post
 
-    def take(self, event: str) -> tuple[Any, ...]:
+    def wait_for(self, event: str) -> tuple[Any, ...]:
         """Return the arguments of the next event of this name; drop the events before it.
 
         Raises:
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -68,7 +68,7 @@
         return start(*given, **named)
 
     def check(name, process):
-        gate.come()  # the first is held, so that another thread is needed for the second
+        gate.pass_or_wait()  # the first is held, so that another thread is needed for the second
         checked.add(name)
 
     monkeypatch.setattr(_thread, "start_new_thread", starts)
--- a/tests/server/test_listener_races.py
+++ b/tests/server/test_listener_races.py
@@ -32,7 +32,7 @@
 
     def next_request(self):
         """Return the connection and the id of the next request posted to the admission actor."""
-        connection, request = self.admission.take("request_arrived")
+        connection, request = self.admission.wait_for("request_arrived")
         return connection, request.rpc_id
 
     def finish(self, connection, rpc_id):
@@ -166,7 +166,7 @@
     read_before_close, last_read_done = ClientConnection.read_before_close, threading.Event()
 
     def held_read_before_close(connection):
-        checkpoint.come()
+        checkpoint.pass_or_wait()
         read_before_close(connection)
         last_read_done.set()
 
--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -29,7 +29,7 @@
     cancelling_thread, _ = run_in_thread(lambda: records.cancel_call("a", 1))
     checkpoint.wait()
     service_sock.sendall(b"a DONE 2\r\nok\r\n")
-    assert admission.take("call_ended")[0] == 1  # `on_call_ended` is called next
+    assert admission.wait_for("call_ended")[0] == 1  # `on_call_ended` is called next
     call_end_handled.wait(GUARDED_WAIT_S)  # without the lock, the connection would be idle by now
     calling_thread, _ = run_in_thread(lambda: records.start_call("b", 2, deadline_unix_ms, b"ask", False))
     calling_thread.join(GUARDED_WAIT_S)
@@ -39,7 +39,7 @@
     _, name, _, second_service_sock = service.take("OP")
     assert name == "b"
     second_service_sock.sendall(b"b DONE 2\r\nok\r\n")
-    assert admission.take("call_ended") == (2, "completed", b"ok")
+    assert admission.wait_for("call_ended") == (2, "completed", b"ok")
 
 
 def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
@@ -74,7 +74,7 @@
         connection = records.in_flight[number]
         connections.add(connection)
         service.take("OP")[3].sendall(b"t%d DONE 2\r\nok\r\n" % number)
-        assert admission.take("call_ended") == (number, "completed", b"ok")
+        assert admission.wait_for("call_ended") == (number, "completed", b"ok")
         wait_until(
             lambda number=number: number not in records.in_flight, "the call is not in flight any more"
         )
--- a/tests/server/test_reload_races.py
+++ b/tests/server/test_reload_races.py
@@ -11,7 +11,7 @@
 
     def reload(configuration):
         reloaded.append(configuration)
-        checkpoint.come()
+        checkpoint.pass_or_wait()
         if len(reloaded) == 1:
             raise OSError("disk error")
         return {"stop_ms": len(reloaded)}
