--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -69,9 +69,9 @@
         self.incarnation = 0
         self.inbox: list[tuple[Any, ...]] = []
         """Messages and process exits that came while the agent was frozen."""
-        self.acts = 0
+        self.actions_done = 0
         """Number of actions of the agent so far."""
-        self.dies_at_act = 0
+        self.killed_at_action = 0
         """Number of the action at which the agent is killed; 0 for none."""
 
     # -- start and end of the agent
@@ -131,9 +131,9 @@
 
     # -- actions
 
-    def _act(self) -> None:
-        self.acts += 1
-        if self.acts == self.dies_at_act:
+    def _count_action(self) -> None:
+        self.actions_done += 1
+        if self.actions_done == self.killed_at_action:
             raise KilledError(self)
 
     def save_record(self, kind: str, name: str, record: dict[str, Any] | None) -> None:
@@ -142,7 +142,7 @@
         Raises:
             OSError: the disk is full.
         """
-        self._act()
+        self._count_action()
         if self.disk_full:
             raise OSError("full")
         if record is None:
@@ -156,7 +156,7 @@
 
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
         """Send a message to another agent."""
-        self._act()
+        self._count_action()
         self.world.send(self.name, to, kind, body)
         return True
 
@@ -168,12 +168,12 @@
         if version != "bad":
             ready_at_ms = self.world.now + rng.uniform(MIN_START_MS, MAX_START_MS)
         hangs = rng.random() < HANGING_FRACTION
-        self._act()
+        self._count_action()
         self.processes[name] = Process(version, ready_at_ms, hangs)
 
     def terminate(self, name: str) -> None:
         """Check the minimum available and start draining the process."""
-        self._act()
+        self._count_action()
         self.world.check_minimum(self, name)
         process = self.processes[name]
         process.draining = True
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -142,8 +142,8 @@
         world.start_instances()
         name = leaders(world)[0]
         machine = world.machines[name if who == "leader" else next(n for n in world.names if n != name)]
-        before = machine.acts
-        machine.dies_at_act = before + at
+        before = machine.actions_done
+        machine.killed_at_action = before + at
         world.request_rollout(name, "r1", "roll", version="v2", batch=2, floor=3)
         world.run(world.now + 15_000.0, lambda w=world: w.has_ended("r1"))
         # It died before the rollout was in force anywhere: asked again, as the tool does.
@@ -152,7 +152,11 @@
         assert world.run(world.now + 60_000.0, lambda w=world: w.has_ended("r1")), at
         assert world.find_rollout("r1")["state"] == "finished" and not world.violations(), at
         assert {one.version for m in world.machines.values() for one in m.processes.values()} == {"v2"}
-        if machine.acts - before < at and machine.coordinator is not None and machine.incarnation == 1:
+        if (
+            machine.actions_done - before < at
+            and machine.coordinator is not None
+            and machine.incarnation == 1
+        ):
             break  # the roll was over before
     assert at > (60 if who == "leader" else 20)
 
