--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -54,7 +54,7 @@
 
 def count_false_alarms(count: int, seed: int, seconds: float) -> int:
     """Return how often a live agent was seen as unreachable under message loss."""
-    network = Network(count, seed, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    network = Network(count, seed, loss=LOSS_FRACTION, duplicate_rate=DUPLICATE_FRACTION)
     network.run(seconds * MS_PER_S)
     return sum(state == MemberState.UNREACHABLE for _, _, _, state in network.state_changes)
 
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -330,7 +330,9 @@
 
 def count_false_alarms(seconds: float) -> int:
     """Return how often a live agent was seen as unreachable under loss and delays of one agent at a time."""
-    network = Network(FALSE_ALARM_AGENTS, FALSE_ALARM_SEED, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    network = Network(
+        FALSE_ALARM_AGENTS, FALSE_ALARM_SEED, loss=LOSS_FRACTION, duplicate_rate=DUPLICATE_FRACTION
+    )
     while network.now < seconds * MS_PER_S:
         name = f"a{network.rng.randrange(FALSE_ALARM_AGENTS):03}"
         network.slow[name] = DELAY_MS
--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -342,7 +342,9 @@
     """Return the number of schedules until the checker detected a mutation; 0 if it did not."""
     program = type("MutatedProgram", (Program,), MUTATIONS[mutation])
     for seed in range(1, maximum + 1):
-        simulation = LeaseSimulation(seed, program=program, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+        simulation = LeaseSimulation(
+            seed, program=program, loss=LOSS_FRACTION, duplicate_rate=DUPLICATE_FRACTION
+        )
         simulation.world.run(FIRST_LEASES_MS)
         simulation.replace_leader()
         simulation.heal()
@@ -354,7 +356,7 @@
 
 def run_schedule(seed: int) -> dict[str, Any]:
     """Run one schedule of faults, heal the network and replace the leader; return what was observed."""
-    simulation = LeaseSimulation(seed, loss=LOSS_FRACTION, doubled=DUPLICATE_FRACTION)
+    simulation = LeaseSimulation(seed, loss=LOSS_FRACTION, duplicate_rate=DUPLICATE_FRACTION)
     simulation.run_with_faults(SCHEDULE_FAULTS_S)
     acquired_under_faults = sum(simulation.acquired.values())
     simulation.heal()
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -31,18 +31,18 @@
     in ms by name).
     """
 
-    def __init__(self, count: int, seed: int, loss: float = 0.0, doubled: float = 0.0) -> None:
+    def __init__(self, count: int, seed: int, loss: float = 0.0, duplicate_rate: float = 0.0) -> None:
         """Start all agents.
 
         Args:
             count: number of agents, named a000, a001, ...
             seed: of the run.
             loss: fraction of messages that are lost.
-            doubled: fraction of messages that are sent twice.
+            duplicate_rate: fraction of messages that are sent twice.
         """
         self.rng = random.Random(seed)
         self.loss = loss
-        self.doubled = doubled
+        self.duplicate_rate = duplicate_rate
         self.now = 0.0
         self.queue: list[tuple[float, int, str, Callable[..., None], tuple[Any, ...]]] = []
         self.event_count = 0
@@ -65,7 +65,7 @@
         self.sent += 1
         if self.side.get(sender, 0) != self.side.get(to, 0):
             return
-        copies = 2 if self.rng.random() < self.doubled else 1
+        copies = 2 if self.rng.random() < self.duplicate_rate else 1
         for _ in range(copies):
             if self.rng.random() < self.loss:
                 continue
--- a/testkit/simulation/world.py
+++ b/testkit/simulation/world.py
@@ -44,7 +44,7 @@
         seed: int,
         create_program: Callable[[Port], Any],
         loss: float = 0.0,
-        doubled: float = 0.0,
+        duplicate_rate: float = 0.0,
         delay: tuple[float, float] = (1.0, 20.0),
         clock_rate_error: float = 0.0,
     ) -> None:
@@ -55,14 +55,14 @@
             seed: determines the whole run.
             create_program: creates a program from its `Port`.
             loss: fraction of messages that are lost.
-            doubled: fraction of messages that are sent twice.
+            duplicate_rate: fraction of messages that are sent twice.
             delay: bounds of the delay of a message, in ms.
             clock_rate_error: maximum deviation of a clock's rate from 1; 0 makes all clocks correct.
         """
         self.rng = random.Random(seed)
         self.create_program = create_program
         self.loss = loss
-        self.doubled = doubled
+        self.duplicate_rate = duplicate_rate
         self.delay = delay
         self.now = 0.0
         self.event_count = 0
@@ -140,7 +140,7 @@
         if to == port.name:
             self.schedule(LOCAL_DELAY_MS, self.deliver, port.name, to, message)
             return
-        for _ in range(1 + (self.rng.random() < self.doubled)):
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
             is_separated = self.side.get(port.name, 0) != self.side.get(to, 0) or (port.name, to) in self.cut
             if is_separated or self.rng.random() < self.loss:
                 self.lost += 1
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_live_agent_becomes_unreachable_at_five_percent_loss_and_duplication(seed):
-    net = Network(50, seed, loss=0.05, doubled=0.05)
+    net = Network(50, seed, loss=0.05, duplicate_rate=0.05)
     net.run(120_000.0)
     assert not [entry for entry in net.state_changes if entry[3] == UNREACHABLE]
     assert (
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -72,7 +72,7 @@
 def test_under_faults_at_most_k_hold_leases_tokens_grow_and_leases_are_granted_after_healing():
     faults = {}
     for seed in range(1, 13):
-        run = LeaseSimulation(seed, loss=0.05, doubled=0.1)
+        run = LeaseSimulation(seed, loss=0.05, duplicate_rate=0.1)
         run.run_with_faults(90.0)
         had = sum(run.acquired.values())
         run.heal()
