--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -85,7 +85,7 @@
 def play_virtual_schedule(seed: int) -> tuple[int, list[str], str, dict[str, int]]:
     """Play a schedule; return its seed, violations, final state of the rollout and fault counts."""
     try:
-        world = agents.play(seed)
+        world = agents.run_schedule(seed)
     except AssertionError as problem:
         return seed, [f"assertion: {problem}"], "", {}
     rollout = world.find_rollout("r1")
--- a/testkit/simulation/agent_mutations.py
+++ b/testkit/simulation/agent_mutations.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A mutation, its options of `agents.play` and the seeds of schedules that must detect it."""
+    """A mutation, its options of `agents.run_schedule` and the seeds of schedules that must detect it."""
 
     apply: Callable[[], contextlib.AbstractContextManager[None]]
     options: dict[str, Any]
@@ -107,7 +107,7 @@
     for count, seed in enumerate(seeds or mutation.seeds, 1):
         with mutation.apply() if applied else contextlib.nullcontext():
             try:
-                world = agents.play(seed, **mutation.options)
+                world = agents.run_schedule(seed, **mutation.options)
             except AssertionError:
                 return count
         if world.violations():
--- a/testkit/simulation/agents.py
+++ b/testkit/simulation/agents.py
@@ -302,7 +302,7 @@
                     self.world.request(name, "resume", id=self.ROLLOUT)
 
 
-def play(
+def run_schedule(
     seed: int,
     count: int = 8,
     minimum_available: int = 14,
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -7,7 +7,7 @@
 import pytest
 
 from testkit.simulation.agent_mutations import MUTATIONS, schedules_until_caught
-from testkit.simulation.agents import World, play
+from testkit.simulation.agents import World, run_schedule
 from vetchford.fleet import rollout_controls
 from vetchford.fleet.consensus import Role
 
@@ -17,7 +17,7 @@
 # 1167: steps in force, not begun; their machine is lost and back, another lost meanwhile, and a new leader.
 @pytest.mark.parametrize("seed", [*range(25), 1167])
 def test_rollouts_complete_without_violations_under_faults(seed):
-    world = play(seed)
+    world = run_schedule(seed)
     assert not world.violations()
     assert world.has_ended("r1"), (
         world.find_rollout("r1"),
@@ -35,7 +35,7 @@
 
 
 def test_same_seed_gives_same_history():
-    assert play(3, count=4).history == play(3, count=4).history
+    assert run_schedule(3, count=4).history == run_schedule(3, count=4).history
 
 
 @pytest.mark.parametrize("mistake", sorted(MUTATIONS))
