--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -206,7 +206,7 @@
             return {
                 "seed": seed,
                 "faults": fault_counts,
-                "met_on_links": cluster.links.met(),
+                "met_on_links": cluster.links.fault_counts(),
                 "change": ended["state"],
                 "why": ended["why"],
                 "wrong": violations(events, MINIMUM_AVAILABLE)[:MAX_REPORTED],
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -167,7 +167,7 @@
                 "full_service_after_s": full_service_at_s - back_s,
                 "late": started_late,
                 "faults": fault_counts,
-                "met_on_links": cluster.links.met(),
+                "met_on_links": cluster.links.fault_counts(),
                 "ran_twice": sum(count > 1 for count in ran.values()),
                 "wrong": [violation for load in loads.values() for violation in load.violations][
                     :MAX_REPORTED
--- a/testkit/faults/relay.py
+++ b/testkit/faults/relay.py
@@ -70,7 +70,7 @@
         self.target_address = target_address
         self.rng = random.Random(seed)
         self.faults: set[str] = set()
-        self.met: dict[str, int] = {}
+        self.fault_counts: dict[str, int] = {}
         """How often each fault affected a stream, a chunk or a datagram."""
         self.changed = threading.Condition()
         self.streams: list[socket.socket] = []
@@ -99,7 +99,7 @@
         """Return whether a fault is active; count the stream, chunk or datagram that it affects."""
         if kind not in self.faults:
             return False
-        self.met[kind] = self.met.get(kind, 0) + 1
+        self.fault_counts[kind] = self.fault_counts.get(kind, 0) + 1
         return True
 
     def _reset(self) -> None:
@@ -263,11 +263,11 @@
         """End the faults of all links."""
         self.fault("heal", self.links.values())
 
-    def met(self) -> dict[str, int]:
+    def fault_counts(self) -> dict[str, int]:
         """Return how often each fault affected a stream, a chunk or a datagram."""
         total: dict[str, int] = {}
         for link in self.links.values():
-            for kind, count in link.met.items():
+            for kind, count in link.fault_counts.items():
                 total[kind] = total.get(kind, 0) + count
         return total
 
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -111,7 +111,7 @@
     )
     assert rig.ask(new, {"ask": "resume", "id": "r1"})["state"] == "running"
     rolled(rig, floor=4)
-    assert rig.links.met()["cut"] > 0
+    assert rig.links.fault_counts()["cut"] > 0
 
 
 def test_an_agent_suspended_during_its_batch_continues_after_it_resumes(rig):
@@ -217,7 +217,7 @@
         time.sleep(chance.uniform(0.3, 1.0))
         rig.links.heal()
     rolled(rig)
-    assert sum(rig.links.met().values()) > 3
+    assert sum(rig.links.fault_counts().values()) > 3
 
 
 def test_a_fault_schedule_is_determined_by_its_seed_and_keeps_the_invariants(rig):
