--- a/tests/server/test_records_client_races.py
+++ b/tests/server/test_records_client_races.py
@@ -3,8 +3,8 @@
 import threading
 import time
 
-from testkit.fakes.peers import WAIT_TIMEOUT_S, RecordsPeer
-from testkit.faults.checkpoints import SHORT, Checkpoint, HeldLock, PostedEvents, run_in_thread
+from testkit.fakes.peers import WAIT_TIMEOUT_S, ScriptedRecordsService
+from testkit.faults.checkpoints import GUARDED_WAIT_S, Checkpoint, HeldLock, PostedEvents, run_in_thread
 from testkit.faults.waiting import wait_until
 from vetchford.runtime.metrics import Metrics
 from vetchford.server.records_client import RecordsClient
@@ -17,7 +17,7 @@
 
 def test_a_connection_cancelled_as_its_call_ends_is_not_reused():
     """The reply to a call arrives between the look-up of its connection in `cancel_call` and the cancel."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     deadline_unix_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, deadline_unix_ms, b"ask", False)
@@ -29,22 +29,22 @@
     cancelling_thread, _ = run_in_thread(lambda: records.cancel_call("a", 1))
     checkpoint.wait()
     service_sock.sendall(b"a DONE 2\r\nok\r\n")
-    assert admission.take("call_ended")[0] == 1  # `on_call_ended` is called next
-    call_end_handled.wait(SHORT)  # without the lock, the connection would be idle by now
+    assert admission.wait_for("call_ended")[0] == 1  # `on_call_ended` is called next
+    call_end_handled.wait(GUARDED_WAIT_S)  # without the lock, the connection would be idle by now
     calling_thread, _ = run_in_thread(lambda: records.start_call("b", 2, deadline_unix_ms, b"ask", False))
-    calling_thread.join(SHORT)
+    calling_thread.join(GUARDED_WAIT_S)
     checkpoint.open()
     cancelling_thread.join(WAIT_TIMEOUT_S)
     calling_thread.join(WAIT_TIMEOUT_S)
     _, name, _, second_service_sock = service.take("OP")
     assert name == "b"
     second_service_sock.sendall(b"b DONE 2\r\nok\r\n")
-    assert admission.take("call_ended") == (2, "completed", b"ok")
+    assert admission.wait_for("call_ended") == (2, "completed", b"ok")
 
 
 def test_a_queued_call_cancelled_just_after_its_dispatch_is_given_up():
     """The end of one call dispatches the next waiting call, which is cancelled right after."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 2, admission, Metrics())  # one call in flight
     deadline_unix_ms = time.time() * 1000.0 + 60_000.0
     records.start_call("a", 1, deadline_unix_ms, b"ask", True)
@@ -66,7 +66,7 @@
 
 def test_a_reused_connection_remembers_a_bounded_number_of_request_ids():
     """Consecutive calls, each before the connection was idle for long, could all share one connection."""
-    service, admission = RecordsPeer(), PostedEvents()
+    service, admission = ScriptedRecordsService(), PostedEvents()
     records = RecordsClient(host_and_port(service.address), 8, admission, Metrics())
     deadline_unix_ms, connections, max_remembered = time.time() * 1000.0 + 60_000.0, set(), 0
     for number in range(1, 601):
@@ -74,7 +74,7 @@
         connection = records.in_flight[number]
         connections.add(connection)
         service.take("OP")[3].sendall(b"t%d DONE 2\r\nok\r\n" % number)
-        assert admission.take("call_ended") == (number, "completed", b"ok")
+        assert admission.wait_for("call_ended") == (number, "completed", b"ok")
         wait_until(
             lambda number=number: number not in records.in_flight, "the call is not in flight any more"
         )
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from testkit.fakes.peers import WAIT_TIMEOUT_S
-from testkit.faults.checkpoints import SHORT, Checkpoint, Wrapped
+from testkit.faults.checkpoints import GUARDED_WAIT_S, Checkpoint, Wrapped
 from testkit.faults.waiting import wait_until
 from vetchford.coordination.fleet_member import FleetMember
 from vetchford.gossip.fleet_signals import PROBE_LEASE_NAME
