--- a/testkit/simulation/leases.py
+++ b/testkit/simulation/leases.py
@@ -324,7 +324,7 @@
     """A mutation: a server votes for a higher term while its previous vote still binds."""
 
     def receive(self, now: float, sender: str, message: ServerMessage) -> None:
-        """Forgets its vote first."""
+        """Forget the previous vote and handle the message."""
         if isinstance(message, VoteRequest) and message.term > self.election.highest_seen_term:
             self.election.voted_for = ""
         super().receive(now, sender, message)
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -68,7 +68,7 @@
         return start_new_thread(*args, **kwargs)
 
     def check(name, process):
-        first_check.come()  # held, so that the second check needs another thread
+        first_check.pass_or_wait()  # held, so that the second check needs another thread
         checked.add(name)
 
     monkeypatch.setattr(_thread, "start_new_thread", start_thread)
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -126,7 +126,7 @@
     )
     assert cluster.ask(new_leader, {"ask": "resume", "id": "r1"})["state"] == "running"
     check_finished_roll(cluster, floor=4)
-    assert cluster.links.met()["cut"] > 0
+    assert cluster.links.fault_counts()["cut"] > 0
 
 
 def test_an_agent_suspended_during_its_batch_continues_after_it_resumes(cluster):
@@ -242,7 +242,7 @@
         time.sleep(rng.uniform(0.3, 1.0))
         cluster.links.heal()
     check_finished_roll(cluster)
-    assert sum(cluster.links.met().values()) > 3
+    assert sum(cluster.links.fault_counts().values()) > 3
 
 
 def test_a_fault_schedule_is_determined_by_its_seed_and_keeps_the_invariants(cluster):
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -148,8 +148,8 @@
         machine = world.machines[
             name if crashed_role == "leader" else next(n for n in world.names if n != name)
         ]
-        acts_before = machine.acts
-        machine.dies_at_act = acts_before + crash_at
+        acts_before = machine.actions_done
+        machine.killed_at_action = acts_before + crash_at
         world.request_rollout(name, "r1", "roll", version="v2", batch=2, floor=3)
         world.run(world.now + 15_000.0, lambda w=world: w.has_ended("r1"))
         # The agent crashed before the rollout was committed: the request is repeated, as the tool does.
@@ -159,7 +159,7 @@
         assert world.find_rollout("r1")["state"] == "finished" and not world.violations(), crash_at
         assert {one.version for m in world.machines.values() for one in m.processes.values()} == {"v2"}
         if (
-            machine.acts - acts_before < crash_at
+            machine.actions_done - acts_before < crash_at
             and machine.coordinator is not None
             and machine.incarnation == 1
         ):
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -72,7 +72,7 @@
 def test_under_faults_at_most_k_clients_hold_leases_and_tokens_increase_and_granting_resumes_after_healing():
     fault_counts = {}
     for seed in range(1, 13):
-        simulation = LeaseSimulation(seed, loss=0.05, doubled=0.1)
+        simulation = LeaseSimulation(seed, loss=0.05, duplicate_rate=0.1)
         simulation.run_with_faults(90.0)
         acquired_before = sum(simulation.acquired.values())
         simulation.heal()
--- a/tests/transport/test_transport_races.py
+++ b/tests/transport/test_transport_races.py
@@ -101,7 +101,7 @@
     local.transport.start_stream(link_number, wrapped)
     read_checkpoint.wait()
     local.transport.close_link(link_number)
-    assert not closed.wait(SHORT)
+    assert not closed.wait(GUARDED_WAIT_S)
     read_checkpoint.open()
     assert closed.wait(WAIT_TIMEOUT_S)
     local_socket.close()
