--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -283,11 +283,7 @@
     ) as agent:
         completed = agent.run_tool("start", "--batch", "1", "--spacing", "9000", "all", check=False)
         reply = json.loads(completed.stdout)
-        assert (
-            completed.returncode == 1
-            and reply["state"] == "paused"
-            and "uses more memory than its limit of 1 MB" in reply["why"]
-        )
+        assert completed.returncode == 1 and reply["state"] == "paused" and "takes over 1 MB" in reply["why"]
         pid = next(instance["pid"] for instance in agent.status().values() if instance["pid"])
         limit = next(
             line for line in Path(f"/proc/{pid}/limits").read_text().splitlines() if "open files" in line
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -109,11 +109,7 @@
         """Start the process of an instance."""
         command = self.settings.command_of(name, version)
         if command is None:
-            self.post(
-                self.on_spawn_failed,
-                name,
-                f"no command for version '{version}': add it to 'versions' in the settings",
-            )
+            self.post(self.on_spawn_failed, name, f"no command for version {version}")
             return
         definition = self.settings.instances[name]
         options = supervisor.StartOptions(
@@ -209,7 +205,7 @@
         for name, process in self.processes.items():
             limit_mb = self.settings.instances[name].memory_mb
             if limit_mb is not None and read_memory_kb(process.pid) > limit_mb << 10:
-                self.pause_rollouts(f"{name} uses more memory than its limit of {limit_mb} MB")
+                self.pause_rollouts(f"{name} takes over {limit_mb} MB")
 
     def pause_rollouts(self, reason: str) -> None:
         """Pause all active rollouts."""
