--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -102,10 +102,10 @@
 @pytest.mark.parametrize(
     ("arguments", "message"),
     [
-        (["--socket", "x", "melt"], "wrong usage; `vetchford fleet --help` tells how"),
+        (["--socket", "x", "melt"], "wrong usage; see `vetchford fleet --help`"),
         (
             ["--socket", "x", "--batch", "many", "start", "all"],
-            "wrong usage; `vetchford fleet --help` tells how",
+            "wrong usage; see `vetchford fleet --help`",
         ),
         (["status"], "--socket is missing: name the socket of at least one agent"),
     ],
--- a/vetchford/fleet/commands/command_line.py
+++ b/vetchford/fleet/commands/command_line.py
@@ -54,7 +54,7 @@
     try:
         options = Options.from_arguments(docopt(__doc__, ["fleet", *argv]))
     except (DocoptExit, ValueError):
-        return refuse("wrong usage; `vetchford fleet --help` tells how")
+        return refuse("wrong usage; see `vetchford fleet --help`")
     if not options.sockets:
         return refuse("--socket is missing: name the socket of at least one agent")
     if options.across and options.command == Command.HISTORY:
