--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -184,7 +184,7 @@
         """End the process at once."""
         self.processes[name].ends_at_ms = self.world.now
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Add a log event to the history."""
         self.world.history.append({"at": self.world.now, "agent": self.name, "event": event, **fields})
 
--- a/tests/fleet/test_agent_races.py
+++ b/tests/fleet/test_agent_races.py
@@ -251,7 +251,7 @@
     actions, controller = serving_instances()
     controller.submit(10.0, Rollout("r", "restart", ["a", "b"], minimum_ready_ms=0.0))
     logged = []
-    actions.note = lambda event, **fields: logged.append((event, fields.get("now")))
+    actions.log_event = lambda event, **fields: logged.append((event, fields.get("now")))
     actions.store_full = True
     with pytest.raises(OSError):
         controller.pause("r")
--- a/tests/fleet/test_rollout_model.py
+++ b/tests/fleet/test_rollout_model.py
@@ -81,7 +81,7 @@
         self.processes[name]["ends"] = self.now
         self.kill_agent_if_due()
 
-    def note(self, event, **fields):
+    def log_event(self, event, **fields):
         assert "event" not in fields
 
     # -- state of the processes
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -71,7 +71,7 @@
 
 def test_the_code_and_the_on_call_page_name_the_same_log_events():
     code = "".join(path.read_text() for path in sorted((ROOT / "vetchford").rglob("*.py")))
-    calls = r"(?:log\.\w+|\.log_sampled|\.log_event|\.count_event|\.note|host\.count|talk\.count|self\.count)"
+    calls = r"(?:log\.\w+|\.log_sampled|\.log_event|\.count_event|host\.count|talk\.count|self\.count)"
     logged = set(re.findall(calls + r"\(\s*\"(\w+)\"", code))
     table = (ROOT / "docs" / "on-call.md").read_text().split("## Log events")[1].split("\n## ")[0]
     assert logged == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(logged) > 15
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -132,7 +132,7 @@
         if name in self.processes:
             self.processes[name].kill()
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
         log.info(event, **fields)
 
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -201,7 +201,7 @@
         try:
             message = decode_message(sender, encoded)
         except UnknownMessageError:
-            self.actions.note("record_message_unknown", sender=sender)
+            self.actions.log_event("record_message_unknown", sender=sender)
             return
         match message:
             case PreVoteRequest():
@@ -242,7 +242,7 @@
         was_leading = self.role in LEADING_ROLES
         self.become_follower(now_ms, "")
         if was_leading:
-            self.actions.note("leader_stepped_down", term=self.campaign_term, why=reason)
+            self.actions.log_event("leader_stepped_down", term=self.campaign_term, why=reason)
             self.actions.on_deposed(now_ms, reason)
 
     def on_rejected(self, now_ms: float, sender: str, message: Rejected) -> None:
@@ -300,7 +300,7 @@
         if self.role != Role.FOLLOWER:
             self.step_down(now_ms, f"{sender} leads in a higher term")
         if self.leader != sender:
-            self.actions.note("leader_followed", driver=sender, term=message.term)
+            self.actions.log_event("leader_followed", driver=sender, term=message.term)
         self.become_follower(now_ms, sender)
         self.committed = message.committed
         self.actions.on_appended(now_ms)
@@ -319,7 +319,7 @@
         if message.version <= self.version:
             return
         if self.copy.save(self.promised_term, message.version, message.body):
-            self.actions.note("snapshot_installed", by=sender, member=self.is_member(self.name))
+            self.actions.log_event("snapshot_installed", by=sender, member=self.is_member(self.name))
             self.actions.on_appended(now_ms)
 
     # -- pre-candidate and candidate: requests votes
@@ -445,12 +445,12 @@
         if self.committed == self.version or not self.progress.is_committed(self.version):
             return
         self.committed = self.version
-        self.actions.note("record_committed", term=self.version[0], revision=self.version[1])
+        self.actions.log_event("record_committed", term=self.version[0], revision=self.version[1])
         if self.role != Role.ELECTED:
             self.actions.on_committed(now_ms)
             return
         self.set_role(now_ms, Role.LEADER, self.name)
-        self.actions.note(
+        self.actions.log_event(
             "leader_elected",
             term=self.campaign_term,
             took_over=list(self.ballot.newest_version),
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -59,7 +59,7 @@
         A repeated call with the same step id starts nothing more.
         """
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
 
 
@@ -105,7 +105,7 @@
         gap_ms = now_ms - self.last_tick_at_ms
         self.last_tick_at_ms = now_ms
         if gap_ms > STALL_THRESHOLD_MS:
-            self.actions.note("process_stalled", ms=round(gap_ms))
+            self.actions.log_event("process_stalled", ms=round(gap_ms))
             self.record.on_process_stall(now_ms, gap_ms)
         self.record.tick(now_ms)
         if self.controller is not None:
@@ -166,9 +166,9 @@
             with contextlib.suppress(OSError):  # controls of an ended rollout may stay stored without harm
                 self.actions.keep(CONTROLS_KIND, id, None)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event of the record or the controller."""
-        self.actions.note(event, **fields)
+        self.actions.log_event(event, **fields)
 
     # -- actions of the controller
 
@@ -220,7 +220,7 @@
         try:
             message = decode_message(sender, kind, body)
         except UnknownMessageError:
-            self.actions.note("peer_message_unknown", sender=sender, kind=kind)
+            self.actions.log_event("peer_message_unknown", sender=sender, kind=kind)
             return
         match message:
             case ReportRequest():
@@ -270,9 +270,9 @@
         refusal = self.order_guard.find_refusal(now_ms, sender, order, is_current_leader=is_current_leader)
         refusal = refusal or self.actions.begin_step(step)
         if refusal:
-            self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
+            self.actions.log_event("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
-        self.actions.note(
+        self.actions.log_event(
             "order_accepted",
             span=step.rollout_id,
             instance=step.name,
@@ -295,7 +295,7 @@
         try:
             self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
         except OSError as problem:  # other agents store the controls too
-            self.actions.note("controls_not_stored", problem=str(problem))
+            self.actions.log_event("controls_not_stored", problem=str(problem))
 
     def share_controls(self, rollout_id: str) -> None:
         """Store the controls of one rollout, and send them to all members."""
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -224,7 +224,7 @@
         """Start a step on this agent; return an empty string, or why the step was refused."""
         return begin_step(self.agent.controller, self.now(), step)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event of the coordinator."""
         if event in SAMPLED_EVENTS:
             self.metrics.log_sampled(event, **fields)
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -47,7 +47,7 @@
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
         """Return a voter whose entry in the record is to be updated, and its store's identity."""
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
 
 
@@ -195,7 +195,7 @@
                 return index + 1
             rollout = entry.rollout
             proposal.rollouts[rollout.id] = rollout.copy()
-            self.actions.note(
+            self.actions.log_event(
                 "fleet_rollout_started", span=rollout.id, kind=rollout.kind, targets=len(rollout.steps)
             )
         return len(self.queue)
@@ -204,7 +204,7 @@
         """Make one pass over one rollout."""
         control = self.controls.active(rollout.id)
         availability = Availability(now_ms, self.view, proposal)
-        rollout_pass = RolloutPass(availability, rollout, self.actions.note)
+        rollout_pass = RolloutPass(availability, rollout, self.actions.log_event)
         rollout_pass.apply_control(control)
         rollout_pass.observe_steps()
         if rollout.state == RolloutState.RUNNING:
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -209,7 +209,7 @@
 
     def _transition(self, now_ms: float, instance: Instance, state: InstanceState, reason: str) -> None:
         if state != instance.state:
-            self.actions.note(
+            self.actions.log_event(
                 "instance_state_changed",
                 instance=instance.name,
                 was=str(instance.state),
--- a/vetchford/fleet/record_copy.py
+++ b/vetchford/fleet/record_copy.py
@@ -14,7 +14,7 @@
     def save_record(self, stored: dict[str, Any]) -> None:
         """Make the copy durable before returning; OSError if the store fails, and then no vote was cast."""
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
 
 
@@ -41,7 +41,7 @@
         try:
             self._store.save_record(state.to_stored())
         except OSError as problem:
-            self._store.note("record_not_stored", problem=str(problem))
+            self._store.log_event("record_not_stored", problem=str(problem))
             return False
         self._set_state(state)
         return True
--- a/vetchford/fleet/rollout_actions.py
+++ b/vetchford/fleet/rollout_actions.py
@@ -29,5 +29,5 @@
     def kill(self, name: str) -> None:
         """Send SIGKILL to the instance's whole session."""
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write one log event."""
--- a/vetchford/fleet/rollout_executor.py
+++ b/vetchford/fleet/rollout_executor.py
@@ -165,7 +165,7 @@
     def _fail_step(self, rollout: Rollout, instance: Instance) -> None:
         """Fail a step; continue, pause or roll back, as the rollout's `on_failure` says."""
         self.table.set_step(rollout, instance.name, StepState.FAILED)
-        self.table.actions.note(
+        self.table.actions.log_event(
             "rollout_instance_failed", change=rollout.id, instance=instance.name, why=instance.reason
         )
         if rollout.state == RolloutState.ROLLING_BACK or rollout.on_failure == FailurePolicy.CONTINUE:
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -61,11 +61,11 @@
     Created for each pass, on the agent's thread.
     """
 
-    def __init__(self, availability: Availability, rollout: FleetRollout, note: LogEvent) -> None:
+    def __init__(self, availability: Availability, rollout: FleetRollout, log_event: LogEvent) -> None:
         """Start a pass; `availability` is by the proposed record, of which `rollout` is part."""
         self.availability = availability
         self.rollout = rollout
-        self.note = note
+        self.log_event = log_event
         self.now_ms = availability.now_ms
         self.view = availability.view
 
@@ -168,7 +168,7 @@
         rollout = self.rollout
         failure = f"{key}: {reason}"
         rollout.steps[key] = StepState.FAILED
-        self.note("fleet_rollout_step_failed", span=rollout.id, instance=key, why=reason)
+        self.log_event("fleet_rollout_step_failed", span=rollout.id, instance=key, why=reason)
         if rollout.rolling_back or rollout.on_failure == CONTINUE_ON_FAILURE:
             return
         if rollout.on_failure == PAUSE_ON_FAILURE:
@@ -267,7 +267,7 @@
         if rollout.state == RolloutState.PAUSED and failed and not aborted:
             return False
         self.set_outcome(aborted, failed)
-        self.note(
+        self.log_event(
             "fleet_rollout_ended", span=rollout.id, state=rollout.state.name.lower(), why=rollout.reason
         )
         return True
--- a/vetchford/fleet/rollout_table.py
+++ b/vetchford/fleet/rollout_table.py
@@ -26,7 +26,7 @@
         """Store a new rollout. Raises OSError if the store cannot write; then the rollout has not begun."""
         self.save(rollout)
         self.rollouts[rollout.id] = rollout
-        self.actions.note(
+        self.actions.log_event(
             "rollout_started", change=rollout.id, kind=rollout.kind, targets=len(rollout.targets)
         )
 
@@ -80,7 +80,7 @@
         self._log_transition(rollout, previous)
 
     def _log_transition(self, rollout: Rollout, previous: RolloutState) -> None:
-        self.actions.note(
+        self.actions.log_event(
             "rollout_state_changed",
             change=rollout.id,
             was=previous.name.lower(),
