--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -150,10 +150,6 @@
         else:
             self.disk[kind, name] = copy.deepcopy(record)
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
-        """Write a record of the fleet to the disk."""
-        self.save_record(kind, name, body)
-
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
         """Send a message to another agent."""
         self._act()
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -47,7 +47,7 @@
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
         """Send a message to another agent; return False if it is known not to have been sent."""
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
+    def save_record(self, kind: str, name: str, body: Any) -> None:
         """Store a record durably before returning, or delete it for None; OSError if the store fails."""
 
     def report(self, rollouts: set[str]) -> AgentReport:
@@ -131,7 +131,7 @@
 
     def save_record(self, stored: dict[str, Any]) -> None:
         """Store the record; OSError if the store fails."""
-        self.actions.keep(RECORD_KIND, RECORD_NAME, stored)
+        self.actions.save_record(RECORD_KIND, RECORD_NAME, stored)
 
     def on_elected(self, now_ms: float) -> None:
         """Start to lead, with a new controller."""
@@ -164,7 +164,7 @@
         for id in self.controls.discard_ended(self.unfinished):
             self.wait_reasons.pop(id, None)
             with contextlib.suppress(OSError):  # controls of an ended rollout may stay stored without harm
-                self.actions.keep(CONTROLS_KIND, id, None)
+                self.actions.save_record(CONTROLS_KIND, id, None)
 
     def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event of the record or the controller."""
@@ -293,7 +293,7 @@
     def save_controls(self, rollout_id: str) -> None:
         """Store the controls of one rollout; they are in effect even if the store fails."""
         try:
-            self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
+            self.actions.save_record(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
         except OSError as problem:  # other agents store the controls too
             self.actions.log_event("controls_not_stored", problem=str(problem))
 
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -212,7 +212,7 @@
         """Send a message; return False if it certainly was not sent."""
         return self.transport.send(to, kind, body)
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
+    def save_record(self, kind: str, name: str, body: Any) -> None:
         """Write a record to the store; None deletes it. Raises OSError if the store fails."""
         self.agent.store.put(kind, name, body, history=kind != RECORD_KIND)
 
