--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -46,7 +46,7 @@
 METRICS_INTERVAL_WHILE_UNAVAILABLE_MS = 100.0  # shorter, to detect the first answer of the service sooner
 SUMMARY_INTERVAL_MS = 10_000.0
 RINGS = 3  # rings of all servers; load reports are sent to the successor in each
-REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_actor.py
+REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_adapter.py
 SAMPLED_EVENTS = frozenset(
     ("lease_queue_full", "lease_expired")
 )  # caused by other servers: log lines are sampled
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -30,7 +30,7 @@
 from vetchford.runtime.metrics import Metrics
 
 if TYPE_CHECKING:
-    from vetchford.fleet.coordinator_actor import CoordinatorAdapter
+    from vetchford.fleet.coordinator_adapter import CoordinatorAdapter
 
 log = structlog.get_logger()
 
@@ -95,7 +95,7 @@
 
     def join_fleet(self, peers: PeerSettings) -> "CoordinatorAdapter":
         """Return this agent's coordinator in its fleet. Raises OSError if its address cannot be bound."""
-        from vetchford.fleet.coordinator_actor import CoordinatorAdapter  # only for agents in a fleet
+        from vetchford.fleet.coordinator_adapter import CoordinatorAdapter  # only for agents in a fleet
 
         return CoordinatorAdapter(self, self, peers, self.metrics)
 
