--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -96,7 +96,7 @@
                 view.polled_at_ms = now_ms
                 self.last_poll_number += 1
                 self.actions.poll(agent, self.last_poll_number)
-        self.view.forget_all_but(self.record.members)
+        self.view.discard_all_except(self.record.members)
         self.reconcile(now_ms)
 
     def receive_report(
--- a/vetchford/fleet/fleet_view.py
+++ b/vetchford/fleet/fleet_view.py
@@ -12,7 +12,7 @@
 from vetchford.fleet.fleet_record import split_instance_key
 
 MAX_REPORT_AGE_MS = 2000.0  # since the report was requested; eight polls
-NEVER = -1e12  # ms, before any time of the monotonic clock
+NEVER_MS = -1e12  # ms, before any time of the monotonic clock
 
 
 class InstanceReport(TypedDict):
@@ -39,7 +39,7 @@
     """The state of an attempt: the local rollout in which an agent carries out one step."""
 
     RUNNING = "running"
-    REVERTING = "back"
+    ROLLING_BACK = "back"
     PAUSED = "paused"  # the agent's store failed
     SUCCEEDED = "finished"
 
@@ -51,9 +51,9 @@
     reason: str
     killed: list[str]
 
-    def is_going_on(self) -> bool:
+    def is_unfinished(self) -> bool:
         """Return whether the attempt has not ended; a paused one is ordered again, which resumes it."""
-        return self.state in (AttemptState.RUNNING, AttemptState.REVERTING, AttemptState.PAUSED)
+        return self.state in (AttemptState.RUNNING, AttemptState.ROLLING_BACK, AttemptState.PAUSED)
 
 
 def empty_report() -> AgentReport:
@@ -65,10 +65,10 @@
 class AgentView:
     """The newest report of one agent, and the orders sent to it."""
 
-    requested_at_ms: float = NEVER  # when the newest received report was requested
+    requested_at_ms: float = NEVER_MS  # when the newest received report was requested
     number: int = 0
     report: AgentReport = field(default_factory=empty_report)
-    polled_at_ms: float = NEVER
+    polled_at_ms: float = NEVER_MS
     ordered_at_ms: dict[str, float] = field(default_factory=dict)  # by attempt id; removed at its end
 
     def result(self, attempt_id: str) -> AttemptResult | None:
@@ -88,7 +88,7 @@
         """Return the view of a member; create it for a new member."""
         return self.agents.setdefault(name, AgentView())
 
-    def forget_all_but(self, members: Container[str]) -> None:
+    def discard_all_except(self, members: Container[str]) -> None:
         """Remove the agents that are no longer members."""
         for agent in [agent for agent in self.agents if agent not in members]:
             del self.agents[agent]
--- a/vetchford/fleet/rollout_progress.py
+++ b/vetchford/fleet/rollout_progress.py
@@ -125,7 +125,7 @@
             if not was_ordered:
                 self.withdraw_unordered_step(key)
             return
-        if result.is_going_on():
+        if result.is_unfinished():
             return
         if name in result.killed and key not in rollout.killed:
             rollout.killed = [*rollout.killed, key]
--- a/vetchford/fleet/step_dispatcher.py
+++ b/vetchford/fleet/step_dispatcher.py
@@ -5,7 +5,7 @@
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.coordinator_messages import Step
 from vetchford.fleet.fleet_record import FleetRollout, StepState, agent_of, split_instance_key
-from vetchford.fleet.fleet_view import NEVER, AgentView, AttemptState
+from vetchford.fleet.fleet_view import NEVER_MS, AgentView, AttemptState
 
 ORDER_RETRY_INTERVAL_MS = 500.0  # until an order without effect in the reports is sent again
 
@@ -69,5 +69,5 @@
             return False
         if result is not None and result.state != AttemptState.PAUSED:
             return False
-        ordered_at_ms = view.ordered_at_ms.get(attempt_id, NEVER)
+        ordered_at_ms = view.ordered_at_ms.get(attempt_id, NEVER_MS)
         return committed.now_ms - ordered_at_ms >= ORDER_RETRY_INTERVAL_MS
