--- a/testkit/simulation/agent_mutations.py
+++ b/testkit/simulation/agent_mutations.py
@@ -53,10 +53,10 @@
 def minimum_without_steps_in_progress() -> contextlib.AbstractContextManager[None]:
     """Count an instance that was ordered out and still serves."""
 
-    def count(self: Any, rollout: Any) -> int:
+    def count_serving(self: Any, rollout: Any) -> int:
         return sum(instance["state"] == "serving" for instance in self.instances().values())
 
-    return replaced((Availability, "count", count))
+    return replaced((Availability, "count_serving", count_serving))
 
 
 def incarnation_forgotten() -> contextlib.AbstractContextManager[None]:
--- a/vetchford/fleet/availability.py
+++ b/vetchford/fleet/availability.py
@@ -41,7 +41,7 @@
             if step == StepState.IN_PROGRESS
         }
 
-    def count(self, rollout: FleetRollout) -> int:
+    def count_serving(self, rollout: FleetRollout) -> int:
         """Return how many instances of a rollout's groups are proven to serve, except those in progress."""
         in_progress = self.instances_in_progress()
         return sum(
@@ -52,8 +52,8 @@
     def describe_shortfall(self, rollout: FleetRollout, key: str, still_counted: int = 0) -> str:
         """Return which rollout's minimum forbids taking an instance out of service; empty if none does.
 
-        `rollout` would take the instance `key` out of service; `still_counted` is 1 if `count` includes this
-        instance, 0 if its step is in progress already.
+        `rollout` would take the instance `key` out of service; `still_counted` is 1 if `count_serving`
+        includes this instance, 0 if its step is in progress already.
 
         The result is a text for operators. The minimum of every unfinished rollout over the same group
         applies, not only that of `rollout`. An instance that does not serve may always be taken, and a start
@@ -67,7 +67,7 @@
         for other in self.record.unfinished():
             if instance["group"] not in other.groups:
                 continue
-            available = self.count(other)
+            available = self.count_serving(other)
             if available - still_counted < other.minimum_available:
                 return f"{available} proven to serve, the floor of {other.id} is {other.minimum_available}"
         return ""
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -87,7 +87,7 @@
         self.order_guard = OrderGuard(name, self.record, self.controls)
         self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed once answered or too old
         self.wait_reasons: dict[str, str] = {}  # by rollout id, from the leader's last report request
-        self.unfinished: set[str] = set()  # ids of the record's rollouts that have not ended
+        self.unfinished_ids: set[str] = set()  # ids of the record's rollouts that have not ended
         self.last_tick_at_ms = now_ms
 
     def restore(self, kind: str, name: str, body: Any) -> None:
@@ -156,12 +156,12 @@
     def update_from_record(self) -> None:
         """Read the unfinished rollouts of the record, and add their pauses to the controls."""
         rollouts = FleetRecord.decode(self.record.body).rollouts
-        self.unfinished = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
-        for id in self.unfinished:
+        self.unfinished_ids = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
+        for id in self.unfinished_ids:
             if rollouts[id].pauses:
                 recorded: EncodedControls = {"halts": rollouts[id].pauses, "lifted": []}
-                self.controls.merge({id: recorded}, self.unfinished)
-        for id in self.controls.discard_ended(self.unfinished):
+                self.controls.merge({id: recorded}, self.unfinished_ids)
+        for id in self.controls.discard_ended(self.unfinished_ids):
             self.wait_reasons.pop(id, None)
             with contextlib.suppress(OSError):  # controls of an ended rollout may stay stored without harm
                 self.actions.save_record(CONTROLS_KIND, id, None)
@@ -247,7 +247,7 @@
         self.wait_reasons = dict(message.wait_reasons)
         self.merge_controls(message.controls)
         self.order_guard.note_report_sent(now_ms, message.number)
-        report: Any = self.actions.report(self.unfinished)
+        report: Any = self.actions.report(self.unfinished_ids)
         response = ReportResponse(message.number, message.term, report, self.controls.encoded())
         if sender == self.name:
             self.on_report_response(now_ms, self.name, response)
@@ -287,7 +287,7 @@
 
     def merge_controls(self, received: dict[str, EncodedControls]) -> None:
         """Merge another agent's controls into this agent's, and store those that changed."""
-        for rollout_id in self.controls.merge(received, self.unfinished):
+        for rollout_id in self.controls.merge(received, self.unfinished_ids):
             self.save_controls(rollout_id)
 
     def save_controls(self, rollout_id: str) -> None:
--- a/vetchford/fleet/coordinator_protocol.py
+++ b/vetchford/fleet/coordinator_protocol.py
@@ -25,7 +25,7 @@
     controls: RolloutControls
     controller: FleetRolloutController | None  # while this agent leads
     wait_reasons: dict[str, str]  # by rollout id, from the leader's last report request
-    unfinished: set[str]  # ids of the record's rollouts that have not ended
+    unfinished_ids: set[str]  # ids of the record's rollouts that have not ended
 
     @property
     def actions(self) -> ReportSource:
--- a/vetchford/fleet/fleet_status.py
+++ b/vetchford/fleet/fleet_status.py
@@ -74,7 +74,7 @@
     def describe_own_instances(self) -> AgentStatusReply:
         """Return the status of this agent's instances only."""
         coordinator = self.coordinator
-        instances = coordinator.actions.report(coordinator.unfinished)["instances"]
+        instances = coordinator.actions.report(coordinator.unfinished_ids)["instances"]
         return AgentStatusReply(
             instances={f"{name}@{coordinator.name}": instance for name, instance in instances.items()},
             leader="",
--- a/vetchford/fleet/rollout_request.py
+++ b/vetchford/fleet/rollout_request.py
@@ -95,6 +95,6 @@
 
     def check_minimum(self, rollout: FleetRollout) -> None:
         """Refuse a rollout that cannot keep its minimum by the current reports."""
-        available = self.availability.count(rollout)
+        available = self.availability.count_serving(rollout)
         affected = sum(self.instances[key]["state"] == InstanceState.SERVING for key in rollout.steps)
         check_minimum_available(rollout.kind, available, affected, rollout.minimum_available)
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -130,7 +130,7 @@
     def check_unfinished(self, id: str) -> None:
         """Raise RefusedError if a rollout is unknown or has ended."""
         coordinator = self.coordinator
-        if id in coordinator.unfinished:
+        if id in coordinator.unfinished_ids:
             return
         rollout = coordinator.record.body["spans"].get(id)
         if rollout:
