--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -266,7 +266,7 @@
     active_pauses = {id for id, _ in copies[0].controls_of("c")["halts"].items()} - set(
         copies[0].controls_of("c")["lifted"]
     )
-    assert (copies[0].active("c").kind == "pause") == bool(active_pauses)
+    assert (copies[0].active_control("c").kind == "pause") == bool(active_pauses)
     assert copies[0].discard_ended(set()) == ["c"] and not copies[0].by_rollout
 
 
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -291,7 +291,7 @@
             return
         incarnation = self.incarnation_counter.incarnation
         log.warning("life_raised", life=incarnation, known=known)
-        self.failure_detector.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
+        self.failure_detector.membership.start_incarnation(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
         self.lease_client.begin_incarnation(now_ms, incarnation)
         self.transport.begin_incarnation(incarnation, self.incarnation_counter.nonce)
--- a/vetchford/fleet/coordinator_adapter.py
+++ b/vetchford/fleet/coordinator_adapter.py
@@ -190,7 +190,7 @@
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
         log.warning("life_raised", life=self.own_incarnation.number, known=known)
-        self.failure_detector.membership.restart(self.detector_incarnation())
+        self.failure_detector.membership.start_incarnation(self.detector_incarnation())
         self.transport.begin_incarnation(self.own_incarnation.number, self.own_incarnation.nonce)
 
     # -- actions of the failure detector
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -202,7 +202,7 @@
 
     def advance(self, now_ms: float, proposal: FleetRecord, rollout: FleetRollout) -> None:
         """Make one pass over one rollout."""
-        control = self.controls.active(rollout.id)
+        control = self.controls.active_control(rollout.id)
         availability = Availability(now_ms, self.view, proposal)
         rollout_pass = RolloutPass(availability, rollout, self.actions.log_event)
         rollout_pass.apply_control(control)
--- a/vetchford/fleet/fleet_status.py
+++ b/vetchford/fleet/fleet_status.py
@@ -44,7 +44,7 @@
         if rollout is None:
             raise UnknownRolloutError(id)
         leader_silence_ms = now_ms - record.leader_heard_at_ms if record.role != Role.LEADER else 0.0
-        active = coordinator.controls.active(id)
+        active = coordinator.controls.active_control(id)
         is_paused = active.kind == PAUSE and rollout["state"] == RolloutState.RUNNING
         progress = RolloutProgress(
             state=RolloutState.PAUSED if is_paused else rollout["state"],
--- a/vetchford/fleet/membership.py
+++ b/vetchford/fleet/membership.py
@@ -78,7 +78,7 @@
         self.updates = UpdateQueue()
         self.updates.add(name)
 
-    def restart(self, incarnation: int) -> None:
+    def start_incarnation(self, incarnation: int) -> None:
         """Start a new incarnation of this agent, and spread it to the others."""
         self.incarnation = incarnation
         self.updates.add(self.name)
@@ -129,7 +129,7 @@
     def refute(self, state: str, incarnation: int) -> None:
         """Refute an update that this agent is not alive by starting a higher incarnation."""
         if state != MemberState.ALIVE and incarnation >= self.incarnation:
-            self.restart(incarnation + 1)
+            self.start_incarnation(incarnation + 1)
 
     def piggyback(self, to: str) -> list[MembershipUpdate]:
         """Return the updates for one message: that about its receiver, then those sent least often."""
--- a/vetchford/fleet/order_guard.py
+++ b/vetchford/fleet/order_guard.py
@@ -40,7 +40,7 @@
         report_sent_at_ms = self.reports_sent_at_ms.get(order.number)
         if report_sent_at_ms is None or now_ms - report_sent_at_ms > MAX_ORDER_AGE_MS:
             return "it rests on a report that is old"
-        control = self.controls.active(order.step.rollout_id)
+        control = self.controls.active_control(order.step.rollout_id)
         if control.kind:
             return f"{control.kind}: {control.reason}"
         return ""
--- a/vetchford/fleet/rollout_controls.py
+++ b/vetchford/fleet/rollout_controls.py
@@ -75,7 +75,7 @@
             controls["lifted"] = sorted({*controls["lifted"], *paused})
         return paused
 
-    def active(self, rollout_id: str) -> ActiveControl:
+    def active_control(self, rollout_id: str) -> ActiveControl:
         """Return the control in effect, an abort before a pause; its reason names the requesting agent."""
         controls = self.controls_of(rollout_id)
         halts = sorted(controls["halts"].items())
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -118,7 +118,7 @@
             case AbortRequest():
                 self.add_control(request.id, ABORT)
         coordinator.share_controls(request.id)
-        active = coordinator.controls.active(request.id)
+        active = coordinator.controls.active_control(request.id)
         return ControlReply(
             id=request.id,
             state=STATE_BY_CONTROL[active.kind],
