--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -1,8 +1,8 @@
 """Controller of fleet rollouts; it runs on the agent that leads. No I/O; times in ms.
 
 The controller compares the record with the agents' reports, proposes the next record, and orders the agents
-to carry out committed steps. The rules are in `rollout_progress.py` (steps), `availability.py` (the minimum),
-`member_changes.py` (members) and `step_dispatcher.py` (orders).
+to carry out committed steps. The rules are in `fleet_rollout_pass.py` (steps), `availability.py` (the
+minimum), `member_changes.py` (members) and `step_dispatcher.py` (orders).
 
 The minimum of available instances and the batch limit hold however late an order arrives, and do not depend
 on clocks. A rollout continues while reports prove that its minimum is kept, and otherwise waits and gives the
@@ -15,6 +15,8 @@
 from vetchford.fleet.agent_messages import RolloutRequest
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord, FleetRollout, RolloutState
+from vetchford.fleet.fleet_rollout_pass import RolloutPass
+from vetchford.fleet.fleet_rollout_validation import RequestValidator, is_same_request
 from vetchford.fleet.fleet_view import AgentReport, AgentView, FleetView
 from vetchford.fleet.member_changes import (
     MemberAction,
@@ -26,8 +28,6 @@
 )
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
-from vetchford.fleet.rollout_progress import RolloutPass
-from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
 POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout is unfinished
