--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -104,10 +104,10 @@
         self.network = network
         self.name = name
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
+    def send(self, to: str, kind: str, number: int, target: str, updates: list[MembershipUpdate]) -> None:
         """Send a message, which must not carry more updates than allowed."""
         assert len(updates) <= MAX_UPDATES + 1
-        self.network.send(self.name, to, kind, number, about, list(updates))
+        self.network.send(self.name, to, kind, number, target, list(updates))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Keep the change."""
--- a/vetchford/coordination/datagrams.py
+++ b/vetchford/coordination/datagrams.py
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipDatagram:
-    """A message of the failure detector; `about` names the target of a ping request."""
+    """A message of the failure detector; `target`: the agent that a ping request asks to probe."""
 
     kind: str
     number: int
-    about: str
+    target: str
     updates: list[MembershipUpdate]
 
 
@@ -51,9 +51,9 @@
 Datagram: TypeAlias = MembershipDatagram | LoadReportsDatagram | LeaseDatagram
 
 
-def encode_membership(kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> list[Any]:
+def encode_membership(kind: str, number: int, target: str, updates: list[MembershipUpdate]) -> list[Any]:
     """Return the body of a message of the failure detector."""
-    return [Kind.MEMBERSHIP, kind, number, about, updates]
+    return [Kind.MEMBERSHIP, kind, number, target, updates]
 
 
 def encode_load_reports(reports: list[LoadReport]) -> list[Any]:
@@ -83,6 +83,6 @@
 
 
 def _decode_membership(fields: list[Any]) -> MembershipDatagram:
-    kind, number, about, updates = fields
+    kind, number, target, updates = fields
     decoded_updates = [(str(name), str(state), int(incarnation)) for name, state, incarnation in updates]
-    return MembershipDatagram(str(kind), int(number), str(about), decoded_updates)
+    return MembershipDatagram(str(kind), int(number), str(target), decoded_updates)
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -195,9 +195,9 @@
 
     # -- actions of the failure detector
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
+    def send(self, to: str, kind: str, number: int, target: str, updates: list[MembershipUpdate]) -> None:
         """Send a message of the failure detector."""
-        self.transport.send_datagram(to, datagrams.encode_membership(kind, number, about, updates))
+        self.transport.send_datagram(to, datagrams.encode_membership(kind, number, target, updates))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Handle a change of the state of another server."""
@@ -266,8 +266,8 @@
 
     def _receive(self, peer: str, body: Any) -> None:
         match datagrams.decode(body):
-            case MembershipDatagram(kind, number, about, updates):
-                self.failure_detector.receive(self.now(), peer, kind, number, about, updates)
+            case MembershipDatagram(kind, number, target, updates):
+                self.failure_detector.receive(self.now(), peer, kind, number, target, updates)
             case LoadReportsDatagram(reports):
                 self.load_gossip.receive(self.now(), peer, reports)
             case LeaseDatagram(message):
--- a/vetchford/fleet/failure_detector.py
+++ b/vetchford/fleet/failure_detector.py
@@ -40,8 +40,8 @@
 class DetectorActions(MembershipActions, Protocol):
     """Operations that the failure detector calls."""
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
-        """Send a datagram, which may be lost, late or duplicated; `about`: target of a `PING_REQUEST`."""
+    def send(self, to: str, kind: str, number: int, target: str, updates: list[MembershipUpdate]) -> None:
+        """Send a datagram, which may be lost, late or duplicated; `target`: whom a `PING_REQUEST` probes."""
 
 
 @dataclass(slots=True)
@@ -201,9 +201,9 @@
     # -- messages
 
     def receive(
-        self, now_ms: float, sender: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]
+        self, now_ms: float, sender: str, kind: str, number: int, target: str, updates: list[MembershipUpdate]
     ) -> None:
-        """Handle a datagram; `about` names the target of a `PING_REQUEST`.
+        """Handle a datagram; `target`: the agent to probe for a `PING_REQUEST`.
 
         Raise KeyError or ValueError for an unknown state in an update.
         """
@@ -213,8 +213,8 @@
             self.membership.apply_update(now_ms, (sender, MemberState.ALIVE, 0))
         if kind == MessageKind.PING:
             self.send(sender, MessageKind.ACK, number)
-        elif kind == MessageKind.PING_REQUEST and about in self.membership.members:
-            self.probe_for(now_ms, sender, number, about)
+        elif kind == MessageKind.PING_REQUEST and target in self.membership.members:
+            self.probe_for(now_ms, sender, number, target)
         elif kind == MessageKind.ACK:
             self.on_ack(number)
 
@@ -235,6 +235,6 @@
         else:
             self.health_penalty = max(0, self.health_penalty - 1)
 
-    def send(self, to: str, kind: str, number: int, about: str = "") -> None:
+    def send(self, to: str, kind: str, number: int, target: str = "") -> None:
         """Send one message with piggybacked updates."""
-        self.actions.send(to, kind, number, about, self.membership.piggyback(to))
+        self.actions.send(to, kind, number, target, self.membership.piggyback(to))
