--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -18,7 +18,7 @@
 from benchmarks.fleet import Agent, free_ports
 from testkit.simulation.network import Network
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_client import ask
+from vetchford.fleet.agent_client import send_request
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.process_table import read_memory_kb
@@ -64,16 +64,16 @@
     agent = Agent(folder)
     agent.begin()
     try:
-        names = [one["name"] for one in ask(agent.path, {"ask": "status"})["instances"]]
+        names = [one["name"] for one in send_request(agent.path, {"ask": "status"})["instances"]]
         began = time.monotonic()
         change = {"id": "up", "kind": "start", "targets": names, "batch": INSTANCES, "soak": 100.0}
-        ask(agent.path, {"ask": "change", **change})
+        send_request(agent.path, {"ask": "change", **change})
         ended = agent.wait("up", 40.0)
         up = time.monotonic() - began
         times = []
         for _ in range(40):
             began = time.monotonic()
-            status = ask(agent.path, {"ask": "status"})
+            status = send_request(agent.path, {"ask": "status"})
             times.append(time.monotonic() - began)
         serving = sum(one["state"] == "serving" for one in status["instances"])
         out = {"start_200_s": round(up, 1), "change": ended["state"], "serving": serving}
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,7 @@
 from testkit.fakes.fake_process import FakeProcess
 from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_client import ask
+from vetchford.fleet.agent_client import send_request
 from vetchford.fleet.health_checker import is_ready
 from vetchford.fleet.history_store import Store
 
@@ -98,7 +98,7 @@
             self.process = subprocess.Popen(command, cwd=ROOT, stderr=log)
         for _ in range(500):
             try:
-                return ask(self.path, {"ask": "status"})
+                return send_request(self.path, {"ask": "status"})
             except Exception:
                 time.sleep(0.02)
         raise RuntimeError((self.folder / "agent.log").read_text()[-2000:])
@@ -109,7 +109,10 @@
 
     def wait(self, change: str, patience: float) -> dict[str, Any]:
         until = time.monotonic() + patience
-        while (found := ask(self.path, {"ask": "find", "id": change}))["state"] in ("running", "back"):
+        while (found := send_request(self.path, {"ask": "find", "id": change}))["state"] in (
+            "running",
+            "back",
+        ):
             if time.monotonic() > until:
                 break
             time.sleep(0.05)
@@ -148,7 +151,7 @@
     quick: bool,
 ) -> int:
     started = {"id": "up", "kind": "start", "targets": names, "batch": COUNT, "soak": 100.0}
-    ask(agent.path, {"ask": "change", **started})
+    send_request(agent.path, {"ask": "change", **started})
     agent.wait("up", 30.0)
     seconds = 20.0 if quick else 75.0
     flows = [TrafficClass("session-check", 11.0, 10.0), TrafficClass("charge", 5.0, 30.0, 0, True)]
@@ -173,7 +176,7 @@
     time.sleep(1.5)
     watcher = threading.Thread(target=floor)
     watcher.start()
-    before = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
+    before = {one["name"]: one for one in send_request(agent.path, {"ask": "status"})["instances"]}
     for at in FROZEN:
         os.kill(before[names[at]]["pid"], signal.SIGSTOP)
     roll = {
@@ -187,20 +190,20 @@
         "soak": 300.0 if quick else 5000.0,
         "on_failure": "go_on",
     }
-    ask(agent.path, roll)
+    send_request(agent.path, roll)
     killed = within = 0
     while killed < kills:
         time.sleep(chance.uniform(0.1, 1.0))
-        within += ask(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
+        within += send_request(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
         agent.kill()
         killed += 1
         agent.begin()
-        ask(agent.path, roll)  # the tool's command once more: the same change
+        send_request(agent.path, roll)  # the tool's command once more: the same change
     ended = agent.wait("roll", 60.0)
     over.set()
     for thread in (*threads, watcher):
         thread.join()
-    status = {one["name"]: one for one in ask(agent.path, {"ask": "status"})["instances"]}
+    status = {one["name"]: one for one in send_request(agent.path, {"ask": "status"})["instances"]}
     token = next(
         body["token"] for kind, _, body in Store(f"{agent.folder}/store").records() if kind == "agent"
     )
@@ -212,7 +215,7 @@
     times = []
     for _ in range(30):
         began = time.monotonic()
-        ask(agent.path, {"ask": "status"})
+        send_request(agent.path, {"ask": "status"})
         times.append(time.monotonic() - began)
     ran = pools.stop()["ran"]
     allowed = {names.index(name) for name in ended["killed"]}
--- a/testkit/faults/process_cluster.py
+++ b/testkit/faults/process_cluster.py
@@ -16,7 +16,7 @@
 from testkit.faults.cluster import PROJECT_ROOT, Cluster, free_ports
 from testkit.faults.relay import Links
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_client import UnreachableError, ask
+from vetchford.fleet.agent_client import UnreachableError, send_request
 from vetchford.fleet.history_store import Store
 
 InstanceCommand = Callable[[str, str, str], list[str]]
@@ -148,7 +148,7 @@
             log = (self.folder / name / "agent.log").read_text()
             raise RuntimeError(f"{name} ended: {log[-LOG_TAIL_CHARACTERS:]}")
         try:
-            ask(self.socket_path(name), {"ask": "status"}, STATUS_TIMEOUT_S)
+            send_request(self.socket_path(name), {"ask": "status"}, STATUS_TIMEOUT_S)
         except UnreachableError:
             return False
         return True
@@ -196,7 +196,7 @@
         Raises:
             UnreachableError: it did not reply within `timeout_s`.
         """
-        return ask(self.socket_path(name), {"ask": "across", "request": request}, timeout_s)
+        return send_request(self.socket_path(name), {"ask": "across", "request": request}, timeout_s)
 
     def peers(self, name: str) -> dict[str, Any]:
         """Return what an agent knows of the other agents and of the replicated record."""
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -19,7 +19,7 @@
 from testkit.faults.fault_schedule import FaultSchedule
 from testkit.faults.history_checker import violations
 from testkit.faults.process_cluster import ProcessCluster
-from vetchford.fleet.agent_client import UnreachableError, ask
+from vetchford.fleet.agent_client import UnreachableError, send_request
 
 
 @pytest.fixture
@@ -328,7 +328,7 @@
     ):
         for name in cluster.names:  # the leader itself, and agents that forward the request
             try:
-                reply = ask(cluster.socket_path(name), {"ask": "across", "request": request}, 20.0)
+                reply = send_request(cluster.socket_path(name), {"ask": "across", "request": request}, 20.0)
             except UnreachableError as problem:
                 raise AssertionError(f"{name} did not answer {request}") from problem
             assert "refused" in reply, (name, request, reply)
--- a/vetchford/fleet/agent_client.py
+++ b/vetchford/fleet/agent_client.py
@@ -67,7 +67,7 @@
     encoded: EncodedReply
 
 
-def ask(path: str, request: Mapping[str, Any], timeout_s: float = DEFAULT_TIMEOUT_S) -> EncodedReply:
+def send_request(path: str, request: Mapping[str, Any], timeout_s: float = DEFAULT_TIMEOUT_S) -> EncodedReply:
     """Send an encoded request to the agent at `path`; return its reply. Raises UnreachableError."""
     try:
         with socket.socket(socket.AF_UNIX) as sock:
@@ -134,7 +134,7 @@
     def _request(
         self, request: AgentRequest, decode: Callable[[EncodedReply], ReplyT]
     ) -> ReceivedReply[ReplyT]:
-        return decode_reply(ask(self.path, encode(request), self.timeout_s), decode)
+        return decode_reply(send_request(self.path, encode(request), self.timeout_s), decode)
 
 
 def send_request_to_all(
@@ -148,7 +148,7 @@
 
     def send_request_to_one(path: str) -> EncodedReply | UnreachableError:
         try:
-            return ask(path, encoded_request, timeout_s)
+            return send_request(path, encoded_request, timeout_s)
         except UnreachableError as problem:
             return problem
 
--- a/vetchford/fleet/fleet_client.py
+++ b/vetchford/fleet/fleet_client.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from vetchford.fleet.agent_client import ReceivedReply, UnreachableError, ask, decode_reply
+from vetchford.fleet.agent_client import ReceivedReply, UnreachableError, decode_reply, send_request
 from vetchford.fleet.agent_messages import (
     ControlRequest,
     EncodedReply,
@@ -95,7 +95,7 @@
         problems = []
         for path in list(self.paths):
             try:
-                return decode_reply(ask(path, encoded_request), decode)
+                return decode_reply(send_request(path, encoded_request), decode)
             except UnreachableError as problem:
                 problems.append(problem)
                 self.paths = [other for other in self.paths if other != path] + [path]  # now tried last
