--- a/tests/coordination/test_datagrams.py
+++ b/tests/coordination/test_datagrams.py
@@ -9,7 +9,7 @@
 from vetchford.coordination.datagrams import LeaseDatagram, LoadReportsDatagram, MembershipDatagram
 from vetchford.gossip.messages import LoadReport
 from vetchford.leases.messages import LeaderAnnouncement
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 
 REPORT_VALUES = [100, 0, -1, 1000, 5, 6]
 
@@ -45,7 +45,7 @@
     decoded = datagrams.decode(["rows", [["a", 1, 2, 30, REPORT_VALUES], ["b"]]])
     reports = decoded.reports
     assert next(reports).origin == "a"
-    with pytest.raises(MALFORMED):
+    with pytest.raises(MALFORMED_BODY_ERRORS):
         next(reports)
 
 
@@ -72,5 +72,5 @@
     ids=str,
 )
 def test_a_malformed_datagram_raises_an_error_that_the_actor_catches(body):
-    with pytest.raises(MALFORMED):
+    with pytest.raises(MALFORMED_BODY_ERRORS):
         datagrams.decode(body)
--- a/tests/fleet/test_consensus_messages.py
+++ b/tests/fleet/test_consensus_messages.py
@@ -5,7 +5,7 @@
 
 from vetchford.errors import VetchfordError
 from vetchford.fleet import consensus_messages as messages
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 
 BODY = {"members": {"b": 0, "a": 0}, "voters": {"b": "", "a": "1"}, "log": [], "spans": {}}
 
@@ -55,7 +55,7 @@
 
 
 def test_wrong_types_and_unknown_kinds_raise_distinct_errors():
-    assert issubclass(messages.MalformedMessageError, MALFORMED)
+    assert issubclass(messages.MalformedMessageError, MALFORMED_BODY_ERRORS)
     assert issubclass(messages.MalformedMessageError, VetchfordError)
     for encoded in (
         {"do": 7},
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -18,7 +18,7 @@
     VoteGranted,
     VoteRequest,
 )
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 
 ENCODED_MESSAGES = [
     (VoteRequest(term=7, sequence=3), {"do": "vote", "term": 7, "number": 3}),
@@ -110,5 +110,5 @@
     ids=str,
 )
 def test_a_malformed_message_raises_an_error_that_the_actor_catches(body):
-    with pytest.raises(MALFORMED):
+    with pytest.raises(MALFORMED_BODY_ERRORS):
         messages.decode(body)
--- a/vetchford/coordination/datagrams.py
+++ b/vetchford/coordination/datagrams.py
@@ -69,7 +69,7 @@
 def decode(body: Any) -> Datagram | None:
     """Return the datagram in a body; None for an unknown kind, which a newer version may send.
 
-    Raises one of `transport.framing.MALFORMED` if the body is malformed.
+    Raises one of `transport.framing.MALFORMED_BODY_ERRORS` if the body is malformed.
     """
     kind, *fields = body
     if kind == Kind.MEMBERSHIP:
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -36,7 +36,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.subsetting.subsets import MembershipView
 from vetchford.transport.connections import Transport
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
@@ -261,7 +261,7 @@
         """Pass a datagram to the component that handles its kind."""
         try:
             self._receive(peer, body)
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
     def _receive(self, peer: str, body: Any) -> None:
--- a/vetchford/fleet/coordinator_adapter.py
+++ b/vetchford/fleet/coordinator_adapter.py
@@ -35,7 +35,7 @@
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
 from vetchford.transport.connections import Transport
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
@@ -142,7 +142,7 @@
         """Pass a message of another agent to the coordinator."""
         try:
             self.coordinator.receive(self.now(), peer, kind, body)
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             problem_text = f"{type(problem).__name__}: {problem}"
             self.metrics.log_sampled("peer_malformed", peer=peer, kind=kind, problem=problem_text)
 
@@ -153,7 +153,7 @@
             self.failure_detector.receive(
                 self.now(), peer, datagram.kind, datagram.probe_number, datagram.target, datagram.updates
             )
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
     def on_link_state(self, peer: str, state: LinkState) -> None:
--- a/vetchford/fleet/detector_datagrams.py
+++ b/vetchford/fleet/detector_datagrams.py
@@ -25,7 +25,7 @@
 
 
 def decode(body: Any) -> DetectorDatagram:
-    """Decode a datagram. Raises one of `transport.framing.MALFORMED` if it is malformed."""
+    """Decode a datagram. Raises one of `transport.framing.MALFORMED_BODY_ERRORS` if it is malformed."""
     kind, probe_number, target, encoded_updates = body
     updates = [(str(name), str(state), int(incarnation)) for name, state, incarnation in encoded_updates]
     return DetectorDatagram(str(kind), int(probe_number), str(target), updates)
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -228,7 +228,7 @@
         try:
             incarnation, nonce = envelope.body
             self.sessions.compare_incarnation(int(incarnation), int(nonce))
-        except framing.MALFORMED:
+        except framing.MALFORMED_BODY_ERRORS:
             self.count_event("peer_refused", why=FrameFault.MALFORMED.log_term, peer=envelope.sender)
 
     # -- callbacks of the endpoint, on its threads
--- a/vetchford/transport/framing.py
+++ b/vetchford/transport/framing.py
@@ -21,7 +21,7 @@
 MAX_DATAGRAM_BYTES = 1400  # fits into an Ethernet frame, so it is not fragmented
 
 # Errors that decoding a malformed body may raise; OverflowError comes from converting an infinity.
-MALFORMED = (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError)
+MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError)
 
 
 class FrameError(VetchfordError):
