--- a/tests/protocol/test_codecs.py
+++ b/tests/protocol/test_codecs.py
@@ -10,7 +10,7 @@
 
 from vetchford.protocol import json_rpc, records_lines, worker_pool_lines
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
-from vetchford.runtime.sockets import send_now, send_parts
+from vetchford.runtime.sockets import send_nonblocking, send_parts
 
 
 def parse_in_pieces(parse_next, size, stream, rng):
@@ -257,7 +257,7 @@
     parts = [bytes([n % 251]) * (n % 4000) for n in range(900)]
     unsent, received, expected = list(parts), b"", b"".join(parts)
     while unsent:
-        unsent = send_now(sender, unsent)
+        unsent = send_nonblocking(sender, unsent)
         received += receiver.recv(100_000)
     sender.close()
     while data := receiver.recv(100_000):
--- a/vetchford/runtime/sockets.py
+++ b/vetchford/runtime/sockets.py
@@ -8,13 +8,13 @@
 MICROSECONDS_PER_S = 1e6
 
 
-def time_limit(sock: socket.socket, option: int, timeout_s: float) -> None:
+def set_socket_timeout(sock: socket.socket, option: int, timeout_s: float) -> None:
     """Set SO_RCVTIMEO or SO_SNDTIMEO of a blocking socket; a call that exceeds it raises BlockingIOError."""
     timeval = struct.pack("ll", int(timeout_s), int(timeout_s % 1.0 * MICROSECONDS_PER_S))
     sock.setsockopt(socket.SOL_SOCKET, option, timeval)
 
 
-def connected(address: tuple[str, int], timeout_s: float) -> socket.socket:
+def open_connection(address: tuple[str, int], timeout_s: float) -> socket.socket:
     """Open a TCP connection to an IP address and return its socket.
 
     Needs a third of the time of `socket.create_connection`, which resolves names and polls.
@@ -25,7 +25,7 @@
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        time_limit(sock, socket.SO_SNDTIMEO, timeout_s)  # applies to connect as well
+        set_socket_timeout(sock, socket.SO_SNDTIMEO, timeout_s)  # applies to connect as well
         sock.connect(address)
     except OSError:
         sock.close()
@@ -39,7 +39,7 @@
         parts = unsent(parts, sock.sendmsg(parts[:MAX_PARTS_PER_WRITE]))
 
 
-def send_now(sock: socket.socket, parts: list[bytes]) -> list[bytes]:
+def send_nonblocking(sock: socket.socket, parts: list[bytes]) -> list[bytes]:
     """Write as much as the kernel accepts without blocking; return the unsent rest."""
     try:
         sent = sock.sendmsg(parts[:MAX_PARTS_PER_WRITE], [], socket.MSG_DONTWAIT)
@@ -59,7 +59,7 @@
     return parts[position:]
 
 
-def shut(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
+def shut_down(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
     """Shut down a connection, which wakes a thread that reads it; the peer may have closed it already."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/vetchford/server/client_connection.py
+++ b/vetchford/server/client_connection.py
@@ -12,7 +12,7 @@
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.runtime.actor import PooledActor
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.sockets import send_now, send_parts, shut
+from vetchford.runtime.sockets import send_nonblocking, send_parts, shut_down
 from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server import connection_limits
 from vetchford.server.client_messages import MessageHandler, RequestTarget
@@ -246,7 +246,7 @@
         """Stop reading, as the worker pool does not know the client's requests; an entry of the actor."""
         self.reading_stopped = True
         self._end_after_answers()
-        shut(self.sock, socket.SHUT_RD)
+        shut_down(self.sock, socket.SHUT_RD)
 
     def _end_after_answers(self) -> None:
         self.request_close()
@@ -270,7 +270,7 @@
             self.outgoing = []
         try:
             if self.outgoing:
-                self.outgoing = send_now(self.sock, self.outgoing)
+                self.outgoing = send_nonblocking(self.sock, self.outgoing)
         except OSError:
             self._on_write_failed()
         self.state.writing = bool(self.outgoing)
@@ -294,13 +294,13 @@
     def _on_write_failed(self) -> None:
         self.state.broken = True
         self.outgoing = []
-        shut(self.sock)
+        shut_down(self.sock)
         self.admission.post(self.admission.client_disconnected, self)
 
     def _close_if_finished(self) -> None:
         for step in self.state.close_steps():
             if step is CloseStep.STOP_SENDING:
-                shut(self.sock, socket.SHUT_WR)
+                shut_down(self.sock, socket.SHUT_WR)
             else:
                 self.running = False
                 self.sock.close()
--- a/vetchford/server/listener.py
+++ b/vetchford/server/listener.py
@@ -6,7 +6,7 @@
 import time
 
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.sockets import shut, time_limit
+from vetchford.runtime.sockets import set_socket_timeout, shut_down
 from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.server import connection_limits
 from vetchford.server.client_connection import ClientConnection
@@ -112,8 +112,8 @@
         connection = None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            time_limit(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT_S)
-            time_limit(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT_S)
+            set_socket_timeout(sock, socket.SO_RCVTIMEO, connection_limits.READ_WAIT_TIMEOUT_S)
+            set_socket_timeout(sock, socket.SO_SNDTIMEO, connection_limits.WRITE_TIMEOUT_S)
             connection = ClientConnection(sock, self, self.metrics)
             self.connections.add(connection)
             self.idle_poller.add(connection)
@@ -151,7 +151,7 @@
                 sock, _ = self.sock.accept()
             except BlockingIOError:  # the backlog is empty
                 self.closed = True
-                shut(self.sock)  # wakes the accepting thread
+                shut_down(self.sock)  # wakes the accepting thread
                 self.sock.close()
             except ConnectionAbortedError:
                 continue
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -11,7 +11,7 @@
 from vetchford.protocol.receive_buffer import ReceiveBuffer, UnreadableStreamError
 from vetchford.runtime.actor import Mailbox, PooledActor
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.sockets import connected, send_parts, shut
+from vetchford.runtime.sockets import open_connection, send_parts, shut_down
 from vetchford.runtime.thread_pool import ThreadPool
 from vetchford.runtime.timers import unix_time_ms
 
@@ -139,7 +139,7 @@
     def _connect(self) -> socket.socket:
         if self.address is None:
             raise ConnectionRefusedError("no records service is configured")
-        return connected(self.address, CONNECT_TIMEOUT_S)
+        return open_connection(self.address, CONNECT_TIMEOUT_S)
 
     def _receive_reply(self, sock: socket.socket, request_id: str) -> CallResult:
         buffer = self.receive_buffer
@@ -163,7 +163,7 @@
             # If the message can't be sent, shutting the connection down cancels the call too.
             with suppress(OSError):
                 self.sock.sendmsg(records_lines.cancel(request_id), [], socket.MSG_DONTWAIT)
-            shut(self.sock)
+            shut_down(self.sock)
 
     def close(self) -> None:
         """Close the connection; the last entry of the actor."""
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -11,7 +11,7 @@
 from vetchford.protocol.worker_pool_lines import BadLineError, RunBlocked, RunEnded, UnknownMessageError
 from vetchford.runtime.actor import Mailbox, PooledActor
 from vetchford.runtime.metrics import Metrics
-from vetchford.runtime.sockets import send_now, send_parts, shut
+from vetchford.runtime.sockets import send_nonblocking, send_parts, shut_down
 from vetchford.runtime.thread_pool import ThreadPool, start_thread
 
 RECONNECT_DELAY_S = 0.02  # short, as runs continue without a link and the worker pool is on the same machine
@@ -70,7 +70,7 @@
         if address != self.address:
             self.address = address
             if self.sock is not None:
-                shut(self.sock)  # the reader thread then opens the next link
+                shut_down(self.sock)  # the reader thread then opens the next link
 
     # -- writing: entries of the actor
 
@@ -87,7 +87,7 @@
 
     def flush_nonblocking(self) -> None:
         """Write as much as the kernel accepts without blocking."""
-        self._write(send_now)
+        self._write(send_nonblocking)
 
     def has_unwritten(self) -> bool:
         """Return whether bytes are left to write after `flush_nonblocking`."""
@@ -105,7 +105,7 @@
             self.outgoing = send(sock, parts) or []
         except OSError as error:
             self.metrics.log_sampled("pool_write_failed", problem=str(error))
-            shut(sock)
+            shut_down(sock)
 
     # -- the link, on the reader thread
 
