--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -111,7 +111,7 @@
         settings = self.settings
         if self.name not in settings.lease_servers:
             return None
-        epoch = int(clock.day() * EPOCHS_PER_S)
+        epoch = int(clock.unix_time_s() * EPOCHS_PER_S)
         return LeaseServer(
             self, self.name, settings.lease_servers, settings.lease_capacities, seed, epoch, now_ms
         )
@@ -125,7 +125,7 @@
 
     def now(self) -> float:
         """Return the monotonic time of all components, in ms."""
-        return clock.now()
+        return clock.now_ms()
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next tick."""
--- a/vetchford/coordination/incarnation.py
+++ b/vetchford/coordination/incarnation.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         """Begin a new incarnation."""
-        self.incarnation = int(clock.day() * MS_PER_S)
+        self.incarnation = int(clock.unix_time_s() * MS_PER_S)
         self.nonce = _draw_nonce()
         self.raised_at_ms: list[float] = []
 
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -66,7 +66,7 @@
 
     def now(self) -> float:
         """Return the monotonic time in ms that all deadlines use."""
-        return clock.now()
+        return clock.now_ms()
 
     # -- start-up
 
--- a/vetchford/fleet/coordinator_adapter.py
+++ b/vetchford/fleet/coordinator_adapter.py
@@ -123,7 +123,7 @@
 
     def now(self) -> float:
         """Return the monotonic time in ms."""
-        return clock.now()
+        return clock.now_ms()
 
     def tick(self) -> None:
         """Run the periodic work; called about ten times a second."""
--- a/vetchford/fleet/history_store.py
+++ b/vetchford/fleet/history_store.py
@@ -112,7 +112,7 @@
             raise StoreAccessError(self.path, problem) from None
 
     def _append_history(self, kind: str, name: str, text: str) -> None:
-        row = (clock.day(), kind, name, text)
+        row = (clock.unix_time_s(), kind, name, text)
         self.connection.execute("INSERT INTO history VALUES (?, ?, ?, ?)", row)
         self.history_writes += 1
         if self.history_writes % PRUNE_INTERVAL_WRITES == 0:
--- a/vetchford/runtime/clock.py
+++ b/vetchford/runtime/clock.py
@@ -34,11 +34,11 @@
         # begins at 0 when the machine starts.
         self.uptime_at_start_s = abs(offset) if error else self.started_at_s
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Return the monotonic time in milliseconds."""
         return (self.uptime_at_start_s + self._elapsed()) * MS_PER_S
 
-    def day(self) -> float:
+    def unix_time_s(self) -> float:
         """Return the Unix time in seconds."""
         return self.started_at_unix_s + self._elapsed()
 
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -98,15 +98,15 @@
 
     def tick(self) -> None:
         """Handle timers."""
-        self.sessions.tick(clock.now())
+        self.sessions.tick(clock.now_ms())
 
     def begin_incarnation(self, incarnation: int, nonce: int) -> None:
         """Begin a new incarnation: all connections are established again."""
-        self.sessions.begin_incarnation(clock.now(), incarnation, nonce)
+        self.sessions.begin_incarnation(clock.now_ms(), incarnation, nonce)
 
     def send(self, peer: str, kind: str, body: Any) -> bool:
         """Queue a message on the stream to a peer; return False if there is none."""
-        return self.sessions.send(clock.now(), peer, kind, body)
+        return self.sessions.send(clock.now_ms(), peer, kind, body)
 
     def send_datagram(self, peer: str, body: Any, kind: str = DATAGRAM_KIND) -> None:
         """Send a datagram; it may be lost, and is dropped if it is too long or the socket buffer is full."""
@@ -187,11 +187,11 @@
             sock.close()
             return
         if self.start_stream(link, sock):
-            self.sessions.on_connected(clock.now(), link)
+            self.sessions.on_connected(clock.now_ms(), link)
 
     def on_accepted(self, sock: socket.socket, address: str) -> None:
         """Start the stream of an accepted connection, or close the connection if it is refused."""
-        link = self.sessions.on_accepted(clock.now(), address)
+        link = self.sessions.on_accepted(clock.now_ms(), address)
         if not link:
             sock.close()
             return
@@ -212,15 +212,15 @@
 
     def on_connection_ended(self, link: int, reason: str) -> None:
         """Handle a connection that ended or could not be established."""
-        self.sessions.on_closed(clock.now(), link, reason)
+        self.sessions.on_closed(clock.now_ms(), link, reason)
 
     def on_envelope(self, link: int, envelope: Envelope) -> None:
         """Handle a frame received on a stream."""
-        self.sessions.receive(clock.now(), link, envelope)
+        self.sessions.receive(clock.now_ms(), link, envelope)
 
     def on_datagram(self, address: str, envelope: Envelope) -> None:
         """Pass a datagram to the owner, or compare the incarnation in it."""
-        if not self.sessions.accept_datagram(clock.now(), address, envelope):
+        if not self.sessions.accept_datagram(clock.now_ms(), address, envelope):
             return
         if envelope.kind != INCARNATION_KIND:
             self.owner.on_datagram(envelope.sender, envelope.body)
