--- a/vetchford/protocol/platform_configuration.py
+++ b/vetchford/protocol/platform_configuration.py
@@ -189,9 +189,9 @@
     try:
         return platform_settings.decode(settings)
     except (TypeError, AttributeError, ValueError) as problem:
-        raise unusable_settings(problem) from None
+        raise unusable_settings_error(problem) from None
 
 
-def unusable_settings(problem: Exception) -> MalformedInputError:
+def unusable_settings_error(problem: Exception) -> MalformedInputError:
     """Return the error for settings that pass all checks of single values but can't be used."""
     return MalformedInputError(f"key '{SETTINGS_KEY}' holds a value of the wrong type: {problem}")
--- a/vetchford/protocol/records_lines.py
+++ b/vetchford/protocol/records_lines.py
@@ -29,7 +29,7 @@
 class Reply(NamedTuple):
     """The reply to one call."""
 
-    name: str  # id of the request that made the call
+    request_id: str  # of the request that made the call
     outcome: Outcome
     body: memoryview | None  # valid until more is received; None for a status without a body
 
@@ -49,12 +49,12 @@
     status = words[1].decode("ascii", "replace")
     if status not in OUTCOMES or (status == STATUS_WITH_BODY) != (len(words) == WORDS_WITH_BODY):
         raise UnreadableStreamError("a reply has an unknown status, or a length that does not fit its status")
-    name = words[0].decode("ascii", "replace")
+    request_id = words[0].decode("ascii", "replace")
     if status != STATUS_WITH_BODY:
         buffer.take(line_end, len(LINE_END))
-        return Reply(name, OUTCOMES[status], None)
+        return Reply(request_id, OUTCOMES[status], None)
     body = _take_body(buffer, line_end + len(LINE_END), _body_length(words[2]))
-    return None if body is None else Reply(name, OUTCOMES[status], body)
+    return None if body is None else Reply(request_id, OUTCOMES[status], body)
 
 
 def _body_length(word: bytes) -> int:
--- a/vetchford/protocol/worker_pool_lines.py
+++ b/vetchford/protocol/worker_pool_lines.py
@@ -184,7 +184,7 @@
     return number if isinstance(number, int) else None
 
 
-def unreadable_end(fields: dict[str, Any]) -> RunEnded:
+def errored_run_end(fields: dict[str, Any]) -> RunEnded:
     """Return an errored run for a `finished` notice whose fields are invalid."""
     return RunEnded(str(fields.get("job")), Outcome.ERRORED, 0.0, "")
 
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -82,5 +82,5 @@
         settings.gauge_indices()
         factory.build(NoActions(), configuration.seed, settings, False)
     except (TypeError, AttributeError, ValueError) as error:
-        raise platform_configuration.unusable_settings(error) from None
+        raise platform_configuration.unusable_settings_error(error) from None
     return configuration
--- a/vetchford/server/records_connection.py
+++ b/vetchford/server/records_connection.py
@@ -145,7 +145,7 @@
         buffer = self.receive_buffer
         while True:
             while (reply := records_lines.next_reply(buffer)) is not None:
-                if reply.name == request_id:
+                if reply.request_id == request_id:
                     return CallResult(reply.outcome, bytes(reply.body or b""))
                 self.metrics.increment("records_late_replies")  # reply to an earlier call on this connection
             count = sock.recv_into(buffer.free_space())
--- a/vetchford/server/worker_pool.py
+++ b/vetchford/server/worker_pool.py
@@ -223,7 +223,7 @@
             self.last_notice = number
             if notice_type == worker_pool_lines.FINISHED:
                 # The run has ended, although its result is unreadable; it must not occupy a core any longer.
-                self._post_notice(worker_pool_lines.unreadable_end(fields))
+                self._post_notice(worker_pool_lines.errored_run_end(fields))
             raise
         self.last_notice = number
         self._post_notice(notice)
