--- a/vetchford/cli.py
+++ b/vetchford/cli.py
@@ -165,7 +165,7 @@
 
 def _configuration_loader(options: Options) -> Callable[[], ServerConfiguration]:
     """Return a function that reads the configuration and settings files, also for reloads."""
-    return partial(platform_config.load, path=options.config_path, own_paths=options.settings_paths)
+    return partial(platform_config.load, path=options.config_path, settings_paths=options.settings_paths)
 
 
 def _load(options: Options) -> ServerConfiguration:
--- a/vetchford/protocol/platform_configuration.py
+++ b/vetchford/protocol/platform_configuration.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnSettings:
+class DeclaredSettings:
     """What the settings files given by --with declare for a server; see `vetchford.configuration.records`."""
 
     document: JsonObject = field(default_factory=dict)
@@ -94,12 +94,12 @@
     settings: ServerSettings
     document: JsonObject
     """The undecoded configuration, for `summary` and for comparison at a reload."""
-    own: OwnSettings = OwnSettings()
+    declared: DeclaredSettings = DeclaredSettings()
 
     def summary(self) -> JsonObject:
         """Return the values that `vetchford settings` prints."""
         settings = self.document[SETTINGS_KEY]
-        declared = {"declared": self.own.document} if self.own.document else {}
+        declared = {"declared": self.declared.document} if self.declared.document else {}
         return {
             **{key: self.document[key] for key in SUMMARY_KEYS},
             RECORDS_KEY: self.document.get(RECORDS_KEY),
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -9,7 +9,12 @@
 from vetchford.admission import factory
 from vetchford.errors import MalformedInputError
 from vetchford.protocol import platform_configuration
-from vetchford.protocol.platform_configuration import LISTEN_KEY, NAME_KEY, OwnSettings, ServerConfiguration
+from vetchford.protocol.platform_configuration import (
+    LISTEN_KEY,
+    NAME_KEY,
+    DeclaredSettings,
+    ServerConfiguration,
+)
 
 FILE_VARIABLE = "ROUTER_CONFIG"
 ENVIRONMENT_OVERRIDES = {"ROUTER_NAME": NAME_KEY, "ROUTER_LISTEN": LISTEN_KEY}
@@ -25,11 +30,13 @@
 
 
 def load(
-    environment: Mapping[str, str] = os.environ, path: str | None = None, own_paths: list[str] | None = None
+    environment: Mapping[str, str] = os.environ,
+    path: str | None = None,
+    settings_paths: list[str] | None = None,
 ) -> ServerConfiguration:
     """Return the configuration from the platform's file, the environment and the settings files.
 
-    `path` takes precedence over the environment's ROUTER_CONFIG; `own_paths` are the settings files.
+    `path` takes precedence over the environment's ROUTER_CONFIG; `settings_paths` are the settings files.
 
     Raises:
         MalformedInputError: A file can't be read, or keys are invalid; the message has a line for each fault.
@@ -42,12 +49,14 @@
         if environment.get(variable):
             document[key] = environment[variable]
     configuration = decode(document)
-    if not own_paths:
+    if not settings_paths:
         return configuration
     from vetchford.configuration import isolated_reader  # not imported by a server without settings files
 
     request_classes = list(configuration.settings.class_indices())
-    return replace(configuration, own=OwnSettings(isolated_reader.read(own_paths, request_classes)))
+    return replace(
+        configuration, declared=DeclaredSettings(isolated_reader.read(settings_paths, request_classes))
+    )
 
 
 def read_file(path: str) -> dict[str, Any]:
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -15,7 +15,7 @@
     SETTINGS_KEY,
     WORKER_POOL_KEY,
     Address,
-    OwnSettings,
+    DeclaredSettings,
     ServerConfiguration,
 )
 
@@ -23,7 +23,7 @@
 
 FIXED_KEYS = (NAME_KEY, LISTEN_KEY, LIMITS_KEY, SETTINGS_KEY)
 """Keys whose changes take effect at the next start only."""
-OWN_SETTINGS = "declared"
+DECLARED_SETTINGS = "declared"
 """Name in log lines of the settings files, whose changes take effect at the next start too."""
 
 
@@ -77,13 +77,13 @@
     current: ServerConfiguration,
     read: Callable[[], ServerConfiguration],
     change_address: Mapping[str, Callable[[Address | None], None]],
-    change_own_settings: Callable[[OwnSettings], None],
+    change_declared_settings: Callable[[DeclaredSettings], None],
 ) -> ServerConfiguration:
     """Apply the configuration that `read` returns; return the configuration in effect afterwards.
 
     `change_address` has a function for each key of `service_addresses`, called with a changed address.
-    `change_own_settings` is called with the contents of the settings files. An invalid configuration changes
-    nothing.
+    `change_declared_settings` is called with the contents of the settings files. An invalid configuration
+    changes nothing.
     """
     try:
         new = read()
@@ -95,7 +95,7 @@
     changed_keys = [key for key, address in new_addresses.items() if address != current_addresses[key]]
     for key in changed_keys:
         change_address[key](new_addresses[key])
-    change_own_settings(new.own)
+    change_declared_settings(new.declared)
     log.info(
         "configuration_renewed",
         moved=",".join(changed_keys),
@@ -122,6 +122,6 @@
 def _keys_pending_restart(new: ServerConfiguration, current: ServerConfiguration) -> list[str]:
     """Return the keys that have changed but take effect at the next start only."""
     changed_keys = [key for key in FIXED_KEYS if new.document.get(key) != current.document.get(key)]
-    if new.own != current.own:
-        changed_keys.append(OWN_SETTINGS)
+    if new.declared != current.declared:
+        changed_keys.append(DECLARED_SETTINGS)
     return changed_keys
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -16,7 +16,7 @@
     REGISTRY_KEY,
     WORKER_POOL_KEY,
     Address,
-    OwnSettings,
+    DeclaredSettings,
     ServerConfiguration,
 )
 from vetchford.runtime.metrics import Metrics
@@ -91,7 +91,7 @@
             bulkheads_factory(configuration, metrics),
         )
         self.stopped = threading.Event()  # set once a graceful shutdown has finished
-        in_fleet = configuration.own.fleet is not None
+        in_fleet = configuration.declared.fleet is not None
         budget = DescriptorBudget.divide(configuration.max_descriptors, in_fleet)
         self.worker_pool = WorkerPoolClient(configuration.worker_pool, self.admission, metrics)
         self.records = RecordsClient(configuration.records, budget.calls, self.admission, metrics)
@@ -119,7 +119,7 @@
             RECORDS_KEY: self.records.change_address,
             REGISTRY_KEY: partial(self.registry.post, self.registry.change_address),
         }
-        return reload_configuration(current, read, change_address, self._change_own_settings)
+        return reload_configuration(current, read, change_address, self._change_declared_settings)
 
     def start_shutdown(self, signalled_at_unix_ms: float, stop_ms: float) -> None:
         """Start a graceful shutdown; the process is killed `stop_ms` after the signal."""
@@ -131,7 +131,7 @@
 
     def _join_fleet(self, metrics: Metrics) -> "FleetMember | None":
         """Create the actor that communicates with the other servers; None if no fleet is configured."""
-        settings = self.configuration.own.fleet
+        settings = self.configuration.declared.fleet
         if settings is None:
             return None
         from vetchford.coordination import fleet_member  # not imported by a server without a fleet
@@ -162,9 +162,9 @@
         except OSError as error:
             raise CannotListenError(str(self.configuration.listen), error.strerror) from error
 
-    def _change_own_settings(self, own: OwnSettings) -> None:
-        if self.fleet_member is not None and own.fleet:
-            self.fleet_member.post(self.fleet_member.apply_reloaded_settings, own.fleet)
+    def _change_declared_settings(self, declared: DeclaredSettings) -> None:
+        if self.fleet_member is not None and declared.fleet:
+            self.fleet_member.post(self.fleet_member.apply_reloaded_settings, declared.fleet)
 
 
 def serve(
@@ -232,7 +232,7 @@
 
 def bulkheads_factory(configuration: ServerConfiguration, metrics: Metrics) -> Callable[[], Any] | None:
     """Return a factory of the bulkheads that the settings files declare; None if they declare none."""
-    declared = configuration.own.bulkheads
+    declared = configuration.declared.bulkheads
     if declared is None:
         return None
     from vetchford.bulkheads import bulkhead_metrics  # not imported by a server without bulkheads
