--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -45,11 +45,11 @@
     # While a class is rejected, no run of it can correct its expected run time.
     actions = Recorder()
     controller = new_controller(actions, classes=[request_class(), request_class(priority_weight=3.0)])
-    send(controller, 0.0, 0, kind=1)
+    send(controller, 0.0, 0, class_index=1)
     controller.run_ended(9000.0, 0, "completed", 9000.0)
-    send(controller, 9100.0, 1, kind=1)
+    send(controller, 9100.0, 1, class_index=1)
     assert actions.names(1) == ["reject"]
-    send(controller, 15000.0, 2, kind=1)
+    send(controller, 15000.0, 2, class_index=1)
     assert actions.names(2) == ["start"]
 
 
@@ -96,7 +96,7 @@
     controller.workload.in_flight.clearable_bytes = 100.0
     for index in range(12):
         send(controller, 60.0, index, client=index)
-    send(controller, 61.0, 12, kind=1, client=12)
+    send(controller, 61.0, 12, class_index=1, client=12)
     assert actions.names(12) == [] and list(actions.answers.values()).count("reject") > 0
 
 
--- a/tests/admission/test_rejection_reasons.py
+++ b/tests/admission/test_rejection_reasons.py
@@ -102,8 +102,8 @@
 
 def rejected_in_favour_of_a_repeat(controller):
     controller.workload.running = 100
-    send(controller, 0.0, 0, kind=1)
-    send(controller, 10.0, 1, kind=1, original=0)
+    send(controller, 0.0, 0, class_index=1)
+    send(controller, 10.0, 1, class_index=1, original=0)
 
 
 CASES = [
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,9 +20,9 @@
 from vetchford.bulkheads.bulkhead_capacity import BulkheadCapacity
 
 __all__ = [
-    "GOOD",
     "ROOT",
     "SETTINGS",
+    "VALID_CONFIGURATION",
     "Balancer",
     "Recorder",
     "ServerOptions",
@@ -33,7 +33,7 @@
 ]
 
 ROOT = Path(vetchford.__file__).parent.parent
-GOOD = {
+VALID_CONFIGURATION = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "pool": "127.0.0.1:1",
@@ -137,7 +137,7 @@
     server,
     now,
     index,
-    kind=0,
+    class_index=0,
     client=0,
     tenant=-1,
     deadline=None,
@@ -147,8 +147,8 @@
     queued_for=0.0,
     original=None,
 ):
-    """Deliver a request whose class has index `kind` to the controller `server`."""
+    """Deliver a request of the class `class_index` to the controller `server`."""
     arrival = RequestArrival(
-        index, kind, tenant, client, deadline, work, size, is_retry, queued_for, original
+        index, class_index, tenant, client, deadline, work, size, is_retry, queued_for, original
     )
     server.request_arrived(now, arrival)
--- a/tests/server/test_platform_config.py
+++ b/tests/server/test_platform_config.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from helpers import GOOD
+from helpers import VALID_CONFIGURATION
 
 from vetchford.errors import MalformedInputError
 from vetchford.server import platform_config
@@ -32,7 +32,7 @@
     ],
 )
 def test_the_error_names_the_key_that_is_wrong(key, value):
-    document = json.loads(json.dumps(GOOD))
+    document = json.loads(json.dumps(VALID_CONFIGURATION))
     inner, *path = document, *key.split(".")
     for step in path[:-1]:
         inner = inner[step]
@@ -43,7 +43,7 @@
 
 def test_the_environment_overrides_the_configuration_file(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
+    file.write_text(json.dumps(VALID_CONFIGURATION))
     configuration = platform_config.load(
         {"ROUTER_CONFIG": str(file), "ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.1:9"}
     )
@@ -52,7 +52,7 @@
 
 
 def test_the_records_address_is_optional_without_a_dependency():
-    document = json.loads(json.dumps(GOOD))
+    document = json.loads(json.dumps(VALID_CONFIGURATION))
     for records in (None, ""):
         document["records"] = records
         with pytest.raises(MalformedInputError, match="'records'"):
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from helpers import GOOD, ROOT, Recorder
+from helpers import ROOT, VALID_CONFIGURATION, Recorder
 
 import vetchford
 from vetchford.runtime.metrics import Metrics
@@ -27,7 +27,7 @@
 
 def test_wrong_usage_or_configuration_exits_with_2_and_one_error_line(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, "pool": "?"}))
+    file.write_text(json.dumps({**VALID_CONFIGURATION, "pool": "?"}))
     for arguments in (
         ["serve"],
         ["start"],
@@ -47,14 +47,14 @@
 def test_an_address_in_use_exits_with_1_and_logs_listen_failed(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "config.json"
-        file.write_text(json.dumps({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
+        file.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
         result = run_command("--log-form", "json", "serve", "--config", str(file))
     assert result.returncode == 1 and json.loads(result.stderr)["event"] == "listen_failed"
 
 
 def test_successful_commands_exit_with_0(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
+    file.write_text(json.dumps(VALID_CONFIGURATION))
     assert run_command("version").stdout == vetchford.__version__ + "\n"
     assert run_command("check", "--config", str(file)).returncode == 0
     assert json.loads(run_command("settings", "--config", str(file)).stdout)["tenants"] == ["acme"]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -8,7 +8,7 @@
 import tomllib
 
 import pytest
-from helpers import GOOD, ROOT
+from helpers import ROOT, VALID_CONFIGURATION
 
 # Packages that a server with a basic configuration does not use, and the libraries that only they use.
 # structlog imports asyncio, and with it subprocess, which such a server does not use. It would also import
@@ -49,7 +49,7 @@
 
 def test_a_server_with_a_basic_configuration_imports_no_unused_packages(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
+    file.write_text(json.dumps(VALID_CONFIGURATION))
     # Runs `serve` until its sockets are open, when all its modules are imported; then SIGTERM ends it.
     program = (
         "import json, sys, threading\n"
