--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -19,7 +19,7 @@
 from benchmarks.fleet import Agent, free_ports
 from testkit.simulation.network import Network
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_client import ask
+from vetchford.fleet.agent_client import send_request
 from vetchford.fleet.history_store import Store
 from vetchford.fleet.membership import MemberState
 from vetchford.fleet.process_table import read_memory_kb
@@ -81,16 +81,16 @@
     agent = Agent(folder)
     agent.start()
     try:
-        names = [instance["name"] for instance in ask(agent.path, {"ask": "status"})["instances"]]
+        names = [instance["name"] for instance in send_request(agent.path, {"ask": "status"})["instances"]]
         started_at_s = time.monotonic()
         rollout = {"id": "up", "kind": "start", "targets": names, "batch": INSTANCES, "soak": SOAK_MS}
-        ask(agent.path, {"ask": "change", **rollout})
+        send_request(agent.path, {"ask": "change", **rollout})
         ended = agent.wait_for_rollout("up", START_TIMEOUT_S)
         start_s = time.monotonic() - started_at_s
         response_times_s = []
         for _ in range(STATUS_REQUESTS):
             started_at_s = time.monotonic()
-            status = ask(agent.path, {"ask": "status"})
+            status = send_request(agent.path, {"ask": "status"})
             response_times_s.append(time.monotonic() - started_at_s)
         serving = sum(instance["state"] == "serving" for instance in status["instances"])
         median_s = sorted(response_times_s)[STATUS_REQUESTS // 2]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,7 @@
 from testkit.fakes.fake_process import FakeProcess
 from testkit.fakes.load_generator import LoadGenerator, TrafficClass
 from vetchford.fleet import supervisor
-from vetchford.fleet.agent_client import ask
+from vetchford.fleet.agent_client import send_request
 from vetchford.fleet.health_checker import is_ready
 from vetchford.fleet.history_store import Store
 
@@ -136,7 +136,7 @@
             self.process = subprocess.Popen(command, cwd=ROOT, stderr=log)
         for _ in range(START_ATTEMPTS):
             try:
-                return ask(self.path, {"ask": "status"})
+                return send_request(self.path, {"ask": "status"})
             except Exception:
                 time.sleep(START_POLL_S)
         raise RuntimeError((self.folder / "agent.log").read_text()[-LOG_TAIL_CHARACTERS:])
@@ -149,7 +149,7 @@
     def wait_for_rollout(self, id: str, timeout_s: float) -> dict[str, Any]:
         """Wait until a rollout has ended or is paused, at most `timeout_s`, and return its record."""
         deadline = time.monotonic() + timeout_s
-        while (rollout := ask(self.path, {"ask": "find", "id": id}))["state"] in ("running", "back"):
+        while (rollout := send_request(self.path, {"ask": "find", "id": id}))["state"] in ("running", "back"):
             if time.monotonic() > deadline:
                 break
             time.sleep(ROLLOUT_POLL_S)
@@ -190,7 +190,7 @@
 ) -> int:
     """Start all instances, run the rollout under load, print the figures and return the exit status."""
     start = {"id": "up", "kind": "start", "targets": names, "batch": COUNT, "soak": START_SOAK_MS}
-    ask(agent.path, {"ask": "change", **start})
+    send_request(agent.path, {"ask": "change", **start})
     agent.wait_for_rollout("up", START_TIMEOUT_S)
     seconds = QUICK_LOAD_S if quick else LOAD_S
     loads = [
@@ -224,7 +224,9 @@
     time.sleep(ROLLOUT_START_DELAY_S)
     watcher = threading.Thread(target=watch_minimum)
     watcher.start()
-    before = {instance["name"]: instance for instance in ask(agent.path, {"ask": "status"})["instances"]}
+    before = {
+        instance["name"]: instance for instance in send_request(agent.path, {"ask": "status"})["instances"]
+    }
     for number in FROZEN:
         os.kill(before[names[number]]["pid"], signal.SIGSTOP)
     roll = {
@@ -238,20 +240,22 @@
         "soak": QUICK_SOAK_MS if quick else SOAK_MS,
         "on_failure": "go_on",
     }
-    ask(agent.path, roll)
+    send_request(agent.path, roll)
     killed = killed_while_running = 0
     while killed < kills:
         time.sleep(rng.uniform(MIN_KILL_GAP_S, MAX_KILL_GAP_S))
-        killed_while_running += ask(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
+        killed_while_running += send_request(agent.path, {"ask": "find", "id": "roll"})["state"] == "running"
         agent.kill()
         killed += 1
         agent.start()
-        ask(agent.path, roll)  # a repeated request with the same id
+        send_request(agent.path, roll)  # a repeated request with the same id
     ended = agent.wait_for_rollout("roll", ROLLOUT_TIMEOUT_S)
     has_ended.set()
     for thread in (*threads, watcher):
         thread.join()
-    status = {instance["name"]: instance for instance in ask(agent.path, {"ask": "status"})["instances"]}
+    status = {
+        instance["name"]: instance for instance in send_request(agent.path, {"ask": "status"})["instances"]
+    }
     token = next(
         body["token"] for kind, _, body in Store(f"{agent.folder}/store").records() if kind == "agent"
     )
@@ -263,7 +267,7 @@
     response_times_s = []
     for _ in range(STATUS_REQUESTS):
         started_at_s = time.monotonic()
-        ask(agent.path, {"ask": "status"})
+        send_request(agent.path, {"ask": "status"})
         response_times_s.append(time.monotonic() - started_at_s)
     ran = pools.stop()["ran"]
     killed_servers = {names.index(name) for name in ended["killed"]}
--- a/testkit/simulation/agent_machine.py
+++ b/testkit/simulation/agent_machine.py
@@ -150,10 +150,6 @@
         else:
             self.disk[kind, name] = copy.deepcopy(record)
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
-        """Write a record of the fleet to the disk."""
-        self.save_record(kind, name, body)
-
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
         """Send a message to another agent."""
         self._count_action()
@@ -184,7 +180,7 @@
         """End the process at once."""
         self.processes[name].ends_at_ms = self.world.now
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Add a log event to the history."""
         self.world.history.append({"at": self.world.now, "agent": self.name, "event": event, **fields})
 
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -19,7 +19,7 @@
 from testkit.faults.fault_schedule import FaultSchedule
 from testkit.faults.history_checker import violations
 from testkit.faults.process_cluster import ProcessCluster
-from vetchford.fleet.agent_client import UnreachableError, ask
+from vetchford.fleet.agent_client import UnreachableError, send_request
 
 
 @pytest.fixture
@@ -257,7 +257,7 @@
 
 def test_connections_that_are_not_from_peers_are_refused_and_logged_and_delay_no_rollout(cluster):
     name = cluster.leader()
-    listen = cluster.links.links[next(other for other in cluster.names if other != name), name].to
+    listen = cluster.links.links[next(other for other in cluster.names if other != name), name].target_address
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"vf\x09" + b"\0" * 40, b"vf\x01\0\xff\xff\xff\xff" + b"\0" * 8):
         with socket.create_connection(listen) as sock:
             sock.sendall(data)
@@ -328,7 +328,7 @@
     ):
         for name in cluster.names:  # the leader itself, and agents that forward the request
             try:
-                reply = ask(cluster.socket_path(name), {"ask": "across", "request": request}, 20.0)
+                reply = send_request(cluster.socket_path(name), {"ask": "across", "request": request}, 20.0)
             except UnreachableError as problem:
                 raise AssertionError(f"{name} did not answer {request}") from problem
             assert "refused" in reply, (name, request, reply)
@@ -377,7 +377,7 @@
     text = (
         (cluster.folder / name / "fleet.vet").read_text().replace(str(cluster.folder / name), str(directory))
     )
-    listen = cluster.links.links[leader, name].to
+    listen = cluster.links.links[leader, name].target_address
     text = text.replace(f"{listen[0]}:{listen[1]}", f"127.0.0.1:{port}")
     (directory / "fleet.vet").write_text(text)
     command = [sys.executable, "-m", "vetchford", "agent", "--with", str(directory / "fleet.vet")]
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from helpers import GOOD, ROOT, Recorder
+from helpers import ROOT, VALID_CONFIGURATION, Recorder
 
 import vetchford
 from vetchford.runtime.metrics import Metrics
@@ -27,7 +27,7 @@
 
 def test_wrong_usage_or_configuration_exits_with_2_and_one_error_line(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, "pool": "?"}))
+    file.write_text(json.dumps({**VALID_CONFIGURATION, "pool": "?"}))
     for arguments in (
         ["serve"],
         ["start"],
@@ -47,14 +47,14 @@
 def test_an_address_in_use_exits_with_1_and_logs_listen_failed(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "config.json"
-        file.write_text(json.dumps({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
+        file.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
         result = run_command("--log-form", "json", "serve", "--config", str(file))
     assert result.returncode == 1 and json.loads(result.stderr)["event"] == "listen_failed"
 
 
 def test_successful_commands_exit_with_0(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
+    file.write_text(json.dumps(VALID_CONFIGURATION))
     assert run_command("version").stdout == vetchford.__version__ + "\n"
     assert run_command("check", "--config", str(file)).returncode == 0
     assert json.loads(run_command("settings", "--config", str(file)).stdout)["tenants"] == ["acme"]
@@ -71,7 +71,7 @@
 
 def test_the_code_and_the_on_call_page_name_the_same_log_events():
     code = "".join(path.read_text() for path in sorted((ROOT / "vetchford").rglob("*.py")))
-    calls = r"(?:log\.\w+|\.log_sampled|\.log_event|\.count_event|\.note|host\.count|talk\.count|self\.count)"
+    calls = r"(?:log\.\w+|\.log_sampled|\.log_event|\.count_event|host\.count|talk\.count|self\.count)"
     logged = set(re.findall(calls + r"\(\s*\"(\w+)\"", code))
     table = (ROOT / "docs" / "on-call.md").read_text().split("## Log events")[1].split("\n## ")[0]
     assert logged == set(re.findall(r"^\| `(\w+)`", table, re.M)) and len(logged) > 15
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -36,7 +36,7 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.subsetting.subsets import MembershipView
 from vetchford.transport.connections import Transport
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
@@ -46,7 +46,7 @@
 METRICS_INTERVAL_WHILE_UNAVAILABLE_MS = 100.0  # shorter, to detect the first answer of the service sooner
 SUMMARY_INTERVAL_MS = 10_000.0
 RINGS = 3  # rings of all servers; load reports are sent to the successor in each
-REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_actor.py
+REFUTATIONS_PER_INCARNATION = 1 << 20  # as in fleet/coordinator_adapter.py
 SAMPLED_EVENTS = frozenset(
     ("lease_queue_full", "lease_expired")
 )  # caused by other servers: log lines are sampled
@@ -111,7 +111,7 @@
         settings = self.settings
         if self.name not in settings.lease_servers:
             return None
-        epoch = int(clock.day() * EPOCHS_PER_S)
+        epoch = int(clock.unix_time_s() * EPOCHS_PER_S)
         return LeaseServer(
             self, self.name, settings.lease_servers, settings.lease_capacities, seed, epoch, now_ms
         )
@@ -125,7 +125,7 @@
 
     def now(self) -> float:
         """Return the monotonic time of all components, in ms."""
-        return clock.now()
+        return clock.now_ms()
 
     def next_timeout(self) -> float | None:
         """Return the seconds until the next tick."""
@@ -195,9 +195,9 @@
 
     # -- actions of the failure detector
 
-    def send(self, to: str, kind: str, number: int, about: str, updates: list[MembershipUpdate]) -> None:
+    def send(self, to: str, kind: str, number: int, target: str, updates: list[MembershipUpdate]) -> None:
         """Send a message of the failure detector."""
-        self.transport.send_datagram(to, datagrams.encode_membership(kind, number, about, updates))
+        self.transport.send_datagram(to, datagrams.encode_membership(kind, number, target, updates))
 
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Handle a change of the state of another server."""
@@ -261,13 +261,13 @@
         """Pass a datagram to the component that handles its kind."""
         try:
             self._receive(peer, body)
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="datagram", problem=str(problem))
 
     def _receive(self, peer: str, body: Any) -> None:
         match datagrams.decode(body):
-            case MembershipDatagram(kind, number, about, updates):
-                self.failure_detector.receive(self.now(), peer, kind, number, about, updates)
+            case MembershipDatagram(kind, number, target, updates):
+                self.failure_detector.receive(self.now(), peer, kind, number, target, updates)
             case LoadReportsDatagram(reports):
                 self.load_gossip.receive(self.now(), peer, reports)
             case LeaseDatagram(message):
@@ -291,7 +291,7 @@
             return
         incarnation = self.incarnation_counter.incarnation
         log.warning("life_raised", life=incarnation, known=known)
-        self.failure_detector.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
+        self.failure_detector.membership.start_incarnation(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
         self.lease_client.begin_incarnation(now_ms, incarnation)
         self.transport.begin_incarnation(incarnation, self.incarnation_counter.nonce)
--- a/vetchford/fleet/agent.py
+++ b/vetchford/fleet/agent.py
@@ -30,7 +30,7 @@
 from vetchford.runtime.metrics import Metrics
 
 if TYPE_CHECKING:
-    from vetchford.fleet.coordinator_actor import CoordinatorAdapter
+    from vetchford.fleet.coordinator_adapter import CoordinatorAdapter
 
 log = structlog.get_logger()
 
@@ -66,7 +66,7 @@
 
     def now(self) -> float:
         """Return the monotonic time in ms that all deadlines use."""
-        return clock.now()
+        return clock.now_ms()
 
     # -- start-up
 
@@ -95,7 +95,7 @@
 
     def join_fleet(self, peers: PeerSettings) -> "CoordinatorAdapter":
         """Return this agent's coordinator in its fleet. Raises OSError if its address cannot be bound."""
-        from vetchford.fleet.coordinator_actor import CoordinatorAdapter  # only for agents in a fleet
+        from vetchford.fleet.coordinator_adapter import CoordinatorAdapter  # only for agents in a fleet
 
         return CoordinatorAdapter(self, self, peers, self.metrics)
 
@@ -109,11 +109,7 @@
         """Start the process of an instance."""
         command = self.settings.command_of(name, version)
         if command is None:
-            self.post(
-                self.on_spawn_failed,
-                name,
-                f"no command for version '{version}': add it to 'versions' in the settings",
-            )
+            self.post(self.on_spawn_failed, name, f"no command for version {version}")
             return
         definition = self.settings.instances[name]
         options = supervisor.StartOptions(
@@ -136,7 +132,7 @@
         if name in self.processes:
             self.processes[name].kill()
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
         log.info(event, **fields)
 
@@ -209,7 +205,7 @@
         for name, process in self.processes.items():
             limit_mb = self.settings.instances[name].memory_mb
             if limit_mb is not None and read_memory_kb(process.pid) > limit_mb << 10:
-                self.pause_rollouts(f"{name} uses more memory than its limit of {limit_mb} MB")
+                self.pause_rollouts(f"{name} takes over {limit_mb} MB")
 
     def pause_rollouts(self, reason: str) -> None:
         """Pause all active rollouts."""
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -47,7 +47,7 @@
     def post(self, to: str, kind: str, body: dict[str, Any]) -> bool:
         """Send a message to another agent; return False if it is known not to have been sent."""
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
+    def save_record(self, kind: str, name: str, body: Any) -> None:
         """Store a record durably before returning, or delete it for None; OSError if the store fails."""
 
     def report(self, rollouts: set[str]) -> AgentReport:
@@ -59,7 +59,7 @@
         A repeated call with the same step id starts nothing more.
         """
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
 
 
@@ -87,7 +87,7 @@
         self.order_guard = OrderGuard(name, self.record, self.controls)
         self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed once answered or too old
         self.wait_reasons: dict[str, str] = {}  # by rollout id, from the leader's last report request
-        self.unfinished: set[str] = set()  # ids of the record's rollouts that have not ended
+        self.unfinished_ids: set[str] = set()  # ids of the record's rollouts that have not ended
         self.last_tick_at_ms = now_ms
 
     def restore(self, kind: str, name: str, body: Any) -> None:
@@ -105,7 +105,7 @@
         gap_ms = now_ms - self.last_tick_at_ms
         self.last_tick_at_ms = now_ms
         if gap_ms > STALL_THRESHOLD_MS:
-            self.actions.note("process_stalled", ms=round(gap_ms))
+            self.actions.log_event("process_stalled", ms=round(gap_ms))
             self.record.on_process_stall(now_ms, gap_ms)
         self.record.tick(now_ms)
         if self.controller is not None:
@@ -131,7 +131,7 @@
 
     def save_record(self, stored: dict[str, Any]) -> None:
         """Store the record; OSError if the store fails."""
-        self.actions.keep(RECORD_KIND, RECORD_NAME, stored)
+        self.actions.save_record(RECORD_KIND, RECORD_NAME, stored)
 
     def on_elected(self, now_ms: float) -> None:
         """Start to lead, with a new controller."""
@@ -156,19 +156,19 @@
     def update_from_record(self) -> None:
         """Read the unfinished rollouts of the record, and add their pauses to the controls."""
         rollouts = FleetRecord.decode(self.record.body).rollouts
-        self.unfinished = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
-        for id in self.unfinished:
+        self.unfinished_ids = {id for id, rollout in rollouts.items() if not rollout.is_ended()}
+        for id in self.unfinished_ids:
             if rollouts[id].pauses:
                 recorded: EncodedControls = {"halts": rollouts[id].pauses, "lifted": []}
-                self.controls.merge({id: recorded}, self.unfinished)
-        for id in self.controls.discard_ended(self.unfinished):
+                self.controls.merge({id: recorded}, self.unfinished_ids)
+        for id in self.controls.discard_ended(self.unfinished_ids):
             self.wait_reasons.pop(id, None)
             with contextlib.suppress(OSError):  # controls of an ended rollout may stay stored without harm
-                self.actions.keep(CONTROLS_KIND, id, None)
+                self.actions.save_record(CONTROLS_KIND, id, None)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event of the record or the controller."""
-        self.actions.note(event, **fields)
+        self.actions.log_event(event, **fields)
 
     # -- actions of the controller
 
@@ -220,7 +220,7 @@
         try:
             message = decode_message(sender, kind, body)
         except UnknownMessageError:
-            self.actions.note("peer_message_unknown", sender=sender, kind=kind)
+            self.actions.log_event("peer_message_unknown", sender=sender, kind=kind)
             return
         match message:
             case ReportRequest():
@@ -247,7 +247,7 @@
         self.wait_reasons = dict(message.wait_reasons)
         self.merge_controls(message.controls)
         self.order_guard.note_report_sent(now_ms, message.number)
-        report: Any = self.actions.report(self.unfinished)
+        report: Any = self.actions.report(self.unfinished_ids)
         response = ReportResponse(message.number, message.term, report, self.controls.encoded())
         if sender == self.name:
             self.on_report_response(now_ms, self.name, response)
@@ -270,9 +270,9 @@
         refusal = self.order_guard.find_refusal(now_ms, sender, order, is_current_leader=is_current_leader)
         refusal = refusal or self.actions.begin_step(step)
         if refusal:
-            self.actions.note("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
+            self.actions.log_event("order_refused", span=step.rollout_id, instance=step.name, why=refusal)
             return
-        self.actions.note(
+        self.actions.log_event(
             "order_accepted",
             span=step.rollout_id,
             instance=step.name,
@@ -287,15 +287,15 @@
 
     def merge_controls(self, received: dict[str, EncodedControls]) -> None:
         """Merge another agent's controls into this agent's, and store those that changed."""
-        for rollout_id in self.controls.merge(received, self.unfinished):
+        for rollout_id in self.controls.merge(received, self.unfinished_ids):
             self.save_controls(rollout_id)
 
     def save_controls(self, rollout_id: str) -> None:
         """Store the controls of one rollout; they are in effect even if the store fails."""
         try:
-            self.actions.keep(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
+            self.actions.save_record(CONTROLS_KIND, rollout_id, self.controls.controls_of(rollout_id))
         except OSError as problem:  # other agents store the controls too
-            self.actions.note("controls_not_stored", problem=str(problem))
+            self.actions.log_event("controls_not_stored", problem=str(problem))
 
     def share_controls(self, rollout_id: str) -> None:
         """Store the controls of one rollout, and send them to all members."""
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_adapter.py
@@ -35,7 +35,7 @@
 from vetchford.runtime.clock import clock
 from vetchford.runtime.metrics import Metrics
 from vetchford.transport.connections import Transport
-from vetchford.transport.framing import MALFORMED
+from vetchford.transport.framing import MALFORMED_BODY_ERRORS
 from vetchford.transport.peers import Identity, LinkState
 
 log = structlog.get_logger()
@@ -123,7 +123,7 @@
 
     def now(self) -> float:
         """Return the monotonic time in ms."""
-        return clock.now()
+        return clock.now_ms()
 
     def tick(self) -> None:
         """Run the periodic work; called about ten times a second."""
@@ -142,7 +142,7 @@
         """Pass a message of another agent to the coordinator."""
         try:
             self.coordinator.receive(self.now(), peer, kind, body)
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             problem_text = f"{type(problem).__name__}: {problem}"
             self.metrics.log_sampled("peer_malformed", peer=peer, kind=kind, problem=problem_text)
 
@@ -153,7 +153,7 @@
             self.failure_detector.receive(
                 self.now(), peer, datagram.kind, datagram.probe_number, datagram.target, datagram.updates
             )
-        except MALFORMED as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             self.metrics.log_sampled("peer_malformed", peer=peer, kind="news", problem=str(problem))
 
     def on_link_state(self, peer: str, state: LinkState) -> None:
@@ -190,7 +190,7 @@
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
         log.warning("life_raised", life=self.own_incarnation.number, known=known)
-        self.failure_detector.membership.restart(self.detector_incarnation())
+        self.failure_detector.membership.start_incarnation(self.detector_incarnation())
         self.transport.begin_incarnation(self.own_incarnation.number, self.own_incarnation.nonce)
 
     # -- actions of the failure detector
@@ -212,7 +212,7 @@
         """Send a message; return False if it certainly was not sent."""
         return self.transport.send(to, kind, body)
 
-    def keep(self, kind: str, name: str, body: Any) -> None:
+    def save_record(self, kind: str, name: str, body: Any) -> None:
         """Write a record to the store; None deletes it. Raises OSError if the store fails."""
         self.agent.store.put(kind, name, body, history=kind != RECORD_KIND)
 
@@ -224,7 +224,7 @@
         """Start a step on this agent; return an empty string, or why the step was refused."""
         return begin_step(self.agent.controller, self.now(), step)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event of the coordinator."""
         if event in SAMPLED_EVENTS:
             self.metrics.log_sampled(event, **fields)
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -1,8 +1,8 @@
 """Controller of fleet rollouts; it runs on the agent that leads. No I/O; times in ms.
 
 The controller compares the record with the agents' reports, proposes the next record, and orders the agents
-to carry out committed steps. The rules are in `rollout_progress.py` (steps), `availability.py` (the minimum),
-`member_changes.py` (members) and `step_dispatcher.py` (orders).
+to carry out committed steps. The rules are in `fleet_rollout_pass.py` (steps), `availability.py` (the
+minimum), `member_changes.py` (members) and `step_dispatcher.py` (orders).
 
 The minimum of available instances and the batch limit hold however late an order arrives, and do not depend
 on clocks. A rollout continues while reports prove that its minimum is kept, and otherwise waits and gives the
@@ -15,6 +15,8 @@
 from vetchford.fleet.agent_messages import RolloutRequest
 from vetchford.fleet.availability import Availability
 from vetchford.fleet.fleet_record import EncodedRecord, FleetRecord, FleetRollout, RolloutState
+from vetchford.fleet.fleet_rollout_pass import RolloutPass
+from vetchford.fleet.fleet_rollout_validation import RequestValidator, is_same_request
 from vetchford.fleet.fleet_view import AgentReport, AgentView, FleetView
 from vetchford.fleet.member_changes import (
     MemberAction,
@@ -26,8 +28,6 @@
 )
 from vetchford.fleet.rollout import RefusedError
 from vetchford.fleet.rollout_controls import ABORT, RolloutControls
-from vetchford.fleet.rollout_progress import RolloutPass
-from vetchford.fleet.rollout_request import RequestValidator, is_same_request
 from vetchford.fleet.step_dispatcher import OrderActions, StepDispatcher
 
 POLL_INTERVAL_MS = 250.0  # between two reports of one agent while a rollout is unfinished
@@ -47,7 +47,7 @@
     def find_voter_update(self, record: FleetRecord) -> tuple[str, str] | None:
         """Return a voter whose entry in the record is to be updated, and its store's identity."""
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Write a log event."""
 
 
@@ -96,7 +96,7 @@
                 view.polled_at_ms = now_ms
                 self.last_poll_number += 1
                 self.actions.poll(agent, self.last_poll_number)
-        self.view.forget_all_but(self.record.members)
+        self.view.discard_all_except(self.record.members)
         self.reconcile(now_ms)
 
     def receive_report(
@@ -195,16 +195,16 @@
                 return index + 1
             rollout = entry.rollout
             proposal.rollouts[rollout.id] = rollout.copy()
-            self.actions.note(
+            self.actions.log_event(
                 "fleet_rollout_started", span=rollout.id, kind=rollout.kind, targets=len(rollout.steps)
             )
         return len(self.queue)
 
     def advance(self, now_ms: float, proposal: FleetRecord, rollout: FleetRollout) -> None:
         """Make one pass over one rollout."""
-        control = self.controls.active(rollout.id)
+        control = self.controls.active_control(rollout.id)
         availability = Availability(now_ms, self.view, proposal)
-        rollout_pass = RolloutPass(availability, rollout, self.actions.note)
+        rollout_pass = RolloutPass(availability, rollout, self.actions.log_event)
         rollout_pass.apply_control(control)
         rollout_pass.observe_steps()
         if rollout.state == RolloutState.RUNNING:
--- a/vetchford/fleet/fleet_status.py
+++ b/vetchford/fleet/fleet_status.py
@@ -44,7 +44,7 @@
         if rollout is None:
             raise UnknownRolloutError(id)
         leader_silence_ms = now_ms - record.leader_heard_at_ms if record.role != Role.LEADER else 0.0
-        active = coordinator.controls.active(id)
+        active = coordinator.controls.active_control(id)
         is_paused = active.kind == PAUSE and rollout["state"] == RolloutState.RUNNING
         progress = RolloutProgress(
             state=RolloutState.PAUSED if is_paused else rollout["state"],
@@ -74,7 +74,7 @@
     def describe_own_instances(self) -> AgentStatusReply:
         """Return the status of this agent's instances only."""
         coordinator = self.coordinator
-        instances = coordinator.actions.report(coordinator.unfinished)["instances"]
+        instances = coordinator.actions.report(coordinator.unfinished_ids)["instances"]
         return AgentStatusReply(
             instances={f"{name}@{coordinator.name}": instance for name, instance in instances.items()},
             leader="",
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -118,7 +118,7 @@
             case AbortRequest():
                 self.add_control(request.id, ABORT)
         coordinator.share_controls(request.id)
-        active = coordinator.controls.active(request.id)
+        active = coordinator.controls.active_control(request.id)
         return ControlReply(
             id=request.id,
             state=STATE_BY_CONTROL[active.kind],
@@ -130,7 +130,7 @@
     def check_unfinished(self, id: str) -> None:
         """Raise RefusedError if a rollout is unknown or has ended."""
         coordinator = self.coordinator
-        if id in coordinator.unfinished:
+        if id in coordinator.unfinished_ids:
             return
         rollout = coordinator.record.body["spans"].get(id)
         if rollout:
