--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -8,6 +8,8 @@
 from testkit.simulation.agents import World, play
 from vetchford.fleet import rollout_controls
 from vetchford.fleet.consensus import Role
+from vetchford.fleet.member_changes import DISMISSAL_SILENCE_MS, has_steps_in_progress
+from vetchford.fleet.tool_requests import REQUEST_TIMEOUT_MS
 
 MINIMUM_AVAILABLE = 14  # of 20 instances
 
@@ -94,6 +96,51 @@
     assert world.find_rollout("r1")["state"] == "finished" and not world.violations()
 
 
+def test_dismissal_with_step_in_progress_is_refused_until_agent_was_silent():
+    world = start_world_without_faults()
+    leader = current_leaders(world)[0]
+    agent = next(name for name in world.names if name != leader)
+    world.request_rollout(leader, "r1", "roll", [f"n0@{agent}", f"n1@{agent}"], version="v2")
+    key = f"n0@{agent}"
+    controller = world.machines[leader].coordinator.controller
+    assert world.run(world.now + 10_000.0, lambda: has_steps_in_progress(controller.record, agent))
+    refused = world.request(leader, "dismiss", name=agent, by="ops")
+    assert refused == [
+        {
+            "refused": f"{agent} has reported recently and has instances out of service: let them return to "
+            "service, or stop its agent and repeat this after 5 s of silence; its steps in progress then "
+            "count as failed"
+        }
+    ]
+    world.machines[agent].stop()
+    world.run(world.now + DISMISSAL_SILENCE_MS - 500.0)
+    assert "refused" in world.request(leader, "dismiss", name=agent, by="ops")[0]
+    world.run(world.now + 1000.0)
+    replies = world.request(leader, "dismiss", name=agent, by="ops")
+    assert world.run(world.now + 5000.0, lambda: bool(replies)) and agent not in replies[0]["members"]
+    assert world.find_rollout("r1")["steps"] == {key: "lost", f"n1@{agent}": "lost"}
+
+
+@pytest.mark.parametrize("ask", ["span", "dismiss"])
+def test_request_without_answer_of_leader_is_refused_with_advice_for_each_command(ask):
+    world = start_world_without_faults()
+    leader = current_leaders(world)[0]
+    agent = next(name for name in world.names if name != leader)
+    world.cut = {(agent, leader)}  # the leader's messages still arrive, so the agent knows the leader
+    if ask == "span":
+        replies = world.request_rollout(agent, "r1", "roll", version="v2")
+    else:
+        replies = world.request(agent, "dismiss", name=agent, by="ops")
+    assert world.run(world.now + REQUEST_TIMEOUT_MS + 500.0, lambda: bool(replies))
+    assert replies == [
+        {
+            "refused": f"leader {leader} did not complete the request in time, but may still do so; repeat "
+            "the command (a rollout with the same --id; if it had none, see first whether the fleet's status "
+            "lists it)"
+        }
+    ]
+
+
 def test_minority_partition_starts_no_rollout_and_refuses_id_of_another_rollout():
     world = start_world_without_faults()
     side = set(world.names[:3])
--- a/vetchford/fleet/leader_requests.py
+++ b/vetchford/fleet/leader_requests.py
@@ -110,7 +110,11 @@
     def change_membership(
         self, now_ms: float, controller: FleetRolloutController, request: MembershipRequest
     ) -> EncodedReply | None:
-        """Admit or dismiss an agent; answered once the change is committed."""
+        """Admit or dismiss an agent; answered once the change is committed.
+
+        A change that is already in effect is answered as done, so that a command may be repeated. So the
+        dismissal of a name that is no member succeeds.
+        """
         name = request.agent
         record = self.coordinator.record
         if record.is_member(name) == isinstance(request, AdmitRequest):
--- a/vetchford/fleet/member_changes.py
+++ b/vetchford/fleet/member_changes.py
@@ -12,8 +12,9 @@
 from vetchford.fleet.fleet_record import UNFINISHED_STEPS, FleetRecord, StepState, agent_of
 from vetchford.fleet.rollout import RefusedError
 
-DISMISSAL_SILENCE_MS = 5000.0  # without a report before an agent with steps in progress may be dismissed;
-# longer than `order_guard.MAX_ORDER_AGE_MS`, so that the agent carries out no order after its dismissal
+# Time without a report after which an agent with steps in progress may be dismissed; longer than
+# `order_guard.MAX_ORDER_AGE_MS`, so that the agent carries out no order after its dismissal.
+DISMISSAL_SILENCE_MS = 5000.0
 MAX_LOG_ENTRIES = 50  # changes of members and voters kept in the record
 
 
@@ -48,8 +49,9 @@
 def check_dismissal(record: FleetRecord, name: str, leader: str, silence_ms: float) -> None:
     """Raise RefusedError if an agent is no member, leads, or may still take instances out of service.
 
-    `silence_ms`: time since the last report of the agent. The dismissal fails the agent's steps in progress,
-    so the agent must have been silent for longer than the age up to which it accepts an order.
+    `silence_ms`: time since the leader requested the newest report of the agent, or since it began to lead.
+    The dismissal fails the agent's unfinished steps, so the agent must have been silent for longer than the
+    age up to which it accepts an order.
     """
     if name not in record.members:
         raise RefusedError(f"{name} is not a member of the fleet")
@@ -59,7 +61,9 @@
         )
     if has_steps_in_progress(record, name) and silence_ms < DISMISSAL_SILENCE_MS:
         raise RefusedError(
-            f"{name} reports and has instances out of service: let them return to service, or stop its agent"
+            f"{name} has reported recently and has instances out of service: let them return to service, "
+            f"or stop its agent and repeat this after {DISMISSAL_SILENCE_MS / 1000:g} s of silence; "
+            "its steps in progress then count as failed"
         )
 
 
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -173,7 +173,8 @@
         if leader:
             text = (
                 f"leader {leader} did not complete the request in time, but may still do so; "
-                "repeat the command with the same --id"
+                "repeat the command (a rollout with the same --id; if it had none, see first whether the "
+                "fleet's status lists it)"
             )
         else:
             voters = ", ".join(sorted(self.coordinator.record.voters()))
