--- a/vetchford/admission/admission_checks.py
+++ b/vetchford/admission/admission_checks.py
@@ -63,7 +63,7 @@
         """Check both counters of unanswered bytes; if one is over its limit, evict the lowest priority.
 
         Return whether the arriving request stays. A request over a limit is rejected at once rather than
-        left waiting (docs/design.md, after the paper's THROW_ON_OVERLOAD).
+        left waiting (docs/design.md; named THROW_ON_OVERLOAD in Apache Cassandra).
         """
         over_client = self.workload.in_flight.over_client_limit(request.client, request.size_bytes)
         if self.capacity.has_room(request) and not over_client:
--- a/vetchford/admission/client_waits.py
+++ b/vetchford/admission/client_waits.py
@@ -36,7 +36,8 @@
         """Count the wait of an attempt, and return the attempt's age; both are fractions of the timeout.
 
         The last attempt of a request waits for the rest of the timeout. So the age is the difference between
-        the wait and the next longer wait that is usual for first attempts.
+        the wait and the next longer wait that is usual for first attempts. Example: if first attempts usually
+        wait for 0.5 or 1.0 of the timeout, an attempt that waits for 0.7 has the age 0.3.
         """
         bucket = self.add(fraction)
         usual_count = COMMON_FRACTION * sum(self.counts)
--- a/vetchford/admission/concurrency_limits.py
+++ b/vetchford/admission/concurrency_limits.py
@@ -30,8 +30,7 @@
 class TimeWeightedAverage:
     """Mean over `BASE_TIME_WINDOW_MS`, weighted by the time between samples; the first samples weigh equally.
 
-    The window is long so that a period of contention hardly changes the base time (docs/design.md: "the mean
-    of its runs over a long window").
+    The window is long so that a period of contention hardly changes the base time (docs/design.md).
     """
 
     def __init__(self, equal_weight_samples: int) -> None:
@@ -55,9 +54,10 @@
 class GradientConcurrencyLimit:
     """A concurrency limit between a floor and a ceiling that follows the latency gradient.
 
-    Each `GRADIENT_PERIOD_MS` the limit moves towards limit * (base / measured) + sqrt(limit) (docs/design.md:
-    "a latency-gradient limit"). The ratio is that of the summed times, so that runs count by their duration:
-    if each run counted alike, the shortest would determine the limit where no expected work is given.
+    Each `GRADIENT_PERIOD_MS` the limit moves towards limit * (base / measured) + sqrt(limit): the more
+    latency exceeds the base time, the lower the target (docs/design.md). The ratio is that of the summed
+    times, so that runs count by their duration: if each run counted alike, the shortest would determine the
+    limit where no expected work is given.
     """
 
     def __init__(self, floor: float, start: float) -> None:
@@ -109,8 +109,8 @@
     """Limits dependency calls, abandoned ones included, to this server's share of the dependency's capacity.
 
     Invariant: when a call starts, `in_flight` plus the abandoned calls that may still run never exceeds
-    `limit()`. Requests that wait for a call are not counted among the runs (docs/design.md: "a bound of their
-    own caps them").
+    `limit()`. Requests that wait for a call take none of the slots for runs; only this limit restricts them
+    (docs/design.md).
     """
 
     def __init__(self, share: float | None, share_period_ms: float, linger_ms: float, cores: int) -> None:
--- a/vetchford/admission/controller.py
+++ b/vetchford/admission/controller.py
@@ -21,7 +21,10 @@
 from vetchford.admission.workload import Workload
 
 BUSY_UTILIZATION = 0.8
-"""Utilization of the cores above which the concurrency limit may be lowered (docs/design.md: busy mark)."""
+"""Utilization of the cores above which the concurrency limit may be lowered (docs/design.md).
+
+Below it, longer run times have other causes than contention for the cores.
+"""
 GROWTH_UTILIZATION = 0.5
 """Utilization below which the limit may grow: on busy cores, more runs only slow each other down."""
 UNANSWERED_OUTCOMES = (Outcome.OVERDUE, Outcome.SEVERED)
--- a/vetchford/admission/idle_timeout.py
+++ b/vetchford/admission/idle_timeout.py
@@ -4,7 +4,10 @@
 from vetchford.admission.traffic import RecentTraffic
 
 CONNECT_COST_S = 5.0
-"""Duration after which keeping a connection open has cost as much as opening a new one."""
+"""Mean time between a client's requests up to which idle connections get the longest timeout.
+
+Keeping a connection idle for about this long costs the server as much as opening a new one.
+"""
 MIN_IDLE_TIMEOUT_MS = 10.0
 UNCHANGED_ABOVE = 0.8
 UNCHANGED_BELOW = 1.25
@@ -14,10 +17,16 @@
 """Factor on the table pressure with each tick: it subsides over ten seconds."""
 READ_DELAY_SLOPE = 2.0
 READ_DELAY_OFFSET = 0.2
-"""Table pressure rises once the read delay exceeds a tenth of the latency objective."""
+"""The table pressure is at least slope * (read delay / latency objective) - offset.
+
+So it rises once the read delay exceeds a tenth of the latency objective.
+"""
 WASTED_READING_SLOPE = 6.0
 WASTED_READING_OFFSET = 3.6
-"""Table pressure rises once more than six tenths of the cores read requests that are rejected."""
+"""The table pressure is at least slope * (fraction of the cores that reads rejected requests) - offset.
+
+So it rises once more than six tenths of the cores read requests that are rejected.
+"""
 
 
 class IdleTimeout:
@@ -35,7 +44,7 @@
         Args:
             actions: Actions that set the timeout.
             traffic: Recent traffic of the server.
-            max_idle_timeout_ms: Longest timeout; 0: no connection is closed.
+            max_idle_timeout_ms: Longest timeout; 0: no timeout is set here, only the server's own applies.
             clients: Number of clients that hold connections.
         """
         self.actions = actions
@@ -45,7 +54,10 @@
         self.idle_timeout_ms = max_idle_timeout_ms
         """The timeout that was set last."""
         self.table_pressure = 0.0
-        """Fraction of the longest timeout that is kept however seldom clients send requests."""
+        """Lower bound of the timeout, as a fraction of the longest, however seldom clients send requests.
+
+        It rises while reading causes the overload, as a full connection table then helps.
+        """
         self.wasted_reading = 0.0
         """Recent fraction of the cores that reads requests which are rejected."""
 
--- a/vetchford/admission/in_flight_bytes.py
+++ b/vetchford/admission/in_flight_bytes.py
@@ -50,18 +50,18 @@
     def over_node_limit(self) -> bool:
         """Return whether the unanswered bytes exceed the node threshold.
 
-        The paper's `native_transport_max_concurrent_requests_in_bytes` (docs/design.md), except that the
-        threshold is computed from the measured answer rate.
+        The limit is named `native_transport_max_concurrent_requests_in_bytes` in Apache Cassandra
+        (docs/design.md), where it is a setting; here it is computed from the measured answer rate.
         """
         return self.unanswered_bytes > self.clearable_bytes
 
     def over_client_limit(self, client: int, size_bytes: int) -> bool:
         """Return whether the client exceeds its share of the node threshold.
 
-        The paper's `native_transport_max_concurrent_requests_in_bytes_per_ip` (docs/design.md). A sole client
-        has no limit, and the limit applies only above a fill level. One request is always within the limit:
-        with many clients a share is smaller than a request, and requests would be evicted regardless of their
-        priority.
+        The limit is named `native_transport_max_concurrent_requests_in_bytes_per_ip` in Apache Cassandra
+        (docs/design.md). A sole client has no limit, and the limit applies only while at least
+        `LENDING_FRACTION` of the node threshold is in use. One request is always within the limit: with many
+        clients a share is smaller than a request, and requests would be evicted regardless of their priority.
 
         Args:
             client: Client whose request has arrived.
--- a/vetchford/admission/rejection.py
+++ b/vetchford/admission/rejection.py
@@ -22,6 +22,9 @@
     CLIENT_BYTES = "admission.in_flight_bytes.InFlightBytes.over_client_limit"
     """The client has too many unanswered bytes, and the request has the lowest priority of the client's."""
     NODE_BYTES = "admission.in_flight_bytes.InFlightBytes.over_node_limit"
-    """Too many bytes are unanswered, and the request has the lowest priority."""
+    """Too many bytes are unanswered, and the request has the lowest priority.
+
+    With bulkheads, the rule is `bulkheads.byte_sharing.ByteSharing.has_room`.
+    """
     SUPERSEDED = "admission.lifecycle.RequestLifecycle.resolve_repeat"
     """The request was queued when a repeat of it arrived, which takes its place."""
--- a/vetchford/admission/request.py
+++ b/vetchford/admission/request.py
@@ -208,4 +208,4 @@
     """Number of clients that hold connections to this server."""
     cores: int
     max_idle_timeout_ms: float
-    """Longest duration for which an idle connection is kept open; 0: no connection is closed."""
+    """Longest duration for which an idle connection is kept open; 0: admission control sets no timeout."""
--- a/vetchford/admission/retry_objective.py
+++ b/vetchford/admission/retry_objective.py
@@ -5,7 +5,10 @@
 from vetchford.admission.retry_after import RetryAfter
 
 RETRY_AGE_FRACTION = 0.05
-"""Age up to which an attempt counts as a first attempt that tried another server, over the timeout."""
+"""Age, as a fraction of the timeout, above which an attempt counts as a retry.
+
+A younger one counts as a first attempt: its client has only waited for a connection or tried another server.
+"""
 BACKOFF_FRACTION = 0.5
 """Fraction of the mean retry-after that a retry is assumed to have waited; retries wait all or none of it."""
 CLIENT_WAIT_FRACTION = 0.95
--- a/vetchford/admission/slow_start.py
+++ b/vetchford/admission/slow_start.py
@@ -3,7 +3,10 @@
 from vetchford.admission.request import AdmissionSettings
 
 SURVIVABLE_FRACTION = 0.5
-"""Fraction of the survivable concurrency that is started; resumed runs and reading add to it."""
+"""Runs are started up to this fraction of the survivable concurrency.
+
+The rest is for runs that resume after a call and for reading.
+"""
 MIN_CEILING = 1.0
 MIN_WARM_UP_MS = 1.0
 
--- a/vetchford/admission/workload.py
+++ b/vetchford/admission/workload.py
@@ -30,7 +30,10 @@
 KNOWN_WORK_ABOVE_MS = 1.0
 """Mean expected work above which clients give it; a request without it counts as `UNKNOWN_WORK_MS`."""
 SPEED_OF_STANDARD_CORE = 0.5
-"""Speed of a server whose runs take as long as their expected work, given for a standard core."""
+"""Speed of a server whose runs take as long as their expected work, the time on a standard core.
+
+The speed is this times expected work over run time, at most 1: a speed of 1 is twice that of a standard core.
+"""
 
 
 class Workload:
--- a/vetchford/bulkheads/adaptive_limit.py
+++ b/vetchford/bulkheads/adaptive_limit.py
@@ -21,7 +21,7 @@
 REJECTED_LIMIT_FACTOR = 0.75
 """Factor on the limit after a period with rejected calls."""
 RESTORED_LIMIT_FACTOR = 0.5
-"""Fraction of the slow-start threshold kept when answers stop; up to it the limit doubles again."""
+"""Factor on the slow-start threshold after a period without answers; below it the limit doubles."""
 PERIODS_BETWEEN_TRIALS = 8
 MIN_PERIOD_MS = 100.0
 MIN_CALLS_PER_PERIOD = 4
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -184,11 +184,11 @@
     def _log_summary(self, now_ms: float) -> None:
         members = self.failure_detector.membership.members.values()
         log.info(
-            "together",
+            "together",  # the fleet as this server sees it
             there=sum(member.state == MemberState.ALIVE for member in members),
             records=self.signal_policy.records_health.state,
             **self.admission_signals.summary(now_ms),
-            room=round(self.admission_signals.signals.call_capacity, LOGGED_DIGITS),
+            room=round(self.admission_signals.signals.call_capacity, LOGGED_DIGITS),  # usable share of calls
             bytes_sent=self.transport.bytes_sent,
             datagrams_sent=self.transport.datagrams_sent,
         )
@@ -202,6 +202,7 @@
     def on_state_changed(self, name: str, state: MemberState) -> None:
         """Handle a change of the state of another server."""
         if state != MemberState.SUSPECT:
+            # Logged for both changes: `there` is false for a server that has become unreachable.
             log.info("fleet_member_seen", neighbour=name, there=state == MemberState.ALIVE)
         self._update_members()
 
--- a/vetchford/fleet/fleet_record.py
+++ b/vetchford/fleet/fleet_record.py
@@ -150,7 +150,7 @@
 class FleetRecord:
     """Body of the replicated record."""
 
-    members: dict[str, int]  # by name; the value is the position in the log at which the member was admitted
+    members: dict[str, int]  # by name; the value (0, or the length of `log` at the admission + 1) is not read
     voters: dict[str, str]  # store identities, by name
     log: list[list[Any]]  # changes of members and voters: [action, name, operator or cause], the newest last
     rollouts: dict[str, FleetRollout]
--- a/vetchford/fleet/health_checker.py
+++ b/vetchford/fleet/health_checker.py
@@ -11,7 +11,9 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
 
-CHECK_INTERVAL_S = 0.2  # per instance; three failures span the notice period of a drain
+# Between two checks of an instance. The three failures that end its state SERVING (see
+# `instance_manager.MAX_FAILED_CHECKS`) then take about 0.6 s if the checks fail at once.
+CHECK_INTERVAL_S = 0.2
 CHECK_TIMEOUT_S = 1.0  # a busy server replies within a few ms
 MAX_CHECK_THREADS = 8  # a check without a reply blocks an eighth of them for a second
 MAX_REPLY_BYTES = 4096
--- a/vetchford/fleet/instance.py
+++ b/vetchford/fleet/instance.py
@@ -58,7 +58,7 @@
     failed_checks: int = 0  # consecutive health checks failed while serving
     reason: str = ""  # of the last transition
     kill_count: int = 0  # how often the instance exceeded its stop timeout
-    awaiting_first_check: bool = False  # adopted and not checked yet; may count towards the minimum
+    awaiting_first_check: bool = False  # adopted and not checked yet: not known to serve, so rollouts wait
 
     @property
     def has_process(self) -> bool:
--- a/vetchford/fleet/instance_manager.py
+++ b/vetchford/fleet/instance_manager.py
@@ -17,7 +17,7 @@
 MAX_READY_BACKOFF_EXPONENT = 6  # of 2; about half a minute after repeatedly missed ready timeouts
 STABLE_AFTER_MS = 60_000.0  # of serving, after which earlier restarts no longer count
 MAX_CONSECUTIVE_RESTARTS = 6  # in about half a minute; then the instance waits for an operator to start it
-MAX_FAILED_CHECKS = 3  # consecutive; one check may be lost, three take a second or more
+MAX_FAILED_CHECKS = 3  # consecutive, while serving; a single check may fail by chance
 KILL_RETRY_INTERVAL_MS = 1000.0  # for a process that hangs in the kernel and does not end by SIGKILL
 STORE_RETRY_INTERVAL_MS = 1000.0  # until a restart that the store could not record is tried again
 
--- a/vetchford/fleet/order_guard.py
+++ b/vetchford/fleet/order_guard.py
@@ -8,8 +8,9 @@
 from vetchford.fleet.coordinator_messages import StepOrder
 from vetchford.fleet.rollout_controls import RolloutControls
 
-MAX_ORDER_AGE_MS = 3000.0  # since the report that an order is based on; six report rounds at a busy site
-MAX_KNOWN_REPORTS = 16  # report numbers that are remembered; earlier reports are older than MAX_ORDER_AGE_MS
+# Since the report that an order is based on; twelve reports at one every `fleet_rollout.POLL_INTERVAL_MS`.
+MAX_ORDER_AGE_MS = 3000.0
+MAX_KNOWN_REPORTS = 16  # report numbers that are remembered: those of 4 s, which is above MAX_ORDER_AGE_MS
 
 
 class OrderGuard:
--- a/vetchford/gossip/messages.py
+++ b/vetchford/gossip/messages.py
@@ -46,7 +46,8 @@
 def decode_reports(body: Any, metric_count: int) -> Iterator[LoadReport]:
     """Yield the reports of a decoded message; reports before a malformed one are valid.
 
-    Raises TypeError or ValueError (msgspec.ValidationError, OtherMetricsError) at a malformed report.
+    Raises TypeError or ValueError at a malformed report: MetricCountMismatchError if it has another number of
+    values, otherwise usually msgspec.ValidationError.
     """
     for encoded in body[:MAX_REPORTS_PER_MESSAGE]:
         report = msgspec.convert(encoded, LoadReport)
--- a/vetchford/gossip/metrics.py
+++ b/vetchford/gossip/metrics.py
@@ -28,7 +28,7 @@
 
     CALL_SLOWDOWN = "pace"  # recent duration of a call, as a multiple of the usual one
     LOST_CALLS = "lost"  # share of calls that timed out, were refused or failed
-    SINCE_LAST_ANSWER = "well"  # ms since the last answer to a call
+    SINCE_LAST_ANSWER = "well"  # ms since the last answer to a call: a high value is bad
     REJECTED_REQUESTS = "full"  # share of requests that were rejected
     MEMORY = "memory"  # used share of the memory limit
     REQUEST_RATE = "rate"  # requests read per second
--- a/vetchford/server/reload.py
+++ b/vetchford/server/reload.py
@@ -24,7 +24,7 @@
 FIXED_KEYS = (NAME_KEY, LISTEN_KEY, LIMITS_KEY, SETTINGS_KEY)
 """Keys whose changes take effect at the next start only."""
 OWN_SETTINGS = "declared"
-"""Name in log lines of the settings files, whose changes take effect at the next start too."""
+"""Name of the settings files in the log field `not_changed`."""
 
 
 class ConfigurationReloader:
@@ -99,6 +99,7 @@
     log.info(
         "configuration_renewed",
         moved=",".join(changed_keys),
+        # Despite its name, this field lists keys that were changed; their changes wait for the next start.
         not_changed=",".join(_keys_pending_restart(new, current)),
     )
     return replace(
--- a/vetchford/server/request_answers.py
+++ b/vetchford/server/request_answers.py
@@ -23,7 +23,7 @@
         self._send(entry, json_rpc.completed(entry.rpc_id, content), "finished")
 
     def fail(self, entry: RequestEntry) -> None:
-        """Answer with an error that leaves open whether the request had an effect."""
+        """Answer with an error that leaves open whether the request had an effect; counted as `abandoned`."""
         self._send(entry, json_rpc.failed(entry.rpc_id), "abandoned")
 
     def reject(self, entry: RequestEntry, terminal: bool, retry_after_ms: float, counter: str) -> None:
--- a/vetchford/server/server_actions.py
+++ b/vetchford/server/server_actions.py
@@ -24,7 +24,11 @@
 POLL_BEFORE_TICK_MS = 6.0
 NOT_COMPLETED = RunResult(False, "")
 REASON_COUNTERS = {reason: f"rejection_{reason.name.lower()}" for reason in RejectionReason}
-"""Metric that counts the rejections by each rule; `_rejection_counter` counts them by the server's state."""
+"""Counters `rejection_*`: rejections by the rule that rejected.
+
+Each rejection is also counted by one of the counters `rejected_*`, by the state of the server and of the
+request instead of the rule (`_rejection_counter`).
+"""
 
 
 class SharedResult(NamedTuple):
@@ -145,7 +149,11 @@
         self.timers.schedule(due_unix_ms, self.on_tick)
 
     def _rejection_counter(self, index: int) -> str:
-        """Return the counter for a rejection: by the server's state, else by whether it was queued."""
+        """Return the counter `rejected_*` for a rejection by any rule; the first that applies.
+
+        `rejected_draining`: after the termination notice. `rejected_stalled`: while no run makes progress.
+        `rejected_at_door`: the request is arriving. `rejected_held`: the request was queued.
+        """
         if self.controller.health.termination_notice_at_ms < math.inf:
             return "rejected_draining"
         if self.controller.health.stalled:
--- a/vetchford/server/server_process.py
+++ b/vetchford/server/server_process.py
@@ -43,7 +43,7 @@
 FLEET_DESCRIPTORS = 4  # datagrams, a listener that accepts no connections, a connection to it, one spare
 MIN_CALL_DESCRIPTORS = 8
 MAX_CALL_DESCRIPTORS = 56  # three times the calls that a server with twelve cores may have in flight
-CALL_DESCRIPTORS_DIVISOR = 4  # one of this many descriptors is for calls, less OTHER_DESCRIPTORS
+CALL_DESCRIPTORS_DIVISOR = 4  # calls get a quarter of all descriptors, less OTHER_DESCRIPTORS
 PROCESS_EXIT_TIME_S = 0.02  # from the last log line to the exit; half of shutdown.EXIT_BEFORE_KILL_MS
 
 
