--- a/vetchford/configuration/choices.py
+++ b/vetchford/configuration/choices.py
@@ -1,4 +1,7 @@
-"""Resolves choices: tries each combination of options and prefers the valid one with the most defaults."""
+"""Resolves choices: tries each combination of options and prefers a valid one that keeps the defaults.
+
+If the files' defaults can't all be kept, those of the last file take precedence.
+"""
 
 import itertools
 from abc import abstractmethod
@@ -66,7 +69,7 @@
     def _preferred_value(
         self, value: ValueNode, candidates: Sequence[Candidate], choices: Sequence[Constraint[Choice]]
     ) -> PlainValue | Absent:
-        """Return the value of the candidates with the most defaults, which must agree."""
+        """Return the value of the candidates that keep the defaults of the latest files; they must agree."""
         most_defaults = max(candidate.defaults for candidate in candidates)
         preferred = [candidate for candidate in candidates if candidate.defaults == most_defaults]
         first = preferred[0]
--- a/vetchford/coordination/fleet_member.py
+++ b/vetchford/coordination/fleet_member.py
@@ -291,7 +291,7 @@
             self.metrics.log_sampled("name_disputed", name=self.name)
             return
         incarnation = self.incarnation_counter.incarnation
-        log.warning("life_raised", life=incarnation, known=known)
+        log.warning("life_raised", life=incarnation, known=known)  # "life" is the incarnation
         self.failure_detector.membership.restart(incarnation * REFUTATIONS_PER_INCARNATION)
         self.load_gossip.incarnation = incarnation
         self.lease_client.begin_incarnation(now_ms, incarnation)
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -272,8 +272,9 @@
     def on_vote_request(self, now_ms: float, sender: str, message: VoteRequest) -> None:
         """Vote in a higher term; a duplicate request is answered again.
 
-        Invariant: one vote per term (Raft, 5.2). Each term belongs to one agent (`next_own_term`), so a
-        repeated term comes from the same candidate. The vote is on disk before it is sent.
+        Invariant: one vote per term (Raft, 5.2). It rests on each term belonging to one agent
+        (`next_own_term`): a repeated term then comes from the same candidate. The vote is on disk before it
+        is sent.
         """
         if message.term < self.promised_term:
             self.send(sender, Rejected(message.term, self.promised_term))
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -82,7 +82,7 @@
         self.incarnation = incarnation
         self.record = ReplicatedRecord(self, name, seed, store, founding_body, now_ms)
         self.controls = RolloutControls(name)
-        self.controller: FleetRolloutController | None = None  # while this agent leads
+        self.controller: FleetRolloutController | None = None  # None unless this agent leads
         self.tool_requests = ToolRequests(self)
         self.order_guard = OrderGuard(name, self.record, self.controls)
         self.polls_sent_at_ms: dict[int, float] = {}  # by number; removed once answered or too old
--- a/vetchford/fleet/coordinator_actor.py
+++ b/vetchford/fleet/coordinator_actor.py
@@ -189,7 +189,7 @@
         except OSError as problem:  # others keep refusing this agent and report it on each connection
             self.metrics.log_sampled("incarnation_not_stored", problem=str(problem))
             return
-        log.warning("life_raised", life=self.own_incarnation.number, known=known)
+        log.warning("life_raised", life=self.own_incarnation.number, known=known)  # "life": incarnation
         self.failure_detector.membership.restart(self.detector_incarnation())
         self.transport.begin_incarnation(self.own_incarnation.number, self.own_incarnation.nonce)
 
--- a/vetchford/fleet/coordinator_protocol.py
+++ b/vetchford/fleet/coordinator_protocol.py
@@ -23,7 +23,7 @@
     incarnation: int
     record: ReplicatedRecord
     controls: RolloutControls
-    controller: FleetRolloutController | None  # while this agent leads
+    controller: FleetRolloutController | None  # None unless this agent leads
     wait_reasons: dict[str, str]  # by rollout id, from the leader's last report request
     unfinished: set[str]  # ids of the record's rollouts that have not ended
 
--- a/vetchford/fleet/election.py
+++ b/vetchford/fleet/election.py
@@ -78,10 +78,10 @@
 
 
 def next_own_term(name: str, members: Iterable[str], highest_seen_term: int) -> int:
-    """Return the lowest term above `highest_seen_term` that only this agent may use.
+    """Return this agent's own term in the round after that of `highest_seen_term`.
 
-    A round has `TERMS_PER_ROUND` terms, one for each index in the sorted list of members. Two agents are
-    therefore never candidates in the same term, and a term has at most one leader, whatever the votes.
+    A round has `TERMS_PER_ROUND` terms, one for each index in the sorted list of members. Two agents with the
+    same list, of `TERMS_PER_ROUND` members at most, are therefore never candidates in the same term.
     """
     completed_rounds = highest_seen_term // TERMS_PER_ROUND
     member_index = sorted(members).index(name) % TERMS_PER_ROUND
--- a/vetchford/server/client_messages.py
+++ b/vetchford/server/client_messages.py
@@ -74,7 +74,8 @@
 
     def _handle_notification(self, client: Client, method: str, params: dict[str, Any]) -> None:
         # Not counted as bad messages: load balancers have been seen to send hundreds of notifications at a
-        # time, and closing the connection for that would fail its open requests.
+        # time, and closing the connection for that would fail its open requests. The event is logged for any
+        # client, also one that is no load balancer.
         self.target.metrics.log_sampled(
             "balancer_notification",
             method=method[:MAX_LOGGED_METHOD_LENGTH],
--- a/vetchford/transport/outbox.py
+++ b/vetchford/transport/outbox.py
@@ -4,7 +4,8 @@
 
 MAX_QUEUED_MESSAGES = 512  # in the queue of one peer
 MAX_QUEUED_BYTES = 4 << 20  # in the queue of one peer
-# Kinds that are sent again periodically: the oldest message of these is dropped first.
+# Kinds that are sent again periodically: the oldest message of these is dropped first. They are heartbeats,
+# report requests and report responses of the fleet's coordinators, and datagrams.
 REPEATED_KINDS = frozenset(("beat", "look", "seen", "news"))
 
 
