--- a/vetchford/fleet/health_checker.py
+++ b/vetchford/fleet/health_checker.py
@@ -11,8 +11,9 @@
 from vetchford.runtime.metrics import Metrics
 from vetchford.runtime.thread_pool import ThreadPool
 
-# Between two checks of an instance. The three failures that end its state SERVING (see
-# `instance_manager.MAX_FAILED_CHECKS`) then take about 0.6 s if the checks fail at once.
+# Between two checks of an instance. The three failures in a row that end its state SERVING (see
+# `instance_manager.MAX_FAILED_CHECKS`) then take about 0.6 s if the checks fail at once, which is about as
+# long as the notice that a draining instance gives to its clients.
 CHECK_INTERVAL_S = 0.2
 CHECK_TIMEOUT_S = 1.0  # a busy server replies within a few ms
 MAX_CHECK_THREADS = 8  # a check without a reply blocks an eighth of them for a second
