--- a/tests/golden/test_server_bytes.py
+++ b/tests/golden/test_server_bytes.py
@@ -210,7 +210,7 @@
 
 
 def test_rejections_under_overload(tmp_path):
-    """Guards the text of each kind of rejection, and the reply beyond the limit of a connection."""
+    """Guard the text of each kind of rejection, and the reply beyond the limit of a connection."""
     with ServerUnderTest(tmp_path) as server:
         client = server.connect_client()
         for number in range(30):
@@ -230,7 +230,7 @@
 
 
 def test_shutdown_of_a_server(tmp_path):
-    """Guards the notification to clients, the last report, the results of running requests, and the exit."""
+    """Guard the notification to clients, the last report, the results of running requests, and the exit."""
     seen = {}
     with ServerUnderTest(tmp_path) as server:
         seen["heartbeats"] = [normalise(server.first_report)]
