--- a/tests/bulkheads/test_server_with_bulkheads.py
+++ b/tests/bulkheads/test_server_with_bulkheads.py
@@ -1,4 +1,4 @@
-"""Runs a server process with bulkheads against fake peers."""
+"""Runs a server process with bulkheads against fakes of its client, worker pool and services."""
 
 import re
 import signal
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -297,18 +297,18 @@
     generator = random.Random(5)
     copies = [rollout_controls.RolloutControls(name) for name in "abc"]
     for n in range(200):
-        one, other = generator.sample(copies, 2)
+        copy, other = generator.sample(copies, 2)
         draw = generator.random()
         if draw < 0.1:
-            one.add("c", "pause", "asked to", str(n))
+            copy.add("c", "pause", "asked to", str(n))
         elif draw < 0.2:
-            one.resume("c")
+            copy.resume("c")
         else:
-            other.merge(dict(one.by_rollout), {"c"})
+            other.merge(dict(copy.by_rollout), {"c"})
     for _ in range(3):
-        for one in copies:
+        for copy in copies:
             for other in copies:
-                other.merge(dict(one.by_rollout), {"c"})
+                other.merge(dict(copy.by_rollout), {"c"})
     assert copies[0].by_rollout == copies[1].by_rollout == copies[2].by_rollout
     active_pauses = {id for id, _ in copies[0].controls_of("c")["halts"].items()} - set(
         copies[0].controls_of("c")["lifted"]
--- a/tests/fleet/test_coordinator_messages.py
+++ b/tests/fleet/test_coordinator_messages.py
@@ -98,10 +98,10 @@
     rollout = record.rollouts["r1"]
     assert rollout.minimum_available == 3 and rollout.steps["n1@b"] == StepState.IN_PROGRESS
     rollout.state, rollout.steps["n1@b"] = RolloutState.SUCCEEDED, StepState.DONE
-    changed = json.loads(text)
-    changed["spans"]["r1"] |= {"state": "finished", "steps": {**ROLLOUT["steps"], "n1@b": "done"}}
-    assert json.loads(json.dumps(record.encode())) == changed
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(record.encode())) == changed
+    expected = json.loads(text)
+    expected["spans"]["r1"] |= {"state": "finished", "steps": {**ROLLOUT["steps"], "n1@b": "done"}}
+    assert json.loads(json.dumps(record.encode())) == expected
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(record.encode())) == expected
 
 
 def test_fleet_record_keeps_unknown_keys_and_copies_are_independent():
--- a/tests/golden/test_commands.py
+++ b/tests/golden/test_commands.py
@@ -292,7 +292,7 @@
 
 def test_each_kind_of_wrong_platform_file(tmp_path):
     commands = {}
-    for number, (name, changed) in enumerate(WRONG_PLATFORM.items()):
-        (tmp_path / f"{number}.json").write_text(json.dumps({**PLATFORM, **changed}), encoding="utf-8")
+    for number, (name, overrides) in enumerate(WRONG_PLATFORM.items()):
+        (tmp_path / f"{number}.json").write_text(json.dumps({**PLATFORM, **overrides}), encoding="utf-8")
         commands[name] = ("check", "--config", f"DIR/{number}.json")
     harness.compare("wrong_platform", run_commands(tmp_path, commands))
