--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -66,7 +66,7 @@
     file = tmp_path / "config.json"
     file.write_text("[" * 200_000)
     result = run_command("check", "--config", str(file))
-    assert result.returncode == 2 and result.stderr.count("\n") == 1 and "invalid JSON" in result.stderr
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and "not valid JSON" in result.stderr
 
 
 def test_the_code_and_the_on_call_page_name_the_same_log_events():
--- a/vetchford/server/platform_config.py
+++ b/vetchford/server/platform_config.py
@@ -71,7 +71,7 @@
     except OSError as error:
         raise MalformedInputError(f"configuration file {path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:  # RecursionError: brackets nested too deeply
-        raise MalformedInputError(f"configuration file {path}: invalid JSON: {error}") from None
+        raise MalformedInputError(f"configuration file {path}: not valid JSON: {error}") from None
     if not isinstance(document, dict):
         raise MalformedInputError(f"configuration file {path}: expected a JSON object")
     return document
