--- a/vetchford/configuration/choices.py
+++ b/vetchford/configuration/choices.py
@@ -46,6 +46,7 @@
         self, value: ValueNode, others: list[Constraint[Node]], choices: list[Constraint[Choice]]
     ) -> PlainValue | Absent:
         """Return the value of the preferred valid combination; report a problem if there is none."""
+        # Choices of the schema, which is not in `file_ranks`, have the lowest rank.
         ranks = [self.file_ranks.get(choice.node.location.file, -1) for choice in choices]
         candidates: list[Candidate] = []
         failures: list[list[Problem]] = []
--- a/vetchford/fleet/commands/fleet_commands.py
+++ b/vetchford/fleet/commands/fleet_commands.py
@@ -24,7 +24,7 @@
 UNREACHABLE_TIMEOUT_S = 30.0  # without a reply from any agent; a leader is replaced within 10 s
 POLL_INTERVAL_S = 0.2  # between requests for a rollout's status
 WAIT_COMMAND = "vetchford fleet --across wait"
-DEFAULT_OPERATOR = "the tool"
+DEFAULT_OPERATOR = "the tool"  # recorded for a change of members without --by
 
 
 def run(options: Options) -> ExitStatus:
--- a/vetchford/fleet/commands/options.py
+++ b/vetchford/fleet/commands/options.py
@@ -36,6 +36,7 @@
     Command.ROLL: RolloutKind.ROLL,
 }
 CONTROL_COMMANDS = frozenset((Command.PAUSE, Command.RESUME, Command.ABORT))
+# These need no --across: single agents do not have them.
 FLEET_COMMANDS = frozenset((Command.WATCH, Command.PEERS, Command.ADMIT, Command.DISMISS))
 
 
@@ -49,7 +50,7 @@
     select: list[str]  # the SELECT arguments
     rollout_id: str  # ID; empty if the command has none
     requested_id: str  # --id; empty: an id is generated
-    instance: str
+    instance: str  # INSTANCE of `explain`; for a fleet it is the id of a rollout
     agent: str
     operator: str  # --by
     version: str  # --to
--- a/vetchford/fleet/consensus.py
+++ b/vetchford/fleet/consensus.py
@@ -177,7 +177,7 @@
     # -- all roles: time, messages, stepping down
 
     def tick(self, now_ms: float) -> None:
-        """Act on timeouts; called about ten times a second."""
+        """Act on timeouts; called about 20 times a second."""
         if self.role in LEADING_ROLES:
             self.tick_leader(now_ms)
         elif self.role in CAMPAIGNING_ROLES:
--- a/vetchford/fleet/coordinator.py
+++ b/vetchford/fleet/coordinator.py
@@ -101,7 +101,7 @@
     # -- time
 
     def tick(self, now_ms: float) -> None:
-        """Act on timeouts; called about ten times a second."""
+        """Act on timeouts; called about 20 times a second."""
         gap_ms = now_ms - self.last_tick_at_ms
         self.last_tick_at_ms = now_ms
         if gap_ms > STALL_THRESHOLD_MS:
--- a/vetchford/fleet/coordinator_adapter.py
+++ b/vetchford/fleet/coordinator_adapter.py
@@ -126,7 +126,7 @@
         return clock.now_ms()
 
     def tick(self) -> None:
-        """Run the periodic work; called about ten times a second."""
+        """Run the periodic work; called about 20 times a second."""
         now_ms = self.now()
         self.transport.tick()
         self.failure_detector.tick(now_ms)
--- a/vetchford/fleet/fleet_rollout.py
+++ b/vetchford/fleet/fleet_rollout.py
@@ -87,7 +87,7 @@
     # -- reports
 
     def tick(self, now_ms: float) -> None:
-        """Poll the agents and advance the rollouts; called about ten times a second."""
+        """Poll the agents and advance the rollouts; called about 20 times a second."""
         self.started_at_ms = self.started_at_ms or now_ms
         interval_ms = POLL_INTERVAL_MS if self.record.unfinished() else IDLE_POLL_INTERVAL_MS
         for agent in self.record.members:
--- a/vetchford/fleet/tool_requests.py
+++ b/vetchford/fleet/tool_requests.py
@@ -68,7 +68,7 @@
         self.last_number = 0  # last one given to a pending request or a control
 
     def tick(self, now_ms: float) -> None:
-        """Process the pending requests; called about ten times a second."""
+        """Process the pending requests; called about 20 times a second."""
         for reference in list(self.pending):
             self.process_pending(now_ms, reference)
 
--- a/vetchford/transport/connections.py
+++ b/vetchford/transport/connections.py
@@ -50,8 +50,9 @@
 class Transport:
     """Streams and datagrams to all listed peers.
 
-    After `start`, the actor calls `tick` several times a second. All methods are for its thread, except the
-    callbacks of the endpoint and the functions of the stream threads.
+    After `start`, the actor calls `tick` about 20 times a second if streams are used; datagrams
+    have no timers. All methods are for its thread, except the callbacks of the endpoint and the functions of
+    the stream threads.
     """
 
     def __init__(
--- a/vetchford/transport/framing.py
+++ b/vetchford/transport/framing.py
@@ -1,6 +1,6 @@
 """Codec of frames: a header of 16 bytes and a body in MessagePack (msgspec) with an XXH3 checksum (xxhash).
 
-    2 bytes "vf", version, reserved, length of the body (4, big-endian), checksum of the body (8)
+    "vf" (2 bytes), version (1), reserved (1), length of the body (4), checksum of the body (8); big-endian
 
 Datagrams (one frame each) and streams use the same form. The only state is the undecoded rest of a stream.
 """
--- a/vetchford/transport/peers.py
+++ b/vetchford/transport/peers.py
@@ -58,9 +58,9 @@
     incarnation: int = 0  # the highest one seen; 0: none
     nonce: int = 0
     link: int = 0  # number of its link; 0: none
-    connect_attempts: int = 0  # to connect, since the backoff was reset
-    next_contact_at_ms: float = 0.0  # of a connection; with datagrams only, of an incarnation notice
-    up_since_ms: float = 0.0
+    connect_attempts: int = 0  # since the backoff was reset
+    next_contact_at_ms: float = 0.0  # next attempt to connect; with datagrams only, next incarnation notice
+    up_since_ms: float = 0.0  # start of the established link; 0: none
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
     last_failure: str = "not tried yet"  # why there is no link
 
--- a/vetchford/transport/session_manager.py
+++ b/vetchford/transport/session_manager.py
@@ -60,7 +60,7 @@
     # -- timers
 
     def tick(self, now_ms: float) -> None:
-        """Handle timers; call this about ten times a second."""
+        """Handle timers; call this about 20 times a second."""
         self.link_table.compensate_suspension(now_ms - self.last_tick_at_ms)
         self.last_tick_at_ms = now_ms
         self.link_table.connect_due(now_ms)
